--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -88,9 +88,9 @@
 	// dispatched knows what the server got lately, cases which requests it answered and lived
 	// on.
 	dispatched poison.Runs
-	cases      poison.Cases
+	cases      poison.Detector
 	// blocked holds what entries have blocked, and when one of them last said so.
-	blocked map[poison.Print]time.Time
+	blocked map[poison.Fingerprint]time.Time
 	// leavingProbed is when a server that announced its shutdown was last asked whether its next
 	// life has begun.
 	leavingProbed time.Time
@@ -124,7 +124,7 @@
 
 func (ag *Agent) prepare() {
 	se := ag.Node.Settings
-	ag.gate = gate.Gate{Server: se.Server.Name, Queue: se.Limits.Queue}
+	ag.gate = gate.Gate{Server: se.Server.Name, MaxQueued: se.Limits.Queue}
 	ag.ledger = bill.Ledger{Bound: se.Limits.Bills, Grace: ownGrace, Every: billRepeat}
 	ag.writer = bill.Writer{Flush: se.Limits.BillFlush(), Bound: se.Limits.Bills}
 	ag.streams = map[gate.Key]*stream{}
--- a/internal/agent/blocked.go
+++ b/internal/agent/blocked.go
@@ -14,11 +14,11 @@
 
 // hearBlocked takes what an entry has blocked. Only the agent sees whether its server lives on
 // after an answer; without its word entries refused for five minutes what all callers asked alike.
-func (ag *Agent) hearBlocked(prints []poison.Print, now time.Time) {
+func (ag *Agent) hearBlocked(prints []poison.Fingerprint, now time.Time) {
 	ag.mu.Lock()
 	defer ag.mu.Unlock()
 	if ag.blocked == nil {
-		ag.blocked = map[poison.Print]time.Time{}
+		ag.blocked = map[poison.Fingerprint]time.Time{}
 	}
 	for _, pr := range prints {
 		ag.blocked[pr] = now
@@ -27,10 +27,10 @@
 
 // soundOf returns the blocked requests that the server has answered and lived on; the lock is
 // held.
-func (ag *Agent) soundOf() []poison.Print {
-	var sound []poison.Print
+func (ag *Agent) soundOf() []poison.Fingerprint {
+	var sound []poison.Fingerprint
 	for pr := range ag.blocked {
-		if ag.cases.IsSound(pr) {
+		if ag.cases.IsHarmless(pr) {
 			sound = append(sound, pr)
 		}
 	}
@@ -40,10 +40,10 @@
 // settleRuns notes what the server has answered and lived on, and asks it where that is not known
 // of a blocked request. The lock is held.
 func (ag *Agent) settleRuns(ctx context.Context, now time.Time) {
-	maps.DeleteFunc(ag.blocked, func(_ poison.Print, said time.Time) bool { return now.Sub(said) >= blockedKept })
-	ag.cases.Settle(&ag.dispatched, now)
-	isBlocked := func(pr poison.Print) bool { return !ag.blocked[pr].IsZero() }
-	if len(ag.dispatched.Unproven(isBlocked, now)) > 0 {
+	maps.DeleteFunc(ag.blocked, func(_ poison.Fingerprint, said time.Time) bool { return now.Sub(said) >= blockedKept })
+	ag.cases.Update(&ag.dispatched, now)
+	isBlocked := func(pr poison.Fingerprint) bool { return !ag.blocked[pr].IsZero() }
+	if len(ag.dispatched.Unconfirmed(isBlocked, now)) > 0 {
 		go ag.proveAlive(ctx)
 	}
 }
--- a/internal/agent/ends.go
+++ b/internal/agent/ends.go
@@ -41,11 +41,11 @@
 	ag, now := ru.ag, clock.Now()
 	ag.mu.Lock()
 	if co == result.NotDispatched {
-		ru.sent.Unsent()
+		ru.sent.MarkUnsent()
 	}
-	ru.sent.Over(co == result.OK, now)
+	ru.sent.Finish(co == result.OK, now)
 	if ru.broke {
-		ag.dispatched.Broke(ag.server(), now)
+		ag.dispatched.Disconnected(ag.server(), now)
 	}
 	ag.mu.Unlock()
 	switch {
@@ -80,11 +80,11 @@
 // serverEnded tells all connected entries which requests may have ended the server, once.
 func (ag *Agent) serverEnded(now time.Time) {
 	ag.mu.Lock()
-	suspects, at := ag.dispatched.Ended(ag.server(), now)
+	suspects, at := ag.dispatched.Crashed(ag.server(), now)
 	life := ag.server() + "@" + strconv.FormatInt(clock.Day().UnixMilli(), 36)
 	var list []poison.Suspicion
 	for _, ru := range suspects {
-		if !ru.Print().IsZero() && !ag.cases.IsSound(ru.Print()) {
+		if !ru.Fingerprint().IsZero() && !ag.cases.IsHarmless(ru.Fingerprint()) {
 			list = append(list, ru.Suspicion(life, at, now))
 		}
 	}
--- a/internal/agent/orders.go
+++ b/internal/agent/orders.go
@@ -91,7 +91,7 @@
 		defer ag.mu.Unlock()
 		ag.reconciler.Looked(held, err, time.Now())
 		if err == nil {
-			ag.gate.Hold(held)
+			ag.gate.SetLoaded(held)
 		}
 	case order.Read:
 		pair, err := ag.Store.Get(ctx, key)
--- a/internal/agent/run_test.go
+++ b/internal/agent/run_test.go
@@ -49,5 +49,5 @@
 	co, _ := ru.call(t.Context())
 	require.Equal(t, result.ServerFailed, co)
 	ru.settle(t.Context(), co)
-	require.False(t, ag.dispatched.Broken("s", clock.Now()))
+	require.False(t, ag.dispatched.IsDisconnected("s", clock.Now()))
 }
--- a/internal/agent/selfreports.go
+++ b/internal/agent/selfreports.go
@@ -51,7 +51,7 @@
 
 // applyLimit records the rate limit that the server reports, nil for none. The lock is held.
 func (ag *Agent) applyLimit(limit *float64, now time.Time) {
-	change, acs := ag.gate.Limit(limit, now)
+	change, acs := ag.gate.SetLimit(limit, now)
 	switch change {
 	case backpressure.Limited:
 		ag.Node.Note(timeline.Entry{Event: event.ServerLimited, Detail: strconv.FormatFloat(*limit, 'g', -1, 64) + " requests a second"})
--- a/internal/agent/selfreports_test.go
+++ b/internal/agent/selfreports_test.go
@@ -35,7 +35,7 @@
 		}},
 	}
 	require.NoError(t, doc.Check())
-	ga := gate.Gate{Server: "s", Queue: 4}
+	ga := gate.Gate{Server: "s", MaxQueued: 4}
 	ga.Reconfigure(config.Compile(1, doc), clock.Now())
 	ga.Confirm(1, clock.Now())
 	return ga
@@ -65,11 +65,11 @@
 	for i := range 200 {
 		now := began.Add(time.Duration(i) * 100 * time.Millisecond)
 		acs := ag.gate.Tick(now)
-		acs = append(acs, ag.gate.Open(gate.Key{Link: "l", Stream: uint64(i)}, &wire.Attempt{Team: "one", Version: "m@v1", WaitMS: 1000}, now)...)
+		acs = append(acs, ag.gate.Submit(gate.Key{Link: "l", Stream: uint64(i)}, &wire.Attempt{Team: "one", Version: "m@v1", WaitMS: 1000}, now)...)
 		for len(acs) > 0 {
 			ac := acs[0]
 			acs = acs[1:]
-			if ac.Do() == gate.Refuse {
+			if ac.Kind() == gate.Refuse {
 				refused++
 				require.Equal(t, result.DidNotRun, result.Of(ac.Code()).Run())
 				require.Positive(t, ac.RetryAfter())
@@ -84,14 +84,14 @@
 
 	now := began.Add(20 * time.Second)
 	require.Error(t, selfReports.Decode(http.StatusOK, http.Header{"X-Rate-Limit": {"two"}}, now).Err)
-	_, acs := ag.gate.Limit(nil, now)
+	_, acs := ag.gate.SetLimit(nil, now)
 	for _, ac := range acs {
-		require.Equal(t, gate.Start, ac.Do(), "what waited")
+		require.Equal(t, gate.Start, ac.Kind(), "what waited")
 		require.Empty(t, ag.gate.Ended(ac.Key(), now))
 	}
 	for i := range 4 {
-		acs := ag.gate.Open(gate.Key{Link: "m", Stream: uint64(i)}, &wire.Attempt{Team: "one", Version: "m@v1", WaitMS: 1000}, now)
-		require.Equal(t, gate.Start, acs[0].Do(), "it names none any more")
+		acs := ag.gate.Submit(gate.Key{Link: "m", Stream: uint64(i)}, &wire.Attempt{Team: "one", Version: "m@v1", WaitMS: 1000}, now)
+		require.Equal(t, gate.Start, acs[0].Kind(), "it names none any more")
 	}
 }
 
@@ -120,9 +120,9 @@
 func (ag *Agent) tryAttempt(t *testing.T, stream uint64, now time.Time) gate.Action {
 	t.Helper()
 	key := gate.Key{Link: "l", Stream: stream}
-	acs := ag.gate.Open(key, &wire.Attempt{Team: "one", Version: "m@v1", WaitMS: 10}, now)
+	acs := ag.gate.Submit(key, &wire.Attempt{Team: "one", Version: "m@v1", WaitMS: 10}, now)
 	require.Len(t, acs, 1)
-	if acs[0].Do() == gate.Start {
+	if acs[0].Kind() == gate.Start {
 		ru := &run{ag: ag, at: &wire.Attempt{Method: http.MethodPost, Path: "/", Version: "m@v1"}, decided: clock.Now()}
 		_, _ = ru.call(t.Context())
 		ag.gate.Ended(key, now)
@@ -144,10 +144,10 @@
 		w.WriteHeader(http.StatusInternalServerError)
 	})
 	now := clock.Now()
-	require.Equal(t, gate.Start, ag.tryAttempt(t, 1, now).Do())
+	require.Equal(t, gate.Start, ag.tryAttempt(t, 1, now).Kind())
 	for i := range uint64(20) {
 		ac := ag.tryAttempt(t, 2+i, now)
-		require.Equal(t, gate.Refuse, ac.Do())
+		require.Equal(t, gate.Refuse, ac.Kind())
 		require.Equal(t, result.Leaving, ac.Code())
 		require.Equal(t, result.DidNotRun, result.Of(ac.Code()).Run())
 	}
@@ -159,7 +159,7 @@
 	leaving.Store(false)
 	ag.askLeaving(t.Context())
 	require.False(t, ag.load().Leaving)
-	require.Equal(t, gate.Start, ag.tryAttempt(t, 30, now).Do())
+	require.Equal(t, gate.Start, ag.tryAttempt(t, 30, now).Kind())
 	require.EqualValues(t, 2, worked.Load())
 }
 
@@ -177,10 +177,10 @@
 		w.WriteHeader(http.StatusInternalServerError)
 	})
 	now := clock.Now()
-	require.Equal(t, gate.Start, ag.tryAttempt(t, 1, now).Do())
+	require.Equal(t, gate.Start, ag.tryAttempt(t, 1, now).Kind())
 	for i := range uint64(28) {
 		ac := ag.tryAttempt(t, 2+i, now.Add(time.Duration(i)*100*time.Millisecond))
-		require.Equal(t, gate.Refuse, ac.Do())
+		require.Equal(t, gate.Refuse, ac.Kind())
 		require.Equal(t, result.Overloaded, ac.Code())
 		require.Positive(t, ac.RetryAfter())
 		require.LessOrEqual(t, ac.RetryAfter(), 3*time.Second)
@@ -189,7 +189,7 @@
 	require.Equal(t, 4, ag.load().Running, "entries take it for full")
 
 	shed.Store(false)
-	require.Equal(t, gate.Start, ag.tryAttempt(t, 40, now.Add(4*time.Second)).Do())
+	require.Equal(t, gate.Start, ag.tryAttempt(t, 40, now.Add(4*time.Second)).Kind())
 	require.EqualValues(t, 2, worked.Load())
 }
 
--- a/internal/agent/streams.go
+++ b/internal/agent/streams.go
@@ -31,7 +31,7 @@
 		ag.refuse(key, fr.Open, result.BillsFull, 0)
 		return
 	}
-	ag.act(ag.gate.Open(key, fr.Open, clock.Now()))
+	ag.act(ag.gate.Submit(key, fr.Open, clock.Now()))
 	if st := ag.streams[key]; st != nil && st.cancel == nil {
 		li.Send(&wire.Frame{Kind: wire.Verdict, Stream: key.Stream, Code: result.Queued})
 		ag.Node.Note(timeline.Entry{Event: event.AttemptQueued, Request: fr.Open.Request, Team: fr.Open.Team, Version: fr.Open.Version})
@@ -41,7 +41,7 @@
 // act carries out the gate's decisions; the lock is held.
 func (ag *Agent) act(acs []gate.Action) {
 	for _, ac := range acs {
-		if ac.Do() == gate.Refuse {
+		if ac.Kind() == gate.Refuse {
 			ag.refuse(ac.Key(), ac.Attempt(), ac.Code(), ac.RetryAfter())
 			continue
 		}
--- a/internal/budget/budget.go
+++ b/internal/budget/budget.go
@@ -23,8 +23,8 @@
 	seen time.Time
 }
 
-// Earn notes a first attempt.
-func (bu *Budget) Earn(now time.Time) {
+// Deposit notes a first attempt.
+func (bu *Budget) Deposit(now time.Time) {
 	bu.refill(now)
 	bu.spent = max(0, bu.spent-bu.Ratio)
 }
@@ -55,8 +55,8 @@
 	byTeam map[string]*Budget
 }
 
-// Of returns a team's budget.
-func (te *Teams) Of(team string) *Budget {
+// For returns a team's budget.
+func (te *Teams) For(team string) *Budget {
 	if te.byTeam == nil {
 		te.byTeam = map[string]*Budget{}
 	}
--- a/internal/budget/budget_test.go
+++ b/internal/budget/budget_test.go
@@ -15,7 +15,7 @@
 	attempts := 0
 	for i := range firsts {
 		now := start.Add(span * time.Duration(i) / time.Duration(firsts))
-		bu.Earn(now)
+		bu.Deposit(now)
 		attempts++
 		for range 3 {
 			if bu.Take(now) {
@@ -38,14 +38,14 @@
 	bu := Budget{Ratio: 0.1}
 	for i := range 60 {
 		now := start.Add(time.Duration(i) * time.Second)
-		bu.Earn(now)
+		bu.Deposit(now)
 		require.True(t, bu.Take(now), "second %d", i)
 	}
 }
 
 func TestOneTeamsStormLeavesTheOthersTheirRetries(t *testing.T) {
 	te := Teams{Ratio: 0.1}
-	for te.Of("loud").Take(start) {
+	for te.For("loud").Take(start) {
 	}
-	require.True(t, te.Of("quiet").Take(start))
+	require.True(t, te.For("quiet").Take(start))
 }
--- a/internal/budget/window.go
+++ b/internal/budget/window.go
@@ -22,8 +22,8 @@
 	Span time.Duration
 	// Ratio is how many repeats each request allows.
 	Ratio float64
-	// Slack is how many repeats are allowed besides.
-	Slack float64
+	// Allowance is how many repeats are allowed besides.
+	Allowance float64
 
 	parts [windowParts]part
 	// newest is the number of the newest part since the zero time.
@@ -38,22 +38,22 @@
 // Take reports whether one more repeat is allowed and takes it.
 func (wi *Window) Take(now time.Time) bool {
 	pa := wi.at(now)
-	if wi.Left(now) < 1 {
+	if wi.Remaining(now) < 1 {
 		return false
 	}
 	pa.repeats++
 	return true
 }
 
-// TakeSpare is Take for a repeat that its request can do without: it leaves a reserve to others, or
+// TakeOptional is Take for a repeat that its request can do without: it leaves a reserve to others, or
 // a tenth of what is allowed if that is less.
-func (wi *Window) TakeSpare(reserve float64, now time.Time) bool {
+func (wi *Window) TakeOptional(reserve float64, now time.Time) bool {
 	allowed, taken := wi.count(now)
 	return allowed-taken >= 1+min(reserve, reservePart*allowed) && wi.Take(now)
 }
 
-// Left returns how many repeats are allowed now.
-func (wi *Window) Left(now time.Time) float64 {
+// Remaining returns how many repeats are allowed now.
+func (wi *Window) Remaining(now time.Time) float64 {
 	allowed, taken := wi.count(now)
 	return allowed - taken
 }
@@ -66,7 +66,7 @@
 		all.requests += pa.requests
 		all.repeats += pa.repeats
 	}
-	return wi.Ratio*float64(all.requests) + wi.Slack, float64(all.repeats)
+	return wi.Ratio*float64(all.requests) + wi.Allowance, float64(all.repeats)
 }
 
 // at returns the part of the present time and clears those that have passed.
--- a/internal/budget/window_test.go
+++ b/internal/budget/window_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestAWindowAllowsARatioOfItsRequests(t *testing.T) {
-	wi := Window{Span: 10 * time.Second, Ratio: 0.5, Slack: 1}
+	wi := Window{Span: 10 * time.Second, Ratio: 0.5, Allowance: 1}
 	now := time.Unix(1000, 0)
 	require.True(t, wi.Take(now), "the slack")
 	require.False(t, wi.Take(now))
@@ -34,7 +34,7 @@
 			wi.Request(now)
 		}
 		spare, rest := 0, 0
-		for wi.TakeSpare(2, now) {
+		for wi.TakeOptional(2, now) {
 			spare++
 		}
 		for wi.Take(now) {
@@ -49,7 +49,7 @@
 // window is counted in parts, so that it may be one part shorter for repeats.
 func TestAnySpanHoldsToTheRatio(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		wi := Window{Span: 10 * time.Second, Ratio: 0.85, Slack: 3}
+		wi := Window{Span: 10 * time.Second, Ratio: 0.85, Allowance: 3}
 		now := time.Unix(1000, 0)
 		type mark struct {
 			at     time.Time
--- a/internal/change/change.go
+++ b/internal/change/change.go
@@ -42,19 +42,19 @@
 	maxTries = 6
 )
 
-// Changer makes changes. Its fields are set before use.
-type Changer struct {
+// Writer makes changes. Its fields are set before use.
+type Writer struct {
 	Store Store
-	// Pause is the time before the second try; it doubles with each.
-	Pause time.Duration
+	// Backoff is the time before the second try; it doubles with each.
+	Backoff time.Duration
 }
 
-// DefaultPause suits a service that answers in milliseconds.
-const DefaultPause = 20 * time.Millisecond
+// DefaultBackoff suits a service that answers in milliseconds.
+const DefaultBackoff = 20 * time.Millisecond
 
 // Apply makes a change and returns what is stored after it. The error is a
 // *result.Error; with result.StoreUnknown the same request may be repeated.
-func (ch *Changer) Apply(ctx context.Context, re Request, now time.Time) (*config.Envelope, error) {
+func (ch *Writer) Apply(ctx context.Context, re Request, now time.Time) (*config.Envelope, error) {
 	last := error(result.New(result.StoreDown, ""))
 	written := false
 	for try := range maxTries {
@@ -78,7 +78,7 @@
 
 // once makes one try. done means that the outcome is final. Neither an
 // envelope nor an error means that another change came between.
-func (ch *Changer) once(ctx context.Context, re Request, now time.Time) (en *config.Envelope, done bool, err error) {
+func (ch *Writer) once(ctx context.Context, re Request, now time.Time) (en *config.Envelope, done bool, err error) {
 	pair, err := ch.Store.Get(ctx, config.StoreKey)
 	if err != nil {
 		return nil, false, err
@@ -140,7 +140,7 @@
 
 // keep saves the revision that is about to be replaced. Its slot is free for
 // it unless it holds the same or, after a long pause, a later one.
-func (ch *Changer) keep(ctx context.Context, held *config.Envelope, value []byte) error {
+func (ch *Writer) keep(ctx context.Context, held *config.Envelope, value []byte) error {
 	if held.Revision == 0 {
 		return nil
 	}
@@ -173,9 +173,9 @@
 	return result.StoreDown
 }
 
-func (ch *Changer) pause(ctx context.Context, try int) {
+func (ch *Writer) pause(ctx context.Context, try int) {
 	select {
 	case <-ctx.Done():
-	case <-time.After(ch.Pause << (try - 1)):
+	case <-time.After(ch.Backoff << (try - 1)):
 	}
 }
--- a/internal/change/change_test.go
+++ b/internal/change/change_test.go
@@ -73,7 +73,7 @@
 }
 
 func apply(me *memory, re Request) (*config.Envelope, error) {
-	ch := Changer{Store: me, Pause: time.Nanosecond}
+	ch := Writer{Store: me, Backoff: time.Nanosecond}
 	return ch.Apply(context.Background(), re, start)
 }
 
--- a/internal/entry/admin.go
+++ b/internal/entry/admin.go
@@ -159,7 +159,7 @@
 // apply makes a change and takes it into force here at once; the watch would
 // bring it a little later.
 func (en *Entry) apply(w http.ResponseWriter, r *http.Request, re change.Request) {
-	ch := change.Changer{Store: en.Store, Pause: change.DefaultPause}
+	ch := change.Writer{Store: en.Store, Backoff: change.DefaultBackoff}
 	ev, err := ch.Apply(r.Context(), re, time.Now())
 	if err != nil {
 		if asResult(err).Code() == result.Conflict {
--- a/internal/entry/ask.go
+++ b/internal/entry/ask.go
@@ -51,7 +51,7 @@
 	path      string
 	mime      string
 	// print is the same for all copies of the request.
-	print poison.Print
+	print poison.Fingerprint
 	// body is the body of a plain call; fields are the parts of a chat body.
 	body   []byte
 	fields map[string]json.RawMessage
@@ -194,7 +194,7 @@
 // chosen or claimed for it.
 func (en *Entry) findPrint(r *http.Request, as *ask) error {
 	// No host: callers reach each entry by a name or number of its own, and none is routed by it.
-	as.print = poison.PrintOf(poison.Request{
+	as.print = poison.FingerprintOf(poison.Request{
 		Team: as.team, Method: r.Method, Target: r.URL.RequestURI(), Body: as.body,
 	})
 	if en.blocked(as.print, clock.Now()) > 0 {
--- a/internal/entry/blocks.go
+++ b/internal/entry/blocks.go
@@ -21,16 +21,16 @@
 // block is the route's view of what is blocked.
 type block struct {
 	en    *Entry
-	print poison.Print
+	print poison.Fingerprint
 }
 
 // Blocked returns how long the request is not to be sent, zero if it may be.
 func (bl block) Blocked(now time.Time) time.Duration { return bl.en.blocked(bl.print, now) }
 
-func (en *Entry) blocked(pr poison.Print, now time.Time) time.Duration {
+func (en *Entry) blocked(pr poison.Fingerprint, now time.Time) time.Duration {
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	return en.blocks.Left(pr, now)
+	return en.blocks.Remaining(pr, now)
 }
 
 // suspect takes an agent's word on the end of its server. An agent tells all entries that are
@@ -38,21 +38,21 @@
 func (en *Entry) suspect(list []poison.Suspicion, now time.Time) {
 	for _, su := range list {
 		en.mu.Lock()
-		term := en.cases.Accuse(su, now)
+		term := en.cases.Record(su, now)
 		en.mu.Unlock()
 		if term > 0 {
-			en.takeBlock(poison.NewBlock(su.Print, term, clock.Day()), false, now)
+			en.takeBlock(poison.NewBlock(su.Fingerprint, term, clock.Day()), false, now)
 		}
 	}
 }
 
 // liftSound ends the blocks of requests that a server has answered and lived on.
-func (en *Entry) liftSound(prints []poison.Print, now time.Time) {
+func (en *Entry) liftSound(prints []poison.Fingerprint, now time.Time) {
 	for _, pr := range prints {
 		en.mu.Lock()
 		lifted := en.blocks.Lift(pr)
 		if lifted {
-			en.cases.Acquit(pr, now)
+			en.cases.MarkHarmless(pr, now)
 			en.unwritten = true
 		}
 		en.mu.Unlock()
@@ -65,10 +65,10 @@
 // takeBlock takes a block, unless it was lifted a moment ago.
 func (en *Entry) takeBlock(bl poison.Block, stored bool, now time.Time) {
 	en.mu.Lock()
-	begun := !en.cases.IsSound(bl.Print) && en.blocks.Add(bl, bl.Left(clock.Day()), stored, now)
+	begun := !en.cases.IsHarmless(bl.Fingerprint) && en.blocks.Add(bl, bl.Remaining(clock.Day()), stored, now)
 	en.mu.Unlock()
 	if begun {
-		en.Node.Note(timeline.Entry{Event: event.RequestBlocked, Detail: bl.Print.String()})
+		en.Node.Note(timeline.Entry{Event: event.RequestBlocked, Detail: bl.Fingerprint.String()})
 	}
 }
 
@@ -129,10 +129,10 @@
 }
 
 // isSound reports whether a server answered a request lately and lived on.
-func (en *Entry) isSound(pr poison.Print) bool {
+func (en *Entry) isSound(pr poison.Fingerprint) bool {
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	return en.cases.IsSound(pr)
+	return en.cases.IsHarmless(pr)
 }
 
 func (en *Entry) expireBlocks(now time.Time) {
--- a/internal/entry/callers.go
+++ b/internal/entry/callers.go
@@ -116,7 +116,7 @@
 func (en *Entry) exchange(w http.ResponseWriter, r *http.Request, as *ask, steps []string) {
 	en.Node.Note(timeline.Entry{Event: event.RequestReceived, Request: as.id, Team: as.team, Detail: as.kind})
 	en.mu.Lock()
-	en.budgets.Of(as.team).Earn(time.Now())
+	en.budgets.For(as.team).Deposit(time.Now())
 	en.mu.Unlock()
 	ex := &exchange{
 		en: en, w: w, ask: as, streams: map[int]uint64{}, ready: make(chan struct{}, 1),
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -105,7 +105,7 @@
 	// homesOf ranks the agents for each claim log.
 	homesOf [claim.Shards][]string
 	// cases holds what agents suspect of requests, blocks those that are not to be sent.
-	cases  poison.Cases
+	cases  poison.Detector
 	blocks poison.Blocks
 	// unwritten is set if a block was lifted that may still be kept.
 	unwritten bool
@@ -153,7 +153,7 @@
 	en.attempts = map[uint64]*sentAttempt{}
 	en.learnt = newLearnt()
 	en.claims = map[string][]chan wire.ClaimLine{}
-	en.cases = poison.Cases{Ends: poison.FewestEnds}
+	en.cases = poison.Detector{MinCrashes: poison.MinCrashes}
 	en.Node.Adopted = en.adopted
 }
 
@@ -185,7 +185,7 @@
 	fr := &wire.Frame{Kind: wire.Beat, Revision: en.Node.Snapshot().Revision(), Bills: en.told(li.Peer.Box())}
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	fr.Prints = en.blocks.Prints()
+	fr.Prints = en.blocks.Fingerprints()
 	return fr
 }
 
@@ -289,5 +289,5 @@
 func (pi pick) Take(now time.Time) bool {
 	pi.en.mu.Lock()
 	defer pi.en.mu.Unlock()
-	return pi.en.budgets.Of(pi.team).Take(now)
+	return pi.en.budgets.For(pi.team).Take(now)
 }
--- a/internal/entry/rollouts.go
+++ b/internal/entry/rollouts.go
@@ -94,7 +94,7 @@
 	if _, changed := rollout.Apply(doc, plan, pr, share); !changed {
 		return
 	}
-	ch := change.Changer{Store: en.Store, Pause: change.DefaultPause}
+	ch := change.Writer{Store: en.Store, Backoff: change.DefaultBackoff}
 	ev, err := ch.Apply(ctx, change.Request{
 		Operation: pr.Operation(),
 		Operator:  "linnetrudder",
--- a/internal/gate/gate.go
+++ b/internal/gate/gate.go
@@ -19,28 +19,28 @@
 	Stream uint64
 }
 
-// Do is what the shell must do with an attempt.
-type Do string
+// Kind is what the shell must do with an attempt.
+type Kind string
 
 // The things to do.
 const (
 	// Start sends the attempt to the backend server.
-	Start Do = "start"
+	Start Kind = "start"
 	// Refuse tells the entry that the attempt did not run.
-	Refuse Do = "refuse"
+	Refuse Kind = "refuse"
 )
 
 // Action is one decision.
 type Action struct {
-	do         Do
+	do         Kind
 	key        Key
 	attempt    *wire.Attempt
 	code       result.Code
 	retryAfter time.Duration
 }
 
-// Do returns what to do.
-func (ac Action) Do() Do { return ac.do }
+// Kind returns what to do.
+func (ac Action) Kind() Kind { return ac.do }
 
 // Key returns the attempt's name.
 func (ac Action) Key() Key { return ac.key }
@@ -78,8 +78,8 @@
 type Gate struct {
 	// Server is the backend server's name in the configuration.
 	Server string
-	// Queue bounds the attempts that wait.
-	Queue int
+	// MaxQueued bounds the attempts that wait.
+	MaxQueued int
 
 	snapshot *config.Snapshot
 	// held is what the server said that it holds; it counts only where the
@@ -111,8 +111,8 @@
 	pauses backpressure.Pauses
 }
 
-// Open takes an attempt: it starts, waits or is refused.
-func (ga *Gate) Open(key Key, at *wire.Attempt, now time.Time) []Action {
+// Submit takes an attempt: it starts, waits or is refused.
+func (ga *Gate) Submit(key Key, at *wire.Attempt, now time.Time) []Action {
 	ga.observe(now)
 	wa := waiting{key: key, attempt: at, arrived: now, deadline: now.Add(time.Duration(at.WaitMS) * time.Millisecond)}
 	if co := ga.judge(at); co != result.OK {
@@ -175,8 +175,8 @@
 	return ga.fill(now)
 }
 
-// Hold notes which versions the server said that it holds.
-func (ga *Gate) Hold(versions []string) { ga.held = slices.Clone(versions) }
+// SetLoaded notes which versions the server said that it holds.
+func (ga *Gate) SetLoaded(versions []string) { ga.held = slices.Clone(versions) }
 
 // Confirmed reports whether the configuration is known to be fresh.
 func (ga *Gate) Confirmed() bool { return ga.confirmed }
--- a/internal/gate/gate_test.go
+++ b/internal/gate/gate_test.go
@@ -39,7 +39,7 @@
 func newGate(t require.TestingT, revision uint64, state config.State, slots int) *Gate {
 	doc := document(state, slots)
 	require.NoError(t, doc.Check())
-	ga := &Gate{Server: "s", Queue: 4}
+	ga := &Gate{Server: "s", MaxQueued: 4}
 	ga.Reconfigure(config.Compile(revision, doc), start)
 	ga.Confirm(revision, start)
 	return ga
@@ -50,7 +50,7 @@
 }
 
 func open(ga *Gate, stream uint64, at *wire.Attempt, now time.Time) []Action {
-	return ga.Open(Key{Link: "entry", Stream: stream}, at, now)
+	return ga.Submit(Key{Link: "entry", Stream: stream}, at, now)
 }
 
 func TestOpenStartsOnlyWhatIsAllowed(t *testing.T) {
@@ -81,7 +81,7 @@
 
 func TestWithdrawalReachesWhatWaits(t *testing.T) {
 	ga := newGate(t, 1, config.Serving, 1)
-	require.Equal(t, Start, open(ga, 1, attempt("one", "m@v2"), start)[0].Do())
+	require.Equal(t, Start, open(ga, 1, attempt("one", "m@v2"), start)[0].Kind())
 	require.Empty(t, open(ga, 2, attempt("one", "m@v2"), start))
 	doc := document(config.Withdrawn, 1)
 	acs := ga.Reconfigure(config.Compile(2, doc), start.Add(time.Millisecond))
@@ -107,7 +107,7 @@
 	ga.Reconfigure(config.Compile(2, document(config.Withdrawn, 1)), woken)
 	ga.Confirm(2, woken)
 	require.Equal(t, result.VersionWithdrawn, open(ga, 3, attempt("one", "m@v2"), woken)[0].Code())
-	require.Equal(t, Start, open(ga, 4, attempt("one", "m@v1"), woken)[0].Do())
+	require.Equal(t, Start, open(ga, 4, attempt("one", "m@v1"), woken)[0].Kind())
 }
 
 func TestWaitingIsRefusedAtItsDeadline(t *testing.T) {
@@ -188,7 +188,7 @@
 			}
 			acs := open(ga, uint64(i), attempt("one", "m@v1"), now)
 			if i < leaves {
-				require.Equal(rt, Start, acs[0].Do())
+				require.Equal(rt, Start, acs[0].Kind())
 				ga.Ended(acs[0].Key(), now)
 				continue
 			}
@@ -204,7 +204,7 @@
 // naive starts whatever comes, as a gate that trusts the entries would.
 type naive struct{ running map[Key]bool }
 
-func (na *naive) open(key Key) Do {
+func (na *naive) open(key Key) Kind {
 	na.running[key] = true
 	return Start
 }
@@ -224,7 +224,7 @@
 			for _, ac := range acs {
 				answered[ac.Key()]++
 				require.Equal(rt, 1, answered[ac.Key()], "one verdict for an attempt")
-				if ac.Do() == Refuse {
+				if ac.Kind() == Refuse {
 					require.Equal(rt, result.DidNotRun, result.Of(ac.Code()).Run())
 					continue
 				}
@@ -238,7 +238,7 @@
 			key := Key{Link: "entry", Stream: uint64(i + 1)}
 			switch rapid.SampledFrom([]string{"open", "open", "end", "tick", "change"}).Draw(rt, "event") {
 			case "open":
-				see(ga.Open(key, attempt("one", "m@v2"), now))
+				see(ga.Submit(key, attempt("one", "m@v2"), now))
 				if na.open(key) == Start && state == config.Withdrawn {
 					broken++
 				}
@@ -266,14 +266,14 @@
 	b.ReportAllocs()
 	for i := range b.N {
 		key := Key{Link: "entry", Stream: uint64(i)}
-		ga.Open(key, at, start)
+		ga.Submit(key, at, start)
 		ga.Ended(key, start)
 	}
 }
 
 func ExampleGate_Load() {
 	ga := newGate(fatal{}, 1, config.Serving, 2)
-	ga.Open(Key{Link: "entry", Stream: 1}, attempt("one", "m@v1"), start)
+	ga.Submit(Key{Link: "entry", Stream: 1}, attempt("one", "m@v1"), start)
 	fmt.Println(ga.Load().Running, ga.Load().Slots)
 	// Output: 1 2
 }
@@ -288,7 +288,7 @@
 // after its end the server takes work again, which its reports must not hide.
 func TestAServerOfAnEvacuatedDataCentreTakesNothingNew(t *testing.T) {
 	ga := newGate(t, 1, config.Serving, 1)
-	require.Equal(t, Start, open(ga, 1, attempt("one", "m@v2"), start)[0].Do())
+	require.Equal(t, Start, open(ga, 1, attempt("one", "m@v2"), start)[0].Kind())
 	require.Empty(t, open(ga, 2, attempt("one", "m@v2"), start))
 	doc := document(config.Serving, 1)
 	doc.Evacuations = []config.Evacuation{{DataCentre: doc.Servers[0].DataCentre}}
@@ -300,5 +300,5 @@
 	require.False(t, ga.Load().Leaving, "an entry would leave it for good")
 	require.Equal(t, result.Leaving, open(ga, 3, attempt("one", "m@v2"), start)[0].Code())
 	ga.Reconfigure(config.Compile(3, document(config.Serving, 2)), start.Add(2*time.Millisecond))
-	require.Equal(t, Start, open(ga, 4, attempt("one", "m@v2"), start.Add(3*time.Millisecond))[0].Do())
+	require.Equal(t, Start, open(ga, 4, attempt("one", "m@v2"), start.Add(3*time.Millisecond))[0].Kind())
 }
--- a/internal/gate/limit.go
+++ b/internal/gate/limit.go
@@ -7,9 +7,9 @@
 	"github.com/linnetrudder/linnetrudder/internal/quota"
 )
 
-// Limit records the rate limit in requests per second that the server reports, nil for none. Queued
+// SetLimit records the rate limit in requests per second that the server reports, nil for none. Queued
 // attempts may start then.
-func (ga *Gate) Limit(perSecond *float64, now time.Time) (backpressure.Change, []Action) {
+func (ga *Gate) SetLimit(perSecond *float64, now time.Time) (backpressure.Change, []Action) {
 	ga.observe(now)
 	change := ga.limits.Report(ga.Server, perSecond, now)
 	if change == backpressure.Unchanged {
--- a/internal/gate/order.go
+++ b/internal/gate/order.go
@@ -58,7 +58,7 @@
 func (ga *Gate) shed(now time.Time) []Action {
 	worst := ga.worst()
 	last := now.Add(ga.wait(len(ga.queue)))
-	if len(ga.queue) <= ga.Queue && !last.After(ga.queue[worst].deadline) {
+	if len(ga.queue) <= ga.MaxQueued && !last.After(ga.queue[worst].deadline) {
 		return nil
 	}
 	wa := ga.queue[worst]
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -265,7 +265,7 @@
 	}
 	se.ex.ga.mu.Lock()
 	se.ex.ga.pool.Ended(se.server.Key())
-	se.run.Over(outcome == attemptAnswered, clock.Now())
+	se.run.Finish(outcome == attemptAnswered, clock.Now())
 	se.ex.ga.mu.Unlock()
 	countAttempt(se.server.Service, outcome)
 }
@@ -274,7 +274,7 @@
 func (se *sent) unsent(outcome string) {
 	if se.run != nil {
 		se.ex.ga.mu.Lock()
-		se.run.Unsent()
+		se.run.MarkUnsent()
 		se.ex.ga.mu.Unlock()
 	}
 	se.end(outcome)
--- a/internal/gateway/blocks.go
+++ b/internal/gateway/blocks.go
@@ -32,32 +32,32 @@
 // reports of load, since each gateway sees only the ends under its own copies of a request. The lock
 // is held.
 func (ga *Gateway) accuse(su poison.Suspicion, now time.Time) {
-	term := ga.cases.Accuse(su, now)
-	if term == 0 || ga.blocks.Left(su.Print, now) > 0 {
+	term := ga.cases.Record(su, now)
+	if term == 0 || ga.blocks.Remaining(su.Fingerprint, now) > 0 {
 		return
 	}
-	ga.storing[su.Print] = now.Add(rand.N(storeSpread))
-	ga.takeBlock(poison.NewBlock(su.Print, term, clock.Day()), false, now)
+	ga.storing[su.Fingerprint] = now.Add(rand.N(storeSpread))
+	ga.takeBlock(poison.NewBlock(su.Fingerprint, term, clock.Day()), false, now)
 }
 
 // takeBlock applies a block, whatever its source. Attempts that no server has begun are cancelled,
 // since they may still be in a server's queue. The lock is held.
 func (ga *Gateway) takeBlock(bl poison.Block, stored bool, now time.Time) {
-	if _, doubted := ga.doubts[bl.Print]; doubted || ga.cases.IsSound(bl.Print) {
-		ga.object(bl.Print, stored, now)
+	if _, doubted := ga.doubts[bl.Fingerprint]; doubted || ga.cases.IsHarmless(bl.Fingerprint) {
+		ga.object(bl.Fingerprint, stored, now)
 		return
 	}
-	if !ga.blocks.Add(bl, bl.Left(clock.Day()), stored, now) {
+	if !ga.blocks.Add(bl, bl.Remaining(clock.Day()), stored, now) {
 		return
 	}
-	if _, own := ga.storing[bl.Print]; !own && !stored {
-		ga.storing[bl.Print] = ga.turn(now.Add(storeWatchers))
+	if _, own := ga.storing[bl.Fingerprint]; !own && !stored {
+		ga.storing[bl.Fingerprint] = ga.turn(now.Add(storeWatchers))
 	}
 	blocksBegun.Inc()
-	ga.Log.Warn().Int("event", int(event.RequestBlocked)).Str("print", bl.Print.String()).Int("servers", ga.cases.Servers(bl.Print)).
-		Dur("for_ms", ga.blocks.Left(bl.Print, now)).Bool("stored", stored).Msg(event.Name(event.RequestBlocked))
+	ga.Log.Warn().Int("event", int(event.RequestBlocked)).Str("print", bl.Fingerprint.String()).Int("servers", ga.cases.CrashedServers(bl.Fingerprint)).
+		Dur("for_ms", ga.blocks.Remaining(bl.Fingerprint, now)).Bool("stored", stored).Msg(event.Name(event.RequestBlocked))
 	for se := range ga.waiting {
-		if se.ex.print == bl.Print {
+		if se.ex.print == bl.Fingerprint {
 			se.giveUp(false)
 		}
 	}
@@ -66,7 +66,7 @@
 // object contradicts another gateway's block: the doubt is propagated and the stored block removed. A
 // gateway that has just started may block a common request because it has seen no answer to it yet.
 // The lock is held.
-func (ga *Gateway) object(pr poison.Print, stored bool, now time.Time) {
+func (ga *Gateway) object(pr poison.Fingerprint, stored bool, now time.Time) {
 	if _, due := ga.objecting[pr]; !due && stored {
 		ga.objecting[pr] = ga.turn(now)
 	}
@@ -77,8 +77,8 @@
 
 // acquit lifts a block everywhere, since a server answered the request and did not end. The lock is
 // held.
-func (ga *Gateway) acquit(pr poison.Print, now time.Time) {
-	if ga.blocks.Left(pr, now) == 0 {
+func (ga *Gateway) acquit(pr poison.Fingerprint, now time.Time) {
+	if ga.blocks.Remaining(pr, now) == 0 {
 		return
 	}
 	stored := ga.blocks.IsStored(pr)
@@ -90,7 +90,7 @@
 }
 
 // doubt records a doubt to be propagated. It reports whether it is new. The lock is held.
-func (ga *Gateway) doubt(pr poison.Print, now time.Time) bool {
+func (ga *Gateway) doubt(pr poison.Fingerprint, now time.Time) bool {
 	if _, ok := ga.doubts[pr]; ok {
 		return false
 	}
@@ -101,7 +101,7 @@
 // turn returns when this gateway writes a key that any gateway can write; watchers are first. The
 // lock is held.
 func (ga *Gateway) turn(now time.Time) time.Time {
-	if ga.plan.Watches(ga.memberList()) {
+	if ga.plan.IsWatcher(ga.memberList()) {
 		return now.Add(rand.N(storeSpread))
 	}
 	return othersTurn(now)
@@ -111,7 +111,7 @@
 func othersTurn(now time.Time) time.Time { return now.Add(storeOthers + rand.N(storeOthers)) }
 
 // unblock lifts a block here; the lock is held.
-func (ga *Gateway) unblock(pr poison.Print, why string) {
+func (ga *Gateway) unblock(pr poison.Fingerprint, why string) {
 	delete(ga.storing, pr)
 	ga.cases.Forget(pr)
 	if ga.blocks.Lift(pr) {
@@ -122,27 +122,27 @@
 }
 
 // notKept lifts a block that was removed from the key-value service; the lock is held.
-func (ga *Gateway) notKept(pr poison.Print) {
+func (ga *Gateway) notKept(pr poison.Fingerprint) {
 	delete(ga.objecting, pr)
 	ga.unblock(pr, "it is not kept any more")
 }
 
-func (ga *Gateway) noteUnblocked(pr poison.Print, why string) {
+func (ga *Gateway) noteUnblocked(pr poison.Fingerprint, why string) {
 	ga.Log.Info().Int("event", int(event.RequestUnblocked)).Str("print", pr.String()).Str("detail", why).
 		Msg(event.Name(event.RequestUnblocked))
 }
 
 // liftOthers lifts the stored blocks that a whole state does not hold any more. Those that a restored
 // service has lost are stored again. The lock is held.
-func (ga *Gateway) liftOthers(named map[poison.Print]bool, restored bool, now time.Time) {
+func (ga *Gateway) liftOthers(named map[poison.Fingerprint]bool, restored bool, now time.Time) {
 	for _, bl := range ga.blocks.Stored() {
 		switch {
-		case named[bl.Print]:
+		case named[bl.Fingerprint]:
 		case restored:
-			ga.blocks.Lost(bl.Print)
-			ga.storing[bl.Print] = ga.turn(now)
+			ga.blocks.MarkUnstored(bl.Fingerprint)
+			ga.storing[bl.Fingerprint] = ga.turn(now)
 		default:
-			ga.notKept(bl.Print)
+			ga.notKept(bl.Fingerprint)
 		}
 	}
 }
@@ -164,7 +164,7 @@
 
 // addBlocks adds recent blocks and doubts to a report; the lock is held.
 func (ga *Gateway) addBlocks(re relay.Report, now time.Time) relay.Report {
-	re.Blocks = ga.blocks.News(now)
+	re.Blocks = ga.blocks.Recent(now)
 	for pr, since := range ga.doubts {
 		if now.Sub(since) < doubtKept {
 			re.Doubts = append(re.Doubts, pr)
@@ -178,24 +178,24 @@
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
 	for _, bl := range ga.blocks.Unstored() {
-		if !ga.fresh.Failing() && !now.Before(ga.storing[bl.Print]) {
-			ga.storing[bl.Print] = now.Add(storeAgain)
+		if !ga.fresh.Failing() && !now.Before(ga.storing[bl.Fingerprint]) {
+			ga.storing[bl.Fingerprint] = now.Add(storeAgain)
 			go ga.storeBlock(ctx, bl)
 		}
 	}
 	for pr, due := range ga.objecting {
 		if !ga.fresh.Failing() && !now.Before(due) {
 			ga.objecting[pr] = now.Add(storeAgain)
-			go ga.removeBlocks(ctx, []poison.Print{pr})
+			go ga.removeBlocks(ctx, []poison.Fingerprint{pr})
 		}
 	}
-	maps.DeleteFunc(ga.doubts, func(_ poison.Print, since time.Time) bool { return now.Sub(since) >= 2*doubtKept })
+	maps.DeleteFunc(ga.doubts, func(_ poison.Fingerprint, since time.Time) bool { return now.Sub(since) >= 2*doubtKept })
 	over := ga.blocks.Expire(now)
 	for _, pr := range over {
 		delete(ga.storing, pr)
 		ga.noteUnblocked(pr, "its time is over")
 	}
-	if len(over) > 0 && ga.plan.Watches(ga.memberList()) {
+	if len(over) > 0 && ga.plan.IsWatcher(ga.memberList()) {
 		go ga.removeBlocks(ctx, over)
 	}
 }
@@ -205,14 +205,14 @@
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
 	if err != nil {
-		ga.noteBlockCall(bl.Print, err)
+		ga.noteBlockCall(bl.Fingerprint, err)
 		return
 	}
-	delete(ga.storing, bl.Print)
-	ga.blocks.Add(bl, bl.Left(clock.Day()), true, clock.Now())
+	delete(ga.storing, bl.Fingerprint)
+	ga.blocks.Add(bl, bl.Remaining(clock.Day()), true, clock.Now())
 }
 
-func (ga *Gateway) removeBlocks(ctx context.Context, over []poison.Print) {
+func (ga *Gateway) removeBlocks(ctx context.Context, over []poison.Fingerprint) {
 	for _, pr := range over {
 		err := ga.Source.Unblock(ctx, pr)
 		ga.mu.Lock()
@@ -225,6 +225,6 @@
 	}
 }
 
-func (ga *Gateway) noteBlockCall(pr poison.Print, why error) {
+func (ga *Gateway) noteBlockCall(pr poison.Fingerprint, why error) {
 	ga.Log.Warn().Int("event", int(event.StoreCallFailed)).Str("print", pr.String()).Err(why).Msg(event.Name(event.StoreCallFailed))
 }
--- a/internal/gateway/common_test.go
+++ b/internal/gateway/common_test.go
@@ -120,9 +120,9 @@
 
 // block lets the key-value service hold a block of what is asked with a path.
 func (sc *scene) block(path string) {
-	bl := poison.NewBlock(poison.PrintOf(poison.Request{
+	bl := poison.NewBlock(poison.FingerprintOf(poison.Request{
 		Method: http.MethodPost, Host: "h", Target: path, Body: []byte(path),
-	}), poison.FirstTerm, clock.Day())
+	}), poison.FirstBlockDuration, clock.Day())
 	sc.servers.kept.add(Change{Blocked: &bl})
 }
 
--- a/internal/gateway/deliver.go
+++ b/internal/gateway/deliver.go
@@ -185,7 +185,7 @@
 	defer ga.mu.Unlock()
 	ask := ga.restrict(pool.Ask{Service: ex.service, Tried: []string{se.server.ID}, Cold: ga.coldLimit(ex.service)}, ex, now)
 	_, ok := ga.pool.Pick(ask, 0, now)
-	return ok && ga.window(ex.service).Left(now) >= 1
+	return ok && ga.window(ex.service).Remaining(now) >= 1
 }
 
 // has reports whether the caller has an event already, as after a server began
--- a/internal/gateway/ends.go
+++ b/internal/gateway/ends.go
@@ -40,7 +40,7 @@
 	}
 	now := clock.Now()
 	ga.mu.Lock()
-	ga.runs.Broke(se.Key(), now)
+	ga.runs.Disconnected(se.Key(), now)
 	pr := ga.probe(ctx, se, now)
 	ga.mu.Unlock()
 	ti := time.NewTimer(probeWait)
@@ -91,10 +91,10 @@
 // noteEnded takes the end of a server's life, the first time that it is noticed. The lock is
 // held.
 func (ga *Gateway) noteEnded(key, why string, now time.Time) {
-	if !ga.runs.Has(key) {
+	if !ga.runs.HasServer(key) {
 		return
 	}
-	suspects, at := ga.runs.Ended(key, now)
+	suspects, at := ga.runs.Crashed(key, now)
 	serverEnds.Inc()
 	for _, ru := range suspects {
 		ga.accuse(ru.Suspicion(key, at, now), now)
@@ -107,7 +107,7 @@
 func prints(suspects []*poison.Run) []string {
 	names := make([]string, 0, mostSuspects)
 	for _, ru := range suspects[:min(mostSuspects, len(suspects))] {
-		names = append(names, ru.Request()+" "+ru.Print().String())
+		names = append(names, ru.RequestID()+" "+ru.Fingerprint().String())
 	}
 	return names
 }
@@ -117,11 +117,13 @@
 func (ga *Gateway) settleRuns(ctx context.Context, now time.Time) {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
-	for _, pr := range ga.cases.Settle(&ga.runs, now) {
+	for _, pr := range ga.cases.Update(&ga.runs, now) {
 		ga.acquit(pr, now)
 	}
-	suspected := func(pr poison.Print) bool { return ga.cases.Servers(pr) > 0 || ga.blocks.Left(pr, now) > 0 }
-	for _, key := range ga.runs.Unproven(suspected, now) {
+	suspected := func(pr poison.Fingerprint) bool {
+		return ga.cases.CrashedServers(pr) > 0 || ga.blocks.Remaining(pr, now) > 0
+	}
+	for _, key := range ga.runs.Unconfirmed(suspected, now) {
 		if se := ga.servers.Life(key); se != nil {
 			ga.probe(ctx, *se, now)
 		}
--- a/internal/gateway/follow.go
+++ b/internal/gateway/follow.go
@@ -129,7 +129,7 @@
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
 	most := watchMost
-	if ga.plan.Root(ga.memberList()) {
+	if ga.plan.IsRoot(ga.memberList()) {
 		most = watchRoot
 	}
 	if ga.Bounds.Revoke == 0 {
@@ -208,7 +208,7 @@
 func (ga *Gateway) replace(st State) {
 	now := clock.Now()
 	restored := ga.restoredSince(st.Revision, now)
-	listed, evacuated, blocked := map[string]bool{}, map[string]bool{}, map[poison.Print]bool{}
+	listed, evacuated, blocked := map[string]bool{}, map[string]bool{}, map[poison.Fingerprint]bool{}
 	for _, ch := range st.Changes {
 		switch {
 		case ch.Server != nil:
@@ -221,7 +221,7 @@
 		case ch.Evacuated != "":
 			evacuated[ch.Evacuated] = true
 		case ch.Blocked != nil:
-			blocked[ch.Blocked.Print] = true
+			blocked[ch.Blocked.Fingerprint] = true
 		}
 		ga.change(ch)
 	}
--- a/internal/gateway/follow_test.go
+++ b/internal/gateway/follow_test.go
@@ -86,7 +86,7 @@
 
 func (sc *script) Block(context.Context, poison.Block) error { return sc.failed() }
 
-func (sc *script) Unblock(context.Context, poison.Print) error { return sc.failed() }
+func (sc *script) Unblock(context.Context, poison.Fingerprint) error { return sc.failed() }
 
 // Keys are accepted all the time while the service answers, and for as long as
 // the bound allows after it was cut off, but never longer.
--- a/internal/gateway/fuzz_test.go
+++ b/internal/gateway/fuzz_test.go
@@ -33,7 +33,7 @@
 // changesOf returns one change of each kind, as a watcher passes them on.
 func changesOf(f *testing.F) []byte {
 	f.Helper()
-	pr := poison.PrintOf(poison.Request{Target: "x"})
+	pr := poison.FingerprintOf(poison.Request{Target: "x"})
 	bl := poison.NewBlock(pr, time.Minute, clock.Day())
 	data, err := cbor.Marshal([]Change{
 		{Document: &routing.Document{Version: 4}},
@@ -104,7 +104,7 @@
 	f.Add([]byte("torn"))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		ga := knowing()
-		_, err := ga.takeWhole(relay.Update{Revision: rev(9), Whole: data}, clock.Now())
+		_, err := ga.takeWhole(relay.Update{Revision: rev(9), Snapshot: data}, clock.Now())
 		if err != nil {
 			holds(t, ga)
 		}
@@ -114,11 +114,11 @@
 
 // Reports of other gateways, whatever is in them.
 func FuzzReports(f *testing.F) {
-	pr := poison.PrintOf(poison.Request{Target: "x"})
+	pr := poison.FingerprintOf(poison.Request{Target: "x"})
 	data, err := cbor.Marshal(relay.Report{
 		Box: "b", Work: load.Work{1: 2}, Ready: true, Gateways: 3, Tallies: changesOf(f),
-		Suspicions: []poison.Suspicion{{Print: pr, Server: "s", Ago: time.Second}},
-		Blocks:     []poison.Block{poison.NewBlock(pr, time.Hour, clock.Day())}, Doubts: []poison.Print{pr},
+		Suspicions: []poison.Suspicion{{Fingerprint: pr, Server: "s", SinceCrash: time.Second}},
+		Blocks:     []poison.Block{poison.NewBlock(pr, time.Hour, clock.Day())}, Doubts: []poison.Fingerprint{pr},
 	})
 	require.NoError(f, err)
 	f.Add(data)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -168,20 +168,20 @@
 	runs   poison.Runs
 	probes map[string]*probe
 	// cases holds what is suspected of requests, blocks those that are not to be sent.
-	cases  poison.Cases
+	cases  poison.Detector
 	blocks poison.Blocks
 	// lifted is closed when a block has been lifted, and made anew.
 	lifted chan struct{}
 	// waiting holds the attempts whose servers have answered nothing yet, storing when the
 	// blocks are to be stored that the key-value service does not hold yet.
 	waiting map[*sent]bool
-	storing map[poison.Print]time.Time
+	storing map[poison.Fingerprint]time.Time
 	// objecting holds when the blocks are to be ended that others made of requests which
 	// servers answer here and live on.
-	objecting map[poison.Print]time.Time
+	objecting map[poison.Fingerprint]time.Time
 	// doubts holds the blocks that this gateway or another one doubts, and since when it was
 	// heard of.
-	doubts map[poison.Print]time.Time
+	doubts map[poison.Fingerprint]time.Time
 }
 
 // Run follows the key-value service until the context ends.
@@ -215,11 +215,11 @@
 	ga.demands = map[string]*rate.Meter{}
 	ga.backlogs = map[string]*pace.Trend{}
 	ga.probes = map[string]*probe{}
-	ga.cases = poison.Cases{Ends: poison.FewestEnds}
+	ga.cases = poison.Detector{MinCrashes: poison.MinCrashes}
 	ga.waiting = map[*sent]bool{}
-	ga.storing = map[poison.Print]time.Time{}
-	ga.objecting = map[poison.Print]time.Time{}
-	ga.doubts = map[poison.Print]time.Time{}
+	ga.storing = map[poison.Fingerprint]time.Time{}
+	ga.objecting = map[poison.Fingerprint]time.Time{}
+	ga.doubts = map[poison.Fingerprint]time.Time{}
 	ga.members = map[string]relay.Member{}
 	ga.plan = relay.Plan{Box: ga.Box, DataCentre: ga.DataCentre}
 	ga.loadPlan = ga.plan
@@ -318,7 +318,7 @@
 func (ga *Gateway) window(service string) *budget.Window {
 	wi := ga.retries[service]
 	if wi == nil {
-		wi = &budget.Window{Span: ga.Bounds.RetryWindow, Ratio: ga.Bounds.RetryRatio * ownRatio, Slack: ownSlack}
+		wi = &budget.Window{Span: ga.Bounds.RetryWindow, Ratio: ga.Bounds.RetryRatio * ownRatio, Allowance: ownSlack}
 		ga.retries[service] = wi
 	}
 	return wi
--- a/internal/gateway/loads.go
+++ b/internal/gateway/loads.go
@@ -74,7 +74,7 @@
 
 // exchangeLoads reports to one gateway again and again until the context ends.
 func (ga *Gateway) exchangeLoads(ctx context.Context, to loadPeer) {
-	cl := relay.Client{Address: to.member.Address, Slack: loadTimeout, HTTP: ga.RelayHTTP}
+	cl := relay.Client{Address: to.member.Address, Timeout: loadTimeout, HTTP: ga.RelayHTTP}
 	defer cl.Close()
 	failed, heard := false, uint64(0)
 	for ctx.Err() == nil {
--- a/internal/gateway/membership.go
+++ b/internal/gateway/membership.go
@@ -73,7 +73,7 @@
 func (ga *Gateway) needed() bool {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
-	return ga.stateRead && ga.plan.Needed(ga.memberList(), ga.LinkMbps)
+	return ga.stateRead && ga.plan.ShouldJoin(ga.memberList(), ga.LinkMbps)
 }
 
 // renew renews the lease, or joins anew if there is none.
--- a/internal/gateway/poison_test.go
+++ b/internal/gateway/poison_test.go
@@ -295,7 +295,7 @@
 				})
 				for _, ga := range sc.gateways {
 					ga.mu.Lock()
-					ga.cases.Ends = wa.ends
+					ga.cases.MinCrashes = wa.ends
 					ga.mu.Unlock()
 				}
 				sc.play(0, poisonPath, 20*time.Second)
--- a/internal/gateway/relayed.go
+++ b/internal/gateway/relayed.go
@@ -47,7 +47,7 @@
 	}
 	if wa.Address != ga.relayed.Address {
 		ga.relayed.Close()
-		ga.relayed = relay.Client{Address: wa.Address, Slack: relaySlack, HTTP: ga.RelayHTTP}
+		ga.relayed = relay.Client{Address: wa.Address, Timeout: relaySlack, HTTP: ga.RelayHTTP}
 		ga.noteWatcher(wa, ok)
 	}
 	return wa, ok
@@ -66,13 +66,13 @@
 // to go on from.
 func (ga *Gateway) ask(ctx context.Context, after revision.Revision) (revision.Revision, error) {
 	sent := clock.Now()
-	up, err := ga.relayed.Ask(ctx, relay.Request{After: after, Wait: ga.askWait()})
+	up, err := ga.relayed.Fetch(ctx, relay.Request{After: after, Wait: ga.askWait()})
 	switch {
 	case err != nil:
 		return after, err
 	case up.Age > relayAge:
 		return after, errOld
-	case up.Whole != nil:
+	case up.Snapshot != nil:
 		next, err := ga.takeWhole(up, sent)
 		if err != nil {
 			return after, err
@@ -127,7 +127,7 @@
 func (ga *Gateway) mayCatchUp(now time.Time) bool {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
-	return ga.plan.CatchUp(now)
+	return ga.plan.AllowCatchUp(now)
 }
 
 // leaveWatcher records that a watcher failed.
@@ -136,7 +136,7 @@
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
 	if errors.Is(why, errOld) {
-		ga.plan.Old(wa.Box, now)
+		ga.plan.Stale(wa.Box, now)
 	} else {
 		ga.plan.Failed(wa.Box, now)
 	}
--- a/internal/gateway/relayed_test.go
+++ b/internal/gateway/relayed_test.go
@@ -154,7 +154,7 @@
 	return nil
 }
 
-func (vi view) Unblock(_ context.Context, pr poison.Print) error {
+func (vi view) Unblock(_ context.Context, pr poison.Fingerprint) error {
 	vi.kept.add(Change{Unblocked: &pr})
 	return nil
 }
@@ -216,7 +216,7 @@
 		}
 		router := http.NewServeMux()
 		router.Handle(relay.Path, &relay.Server{Feed: ga})
-		router.Handle(relay.LoadPath, &relay.LoadServer{Loads: ga})
+		router.Handle(relay.LoadPath, &relay.LoadServer{Handler: ga})
 		li := &recordingListener{}
 		hs := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			if li.deaf.Load() {
@@ -390,7 +390,7 @@
 		{Member: &relay.Member{Box: "a", DataCentre: "dc", Address: "127.0.0.1:1"}},
 	}}, now))
 	up := wa.Updates(t.Context(), relay.Request{After: rev(2)})
-	require.NotEmpty(t, up.Whole)
+	require.NotEmpty(t, up.Snapshot)
 
 	ga := &Gateway{Log: zerolog.Nop(), Box: "b", DataCentre: "dc"}
 	ga.prepare()
@@ -404,7 +404,7 @@
 	require.Equal(t, rollout.Trying, ga.rollouts["s"].canary.Phase())
 	require.Contains(t, ga.members, "a")
 
-	_, err = ga.takeWhole(relay.Update{Whole: []byte{1, 2}}, now)
+	_, err = ga.takeWhole(relay.Update{Snapshot: []byte{1, 2}}, now)
 	require.Error(t, err)
 	require.Equal(t, uint64(3), ga.Table().Version(), "what can't be read changes nothing")
 }
--- a/internal/gateway/rollouts.go
+++ b/internal/gateway/rollouts.go
@@ -275,7 +275,7 @@
 	if !tried || next.Elapsed-kept.Elapsed < elapsedEvery || ro.canary.Deciding(now) {
 		return false
 	}
-	return !ga.fresh.Failing() && ga.plan.Watches(ga.memberList())
+	return !ga.fresh.Failing() && ga.plan.IsWatcher(ga.memberList())
 }
 
 func (ga *Gateway) store(ctx context.Context, ro *timedRollout, ph StoredPhase) {
--- a/internal/gateway/scene_test.go
+++ b/internal/gateway/scene_test.go
@@ -420,7 +420,7 @@
 	}
 	router := http.NewServeMux()
 	router.Handle(relay.Path, &relay.Server{Feed: ga})
-	router.Handle(relay.LoadPath, &relay.LoadServer{Loads: ga})
+	router.Handle(relay.LoadPath, &relay.LoadServer{Handler: ga})
 	li := &pipeListener{accepted: make(chan net.Conn), over: make(chan struct{})}
 	sc.network.mu.Lock()
 	sc.network.listeners[ga.RelayAddress] = li
@@ -515,11 +515,11 @@
 }
 
 // storedAt returns the first block that a gateway knows to be kept.
-func (sc *scene) storedAt(gateway int) poison.Print {
+func (sc *scene) storedAt(gateway int) poison.Fingerprint {
 	ga := sc.gateways[gateway]
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
-	return ga.blocks.Stored()[0].Print
+	return ga.blocks.Stored()[0].Fingerprint
 }
 
 // blocked counts the requests that a scene's gateways have blocked.
@@ -527,7 +527,7 @@
 	all := 0
 	for _, ga := range sc.gateways {
 		ga.mu.Lock()
-		all += len(ga.blocks.News(clock.Now().Add(-time.Hour)))
+		all += len(ga.blocks.Recent(clock.Now().Add(-time.Hour)))
 		ga.mu.Unlock()
 	}
 	return all
@@ -547,16 +547,16 @@
 }
 
 // keptBlocks returns the blocks that the key-value service holds.
-func (sc *scene) keptBlocks() []poison.Print {
+func (sc *scene) keptBlocks() []poison.Fingerprint {
 	st, _, err := view{kept: sc.servers.kept}.since(rev(0))
 	require.NoError(sc.t, err)
-	var kept []poison.Print
+	var kept []poison.Fingerprint
 	for _, ch := range st.Changes {
-		if ch.Blocked != nil && !slices.Contains(kept, ch.Blocked.Print) {
-			kept = append(kept, ch.Blocked.Print)
+		if ch.Blocked != nil && !slices.Contains(kept, ch.Blocked.Fingerprint) {
+			kept = append(kept, ch.Blocked.Fingerprint)
 		}
 		if ch.Unblocked != nil {
-			kept = slices.DeleteFunc(kept, func(pr poison.Print) bool { return pr == *ch.Unblocked })
+			kept = slices.DeleteFunc(kept, func(pr poison.Fingerprint) bool { return pr == *ch.Unblocked })
 		}
 	}
 	return kept
@@ -573,5 +573,5 @@
 func (ga *Gateway) hasRun(server string) bool {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
-	return ga.runs.Has(server)
+	return ga.runs.HasServer(server)
 }
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -44,7 +44,7 @@
 		return
 	}
 	ex.body = body
-	ex.print = poison.PrintOf(poison.Request{
+	ex.print = poison.FingerprintOf(poison.Request{
 		Team: ex.team(), Method: as.Method, Host: as.Host, Target: as.Target, Body: body,
 	})
 	ctx, cancel := context.WithTimeout(ctx, clock.Until(ex.request.Deadline))
@@ -87,7 +87,7 @@
 	body    []byte
 	// print is the same for all copies of the request, known once the body is. trial is set if
 	// the request is sent once although it is blocked.
-	print   poison.Print
+	print   poison.Fingerprint
 	trial   bool
 	request direct.Request
 	// attempts holds what was sent, by number.
@@ -231,7 +231,7 @@
 	if ex.ga.pool.Pauses.Any() {
 		reserve = retryReserve
 	}
-	return ex.ga.window(ex.service).TakeSpare(reserve, now)
+	return ex.ga.window(ex.service).TakeOptional(reserve, now)
 }
 
 // Blocked returns when it is worth coming back with a request that is not to be sent, zero if
@@ -242,7 +242,7 @@
 	}
 	ex.ga.mu.Lock()
 	defer ex.ga.mu.Unlock()
-	return ex.ga.blocks.Return(ex.print, now)
+	return ex.ga.blocks.RetryAfter(ex.print, now)
 }
 
 // Usual returns how long the head of a model's answer usually takes, or is expected to
--- a/internal/gateway/servers.go
+++ b/internal/gateway/servers.go
@@ -42,7 +42,7 @@
 // serverGone takes the end of a server's entry; the lock is held.
 func (ga *Gateway) serverGone(id string, now time.Time) {
 	key := ga.keyOf(id)
-	if se := ga.servers.Get(id); se != nil && !ga.servers.Drains(se) && ga.runs.Broken(key, now) {
+	if se := ga.servers.Get(id); se != nil && !ga.servers.Drains(se) && ga.runs.IsDisconnected(key, now) {
 		// A machine that is gone with its server refuses no connection.
 		ga.noteEnded(key, "it broke off and its entry ended", now)
 	}
--- a/internal/gateway/servers_test.go
+++ b/internal/gateway/servers_test.go
@@ -112,7 +112,7 @@
 	require.NotContains(t, servedBy(wa, now), "x1", "a gateway that starts during it")
 	ga, _ := newServing(Change{Evacuated: "dc2"})
 	up := wa.Updates(t.Context(), relay.Request{After: rev(0)})
-	require.NotEmpty(t, up.Whole)
+	require.NotEmpty(t, up.Snapshot)
 	_, err := ga.takeWhole(up, now)
 	require.NoError(t, err)
 	require.Equal(t, map[string]bool{"x0": true, "x2": true}, servedBy(ga, now.Add(time.Minute)))
--- a/internal/gateway/trials.go
+++ b/internal/gateway/trials.go
@@ -25,7 +25,7 @@
 		ga.mu.Lock()
 		lifted := ga.lifted
 		ex.trial = ga.takeTrial(ex, now)
-		wait := min(ga.blocks.Fresh(ex.print, now), until.Sub(now))
+		wait := min(ga.blocks.FreshFor(ex.print, now), until.Sub(now))
 		ga.mu.Unlock()
 		if ex.trial || wait <= 0 {
 			return
@@ -51,11 +51,11 @@
 // held.
 func (ga *Gateway) takeTrial(ex *exchange, now time.Time) bool {
 	pr := ex.print
-	trial, due := ga.blocks.Trial(pr, now)
+	trial, due := ga.blocks.DueTrial(pr, now)
 	if trial == 0 || !ga.triesFor(pr, trial, due) || !ga.pool.AnyIdle(ex.askFor("", nil, now), now) {
 		return false
 	}
-	ga.blocks.Try(pr, trial, now)
+	ga.blocks.RecordTrial(pr, trial, now)
 	ga.storing[pr] = now
 	ga.Log.Info().Int("event", int(event.BlockTried)).Str("print", pr.String()).Int("trial", trial).Msg(event.Name(event.BlockTried))
 	return true
@@ -70,7 +70,7 @@
 const trialsApart = 4
 
 // triesFor reports whether it is this gateway's turn to make a trial. The lock is held.
-func (ga *Gateway) triesFor(pr poison.Print, trial int, due time.Duration) bool {
+func (ga *Gateway) triesFor(pr poison.Fingerprint, trial int, due time.Duration) bool {
 	boxes := make([]string, 0, len(ga.members))
 	for box := range ga.members {
 		boxes = append(boxes, box)
--- a/internal/gateway/types.go
+++ b/internal/gateway/types.go
@@ -199,8 +199,8 @@
 	// Tallies is what gateways tell of a new version.
 	Tallies []Tally `cbor:",omitempty"`
 	// Blocked is a request that is not to be sent to servers, Unblocked one that may be again.
-	Blocked   *poison.Block `cbor:",omitempty"`
-	Unblocked *poison.Print `cbor:",omitempty"`
+	Blocked   *poison.Block       `cbor:",omitempty"`
+	Unblocked *poison.Fingerprint `cbor:",omitempty"`
 	// Member is a gateway that is a member; MemberGone the box of one that is not any
 	// more.
 	Member     *relay.Member `cbor:",omitempty"`
@@ -316,7 +316,7 @@
 	Tell(ctx context.Context, box string, tallies []Tally) error
 	// Block keeps a block, Unblock ends it.
 	Block(ctx context.Context, bl poison.Block) error
-	Unblock(ctx context.Context, pr poison.Print) error
+	Unblock(ctx context.Context, pr poison.Fingerprint) error
 	// Join makes a gateway a member for as long as the lease is renewed.
 	Join(ctx context.Context, me relay.Member, ttl time.Duration) (Lease, error)
 	// Renew renews a lease; it returns ErrLeaseOver if there is none any more.
--- a/internal/gateway/whole.go
+++ b/internal/gateway/whole.go
@@ -57,7 +57,7 @@
 // takeWhole applies a whole state that a watcher sent.
 func (ga *Gateway) takeWhole(up relay.Update, sent time.Time) (revision.Revision, error) {
 	st := State{Revision: up.Revision}
-	if err := cbor.Unmarshal(up.Whole, &st.Changes); err != nil {
+	if err := cbor.Unmarshal(up.Snapshot, &st.Changes); err != nil {
 		return revision.Revision{}, eris.Wrap(err, "decode state")
 	}
 	ga.mu.Lock()
@@ -93,18 +93,18 @@
 // readFrom gets the whole state from a watcher, which may have to read it first. It reports
 // false if the watcher does not have it in time.
 func (ga *Gateway) readFrom(ctx context.Context, wa relay.Member) (revision.Revision, bool) {
-	cl := relay.Client{Address: wa.Address, Slack: startSlack, HTTP: ga.RelayHTTP}
+	cl := relay.Client{Address: wa.Address, Timeout: startSlack, HTTP: ga.RelayHTTP}
 	defer cl.Close()
 	var failed error
 	for end := clock.Now().Add(startWait); ctx.Err() == nil && clock.Now().Before(end); sleep(ctx, startAgain) {
 		sent := clock.Now()
-		up, err := cl.Ask(ctx, relay.Request{})
+		up, err := cl.Fetch(ctx, relay.Request{})
 		switch {
 		case err != nil:
 			failed = err
 		case up.Age > relayAge:
 			failed = errOld
-		case up.Whole == nil:
+		case up.Snapshot == nil:
 			failed = errUnknown
 		default:
 			at, err := ga.takeWhole(up, sent)
@@ -163,7 +163,7 @@
 // The lock is held.
 func (ga *Gateway) unknown(age time.Duration) relay.Update {
 	up := relay.Update{Revision: ga.history.Revision(), Age: age, Unknown: true}
-	if !ga.stateRead || !ga.plan.Watches(ga.memberList()) {
+	if !ga.stateRead || !ga.plan.IsWatcher(ga.memberList()) {
 		return up
 	}
 	now := clock.Now()
@@ -175,7 +175,7 @@
 		}
 		ga.whole = encodedState{data: data, revision: up.Revision, at: now}
 	}
-	up.Whole = ga.whole.data
+	up.Snapshot = ga.whole.data
 	return up
 }
 
--- a/internal/kv/kv.go
+++ b/internal/kv/kv.go
@@ -133,13 +133,13 @@
 	resp, err := cl.HTTP.Do(req)
 	if err != nil {
 		metrics.StoreCalls.Add("failed", 1)
-		return nil, 0, Unanswered(method == http.MethodPut, err.Error())
+		return nil, 0, CallError(method == http.MethodPut, err.Error())
 	}
 	defer resp.Body.Close()
 	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
 	if err != nil {
 		metrics.StoreCalls.Add("failed", 1)
-		return nil, 0, Unanswered(method == http.MethodPut, err.Error())
+		return nil, 0, CallError(method == http.MethodPut, err.Error())
 	}
 	index, _ := strconv.ParseUint(resp.Header.Get("X-Consul-Index"), 10, 64)
 	switch {
@@ -149,7 +149,7 @@
 		return nil, 0, result.New(result.StoreDown, "rate limited")
 	case resp.StatusCode != http.StatusOK:
 		metrics.StoreCalls.Add("failed", 1)
-		return nil, 0, Unanswered(method == http.MethodPut, resp.Status)
+		return nil, 0, CallError(method == http.MethodPut, resp.Status)
 	}
 	return body, index, nil
 }
@@ -166,9 +166,9 @@
 	return req, nil
 }
 
-// Unanswered tells a read that gave nothing from a write that may have been
+// CallError tells a read that gave nothing from a write that may have been
 // made.
-func Unanswered(write bool, detail string) error {
+func CallError(write bool, detail string) error {
 	if write {
 		return result.New(result.StoreUnknown, detail)
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -185,7 +185,7 @@
 // act carries out the replica's decisions; the lock is held.
 func (no *Node) act(acs []replica.Action) {
 	for _, ac := range acs {
-		switch ac.Do() {
+		switch ac.Kind() {
 		case replica.Adopt:
 			no.adopt()
 		case replica.Offer:
--- a/internal/poison/blocks.go
+++ b/internal/poison/blocks.go
@@ -7,13 +7,13 @@
 )
 
 const (
-	// FirstTerm is how long a request is not sent at first: one that is blocked wrongly, as a
+	// FirstBlockDuration is how long a request is not sent at first: one that is blocked wrongly, as a
 	// common one may be just after a start, when nothing speaks for it yet, is served again.
-	FirstTerm = 5 * time.Minute
-	// Term is how long it is if a server ends with it again after that: a caller who goes on
+	FirstBlockDuration = 5 * time.Minute
+	// RepeatBlockDuration is how long it is if a server ends with it again after that: a caller who goes on
 	// asking costs four servers an hour at the most, and a mended engine serves him again
 	// without an operator.
-	Term = time.Hour
+	RepeatBlockDuration = time.Hour
 	// blockNews is how long a block is told to others with reports: they come ten times a
 	// second, and the key-value service keeps it for those that start later.
 	blockNews = 3 * time.Second
@@ -24,23 +24,23 @@
 // Block says that a request is not to be sent to backend servers for a while. Its fields are
 // exported because it is data without behaviour.
 type Block struct {
-	Print Print `cbor:"1,keyasint" json:"print"`
+	Fingerprint Fingerprint `cbor:"1,keyasint" json:"print"`
 	// UntilMS is its end in Unix milliseconds: processes that start later know no other
 	// clock in common.
 	UntilMS int64 `cbor:"2,keyasint" json:"until_ms"`
-	// Tried is the number of the newest trial that was made, zero before the first.
-	Tried int `cbor:"3,keyasint,omitempty" json:"tried,omitempty"`
+	// LastTrial is the number of the newest trial that was made, zero before the first.
+	LastTrial int `cbor:"3,keyasint,omitempty" json:"tried,omitempty"`
 }
 
 // NewBlock returns a block that begins at a time of day.
-func NewBlock(pr Print, term time.Duration, day time.Time) Block {
-	return Block{Print: pr, UntilMS: day.Add(term).UnixMilli()}
+func NewBlock(pr Fingerprint, term time.Duration, day time.Time) Block {
+	return Block{Fingerprint: pr, UntilMS: day.Add(term).UnixMilli()}
 }
 
-// Left returns how long a block lasts from a time of day on; a clock that is wrong makes it no
+// Remaining returns how long a block lasts from a time of day on; a clock that is wrong makes it no
 // longer than any.
-func (bl Block) Left(day time.Time) time.Duration {
-	return min(Term, time.UnixMilli(bl.UntilMS).Sub(day))
+func (bl Block) Remaining(day time.Time) time.Duration {
+	return min(RepeatBlockDuration, time.UnixMilli(bl.UntilMS).Sub(day))
 }
 
 // held is a block that is in force.
@@ -55,15 +55,15 @@
 
 // Blocks holds the blocks in force. The zero value holds none. It is not safe for concurrent
 // use.
-type Blocks struct{ held map[Print]*held }
+type Blocks struct{ held map[Fingerprint]*held }
 
 // Add takes a block that lasts for a while yet; stored is set if the key-value service holds
 // it. It reports whether it is new.
 func (bs *Blocks) Add(bl Block, left time.Duration, stored bool, now time.Time) bool {
-	if he := bs.held[bl.Print]; he != nil {
+	if he := bs.held[bl.Fingerprint]; he != nil {
 		he.stored = he.stored || stored
-		he.take(bl.Tried, now)
-		if stored && bl.Tried == he.block.Tried {
+		he.take(bl.LastTrial, now)
+		if stored && bl.LastTrial == he.block.LastTrial {
 			he.unsaved = false
 		}
 		return false
@@ -72,21 +72,21 @@
 		return false
 	}
 	if bs.held == nil {
-		bs.held = map[Print]*held{}
+		bs.held = map[Fingerprint]*held{}
 	}
-	bs.held[bl.Print] = &held{block: bl, until: now.Add(left), since: now, stored: stored}
+	bs.held[bl.Fingerprint] = &held{block: bl, until: now.Add(left), since: now, stored: stored}
 	return true
 }
 
 // Lift ends a block. It reports whether there was one.
-func (bs *Blocks) Lift(pr Print) bool {
+func (bs *Blocks) Lift(pr Fingerprint) bool {
 	_, ok := bs.held[pr]
 	delete(bs.held, pr)
 	return ok
 }
 
-// Left returns how long a request is not to be sent, zero if it may be.
-func (bs *Blocks) Left(pr Print, now time.Time) time.Duration {
+// Remaining returns how long a request is not to be sent, zero if it may be.
+func (bs *Blocks) Remaining(pr Fingerprint, now time.Time) time.Duration {
 	he := bs.held[pr]
 	if he == nil {
 		return 0
@@ -94,14 +94,14 @@
 	return max(0, he.until.Sub(now))
 }
 
-// Prints returns what is blocked, some of it if that is much: it goes with each beat.
-func (bs *Blocks) Prints() []Print {
+// Fingerprints returns what is blocked, some of it if that is much: it goes with each beat.
+func (bs *Blocks) Fingerprints() []Fingerprint {
 	prints := slices.Collect(maps.Keys(bs.held))
 	return prints[:min(len(prints), mostTold)]
 }
 
 // IsStored reports whether the key-value service holds a block.
-func (bs *Blocks) IsStored(pr Print) bool {
+func (bs *Blocks) IsStored(pr Fingerprint) bool {
 	he := bs.held[pr]
 	return he != nil && he.stored
 }
@@ -111,8 +111,8 @@
 	return bs.list(func(he *held) bool { return !he.stored || he.unsaved })
 }
 
-// Lost notes that the key-value service does not hold a block any more that is in force still.
-func (bs *Blocks) Lost(pr Print) {
+// MarkUnstored notes that the key-value service does not hold a block any more that is in force still.
+func (bs *Blocks) MarkUnstored(pr Fingerprint) {
 	if he := bs.held[pr]; he != nil {
 		he.stored = false
 	}
@@ -123,8 +123,8 @@
 	return bs.list(func(he *held) bool { return he.stored })
 }
 
-// News returns the blocks that others may not have heard of.
-func (bs *Blocks) News(now time.Time) []Block {
+// Recent returns the blocks that others may not have heard of.
+func (bs *Blocks) Recent(now time.Time) []Block {
 	return bs.list(func(he *held) bool { return now.Sub(he.since) < blockNews })
 }
 
@@ -140,8 +140,8 @@
 
 // Expire drops the blocks whose time is over and returns those that the key-value service may
 // still hold.
-func (bs *Blocks) Expire(now time.Time) []Print {
-	var over []Print
+func (bs *Blocks) Expire(now time.Time) []Fingerprint {
+	var over []Fingerprint
 	for pr, he := range bs.held {
 		if he.until.After(now) {
 			continue
--- a/internal/poison/cases.go
+++ b/internal/poison/detector.go
@@ -3,9 +3,9 @@
 import "time"
 
 const (
-	// FewestEnds is the number of servers that ended with a request after which it is not
+	// MinCrashes is the number of servers that ended with a request after which it is not
 	// sent any more. One end says little: all that was with the server is suspected.
-	FewestEnds = 3
+	MinCrashes = 3
 	// together is the span within which ends are taken for those of a rack, which takes its
 	// servers at once; a request takes one after the other, each after its first steps there.
 	together = 100 * time.Millisecond
@@ -37,24 +37,24 @@
 // Suspicion says that a request was with a server just before it ended. Its fields are
 // exported because the codec needs them.
 type Suspicion struct {
-	Print Print `cbor:"1,keyasint"`
+	Fingerprint Fingerprint `cbor:"1,keyasint"`
 	// Server names one life of a server.
 	Server string `cbor:"2,keyasint"`
-	// Ago is how long ago the server ended, Lasted how long the request had been there.
-	Ago    time.Duration `cbor:"3,keyasint"`
-	Lasted time.Duration `cbor:"4,keyasint"`
+	// SinceCrash is how long ago the server ended, Lasted how long the request had been there.
+	SinceCrash time.Duration `cbor:"3,keyasint"`
+	RequestAge time.Duration `cbor:"4,keyasint"`
 }
 
-// Cases counts the servers that ended with each request, as all gateways saw it. Its
+// Detector counts the servers that ended with each request, as all gateways saw it. Its
 // exported fields are set before use. It is not safe for concurrent use.
-type Cases struct {
-	// Ends is the number of ends from which a request is held to cause them.
-	Ends int
+type Detector struct {
+	// MinCrashes is the number of ends from which a request is held to cause them.
+	MinCrashes int
 
-	cases map[Print]*oneCase
+	cases map[Fingerprint]*oneCase
 	// sound and soundBefore hold the requests whose whole answers came from servers that
 	// lived on, of this span and the one before; turned is when this one began.
-	sound, soundBefore map[Print]bool
+	sound, soundBefore map[Fingerprint]bool
 	turned             time.Time
 	// news holds what others are to hear, oldest first; told is how many there were before.
 	news []timedSuspicion
@@ -101,31 +101,31 @@
 	at time.Time
 }
 
-// Accuse takes a suspicion, an own one or another gateway's. If the request is held to cause
+// Record takes a suspicion, an own one or another gateway's. If the request is held to cause
 // the ends now, it returns for how long it is not to be sent, zero otherwise.
-func (ca *Cases) Accuse(su Suspicion, now time.Time) time.Duration {
-	if ca.IsSound(su.Print) {
+func (ca *Detector) Record(su Suspicion, now time.Time) time.Duration {
+	if ca.IsHarmless(su.Fingerprint) {
 		return 0
 	}
 	if ca.cases == nil {
-		ca.cases = map[Print]*oneCase{}
+		ca.cases = map[Fingerprint]*oneCase{}
 	}
-	on := ca.cases[su.Print]
+	on := ca.cases[su.Fingerprint]
 	if on == nil {
 		if len(ca.cases) >= mostCases {
 			return 0
 		}
 		on = &oneCase{servers: map[string]bool{}}
-		ca.cases[su.Print] = on
+		ca.cases[su.Fingerprint] = on
 	}
 	if on.servers[su.Server] {
 		return 0
 	}
 	on.servers[su.Server], on.newest = true, now
-	at := now.Add(-su.Ago)
-	on.count(at.Add(-su.Lasted), at)
+	at := now.Add(-su.SinceCrash)
+	on.count(at.Add(-su.RequestAge), at)
 	ca.tell(timedSuspicion{su, now})
-	if on.ends < ca.Ends {
+	if on.ends < ca.MinCrashes {
 		return 0
 	}
 	return on.term(now)
@@ -136,62 +136,62 @@
 	if on.held.IsZero() {
 		on.held = now
 	}
-	if now.Sub(on.held) < FirstTerm {
-		return FirstTerm
+	if now.Sub(on.held) < FirstBlockDuration {
+		return FirstBlockDuration
 	}
-	return Term
+	return RepeatBlockDuration
 }
 
-// Servers returns how many servers are known to have ended with a request.
-func (ca *Cases) Servers(pr Print) int {
+// CrashedServers returns how many servers are known to have ended with a request.
+func (ca *Detector) CrashedServers(pr Fingerprint) int {
 	if on := ca.cases[pr]; on != nil {
 		return len(on.servers)
 	}
 	return 0
 }
 
-// Acquit notes that servers live on after whole answers to a request: what is sent often, or
+// MarkHarmless notes that servers live on after whole answers to a request: what is sent often, or
 // by many alike, is with a server that ends sooner or later.
-func (ca *Cases) Acquit(pr Print, now time.Time) {
+func (ca *Detector) MarkHarmless(pr Fingerprint, now time.Time) {
 	if ca.sound == nil || now.Sub(ca.turned) >= soundKept || len(ca.sound) >= mostSound {
-		ca.sound, ca.soundBefore, ca.turned = map[Print]bool{}, ca.sound, now
+		ca.sound, ca.soundBefore, ca.turned = map[Fingerprint]bool{}, ca.sound, now
 	}
 	ca.sound[pr] = true
 	delete(ca.cases, pr)
 }
 
-// Settle lets go of what is over at the servers and of what is old here, and acquits what was
+// Update lets go of what is over at the servers and of what is old here, and acquits what was
 // answered as a whole by servers that lived on. It returns that.
-func (ca *Cases) Settle(rs *Runs, now time.Time) []Print {
-	sound := rs.Settle(now)
+func (ca *Detector) Update(rs *Runs, now time.Time) []Fingerprint {
+	sound := rs.Prune(now)
 	for _, pr := range sound {
-		ca.Acquit(pr, now)
+		ca.MarkHarmless(pr, now)
 	}
 	ca.Expire(now)
 	return sound
 }
 
 // Forget drops what is held against a request.
-func (ca *Cases) Forget(pr Print) { delete(ca.cases, pr) }
+func (ca *Detector) Forget(pr Fingerprint) { delete(ca.cases, pr) }
 
-// IsSound reports whether a request was acquitted lately.
-func (ca *Cases) IsSound(pr Print) bool { return ca.sound[pr] || ca.soundBefore[pr] }
+// IsHarmless reports whether a request was acquitted lately.
+func (ca *Detector) IsHarmless(pr Fingerprint) bool { return ca.sound[pr] || ca.soundBefore[pr] }
 
-func (ca *Cases) tell(su timedSuspicion) {
+func (ca *Detector) tell(su timedSuspicion) {
 	ca.news = append(ca.news, su)
 	if len(ca.news) > mostNews {
 		ca.drop(len(ca.news) - mostNews)
 	}
 }
 
-func (ca *Cases) drop(n int) {
+func (ca *Detector) drop(n int) {
 	ca.news = append(ca.news[:0], ca.news[n:]...)
 	ca.told += uint64(n)
 }
 
 // Since returns the suspicions that somebody has not heard who has heard those before a
 // number, and the number to go on from.
-func (ca *Cases) Since(heard uint64, now time.Time) ([]Suspicion, uint64) {
+func (ca *Detector) Since(heard uint64, now time.Time) ([]Suspicion, uint64) {
 	from := int(max(heard, ca.told) - ca.told)
 	if from >= len(ca.news) {
 		return nil, ca.told + uint64(len(ca.news))
@@ -200,13 +200,13 @@
 	news := make([]Suspicion, len(list))
 	for i, su := range list {
 		news[i] = su.Suspicion
-		news[i].Ago += now.Sub(su.at)
+		news[i].SinceCrash += now.Sub(su.at)
 	}
 	return news, ca.told + uint64(from+len(list))
 }
 
 // Expire forgets what is old.
-func (ca *Cases) Expire(now time.Time) {
+func (ca *Detector) Expire(now time.Time) {
 	old := 0
 	for old < len(ca.news) && now.Sub(ca.news[old].at) >= newsKept {
 		old++
--- a/internal/poison/document.go
+++ b/internal/poison/document.go
@@ -23,17 +23,17 @@
 // were lifted. One
 // that can't be read is replaced: what it held costs three servers each once more, and no
 // block could be kept otherwise.
-func MergeBlocks(value []byte, more []Block, lifted func(pr Print) bool, day time.Time) ([]byte, error) {
+func MergeBlocks(value []byte, more []Block, lifted func(pr Fingerprint) bool, day time.Time) ([]byte, error) {
 	old, err := DecodeBlocks(value)
 	if err != nil {
 		old = nil
 	}
 	var list []Block
-	listed := map[Print]bool{}
+	listed := map[Fingerprint]bool{}
 	for _, bl := range append(more, old...) {
-		if !listed[bl.Print] && bl.Left(day) > 0 && !lifted(bl.Print) {
+		if !listed[bl.Fingerprint] && bl.Remaining(day) > 0 && !lifted(bl.Fingerprint) {
 			list = append(list, bl)
-			listed[bl.Print] = true
+			listed[bl.Fingerprint] = true
 		}
 	}
 	value, err = json.Marshal(list)
--- a/internal/poison/print.go
+++ b/internal/poison/fingerprint.go
@@ -12,9 +12,9 @@
 	"github.com/rotisserie/eris"
 )
 
-// Print is a request's fingerprint. Copies of a request have the same, whoever names them
+// Fingerprint is a request's fingerprint. Copies of a request have the same, whoever names them
 // anew: a caller's retry has an id of its own.
-type Print [16]byte
+type Fingerprint [16]byte
 
 // Request is what copies of a request have in common. Its fields are exported because it is
 // data without behaviour.
@@ -28,9 +28,9 @@
 	Body                 []byte
 }
 
-// PrintOf returns the fingerprint of a request. The hash is one that nobody can find a second
+// FingerprintOf returns the fingerprint of a request. The hash is one that nobody can find a second
 // request for: what is blocked for one caller must not block what others send.
-func PrintOf(re Request) Print {
+func FingerprintOf(re Request) Fingerprint {
 	ha := sha256.New()
 	for _, part := range []string{re.Team, re.Method, re.Host, re.Target} {
 		var size [binary.MaxVarintLen64]byte
@@ -38,14 +38,14 @@
 		ha.Write([]byte(part))
 	}
 	ha.Write(re.Body)
-	return Print(ha.Sum(nil)[:len(Print{})])
+	return Fingerprint(ha.Sum(nil)[:len(Fingerprint{})])
 }
 
 // IsZero reports whether the fingerprint is not known yet.
-func (pr Print) IsZero() bool { return pr == Print{} }
+func (pr Fingerprint) IsZero() bool { return pr == Fingerprint{} }
 
 // String returns the fingerprint in hex, empty if it is not known.
-func (pr Print) String() string {
+func (pr Fingerprint) String() string {
 	if pr.IsZero() {
 		return ""
 	}
@@ -53,20 +53,20 @@
 }
 
 // MarshalText returns the fingerprint in hex.
-func (pr Print) MarshalText() ([]byte, error) { return []byte(pr.String()), nil }
+func (pr Fingerprint) MarshalText() ([]byte, error) { return []byte(pr.String()), nil }
 
 // UnmarshalText reads what MarshalText wrote.
-func (pr *Print) UnmarshalText(text []byte) error {
-	read, err := ParsePrint(string(text))
+func (pr *Fingerprint) UnmarshalText(text []byte) error {
+	read, err := ParseFingerprint(string(text))
 	*pr = read
 	return err
 }
 
-// ParsePrint reads what String wrote.
-func ParsePrint(text string) (Print, error) {
+// ParseFingerprint reads what String wrote.
+func ParseFingerprint(text string) (Fingerprint, error) {
 	data, err := hex.DecodeString(text)
-	if err != nil || len(data) != len(Print{}) {
-		return Print{}, eris.Errorf("%q is no fingerprint of a request", text)
+	if err != nil || len(data) != len(Fingerprint{}) {
+		return Fingerprint{}, eris.Errorf("%q is no fingerprint of a request", text)
 	}
-	return Print(data), nil
+	return Fingerprint(data), nil
 }
--- a/internal/poison/fuzz_test.go
+++ b/internal/poison/fuzz_test.go
@@ -20,11 +20,11 @@
 		if err == nil {
 			var bs Blocks
 			for _, bl := range list {
-				bs.Add(bl, bl.Left(t0), true, t0)
-				require.LessOrEqual(t, bs.Left(bl.Print, t0), Term)
+				bs.Add(bl, bl.Remaining(t0), true, t0)
+				require.LessOrEqual(t, bs.Remaining(bl.Fingerprint, t0), RepeatBlockDuration)
 			}
 		}
-		own := NewBlock(named("own"), Term, t0)
+		own := NewBlock(named("own"), RepeatBlockDuration, t0)
 		merged, err := MergeBlocks(value, []Block{own}, none, t0)
 		require.NoError(t, err)
 		list, err = DecodeBlocks(merged)
@@ -35,7 +35,7 @@
 
 // Suspicions that another process sends, whatever is in them, keep the bounds.
 func FuzzSuspicions(f *testing.F) {
-	whole, err := cbor.Marshal([]Suspicion{{Print: named("a"), Server: "s", Ago: time.Second, Lasted: time.Minute}})
+	whole, err := cbor.Marshal([]Suspicion{{Fingerprint: named("a"), Server: "s", SinceCrash: time.Second, RequestAge: time.Minute}})
 	require.NoError(f, err)
 	f.Add(whole)
 	f.Add([]byte{0x80})
@@ -44,12 +44,12 @@
 		if cbor.Unmarshal(data, &list) != nil {
 			return
 		}
-		ca := Cases{Ends: FewestEnds}
+		ca := Detector{MinCrashes: MinCrashes}
 		for _, su := range list {
-			term := ca.Accuse(su, t0)
-			require.Contains(t, []time.Duration{0, FirstTerm, Term}, term)
+			term := ca.Record(su, t0)
+			require.Contains(t, []time.Duration{0, FirstBlockDuration, RepeatBlockDuration}, term)
 			if term > 0 {
-				require.GreaterOrEqual(t, ca.Servers(su.Print), FewestEnds)
+				require.GreaterOrEqual(t, ca.CrashedServers(su.Fingerprint), MinCrashes)
 			}
 		}
 		ca.Expire(t0.Add(caseKept))
--- a/internal/poison/runs.go
+++ b/internal/poison/runs.go
@@ -24,7 +24,7 @@
 
 // Run is one request at one server.
 type Run struct {
-	print   Print
+	print   Fingerprint
 	request string
 	server  string
 	// sent is when it was sent, first when the first part of its answer came, over when it
@@ -35,18 +35,18 @@
 	whole, unsent bool
 }
 
-// Print returns the request's fingerprint.
-func (ru *Run) Print() Print { return ru.print }
+// Fingerprint returns the request's fingerprint.
+func (ru *Run) Fingerprint() Fingerprint { return ru.print }
 
-// Request returns the caller's id of the request.
-func (ru *Run) Request() string { return ru.request }
+// RequestID returns the caller's id of the request.
+func (ru *Run) RequestID() string { return ru.request }
 
-// Unsent notes that the server never began the request.
-func (ru *Run) Unsent() { ru.unsent = true }
+// MarkUnsent notes that the server never began the request.
+func (ru *Run) MarkUnsent() { ru.unsent = true }
 
-// Over notes that the request is not at the server any more; whole is set if all of its
+// Finish notes that the request is not at the server any more; whole is set if all of its
 // answer came.
-func (ru *Run) Over(whole bool, now time.Time) {
+func (ru *Run) Finish(whole bool, now time.Time) {
 	if ru.over.IsZero() {
 		ru.over, ru.whole = now, whole
 	}
@@ -70,7 +70,7 @@
 }
 
 // Sent notes that a request is sent to a server's life.
-func (rs *Runs) Sent(server string, pr Print, request string, now time.Time) *Run {
+func (rs *Runs) Sent(server string, pr Fingerprint, request string, now time.Time) *Run {
 	ru := &Run{print: pr, request: request, server: server, sent: now}
 	sv := rs.of(server)
 	sv.runs = append(sv.runs, ru)
@@ -80,7 +80,7 @@
 // Suspicion returns what is held against the request once the life of a server has ended that
 // it was at.
 func (ru *Run) Suspicion(server string, at, now time.Time) Suspicion {
-	return Suspicion{Print: ru.print, Server: server, Ago: now.Sub(at), Lasted: max(0, at.Sub(ru.sent))}
+	return Suspicion{Fingerprint: ru.print, Server: server, SinceCrash: now.Sub(at), RequestAge: max(0, at.Sub(ru.sent))}
 }
 
 // Answered notes that the first part of an answer came.
@@ -105,8 +105,8 @@
 	return sv
 }
 
-// Broke notes that a server broke a connection off, which may be its end.
-func (rs *Runs) Broke(server string, now time.Time) {
+// Disconnected notes that a server broke a connection off, which may be its end.
+func (rs *Runs) Disconnected(server string, now time.Time) {
 	if sv := rs.of(server); sv.broke.IsZero() || now.Sub(sv.broke) > breakKept {
 		sv.broke = now
 	}
@@ -119,11 +119,11 @@
 	}
 }
 
-// Unproven returns the lives of servers that gave a whole answer to a suspected request and have
+// Unconfirmed returns the lives of servers that gave a whole answer to a suspected request and have
 // answered nothing since by which they would be known to have lived on. Where suspected requests
 // are all that was asked for, nothing else would ever speak for them: in 15 of 30 plays without
 // a network a harmless one was refused until the block's end.
-func (rs *Runs) Unproven(suspected func(pr Print) bool, now time.Time) []string {
+func (rs *Runs) Unconfirmed(suspected func(pr Fingerprint) bool, now time.Time) []string {
 	var list []string
 	for server, sv := range rs.servers {
 		if slices.ContainsFunc(sv.runs, func(ru *Run) bool {
@@ -135,19 +135,19 @@
 	return list
 }
 
-// Broken reports whether a server broke a connection off lately and has not been found alive
+// IsDisconnected reports whether a server broke a connection off lately and has not been found alive
 // since.
-func (rs *Runs) Broken(server string, now time.Time) bool {
+func (rs *Runs) IsDisconnected(server string, now time.Time) bool {
 	sv := rs.servers[server]
 	return sv != nil && !sv.broke.IsZero() && now.Sub(sv.broke) < kept
 }
 
-// Has reports whether anything is known of what a server got lately.
-func (rs *Runs) Has(server string) bool { return rs.servers[server] != nil }
+// HasServer reports whether anything is known of what a server got lately.
+func (rs *Runs) HasServer(server string) bool { return rs.servers[server] != nil }
 
-// Ended returns the requests that may have caused the end of a server, and when that was as
+// Crashed returns the requests that may have caused the end of a server, and when that was as
 // far as is known, and forgets the server.
-func (rs *Runs) Ended(server string, now time.Time) (suspects []*Run, at time.Time) {
+func (rs *Runs) Crashed(server string, now time.Time) (suspects []*Run, at time.Time) {
 	sv := rs.servers[server]
 	if sv == nil {
 		return nil, now
@@ -185,10 +185,10 @@
 	return from.IsZero() || end.Sub(from) <= beganWithin
 }
 
-// Settle forgets what is over for long or surely did no harm, and returns the fingerprints of
+// Prune forgets what is over for long or surely did no harm, and returns the fingerprints of
 // those whose whole answers came from servers that are known to have lived on.
-func (rs *Runs) Settle(now time.Time) []Print {
-	var sound []Print
+func (rs *Runs) Prune(now time.Time) []Fingerprint {
+	var sound []Fingerprint
 	for server, sv := range rs.servers {
 		left := sv.runs[:0]
 		for _, ru := range sv.runs {
--- a/internal/relay/loads_test.go
+++ b/internal/relay/loads_test.go
@@ -106,9 +106,9 @@
 func (echo) Reported(re Report) Report { return Report{Box: "echo", Collector: true, Work: re.Work} }
 
 func TestReportsAreExchangedOverOneConnection(t *testing.T) {
-	hs := httptest.NewServer(&LoadServer{Loads: echo{}})
+	hs := httptest.NewServer(&LoadServer{Handler: echo{}})
 	t.Cleanup(hs.Close)
-	cl := &Client{Address: strings.TrimPrefix(hs.URL, "http://"), Slack: 5 * time.Second, HTTP: http.DefaultClient}
+	cl := &Client{Address: strings.TrimPrefix(hs.URL, "http://"), Timeout: 5 * time.Second, HTTP: http.DefaultClient}
 	t.Cleanup(cl.Close)
 	for i := range 3 {
 		wo := load.Work{load.KeyOf(fmt.Sprint(i)): 70_000}
--- a/internal/relay/plan.go
+++ b/internal/relay/plan.go
@@ -85,8 +85,8 @@
 	return left[xxhash.Sum64String(pl.Box)%uint64(len(left))], true
 }
 
-// Root reports whether this gateway calls the service for other watchers.
-func (pl *Plan) Root(members []Member) bool { return pl.among(rootsOf(members)) }
+// IsRoot reports whether this gateway calls the service for other watchers.
+func (pl *Plan) IsRoot(members []Member) bool { return pl.among(rootsOf(members)) }
 
 // leftOf returns the watchers that have not failed recently.
 func (pl *Plan) leftOf(list []Member, now time.Time) []Member {
@@ -107,9 +107,9 @@
 	return serviceEvery
 }
 
-// Needed reports whether a gateway should be a member: it is a watcher already, as after a
+// ShouldJoin reports whether a gateway should be a member: it is a watcher already, as after a
 // restart, or there are too few members with links as large as its own.
-func (pl *Plan) Needed(members []Member, linkMbps int) bool {
+func (pl *Plan) ShouldJoin(members []Member, linkMbps int) bool {
 	if pl.among(watchersOf(members, pl.DataCentre)) {
 		return true
 	}
@@ -122,9 +122,9 @@
 	return others < watchers
 }
 
-// Watches reports whether this gateway is one of the watchers of its data centre, or knows
+// IsWatcher reports whether this gateway is one of the watchers of its data centre, or knows
 // of none.
-func (pl *Plan) Watches(members []Member) bool {
+func (pl *Plan) IsWatcher(members []Member) bool {
 	own := watchersOf(members, pl.DataCentre)
 	return len(own) == 0 || pl.among(own)
 }
@@ -164,8 +164,8 @@
 	return slices.ContainsFunc(list, func(me Member) bool { return me.Box == pl.Box })
 }
 
-// Old records that a watcher answered with a state that is out of date.
-func (pl *Plan) Old(box string, now time.Time) {
+// Stale records that a watcher answered with a state that is out of date.
+func (pl *Plan) Stale(box string, now time.Time) {
 	if pl.old == nil {
 		pl.old = map[string]time.Time{}
 	}
@@ -184,9 +184,9 @@
 // ServiceFailed records that the key-value service did not answer this gateway.
 func (pl *Plan) ServiceFailed(now time.Time) { pl.serviceFailed = now }
 
-// CatchUp reports whether a gateway whose watcher does not know its revision may call the service
+// AllowCatchUp reports whether a gateway whose watcher does not know its revision may call the service
 // now, and records the call.
-func (pl *Plan) CatchUp(now time.Time) bool {
+func (pl *Plan) AllowCatchUp(now time.Time) bool {
 	if now.Sub(pl.caughtUp) < catchUpEvery {
 		return false
 	}
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -35,8 +35,8 @@
 	Batches []Batch `cbor:"3,keyasint,omitempty"`
 	// Unknown is set if the watcher's history does not reach back to the revision.
 	Unknown bool `cbor:"4,keyasint,omitempty"`
-	// Whole holds the whole state as the watcher encoded it, if its history does not reach back.
-	Whole []byte `cbor:"5,keyasint,omitempty"`
+	// Snapshot holds the whole state as the watcher encoded it, if its history does not reach back.
+	Snapshot []byte `cbor:"5,keyasint,omitempty"`
 }
 
 // Batch holds changes that were received together. The fields are exported because the codec
@@ -74,7 +74,7 @@
 	Suspicions []poison.Suspicion `cbor:"7,keyasint,omitempty"`
 	Blocks     []poison.Block     `cbor:"8,keyasint,omitempty"`
 	// Doubts names blocked requests that servers answered without ending.
-	Doubts []poison.Print `cbor:"9,keyasint,omitempty"`
+	Doubts []poison.Fingerprint `cbor:"9,keyasint,omitempty"`
 	// Limits names the servers whose rate limit changed recently.
 	Limits []backpressure.Notice `cbor:"10,keyasint,omitempty"`
 	// Leaving names the servers that announced their shutdown recently.
@@ -83,8 +83,8 @@
 	Pauses []gossip.Notice `cbor:"12,keyasint,omitempty"`
 }
 
-// Loads takes reports.
-type Loads interface {
+// ReportHandler takes reports.
+type ReportHandler interface {
 	// Reported takes a report and returns the answer to it.
 	Reported(re Report) Report
 }
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -31,9 +31,9 @@
 	for _, me := range all {
 		pl := Plan{Box: me.Box, DataCentre: me.DataCentre}
 		wa, ok := pl.Watcher(all, now)
-		if pl.Watches(all) {
+		if pl.IsWatcher(all) {
 			watching[me.DataCentre]++
-			require.Equal(t, !ok, pl.Root(all), "the roots call the service, the other watchers ask one")
+			require.Equal(t, !ok, pl.IsRoot(all), "the roots call the service, the other watchers ask one")
 			continue
 		}
 		require.True(t, ok)
@@ -123,7 +123,7 @@
 			continue
 		}
 		asked[wa.Box] = true
-		pl.Old(wa.Box, at)
+		pl.Stale(wa.Box, at)
 	}
 	require.Len(t, asked, 6, "all watchers")
 	require.LessOrEqual(t, calls, 3)
@@ -175,19 +175,19 @@
 func TestOnlyWhoIsNeededJoins(t *testing.T) {
 	all := members(6) // two in each of three data centres
 	pl := Plan{Box: "b09", DataCentre: "dc0"}
-	require.False(t, pl.Needed(all, 0), "two are there")
-	require.True(t, pl.Needed(all, 1), "a larger link")
-	require.True(t, pl.Needed(all[1:], 0), "one is missing")
-	require.True(t, pl.Needed(nil, 0))
+	require.False(t, pl.ShouldJoin(all, 0), "two are there")
+	require.True(t, pl.ShouldJoin(all, 1), "a larger link")
+	require.True(t, pl.ShouldJoin(all[1:], 0), "one is missing")
+	require.True(t, pl.ShouldJoin(nil, 0))
 	again := Plan{Box: "b00", DataCentre: "dc0"}
-	require.True(t, again.Needed(append(all, Member{Box: "b06", DataCentre: "dc0", Address: "a"}), 0), "a watcher that was restarted")
+	require.True(t, again.ShouldJoin(append(all, Member{Box: "b06", DataCentre: "dc0", Address: "a"}), 0), "a watcher that was restarted")
 }
 
 func TestCatchingUpTakesOneCall(t *testing.T) {
 	var pl Plan
-	require.True(t, pl.CatchUp(now))
-	require.False(t, pl.CatchUp(now.Add(catchUpEvery-1)), "the watcher has failed")
-	require.True(t, pl.CatchUp(now.Add(catchUpEvery)))
+	require.True(t, pl.AllowCatchUp(now))
+	require.False(t, pl.AllowCatchUp(now.Add(catchUpEvery-1)), "the watcher has failed")
+	require.True(t, pl.AllowCatchUp(now.Add(catchUpEvery)))
 }
 
 func TestAGatewayThatKnowsNoMemberWatchesItself(t *testing.T) {
@@ -278,7 +278,7 @@
 	t.Helper()
 	hs := httptest.NewServer(&Server{Feed: fe})
 	t.Cleanup(hs.Close)
-	cl := &Client{Address: strings.TrimPrefix(hs.URL, "http://"), Slack: 300 * time.Millisecond, HTTP: http.DefaultClient}
+	cl := &Client{Address: strings.TrimPrefix(hs.URL, "http://"), Timeout: 300 * time.Millisecond, HTTP: http.DefaultClient}
 	t.Cleanup(cl.Close)
 	return cl
 }
@@ -287,7 +287,7 @@
 	cl := dial(t, &feed{update: Update{Revision: rev(1), Age: time.Second, Batches: []Batch{{To: rev(2), Data: []byte{1}}}}})
 	for after := range uint64(3) {
 		asked := revision.Revision{Era: 4, Number: after}
-		up, err := cl.Ask(t.Context(), Request{After: asked, Wait: time.Second})
+		up, err := cl.Fetch(t.Context(), Request{After: asked, Wait: time.Second})
 		require.NoError(t, err)
 		want := revision.Revision{Era: 4, Number: after + 1}
 		require.Equal(t, Update{Revision: want, Age: time.Second, Batches: []Batch{{To: rev(2), Data: []byte{1}}}}, up)
@@ -297,14 +297,14 @@
 func TestASilentWatcherIsGivenUp(t *testing.T) {
 	cl := dial(t, &feed{pause: time.Minute})
 	began := time.Now()
-	_, err := cl.Ask(t.Context(), Request{Wait: 100 * time.Millisecond})
+	_, err := cl.Fetch(t.Context(), Request{Wait: 100 * time.Millisecond})
 	require.Error(t, err)
 	require.Less(t, time.Since(began), 5*time.Second)
 }
 
 func TestWhatIsNoRequestEndsTheConnection(t *testing.T) {
 	cl := dial(t, &feed{})
-	_, err := cl.Ask(t.Context(), Request{})
+	_, err := cl.Fetch(t.Context(), Request{})
 	require.NoError(t, err)
 	require.NoError(t, write(t.Context(), cl.conn, "no request"))
 	require.Error(t, read(t.Context(), cl.conn, &Update{}))
--- a/internal/relay/socket.go
+++ b/internal/relay/socket.go
@@ -50,7 +50,7 @@
 
 // LoadServer takes reports of load on WebSockets. Its exported fields are set
 // before use.
-type LoadServer struct{ Loads Loads }
+type LoadServer struct{ Handler ReportHandler }
 
 // ServeHTTP serves one connection.
 func (ls *LoadServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -59,7 +59,7 @@
 		if err := cbor.Unmarshal(data, &re); err != nil {
 			return nil, eris.Wrap(err, "decode report")
 		}
-		return ls.Loads.Reported(re), nil
+		return ls.Handler.Reported(re), nil
 	})
 }
 
@@ -98,18 +98,18 @@
 type Client struct {
 	// Address is the watcher's.
 	Address string
-	// Slack is how long an answer may take beyond the wait.
-	Slack time.Duration
+	// Timeout is how long an answer may take beyond the wait.
+	Timeout time.Duration
 	// HTTP opens the connection.
 	HTTP *http.Client
 
 	conn *websocket.Conn
 }
 
-// Ask asks for changes. After an error the next call opens a new connection.
-func (cl *Client) Ask(ctx context.Context, rq Request) (Update, error) {
+// Fetch asks for changes. After an error the next call opens a new connection.
+func (cl *Client) Fetch(ctx context.Context, rq Request) (Update, error) {
 	var up Update
-	err := cl.call(ctx, Path, rq.Wait+cl.Slack, rq, &up)
+	err := cl.call(ctx, Path, rq.Wait+cl.Timeout, rq, &up)
 	return up, err
 }
 
@@ -117,7 +117,7 @@
 // call opens a new connection. A client is used for either Ask or Exchange.
 func (cl *Client) Exchange(ctx context.Context, re Report) (Report, error) {
 	var answer Report
-	err := cl.call(ctx, LoadPath, cl.Slack, re, &answer)
+	err := cl.call(ctx, LoadPath, cl.Timeout, re, &answer)
 	return answer, err
 }
 
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -13,30 +13,30 @@
 	"github.com/linnetrudder/linnetrudder/internal/rendezvous"
 )
 
-// Do is what the shell must do.
-type Do string
+// Kind is what the shell must do.
+type Kind string
 
 // The things to do.
 const (
 	// Adopt takes the snapshot into force in this process.
-	Adopt Do = "adopt"
+	Adopt Kind = "adopt"
 	// Offer tells a peer which revision is held here.
-	Offer Do = "offer"
+	Offer Kind = "offer"
 	// Want asks a peer for what is newer than the revision held here.
-	Want Do = "want"
+	Want Kind = "want"
 	// Give sends a peer the configuration above the revision it named.
-	Give Do = "give"
+	Give Kind = "give"
 )
 
 // Action is one thing to do.
 type Action struct {
-	do       Do
+	do       Kind
 	peer     string
 	revision uint64
 }
 
-// Do returns what to do.
-func (ac Action) Do() Do { return ac.do }
+// Kind returns what to do.
+func (ac Action) Kind() Kind { return ac.do }
 
 // Peer returns the peer to do it with, if any.
 func (ac Action) Peer() string { return ac.peer }
@@ -179,9 +179,9 @@
 	return Action{do: Offer, peer: peer, revision: re.Revision()}
 }
 
-// Behind returns how many connected peers have not yet offered the revision
+// PeersBehind returns how many connected peers have not yet offered the revision
 // in force.
-func (re *Replica) Behind() int {
+func (re *Replica) PeersBehind() int {
 	n := 0
 	for _, have := range re.peers {
 		if have < re.Revision() {
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -50,14 +50,14 @@
 
 type message struct {
 	from, to string
-	do       Do
+	do       Kind
 	revision uint64
 }
 
 func (me *mesh) act(from string, acs []Action) {
 	for _, ac := range acs {
-		if ac.Do() != Adopt {
-			me.wire = append(me.wire, message{from: from, to: ac.Peer(), do: ac.Do(), revision: ac.Revision()})
+		if ac.Kind() != Adopt {
+			me.wire = append(me.wire, message{from: from, to: ac.Peer(), do: ac.Kind(), revision: ac.Revision()})
 		}
 	}
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -91,7 +91,7 @@
 	Suspicions []poison.Suspicion `cbor:"19,keyasint,omitempty"`
 	// Prints are, in an entry's beat, of the requests that it has blocked; in an agent's, of those
 	// among them that its server has answered as a whole and lived on.
-	Prints []poison.Print `cbor:"20,keyasint,omitempty"`
+	Prints []poison.Fingerprint `cbor:"20,keyasint,omitempty"`
 }
 
 // Attempt is what an agent needs to judge and run one attempt.
@@ -120,7 +120,7 @@
 	Type   string `cbor:"14,keyasint,omitempty"`
 	Body   []byte `cbor:"15,keyasint,omitempty"`
 	// Print is the fingerprint of the caller's request, whatever version is asked.
-	Print poison.Print `cbor:"17,keyasint,omitempty"`
+	Print poison.Fingerprint `cbor:"17,keyasint,omitempty"`
 }
 
 // Load is what an agent says of its backend server.
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -21,7 +21,7 @@
 		{Kind: Cancel, Stream: 1},
 		{Kind: Offer, Revision: 8, Nonce: 3},
 		{Kind: Config, Config: &Settings{Revision: 8, Base: 7, Document: []byte("[]"), Digest: 1}},
-		{Kind: Suspect, Suspicions: []poison.Suspicion{{Print: poison.Print{1, 2}, Server: "s@1", Ago: 1}}},
+		{Kind: Suspect, Suspicions: []poison.Suspicion{{Fingerprint: poison.Fingerprint{1, 2}, Server: "s@1", SinceCrash: 1}}},
 		{Kind: Claim, Claims: []ClaimLine{{Key: "k", Value: "v", Durable: true}}},
 	}
 }
--- a/standin/trial/load.go
+++ b/standin/trial/load.go
@@ -281,7 +281,7 @@
 	sn := config.Compile(1, doc)
 	begin := time.Unix(1_800_000_000, 0)
 	for i := range po.gates {
-		po.gates[i] = gate.Gate{Server: serverName(i), Queue: rushQueue}
+		po.gates[i] = gate.Gate{Server: serverName(i), MaxQueued: rushQueue}
 		po.gates[i].Reconfigure(sn, begin)
 		po.gates[i].Confirm(1, begin)
 	}
@@ -305,7 +305,7 @@
 }
 
 func (po *pool) arrive(st *stage, jo *job, now time.Time) {
-	po.budgets[jo.entry].Of(teamName(jo.team)).Earn(now)
+	po.budgets[jo.entry].For(teamName(jo.team)).Deposit(now)
 	po.send(st, jo, now)
 }
 
@@ -328,7 +328,7 @@
 			return
 		}
 		at := &wire.Attempt{Team: teamName(jo.team), Version: "m@v1", WaitMS: max(0, jo.deadline.Sub(now).Milliseconds())}
-		po.act(st, i, po.gates[i].Open(key, at, now), now)
+		po.act(st, i, po.gates[i].Submit(key, at, now), now)
 		po.watch(st, i, jo)
 	})
 }
@@ -346,7 +346,7 @@
 	for _, ac := range acs {
 		jo := po.jobs[ac.Key()]
 		lo := po.gates[i].Load()
-		if ac.Do() == gate.Start {
+		if ac.Kind() == gate.Start {
 			st.began(jo, now)
 			st.at(now.Add(wireDelay), func(time.Time) { po.boards[jo.entry].Load(serverName(i), lo) })
 			st.at(now.Add(jo.service), func(now time.Time) { po.ended(st, i, ac.Key(), now) })
@@ -372,7 +372,7 @@
 const maxTries = 4
 
 func (po *pool) refused(st *stage, jo *job, now time.Time) {
-	if jo.tries >= maxTries || !now.Before(jo.deadline) || !po.budgets[jo.entry].Of(teamName(jo.team)).Take(now) {
+	if jo.tries >= maxTries || !now.Before(jo.deadline) || !po.budgets[jo.entry].For(teamName(jo.team)).Take(now) {
 		st.gaveUp(jo, now)
 		return
 	}
