--- a/internal/poison/blocks.go
+++ b/internal/poison/blocks.go
@@ -7,149 +7,150 @@
 )
 
 const (
-	// FirstBlockDuration is how long a request is not sent at first: one that is blocked wrongly, as a
-	// common one may be just after a start, when nothing speaks for it yet, is served again.
+	// FirstBlockDuration is how long a request is blocked the first time. It is short because the
+	// block may be wrong: just after a start, a common request has no complete answers yet that
+	// would show it to be harmless.
 	FirstBlockDuration = 5 * time.Minute
-	// RepeatBlockDuration is how long it is if a server ends with it again after that: a caller who goes on
-	// asking costs four servers an hour at the most, and a mended engine serves him again
-	// without an operator.
+	// RepeatBlockDuration is how long a request is blocked if it crashes another server after the
+	// first block. A caller who keeps sending it then crashes at most four servers an hour, and is
+	// served again without an operator once the engine is fixed.
 	RepeatBlockDuration = time.Hour
-	// blockNews is how long a block is told to others with reports: they come ten times a
-	// second, and the key-value service keeps it for those that start later.
-	blockNews = 3 * time.Second
-	// mostBlocks bounds the blocks that are held. Each has cost three servers.
-	mostBlocks = 1024
+	// recentFor is how long a new block is included in the reports to other gateways. Reports are
+	// sent ten times a second; gateways that start later read the block from the key-value service.
+	recentFor = 3 * time.Second
+	// maxBlocks bounds the active blocks. Each has cost three servers.
+	maxBlocks = 1024
 )
 
-// Block says that a request is not to be sent to backend servers for a while. Its fields are
-// exported because it is data without behaviour.
+// Block is a temporary ban on sending a request to backend servers. Its fields are exported because
+// it is data without behaviour.
 type Block struct {
 	Fingerprint Fingerprint `cbor:"1,keyasint" json:"print"`
-	// UntilMS is its end in Unix milliseconds: processes that start later know no other
-	// clock in common.
+	// UntilMS is the end of the block in Unix milliseconds: wall-clock time is the only clock that
+	// is shared with processes that start later.
 	UntilMS int64 `cbor:"2,keyasint" json:"until_ms"`
-	// LastTrial is the number of the newest trial that was made, zero before the first.
+	// LastTrial is the number of the latest trial that was made, zero before the first.
 	LastTrial int `cbor:"3,keyasint,omitempty" json:"tried,omitempty"`
 }
 
-// NewBlock returns a block that begins at a time of day.
-func NewBlock(pr Fingerprint, term time.Duration, day time.Time) Block {
-	return Block{Fingerprint: pr, UntilMS: day.Add(term).UnixMilli()}
+// NewBlock returns a block that begins at a wall-clock time.
+func NewBlock(fp Fingerprint, duration time.Duration, wallTime time.Time) Block {
+	return Block{Fingerprint: fp, UntilMS: wallTime.Add(duration).UnixMilli()}
 }
 
-// Remaining returns how long a block lasts from a time of day on; a clock that is wrong makes it no
-// longer than any.
-func (bl Block) Remaining(day time.Time) time.Duration {
-	return min(RepeatBlockDuration, time.UnixMilli(bl.UntilMS).Sub(day))
+// Remaining returns how long a block lasts from a wall-clock time on. It is at most
+// RepeatBlockDuration, so that a wrong clock can't prolong a block beyond the longest one.
+func (bl Block) Remaining(wallTime time.Time) time.Duration {
+	return min(RepeatBlockDuration, time.UnixMilli(bl.UntilMS).Sub(wallTime))
 }
 
-// held is a block that is in force.
-type held struct {
+// activeBlock is a block that is in force.
+type activeBlock struct {
 	block Block
-	// until is its end by the own steady clock, since when it or its newest trial was heard of.
-	until, since time.Time
-	// stored is set once the key-value service is known to hold it, unsaved if it holds it
-	// without the newest trial.
-	stored, unsaved bool
+	// until is the end of the block by this process's monotonic clock, updated the time at which
+	// the block or its latest trial became known.
+	until, updated time.Time
+	// stored is set once the key-value service is known to hold the block, outdated if it holds it
+	// without the latest trial.
+	stored, outdated bool
 }
 
-// Blocks holds the blocks in force. The zero value holds none. It is not safe for concurrent
-// use.
-type Blocks struct{ held map[Fingerprint]*held }
-
-// Add takes a block that lasts for a while yet; stored is set if the key-value service holds
-// it. It reports whether it is new.
-func (bs *Blocks) Add(bl Block, left time.Duration, stored bool, now time.Time) bool {
-	if he := bs.held[bl.Fingerprint]; he != nil {
-		he.stored = he.stored || stored
-		he.take(bl.LastTrial, now)
-		if stored && bl.LastTrial == he.block.LastTrial {
-			he.unsaved = false
+// Blocks holds the blocks in force. The zero value holds none. It is not safe for concurrent use.
+type Blocks struct{ active map[Fingerprint]*activeBlock }
+
+// Add adds a block with a remaining duration, or merges it into the one in force; stored is set if
+// the key-value service holds it. It reports whether the block is new.
+func (bs *Blocks) Add(bl Block, remaining time.Duration, stored bool, now time.Time) bool {
+	if ab := bs.active[bl.Fingerprint]; ab != nil {
+		ab.stored = ab.stored || stored
+		ab.recordTrial(bl.LastTrial, now)
+		if stored && bl.LastTrial == ab.block.LastTrial {
+			ab.outdated = false
 		}
 		return false
 	}
-	if left <= 0 || len(bs.held) >= mostBlocks {
+	if remaining <= 0 || len(bs.active) >= maxBlocks {
 		return false
 	}
-	if bs.held == nil {
-		bs.held = map[Fingerprint]*held{}
+	if bs.active == nil {
+		bs.active = map[Fingerprint]*activeBlock{}
 	}
-	bs.held[bl.Fingerprint] = &held{block: bl, until: now.Add(left), since: now, stored: stored}
+	bs.active[bl.Fingerprint] = &activeBlock{block: bl, until: now.Add(remaining), updated: now, stored: stored}
 	return true
 }
 
 // Lift ends a block. It reports whether there was one.
-func (bs *Blocks) Lift(pr Fingerprint) bool {
-	_, ok := bs.held[pr]
-	delete(bs.held, pr)
+func (bs *Blocks) Lift(fp Fingerprint) bool {
+	_, ok := bs.active[fp]
+	delete(bs.active, fp)
 	return ok
 }
 
-// Remaining returns how long a request is not to be sent, zero if it may be.
-func (bs *Blocks) Remaining(pr Fingerprint, now time.Time) time.Duration {
-	he := bs.held[pr]
-	if he == nil {
+// Remaining returns how long a request is still blocked, zero if it is not.
+func (bs *Blocks) Remaining(fp Fingerprint, now time.Time) time.Duration {
+	ab := bs.active[fp]
+	if ab == nil {
 		return 0
 	}
-	return max(0, he.until.Sub(now))
+	return max(0, ab.until.Sub(now))
 }
 
-// Fingerprints returns what is blocked, some of it if that is much: it goes with each beat.
+// Fingerprints returns up to maxPerMessage blocked fingerprints. They are sent with each heartbeat.
 func (bs *Blocks) Fingerprints() []Fingerprint {
-	prints := slices.Collect(maps.Keys(bs.held))
-	return prints[:min(len(prints), mostTold)]
+	list := slices.Collect(maps.Keys(bs.active))
+	return list[:min(len(list), maxPerMessage)]
 }
 
 // IsStored reports whether the key-value service holds a block.
-func (bs *Blocks) IsStored(pr Fingerprint) bool {
-	he := bs.held[pr]
-	return he != nil && he.stored
+func (bs *Blocks) IsStored(fp Fingerprint) bool {
+	ab := bs.active[fp]
+	return ab != nil && ab.stored
 }
 
-// Unstored returns the blocks that the key-value service does not hold yet as far as is known.
+// Unstored returns the blocks that the key-value service is not known to hold in their latest form.
 func (bs *Blocks) Unstored() []Block {
-	return bs.list(func(he *held) bool { return !he.stored || he.unsaved })
+	return bs.list(func(ab *activeBlock) bool { return !ab.stored || ab.outdated })
 }
 
-// MarkUnstored notes that the key-value service does not hold a block any more that is in force still.
-func (bs *Blocks) MarkUnstored(pr Fingerprint) {
-	if he := bs.held[pr]; he != nil {
-		he.stored = false
+// MarkUnstored records that the key-value service no longer holds a block that is still in force.
+func (bs *Blocks) MarkUnstored(fp Fingerprint) {
+	if ab := bs.active[fp]; ab != nil {
+		ab.stored = false
 	}
 }
 
-// Stored returns those that it holds.
+// Stored returns the blocks that the key-value service holds.
 func (bs *Blocks) Stored() []Block {
-	return bs.list(func(he *held) bool { return he.stored })
+	return bs.list(func(ab *activeBlock) bool { return ab.stored })
 }
 
-// Recent returns the blocks that others may not have heard of.
+// Recent returns the blocks that other gateways may not have received yet.
 func (bs *Blocks) Recent(now time.Time) []Block {
-	return bs.list(func(he *held) bool { return now.Sub(he.since) < blockNews })
+	return bs.list(func(ab *activeBlock) bool { return now.Sub(ab.updated) < recentFor })
 }
 
-func (bs *Blocks) list(which func(he *held) bool) []Block {
+func (bs *Blocks) list(include func(ab *activeBlock) bool) []Block {
 	var list []Block
-	for _, he := range bs.held {
-		if which(he) {
-			list = append(list, he.block)
+	for _, ab := range bs.active {
+		if include(ab) {
+			list = append(list, ab.block)
 		}
 	}
 	return list
 }
 
-// Expire drops the blocks whose time is over and returns those that the key-value service may
-// still hold.
+// Expire removes the blocks that are over and returns those that the key-value service may still
+// hold.
 func (bs *Blocks) Expire(now time.Time) []Fingerprint {
-	var over []Fingerprint
-	for pr, he := range bs.held {
-		if he.until.After(now) {
+	var expired []Fingerprint
+	for fp, ab := range bs.active {
+		if ab.until.After(now) {
 			continue
 		}
-		delete(bs.held, pr)
-		if he.stored {
-			over = append(over, pr)
+		delete(bs.active, fp)
+		if ab.stored {
+			expired = append(expired, fp)
 		}
 	}
-	return over
+	return expired
 }
--- a/internal/poison/detector.go
+++ b/internal/poison/detector.go
@@ -3,97 +3,101 @@
 import "time"
 
 const (
-	// MinCrashes is the number of servers that ended with a request after which it is not
-	// sent any more. One end says little: all that was with the server is suspected.
+	// MinCrashes is the number of crashed servers after which a request is blocked. A single crash
+	// is weak evidence, since every request on the server is suspected.
 	MinCrashes = 3
-	// together is the span within which ends are taken for those of a rack, which takes its
-	// servers at once; a request takes one after the other, each after its first steps there.
-	together = 100 * time.Millisecond
-	// mostTogether is how many ends within that span count against a request, if it was sent
-	// to the later server after the earlier one had ended. Without a second one, a request
-	// under which servers end at once, and that comes every few seconds, ended nine servers
-	// before it was blocked; a third one is counted against requests that move along a rack.
-	mostTogether = 2
-	// caseKept is how long ends are remembered: callers repeat within seconds or minutes. It is
-	// longer than FirstTerm, so that one end more is enough then.
-	caseKept = 10 * time.Minute
-	// soundKept is how long a request is held for sound at the least, twice that at the most.
-	soundKept = time.Minute
-	// mostSound bounds the fingerprints of one such span: some minutes of a busy gateway,
-	// 64 KB.
-	mostSound = 4096
-	// newsKept is how long suspicions are told to others: a gateway that was silent for
-	// longer has been left by them.
-	newsKept = 10 * time.Second
-	// mostCases bounds the requests that something is held against, at some 250 B each: where
-	// many servers end, most of what was there is suspected once.
-	mostCases = 1 << 14
-	// mostNews bounds the suspicions that are kept for others, mostTold those that are told
-	// at once, some 50 B each.
-	mostNews = 1024
-	mostTold = 128
+	// crashInterval is the interval within which crashes are attributed to a common cause, such as
+	// the failure of a rack, which takes down all its servers at once. A poison request crashes one
+	// server after the other, each in its first steps there.
+	crashInterval = 100 * time.Millisecond
+	// maxPerInterval is how many crashes within that interval count against a request, provided that
+	// it was sent to the later server after the earlier one had crashed. With a limit of 1, a request
+	// that crashes servers immediately and is sent every few seconds crashed nine servers before it
+	// was blocked. With 3, harmless requests that are retried along a failing rack are counted.
+	maxPerInterval = 2
+	// suspectRetention is how long crashes are remembered. Callers retry within seconds or minutes.
+	// It is longer than FirstBlockDuration, so that one more crash after the first block is enough.
+	suspectRetention = 10 * time.Minute
+	// harmlessRetention is the minimum time for which a request is known to be harmless; the maximum
+	// is twice that.
+	harmlessRetention = time.Minute
+	// maxHarmless bounds the fingerprints in each of the two generations: some minutes of a busy
+	// gateway, 64 KB.
+	maxHarmless = 4096
+	// suspicionRetention is how long suspicions are kept to be sent to others. They have dropped a
+	// gateway that was silent for longer.
+	suspicionRetention = 10 * time.Second
+	// maxSuspects bounds the suspected requests, at some 250 B each. Where many servers crash, most
+	// requests that ran there are suspected once.
+	maxSuspects = 1 << 14
+	// maxRecent bounds the suspicions that are kept to be sent to others, maxPerMessage those in
+	// one message, at some 50 B each.
+	maxRecent     = 1024
+	maxPerMessage = 128
 )
 
-// Suspicion says that a request was with a server just before it ended. Its fields are
+// Suspicion records that a request was on a server shortly before the server crashed. Its fields are
 // exported because the codec needs them.
 type Suspicion struct {
 	Fingerprint Fingerprint `cbor:"1,keyasint"`
-	// Server names one life of a server.
+	// Server identifies the server process; a restarted server has another identifier.
 	Server string `cbor:"2,keyasint"`
-	// SinceCrash is how long ago the server ended, Lasted how long the request had been there.
+	// SinceCrash is the time since the server crashed, RequestAge how long before the crash the
+	// request had been sent to it.
 	SinceCrash time.Duration `cbor:"3,keyasint"`
 	RequestAge time.Duration `cbor:"4,keyasint"`
 }
 
-// Detector counts the servers that ended with each request, as all gateways saw it. Its
-// exported fields are set before use. It is not safe for concurrent use.
+// Detector counts the servers that crashed under each request, from the suspicions of all gateways.
+// Its exported fields are set before use. It is not safe for concurrent use.
 type Detector struct {
-	// MinCrashes is the number of ends from which a request is held to cause them.
+	// MinCrashes is the number of crashes from which a request is considered to cause them.
 	MinCrashes int
 
-	cases map[Fingerprint]*oneCase
-	// sound and soundBefore hold the requests whose whole answers came from servers that
-	// lived on, of this span and the one before; turned is when this one began.
-	sound, soundBefore map[Fingerprint]bool
-	turned             time.Time
-	// news holds what others are to hear, oldest first; told is how many there were before.
-	news []timedSuspicion
-	told uint64
-}
-
-// oneCase is what is held against one request.
-type oneCase struct {
-	// servers holds the lives that ended with it, moments when they did; ends is how many
-	// count.
-	servers map[string]bool
-	moments []moment
-	ends    int
-	newest  time.Time
-	// held is when the request was first held to cause the ends, zero before.
-	held time.Time
-}
-
-// moment is a time at which servers ended, and how many of them count.
-type moment struct {
-	at   time.Time
-	ends int
-}
-
-// count counts the end of a server to which the request had been sent at a time.
-func (on *oneCase) count(sent, at time.Time) {
-	for i := range on.moments {
-		mo := &on.moments[i]
-		if at.Sub(mo.at).Abs() >= together {
+	suspects map[Fingerprint]*suspect
+	// harmless and previousHarmless hold the requests that were answered completely by servers that
+	// stayed up: the current generation and the one before. rotated is when the current one began.
+	harmless, previousHarmless map[Fingerprint]bool
+	rotated                    time.Time
+	// recent holds the suspicions to send to others, oldest first; dropped is the number of those
+	// that were removed from its front.
+	recent  []timedSuspicion
+	dropped uint64
+}
+
+// suspect is the evidence against one request.
+type suspect struct {
+	// servers holds the server processes that crashed under the request, intervals when they did;
+	// crashes is the number that count.
+	servers   map[string]bool
+	intervals []interval
+	crashes   int
+	latest    time.Time
+	// firstBlocked is when the request was first considered to cause the crashes, zero before.
+	firstBlocked time.Time
+}
+
+// interval groups the crashes around one time; crashes is the number that count.
+type interval struct {
+	at      time.Time
+	crashes int
+}
+
+// count counts a crash of a server to which the request had been sent before.
+func (su *suspect) count(sent, crashed time.Time) {
+	for i := range su.intervals {
+		in := &su.intervals[i]
+		if crashed.Sub(in.at).Abs() >= crashInterval {
 			continue
 		}
-		if mo.ends < mostTogether && sent.After(mo.at) {
-			mo.ends++
-			on.ends++
+		if in.crashes < maxPerInterval && sent.After(in.at) {
+			in.crashes++
+			su.crashes++
 		}
 		return
 	}
-	on.moments = append(on.moments, moment{at: at, ends: 1})
-	on.ends++
+	su.intervals = append(su.intervals, interval{at: crashed, crashes: 1})
+	su.crashes++
 }
 
 type timedSuspicion struct {
@@ -101,125 +105,128 @@
 	at time.Time
 }
 
-// Record takes a suspicion, an own one or another gateway's. If the request is held to cause
-// the ends now, it returns for how long it is not to be sent, zero otherwise.
-func (ca *Detector) Record(su Suspicion, now time.Time) time.Duration {
-	if ca.IsHarmless(su.Fingerprint) {
+// Record records a suspicion of this process or of another gateway. It returns for how long the
+// request is to be blocked if it is now considered to cause crashes, and zero otherwise.
+func (de *Detector) Record(sn Suspicion, now time.Time) time.Duration {
+	if de.IsHarmless(sn.Fingerprint) {
 		return 0
 	}
-	if ca.cases == nil {
-		ca.cases = map[Fingerprint]*oneCase{}
+	if de.suspects == nil {
+		de.suspects = map[Fingerprint]*suspect{}
 	}
-	on := ca.cases[su.Fingerprint]
-	if on == nil {
-		if len(ca.cases) >= mostCases {
+	su := de.suspects[sn.Fingerprint]
+	if su == nil {
+		if len(de.suspects) >= maxSuspects {
 			return 0
 		}
-		on = &oneCase{servers: map[string]bool{}}
-		ca.cases[su.Fingerprint] = on
+		su = &suspect{servers: map[string]bool{}}
+		de.suspects[sn.Fingerprint] = su
 	}
-	if on.servers[su.Server] {
+	if su.servers[sn.Server] {
 		return 0
 	}
-	on.servers[su.Server], on.newest = true, now
-	at := now.Add(-su.SinceCrash)
-	on.count(at.Add(-su.RequestAge), at)
-	ca.tell(timedSuspicion{su, now})
-	if on.ends < ca.MinCrashes {
+	su.servers[sn.Server], su.latest = true, now
+	crashed := now.Add(-sn.SinceCrash)
+	su.count(crashed.Add(-sn.RequestAge), crashed)
+	de.appendRecent(timedSuspicion{sn, now})
+	if su.crashes < de.MinCrashes {
 		return 0
 	}
-	return on.term(now)
+	return su.blockDuration(now)
 }
 
-// term returns for how long the request is not to be sent that is held to cause ends.
-func (on *oneCase) term(now time.Time) time.Duration {
-	if on.held.IsZero() {
-		on.held = now
+// blockDuration returns for how long the request is to be blocked.
+func (su *suspect) blockDuration(now time.Time) time.Duration {
+	if su.firstBlocked.IsZero() {
+		su.firstBlocked = now
 	}
-	if now.Sub(on.held) < FirstBlockDuration {
+	if now.Sub(su.firstBlocked) < FirstBlockDuration {
 		return FirstBlockDuration
 	}
 	return RepeatBlockDuration
 }
 
-// CrashedServers returns how many servers are known to have ended with a request.
-func (ca *Detector) CrashedServers(pr Fingerprint) int {
-	if on := ca.cases[pr]; on != nil {
-		return len(on.servers)
+// CrashedServers returns how many servers are known to have crashed under a request.
+func (de *Detector) CrashedServers(fp Fingerprint) int {
+	if su := de.suspects[fp]; su != nil {
+		return len(su.servers)
 	}
 	return 0
 }
 
-// MarkHarmless notes that servers live on after whole answers to a request: what is sent often, or
-// by many alike, is with a server that ends sooner or later.
-func (ca *Detector) MarkHarmless(pr Fingerprint, now time.Time) {
-	if ca.sound == nil || now.Sub(ca.turned) >= soundKept || len(ca.sound) >= mostSound {
-		ca.sound, ca.soundBefore, ca.turned = map[Fingerprint]bool{}, ca.sound, now
+// MarkHarmless records that servers stayed up after complete answers to a request. A request that is
+// sent often, or by many callers alike, is sooner or later on a server that crashes for another
+// reason, and must not be suspected of it.
+func (de *Detector) MarkHarmless(fp Fingerprint, now time.Time) {
+	if de.harmless == nil || now.Sub(de.rotated) >= harmlessRetention || len(de.harmless) >= maxHarmless {
+		de.harmless, de.previousHarmless, de.rotated = map[Fingerprint]bool{}, de.harmless, now
 	}
-	ca.sound[pr] = true
-	delete(ca.cases, pr)
+	de.harmless[fp] = true
+	delete(de.suspects, fp)
 }
 
-// Update lets go of what is over at the servers and of what is old here, and acquits what was
-// answered as a whole by servers that lived on. It returns that.
-func (ca *Detector) Update(rs *Runs, now time.Time) []Fingerprint {
-	sound := rs.Prune(now)
-	for _, pr := range sound {
-		ca.MarkHarmless(pr, now)
+// Update prunes finished runs and expired state, and marks the requests as harmless that servers
+// answered completely and survived. It returns these.
+func (de *Detector) Update(rs *Runs, now time.Time) []Fingerprint {
+	harmless := rs.Prune(now)
+	for _, fp := range harmless {
+		de.MarkHarmless(fp, now)
 	}
-	ca.Expire(now)
-	return sound
+	de.Expire(now)
+	return harmless
 }
 
-// Forget drops what is held against a request.
-func (ca *Detector) Forget(pr Fingerprint) { delete(ca.cases, pr) }
+// Forget drops the evidence against a request.
+func (de *Detector) Forget(fp Fingerprint) { delete(de.suspects, fp) }
 
-// IsHarmless reports whether a request was acquitted lately.
-func (ca *Detector) IsHarmless(pr Fingerprint) bool { return ca.sound[pr] || ca.soundBefore[pr] }
+// IsHarmless reports whether a request was recently marked as harmless.
+func (de *Detector) IsHarmless(fp Fingerprint) bool {
+	return de.harmless[fp] || de.previousHarmless[fp]
+}
 
-func (ca *Detector) tell(su timedSuspicion) {
-	ca.news = append(ca.news, su)
-	if len(ca.news) > mostNews {
-		ca.drop(len(ca.news) - mostNews)
+func (de *Detector) appendRecent(ts timedSuspicion) {
+	de.recent = append(de.recent, ts)
+	if len(de.recent) > maxRecent {
+		de.dropRecent(len(de.recent) - maxRecent)
 	}
 }
 
-func (ca *Detector) drop(n int) {
-	ca.news = append(ca.news[:0], ca.news[n:]...)
-	ca.told += uint64(n)
+func (de *Detector) dropRecent(n int) {
+	de.recent = append(de.recent[:0], de.recent[n:]...)
+	de.dropped += uint64(n)
 }
 
-// Since returns the suspicions that somebody has not heard who has heard those before a
-// number, and the number to go on from.
-func (ca *Detector) Since(heard uint64, now time.Time) ([]Suspicion, uint64) {
-	from := int(max(heard, ca.told) - ca.told)
-	if from >= len(ca.news) {
-		return nil, ca.told + uint64(len(ca.news))
+// Since returns the suspicions from a sequence number on, at most maxPerMessage, and the sequence
+// number to continue from.
+func (de *Detector) Since(next uint64, now time.Time) ([]Suspicion, uint64) {
+	from := int(max(next, de.dropped) - de.dropped)
+	if from >= len(de.recent) {
+		return nil, de.dropped + uint64(len(de.recent))
 	}
-	list := ca.news[from:min(len(ca.news), from+mostTold)]
-	news := make([]Suspicion, len(list))
-	for i, su := range list {
-		news[i] = su.Suspicion
-		news[i].SinceCrash += now.Sub(su.at)
+	list := de.recent[from:min(len(de.recent), from+maxPerMessage)]
+	out := make([]Suspicion, len(list))
+	for i, ts := range list {
+		out[i] = ts.Suspicion
+		out[i].SinceCrash += now.Sub(ts.at)
 	}
-	return news, ca.told + uint64(from+len(list))
+	return out, de.dropped + uint64(from+len(list))
 }
 
-// Expire forgets what is old.
-func (ca *Detector) Expire(now time.Time) {
-	old := 0
-	for old < len(ca.news) && now.Sub(ca.news[old].at) >= newsKept {
-		old++
+// Expire drops what is older than its retention period.
+func (de *Detector) Expire(now time.Time) {
+	expired := 0
+	for expired < len(de.recent) && now.Sub(de.recent[expired].at) >= suspicionRetention {
+		expired++
 	}
-	if old > 0 {
-		ca.drop(old)
+	if expired > 0 {
+		de.dropRecent(expired)
 	}
-	for pr, on := range ca.cases {
-		if now.Sub(on.newest) >= caseKept {
-			delete(ca.cases, pr)
+	for fp, su := range de.suspects {
+		if now.Sub(su.latest) >= suspectRetention {
+			delete(de.suspects, fp)
 		}
 	}
-	if now.Sub(ca.turned) >= 2*soundKept {
-		ca.sound, ca.soundBefore = nil, nil
+	if now.Sub(de.rotated) >= 2*harmlessRetention {
+		de.harmless, de.previousHarmless = nil, nil
 	}
 }
--- a/internal/poison/document.go
+++ b/internal/poison/document.go
@@ -7,7 +7,7 @@
 	"github.com/rotisserie/eris"
 )
 
-// DecodeBlocks reads a document of blocks; an empty one holds none.
+// DecodeBlocks decodes a stored document of blocks; an empty one holds none.
 func DecodeBlocks(value []byte) ([]Block, error) {
 	if len(value) == 0 {
 		return nil, nil
@@ -19,19 +19,18 @@
 	return list, nil
 }
 
-// MergeBlocks returns a document with more blocks and without those whose time is over or that
-// were lifted. One
-// that can't be read is replaced: what it held costs three servers each once more, and no
-// block could be kept otherwise.
-func MergeBlocks(value []byte, more []Block, lifted func(pr Fingerprint) bool, day time.Time) ([]byte, error) {
-	old, err := DecodeBlocks(value)
+// MergeBlocks returns a stored document with added blocks and without those that are over or were
+// lifted. A document that can't be decoded is replaced, since no block could be stored otherwise;
+// each block that it held costs three servers once more.
+func MergeBlocks(value []byte, added []Block, lifted func(fp Fingerprint) bool, wallTime time.Time) ([]byte, error) {
+	stored, err := DecodeBlocks(value)
 	if err != nil {
-		old = nil
+		stored = nil
 	}
 	var list []Block
 	listed := map[Fingerprint]bool{}
-	for _, bl := range append(more, old...) {
-		if !listed[bl.Fingerprint] && bl.Remaining(day) > 0 && !lifted(bl.Fingerprint) {
+	for _, bl := range append(added, stored...) {
+		if !listed[bl.Fingerprint] && bl.Remaining(wallTime) > 0 && !lifted(bl.Fingerprint) {
 			list = append(list, bl)
 			listed[bl.Fingerprint] = true
 		}
--- a/internal/poison/fuzz_test.go
+++ b/internal/poison/fuzz_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// What another process wrote to the key-value service is read or refused, and what is merged
-// into it can be read again.
+// Any value in the key-value service is decoded or rejected with an error, and the document that
+// results from a merge with it can be decoded.
 func FuzzBlocks(f *testing.F) {
 	f.Add([]byte(`[{"print":"00112233445566778899aabbccddeeff","until_ms":1000}]`))
 	f.Add([]byte(`[{"print":"","until_ms":-1}]`))
@@ -24,8 +24,8 @@
 				require.LessOrEqual(t, bs.Remaining(bl.Fingerprint, t0), RepeatBlockDuration)
 			}
 		}
-		own := NewBlock(named("own"), RepeatBlockDuration, t0)
-		merged, err := MergeBlocks(value, []Block{own}, none, t0)
+		own := NewBlock(fingerprint("own"), RepeatBlockDuration, t0)
+		merged, err := MergeBlocks(value, []Block{own}, noneLifted, t0)
 		require.NoError(t, err)
 		list, err = DecodeBlocks(merged)
 		require.NoError(t, err)
@@ -33,26 +33,27 @@
 	})
 }
 
-// Suspicions that another process sends, whatever is in them, keep the bounds.
+// Suspicions with any content from another process give valid block durations, only after MinCrashes
+// servers, and are all dropped once they expire.
 func FuzzSuspicions(f *testing.F) {
-	whole, err := cbor.Marshal([]Suspicion{{Fingerprint: named("a"), Server: "s", SinceCrash: time.Second, RequestAge: time.Minute}})
+	valid, err := cbor.Marshal([]Suspicion{{Fingerprint: fingerprint("a"), Server: "s", SinceCrash: time.Second, RequestAge: time.Minute}})
 	require.NoError(f, err)
-	f.Add(whole)
+	f.Add(valid)
 	f.Add([]byte{0x80})
 	f.Fuzz(func(t *testing.T, data []byte) {
 		var list []Suspicion
 		if cbor.Unmarshal(data, &list) != nil {
 			return
 		}
-		ca := Detector{MinCrashes: MinCrashes}
+		de := Detector{MinCrashes: MinCrashes}
 		for _, su := range list {
-			term := ca.Record(su, t0)
-			require.Contains(t, []time.Duration{0, FirstBlockDuration, RepeatBlockDuration}, term)
-			if term > 0 {
-				require.GreaterOrEqual(t, ca.CrashedServers(su.Fingerprint), MinCrashes)
+			duration := de.Record(su, t0)
+			require.Contains(t, []time.Duration{0, FirstBlockDuration, RepeatBlockDuration}, duration)
+			if duration > 0 {
+				require.GreaterOrEqual(t, de.CrashedServers(su.Fingerprint), MinCrashes)
 			}
 		}
-		ca.Expire(t0.Add(caseKept))
-		require.Empty(t, ca.cases)
+		de.Expire(t0.Add(suspectRetention))
+		require.Empty(t, de.suspects)
 	})
 }
--- a/internal/poison/runs.go
+++ b/internal/poison/runs.go
@@ -6,128 +6,127 @@
 )
 
 const (
-	// beganWithin is how long before its server's end a request began to run that may have
-	// caused it, also one that was dropped since: engines fail in the first steps of a
-	// request, seen 0.04 to 0.13 s after the first token. With 1 s, requests that had moved on
-	// were suspected when four servers ended together for another reason.
-	beganWithin = 500 * time.Millisecond
-	// breakKept is how long a broken connection is taken for the moment of an end that is
-	// noticed later.
-	breakKept = time.Second
-	// livesOn is how long after a request was over its server must have answered something
-	// for the request to have done it no harm.
-	livesOn = beganWithin
-	// kept is how long what is over is remembered. A server that ends unseen is noticed when
-	// its entry runs out, some three seconds later.
-	kept = 5 * time.Second
+	// suspectWindow is how long before a server's crash a request may have begun to run there to be
+	// suspected, also if it was cancelled since: engines fail in the first steps of a request,
+	// observed 0.04 to 0.13 s after the first token. With 1 s, requests that had already moved to
+	// another server were suspected when four servers crashed together for another reason.
+	suspectWindow = 500 * time.Millisecond
+	// disconnectValidity is how long the time of a lost connection is taken as the time of a crash
+	// that is detected later.
+	disconnectValidity = time.Second
+	// survivalTime is how long after the end of a request its server must still answer something to
+	// show that the request did not crash it.
+	survivalTime = suspectWindow
+	// runRetention is how long finished runs are kept. A crash that no connection reveals is detected
+	// when the server's registration expires, some three seconds later.
+	runRetention = 5 * time.Second
 )
 
-// Run is one request at one server.
+// Run is the execution of one request on one server.
 type Run struct {
-	print   Fingerprint
-	request string
-	server  string
-	// sent is when it was sent, first when the first part of its answer came, over when it
-	// came to its end or was dropped; each is zero before.
-	sent, first, over time.Time
-	// whole is set if the whole answer came, unsent if the request never was at the server or
-	// the server said that it did not run.
-	whole, unsent bool
+	fingerprint Fingerprint
+	requestID   string
+	server      string
+	// sent is when the request was sent, first when the first part of its answer arrived, finished
+	// when it ended or was cancelled; each is zero before.
+	sent, first, finished time.Time
+	// complete is set if the complete answer arrived, unsent if the request never reached the server
+	// or the server reported that it did not run.
+	complete, unsent bool
 }
 
 // Fingerprint returns the request's fingerprint.
-func (ru *Run) Fingerprint() Fingerprint { return ru.print }
+func (ru *Run) Fingerprint() Fingerprint { return ru.fingerprint }
 
 // RequestID returns the caller's id of the request.
-func (ru *Run) RequestID() string { return ru.request }
+func (ru *Run) RequestID() string { return ru.requestID }
 
-// MarkUnsent notes that the server never began the request.
+// MarkUnsent records that the server never began the request.
 func (ru *Run) MarkUnsent() { ru.unsent = true }
 
-// Finish notes that the request is not at the server any more; whole is set if all of its
-// answer came.
-func (ru *Run) Finish(whole bool, now time.Time) {
-	if ru.over.IsZero() {
-		ru.over, ru.whole = now, whole
+// Finish records that the request is no longer on the server; complete is set if its complete answer
+// arrived.
+func (ru *Run) Finish(complete bool, now time.Time) {
+	if ru.finished.IsZero() {
+		ru.finished, ru.complete = now, complete
 	}
 }
 
-// Runs knows which requests are with which server, and were until just now. The zero value
-// knows of none. It is not safe for concurrent use.
+// Runs tracks which requests are on which server, and which were until recently. The zero value
+// tracks none. It is not safe for concurrent use.
 type Runs struct {
-	servers map[string]*served
+	servers map[string]*serverRuns
 }
 
-// served is what one life of a server got.
-type served struct {
-	// runs holds what is there, and what is over for less than kept.
+// serverRuns holds the runs on one server process.
+type serverRuns struct {
+	// runs holds those in progress, and those that finished less than runRetention ago.
 	runs []*Run
-	// heard is when the server answered last.
-	heard time.Time
-	// broke is when a connection to it broke off that it may have ended with; zero if none
-	// did lately.
-	broke time.Time
+	// lastAnswer is when the server last answered anything.
+	lastAnswer time.Time
+	// disconnected is when a connection was lost, possibly because the server crashed; zero if none
+	// was lost recently.
+	disconnected time.Time
 }
 
-// Sent notes that a request is sent to a server's life.
-func (rs *Runs) Sent(server string, pr Fingerprint, request string, now time.Time) *Run {
-	ru := &Run{print: pr, request: request, server: server, sent: now}
-	sv := rs.of(server)
-	sv.runs = append(sv.runs, ru)
+// Sent records that a request is sent to a server process.
+func (rs *Runs) Sent(server string, fp Fingerprint, requestID string, now time.Time) *Run {
+	ru := &Run{fingerprint: fp, requestID: requestID, server: server, sent: now}
+	sr := rs.server(server)
+	sr.runs = append(sr.runs, ru)
 	return ru
 }
 
-// Suspicion returns what is held against the request once the life of a server has ended that
-// it was at.
-func (ru *Run) Suspicion(server string, at, now time.Time) Suspicion {
-	return Suspicion{Fingerprint: ru.print, Server: server, SinceCrash: now.Sub(at), RequestAge: max(0, at.Sub(ru.sent))}
+// Suspicion returns the suspicion against the request after its server process crashed.
+func (ru *Run) Suspicion(server string, crashed, now time.Time) Suspicion {
+	return Suspicion{Fingerprint: ru.fingerprint, Server: server, SinceCrash: now.Sub(crashed), RequestAge: max(0, crashed.Sub(ru.sent))}
 }
 
-// Answered notes that the first part of an answer came.
+// Answered records that a part of an answer arrived.
 func (rs *Runs) Answered(ru *Run, now time.Time) {
 	if ru.first.IsZero() {
 		ru.first = now
 	}
-	if sv := rs.servers[ru.server]; sv != nil {
-		sv.heard = now
+	if sr := rs.servers[ru.server]; sr != nil {
+		sr.lastAnswer = now
 	}
 }
 
-func (rs *Runs) of(server string) *served {
+func (rs *Runs) server(name string) *serverRuns {
 	if rs.servers == nil {
-		rs.servers = map[string]*served{}
+		rs.servers = map[string]*serverRuns{}
 	}
-	sv := rs.servers[server]
-	if sv == nil {
-		sv = &served{}
-		rs.servers[server] = sv
+	sr := rs.servers[name]
+	if sr == nil {
+		sr = &serverRuns{}
+		rs.servers[name] = sr
 	}
-	return sv
+	return sr
 }
 
-// Disconnected notes that a server broke a connection off, which may be its end.
+// Disconnected records that a server closed a connection unexpectedly, possibly because it crashed.
 func (rs *Runs) Disconnected(server string, now time.Time) {
-	if sv := rs.of(server); sv.broke.IsZero() || now.Sub(sv.broke) > breakKept {
-		sv.broke = now
+	if sr := rs.server(server); sr.disconnected.IsZero() || now.Sub(sr.disconnected) > disconnectValidity {
+		sr.disconnected = now
 	}
 }
 
-// Alive notes that a server has not ended after all: it just took a connection.
+// Alive records that a server has not crashed: it has just accepted a connection.
 func (rs *Runs) Alive(server string, now time.Time) {
-	if sv := rs.servers[server]; sv != nil {
-		sv.broke, sv.heard = time.Time{}, now
+	if sr := rs.servers[server]; sr != nil {
+		sr.disconnected, sr.lastAnswer = time.Time{}, now
 	}
 }
 
-// Unconfirmed returns the lives of servers that gave a whole answer to a suspected request and have
-// answered nothing since by which they would be known to have lived on. Where suspected requests
-// are all that was asked for, nothing else would ever speak for them: in 15 of 30 plays without
-// a network a harmless one was refused until the block's end.
-func (rs *Runs) Unconfirmed(suspected func(pr Fingerprint) bool, now time.Time) []string {
+// Unconfirmed returns the server processes that completed a suspected request and have answered
+// nothing since that would show that they survived it. The caller probes them: where all traffic
+// consists of suspected requests, nothing else would show these to be harmless. Without the probes,
+// a harmless request was refused until the block's end in 15 of 30 test runs without a network.
+func (rs *Runs) Unconfirmed(suspected func(fp Fingerprint) bool, now time.Time) []string {
 	var list []string
-	for server, sv := range rs.servers {
-		if slices.ContainsFunc(sv.runs, func(ru *Run) bool {
-			return ru.whole && now.Sub(ru.over) >= livesOn && sv.heard.Sub(ru.over) < livesOn && suspected(ru.print)
+	for server, sr := range rs.servers {
+		if slices.ContainsFunc(sr.runs, func(ru *Run) bool {
+			return ru.complete && now.Sub(ru.finished) >= survivalTime && sr.lastAnswer.Sub(ru.finished) < survivalTime && suspected(ru.fingerprint)
 		}) {
 			list = append(list, server)
 		}
@@ -135,76 +134,77 @@
 	return list
 }
 
-// IsDisconnected reports whether a server broke a connection off lately and has not been found alive
-// since.
+// IsDisconnected reports whether a server recently closed a connection unexpectedly and has not been
+// found alive since.
 func (rs *Runs) IsDisconnected(server string, now time.Time) bool {
-	sv := rs.servers[server]
-	return sv != nil && !sv.broke.IsZero() && now.Sub(sv.broke) < kept
+	sr := rs.servers[server]
+	return sr != nil && !sr.disconnected.IsZero() && now.Sub(sr.disconnected) < runRetention
 }
 
-// HasServer reports whether anything is known of what a server got lately.
+// HasServer reports whether any recent run or lost connection of a server is recorded.
 func (rs *Runs) HasServer(server string) bool { return rs.servers[server] != nil }
 
-// Crashed returns the requests that may have caused the end of a server, and when that was as
-// far as is known, and forgets the server.
-func (rs *Runs) Crashed(server string, now time.Time) (suspects []*Run, at time.Time) {
-	sv := rs.servers[server]
-	if sv == nil {
+// Crashed returns the runs that may have caused the crash of a server and the best known time of the
+// crash, and removes the server.
+func (rs *Runs) Crashed(server string, now time.Time) (suspects []*Run, crashed time.Time) {
+	sr := rs.servers[server]
+	if sr == nil {
 		return nil, now
 	}
 	delete(rs.servers, server)
-	for _, ru := range sv.runs {
-		if sv.suspects(ru, now) {
+	for _, ru := range sr.runs {
+		if sr.mayHaveCrashed(ru, now) {
 			suspects = append(suspects, ru)
 		}
 	}
-	if sv.broke.IsZero() {
+	if sr.disconnected.IsZero() {
 		return suspects, now
 	}
-	return suspects, sv.broke
+	return suspects, sr.disconnected
 }
 
-// suspects reports whether a request may have caused the end of its server, which is noticed
+// mayHaveCrashed reports whether a run may have caused the crash of its server, which is detected
 // now.
-func (sv *served) suspects(ru *Run, now time.Time) bool {
-	if ru.unsent || !sv.broke.IsZero() && ru.sent.After(sv.broke) {
-		return false // the server never began it, or had ended before
+func (sr *serverRuns) mayHaveCrashed(ru *Run, now time.Time) bool {
+	if ru.unsent || !sr.disconnected.IsZero() && ru.sent.After(sr.disconnected) {
+		return false // the server never began it, or had crashed before
 	}
-	end := sv.broke
-	if end.IsZero() {
-		// It ended at some moment since it answered last.
-		end = now
-		if !ru.over.IsZero() {
-			end = ru.over
+	crashed := sr.disconnected
+	if crashed.IsZero() {
+		// The server crashed at some time after its last answer: take the end of the run, or now if it
+		// has not finished.
+		crashed = now
+		if !ru.finished.IsZero() {
+			crashed = ru.finished
 		}
 	}
-	from := ru.first
-	if from.IsZero() {
-		from = ru.over
+	began := ru.first
+	if began.IsZero() {
+		began = ru.finished
 	}
-	return from.IsZero() || end.Sub(from) <= beganWithin
+	return began.IsZero() || crashed.Sub(began) <= suspectWindow
 }
 
-// Prune forgets what is over for long or surely did no harm, and returns the fingerprints of
-// those whose whole answers came from servers that are known to have lived on.
+// Prune removes the runs that finished long ago or that their server is known to have survived. It
+// returns the fingerprints of those survived ones that were answered completely.
 func (rs *Runs) Prune(now time.Time) []Fingerprint {
-	var sound []Fingerprint
-	for server, sv := range rs.servers {
-		left := sv.runs[:0]
-		for _, ru := range sv.runs {
-			livedOn := !ru.over.IsZero() && sv.heard.Sub(ru.over) >= livesOn
+	var harmless []Fingerprint
+	for server, sr := range rs.servers {
+		remaining := sr.runs[:0]
+		for _, ru := range sr.runs {
+			survived := !ru.finished.IsZero() && sr.lastAnswer.Sub(ru.finished) >= survivalTime
 			switch {
-			case livedOn && ru.whole:
-				sound = append(sound, ru.print)
-			case !livedOn && (ru.over.IsZero() || now.Sub(ru.over) < kept):
-				left = append(left, ru)
+			case survived && ru.complete:
+				harmless = append(harmless, ru.fingerprint)
+			case !survived && (ru.finished.IsZero() || now.Sub(ru.finished) < runRetention):
+				remaining = append(remaining, ru)
 			}
 		}
-		clear(sv.runs[len(left):])
-		sv.runs = left
-		if len(left) == 0 {
+		clear(sr.runs[len(remaining):])
+		sr.runs = remaining
+		if len(remaining) == 0 {
 			delete(rs.servers, server)
 		}
 	}
-	return sound
+	return harmless
 }
