--- a/internal/gate/gate.go
+++ b/internal/gate/gate.go
@@ -1,6 +1,6 @@
-// Package gate decides at an agent which attempts start on the backend
-// server, which wait and which are refused. It is the last check before work
-// starts, so its refusals are facts. It does no I/O and reads no clock.
+// Package gate is the admission control of an agent: it decides which attempts start on the backend
+// server, which are queued and which are refused. It is the last check before work starts, so a
+// refused attempt is certain not to have run. It does no I/O and reads no clock.
 package gate
 
 import (
@@ -13,24 +13,24 @@
 	"github.com/linnetrudder/linnetrudder/internal/wire"
 )
 
-// Key names an attempt: the link it came on and its number there.
+// Key identifies an attempt by the link on which it arrived and its stream number there.
 type Key struct {
 	Link   string
 	Stream uint64
 }
 
-// Kind is what the shell must do with an attempt.
+// Kind is what the caller must do with an attempt.
 type Kind string
 
-// The things to do.
+// The kinds of actions.
 const (
 	// Start sends the attempt to the backend server.
 	Start Kind = "start"
-	// Refuse tells the entry that the attempt did not run.
+	// Refuse reports to the entry that the attempt did not run.
 	Refuse Kind = "refuse"
 )
 
-// Action is one decision.
+// Action is a decision about one attempt.
 type Action struct {
 	do         Kind
 	key        Key
@@ -39,10 +39,10 @@
 	retryAfter time.Duration
 }
 
-// Kind returns what to do.
+// Kind returns what to do with the attempt.
 func (ac Action) Kind() Kind { return ac.do }
 
-// Key returns the attempt's name.
+// Key returns the attempt's key.
 func (ac Action) Key() Key { return ac.key }
 
 // Attempt returns the attempt itself.
@@ -51,11 +51,11 @@
 // Code returns why the attempt was refused.
 func (ac Action) Code() result.Code { return ac.code }
 
-// RetryAfter returns when the caller may come back.
+// RetryAfter returns the delay after which a refused caller may retry.
 func (ac Action) RetryAfter() time.Duration { return ac.retryAfter }
 
-// waiting is an attempt in the queue.
-type waiting struct {
+// queued is an attempt in the queue.
+type queued struct {
 	key     Key
 	attempt *wire.Attempt
 	arrived time.Time
@@ -64,71 +64,72 @@
 }
 
 const (
-	// stallBound is the gap between two events after which the process is
-	// taken to have been frozen and its configuration to be out of date.
-	stallBound = 2 * time.Second
+	// stallThreshold is the gap between two events after which the process is assumed to have been
+	// suspended and its configuration to be out of date.
+	stallThreshold = 2 * time.Second
 	// smoothing is the weight of the newest service time in the mean.
 	smoothing = 0.1
-	// minRetryAfter is the least time that a refused caller is sent away for.
+	// minRetryAfter is the minimum Retry-After of a refusal.
 	minRetryAfter = 100 * time.Millisecond
 )
 
-// Gate holds the attempts of one backend server. Its exported fields are set
-// before use; it is not safe for concurrent use.
+// Gate admits the attempts of one backend server. Its exported fields are set before use; it is not
+// safe for concurrent use.
 type Gate struct {
 	// Server is the backend server's name in the configuration.
 	Server string
-	// MaxQueued bounds the attempts that wait.
+	// MaxQueued bounds the queue.
 	MaxQueued int
 
 	snapshot *config.Snapshot
-	// held is what the server said that it holds; it counts only where the
-	// configuration leaves loading to the system.
-	held []string
-	// confirmed is false from a freeze until a peer has answered since.
+	// loaded is the list of versions that the server reports as loaded. It applies only to servers
+	// whose configuration leaves the loading of versions to the system.
+	loaded []string
+	// confirmed is set once a peer has confirmed the configuration, and unset when the process has
+	// been suspended.
 	confirmed bool
 	// leaving is never unset.
 	leaving bool
-	// serverLeaving is set from the server's announcement of its shutdown until its next life.
+	// serverLeaving is set from the server's announcement of its shutdown until its restart.
 	serverLeaving bool
-	// seen is the time of the newest event.
-	seen time.Time
-	// running holds when each attempt on the server started; there are never
-	// more than the slots.
+	// lastEvent is the time of the latest event.
+	lastEvent time.Time
+	// running holds the start time of each attempt on the server. There are never more of them than
+	// slots.
 	running map[Key]time.Time
-	// served is each team's virtual time: it grows by one over the team's
-	// weight with each start. Teams at or below virtual are left out.
-	served map[string]float64
-	// virtual is the virtual time of the newest start; it never goes back.
-	virtual float64
+	// teamTime is each team's virtual time: it advances by one over the team's weight with each
+	// start. Teams at or below virtualTime are left out.
+	teamTime map[string]float64
+	// virtualTime is the virtual time of the latest start. It never decreases.
+	virtualTime float64
 	// queue is in the order of arrival.
-	queue []waiting
-	// service is the smoothed time that an attempt holds its slot.
-	service time.Duration
-	// limits holds the server's rate limit and the times of starts, pauses the pause that it
-	// asked for.
+	queue []queued
+	// serviceTime is the smoothed time that an attempt occupies its slot.
+	serviceTime time.Duration
+	// limits holds the server's rate limit and the times of starts, pauses the pause that the server
+	// requested.
 	limits backpressure.Tracker
 	pauses backpressure.Pauses
 }
 
-// Submit takes an attempt: it starts, waits or is refused.
+// Submit starts, queues or refuses a new attempt.
 func (ga *Gate) Submit(key Key, at *wire.Attempt, now time.Time) []Action {
 	ga.observe(now)
-	wa := waiting{key: key, attempt: at, arrived: now, deadline: now.Add(time.Duration(at.WaitMS) * time.Millisecond)}
-	if co := ga.judge(at); co != result.OK {
-		return []Action{ga.refuse(wa, co)}
+	qu := queued{key: key, attempt: at, arrived: now, deadline: now.Add(time.Duration(at.WaitMS) * time.Millisecond)}
+	if co := ga.check(at); co != result.OK {
+		return []Action{ga.refuse(qu, co)}
 	}
 	if len(ga.queue) == 0 && ga.mayStart(now) {
-		return []Action{ga.start(wa, now)}
+		return []Action{ga.start(qu, now)}
 	}
-	if wait := ga.estimate(at); now.Add(wait).After(wa.deadline) {
-		return []Action{ga.refuse(wa, result.Overloaded)}
+	if wait := ga.estimate(at); now.Add(wait).After(qu.deadline) {
+		return []Action{ga.refuse(qu, result.Overloaded)}
 	}
-	ga.queue = append(ga.queue, wa)
+	ga.queue = append(ga.queue, qu)
 	return ga.shed(now)
 }
 
-// Ended frees the place of an attempt and starts those that waited for it.
+// Ended frees the slot of an attempt and starts queued ones.
 func (ga *Gate) Ended(key Key, now time.Time) []Action {
 	ga.observe(now)
 	started, ok := ga.running[key]
@@ -136,12 +137,12 @@
 		return nil
 	}
 	delete(ga.running, key)
-	ga.learn(now.Sub(started))
+	ga.recordServiceTime(now.Sub(started))
 	return ga.fill(now)
 }
 
-// Cancel drops an attempt that waits. It reports whether there was one; an
-// attempt that runs is cancelled by the shell, which then calls Ended.
+// Cancel removes an attempt from the queue and reports whether it was there. A running attempt is
+// cancelled by the caller, which then calls Ended.
 func (ga *Gate) Cancel(key Key, now time.Time) bool {
 	ga.observe(now)
 	for i := range ga.queue {
@@ -153,8 +154,8 @@
 	return false
 }
 
-// Reconfigure takes a newer revision into force; a lower one is ignored.
-// Attempts that wait and are no longer allowed are refused at once.
+// Reconfigure applies a newer revision of the configuration; a revision that is not newer is
+// ignored. Queued attempts that it no longer allows are refused immediately.
 func (ga *Gate) Reconfigure(sn *config.Snapshot, now time.Time) []Action {
 	ga.observe(now)
 	if sn.Revision() <= ga.snapshot.Revision() {
@@ -164,8 +165,9 @@
 	return append(ga.sweep(now), ga.fill(now)...)
 }
 
-// Confirm says that a peer answered a question asked after the freeze, and
-// holds nothing newer.
+// Confirm records a peer's answer, with the revision that the peer holds, to a query that was sent
+// after the process had been suspended. The configuration is confirmed unless the peer has a newer
+// one.
 func (ga *Gate) Confirm(revision uint64, now time.Time) []Action {
 	ga.observe(now)
 	if revision > ga.snapshot.Revision() {
@@ -175,26 +177,26 @@
 	return ga.fill(now)
 }
 
-// SetLoaded notes which versions the server said that it holds.
-func (ga *Gate) SetLoaded(versions []string) { ga.held = slices.Clone(versions) }
+// SetLoaded records which versions the server reports as loaded.
+func (ga *Gate) SetLoaded(versions []string) { ga.loaded = slices.Clone(versions) }
 
-// Confirmed reports whether the configuration is known to be fresh.
+// Confirmed reports whether the configuration is known to be current.
 func (ga *Gate) Confirmed() bool { return ga.confirmed }
 
-// Leave refuses what waits and everything after it.
+// Leave refuses all queued attempts and every later one. Running attempts continue.
 func (ga *Gate) Leave(now time.Time) []Action {
 	ga.observe(now)
 	ga.leaving = true
 	return ga.sweep(now)
 }
 
-// Leaving reports whether the gate takes nothing new.
+// Leaving reports whether the gate refuses new attempts for a shutdown of the agent or the server.
 func (ga *Gate) Leaving() bool {
 	return ga.leaving || ga.serverLeaving || ga.server() != nil && ga.server().Leaving
 }
 
 // SetServerLeaving records whether the server announced its shutdown. If it did, queued attempts are
-// refused, and new ones until the server's next life.
+// refused, and new ones until the server restarts.
 func (ga *Gate) SetServerLeaving(leaving bool, now time.Time) []Action {
 	ga.observe(now)
 	ga.serverLeaving = leaving
@@ -204,21 +206,21 @@
 // ServerLeaving reports whether the server announced its shutdown.
 func (ga *Gate) ServerLeaving() bool { return ga.serverLeaving }
 
-// Idle reports whether nothing runs or waits.
+// Idle reports whether no attempt is running or queued.
 func (ga *Gate) Idle() bool { return len(ga.running) == 0 && len(ga.queue) == 0 }
 
-// Tick refuses at once each attempt whose deadline has passed.
+// Tick refuses the queued attempts whose deadlines have passed and starts those that may start.
 func (ga *Gate) Tick(now time.Time) []Action {
 	ga.observe(now)
 	ga.pauses.Tick(now)
 	return append(ga.sweep(now), ga.fill(now)...)
 }
 
-// Load returns the present load.
+// Load returns the current load.
 func (ga *Gate) Load() wire.Load {
 	lo := wire.Load{Running: len(ga.running), Queued: len(ga.queue), Slots: ga.slots(), Leaving: ga.Leaving()}
-	if ga.limitWait(ga.seen) > 0 {
-		// Entries would take it for idle and send what can't start.
+	if ga.limitWait(ga.lastEvent) > 0 {
+		// Otherwise entries would consider the server idle and send attempts that can't start.
 		lo.Running = max(lo.Running, lo.Slots)
 	}
 	return lo
@@ -227,22 +229,24 @@
 // Revision returns the revision in force.
 func (ga *Gate) Revision() uint64 { return ga.snapshot.Revision() }
 
-// observe notices a freeze: no event for longer than the shell's ticks allow.
+// observe records the time of an event. A gap that the caller's regular ticks rule out means that the
+// process was suspended, so the configuration has to be confirmed again.
 func (ga *Gate) observe(now time.Time) {
-	if !ga.seen.IsZero() && Stalled(ga.seen, now) {
+	if !ga.lastEvent.IsZero() && Stalled(ga.lastEvent, now) {
 		ga.confirmed = false
 	}
-	if now.After(ga.seen) {
-		ga.seen = now
+	if now.After(ga.lastEvent) {
+		ga.lastEvent = now
 	}
 }
 
-// Stalled reports whether a decision made at one time is too old to be acted
-// on: the process has been frozen since.
-func Stalled(decided, now time.Time) bool { return now.Sub(decided) > stallBound }
+// Stalled reports whether a decision is too old to be acted on because the process has been suspended
+// since it was made.
+func Stalled(decided, now time.Time) bool { return now.Sub(decided) > stallThreshold }
 
-// judge says whether the attempt may start as things are now.
-func (ga *Gate) judge(at *wire.Attempt) result.Code {
+// check returns result.OK if the configuration and the server's state allow the attempt to start, and
+// otherwise the reason for its refusal.
+func (ga *Gate) check(at *wire.Attempt) result.Code {
 	switch {
 	case ga.snapshot == nil || !ga.confirmed:
 		return result.NoConfiguration
@@ -253,16 +257,16 @@
 	case ga.snapshot.Document().Evacuated(ga.server().DataCentre):
 		return result.Leaving
 	case at.Service != "":
-		return ga.judgeService(at)
+		return ga.checkService(at)
 	case !slices.Contains(ga.server().Versions, at.Version):
 		return result.VersionNotHere
-	case ga.server().Orders && !slices.Contains(ga.held, at.Version):
+	case ga.server().Orders && !slices.Contains(ga.loaded, at.Version):
 		return result.VersionNotHere
 	}
 	return ga.snapshot.MayStart(at.Team, at.Version, at.InSession)
 }
 
-func (ga *Gate) judgeService(at *wire.Attempt) result.Code {
+func (ga *Gate) checkService(at *wire.Attempt) result.Code {
 	te := ga.snapshot.Team(at.Team)
 	if te == nil || !te.MayCall(at.Service) {
 		return result.VersionNotAllowed
@@ -287,59 +291,59 @@
 	return 0
 }
 
-// fill starts attempts while there are free slots.
+// fill starts queued attempts while there are free slots.
 func (ga *Gate) fill(now time.Time) []Action {
 	var acs []Action
 	for len(ga.queue) > 0 && ga.mayStart(now) {
-		i := ga.pick()
-		wa := ga.queue[i]
+		i := ga.next()
+		qu := ga.queue[i]
 		ga.queue = slices.Delete(ga.queue, i, i+1)
-		if co := ga.judge(wa.attempt); co != result.OK {
-			acs = append(acs, ga.refuse(wa, co))
+		if co := ga.check(qu.attempt); co != result.OK {
+			acs = append(acs, ga.refuse(qu, co))
 			continue
 		}
-		if now.After(wa.deadline) {
-			acs = append(acs, ga.refuse(wa, result.DeadlinePassed))
+		if now.After(qu.deadline) {
+			acs = append(acs, ga.refuse(qu, result.DeadlinePassed))
 			continue
 		}
-		acs = append(acs, ga.start(wa, now))
+		acs = append(acs, ga.start(qu, now))
 	}
 	return acs
 }
 
-// sweep refuses what waits and may not start any more or is too late.
+// sweep refuses the queued attempts that are no longer allowed or whose deadlines have passed.
 func (ga *Gate) sweep(now time.Time) []Action {
 	var acs []Action
-	ga.queue = slices.DeleteFunc(ga.queue, func(wa waiting) bool {
-		co := ga.judge(wa.attempt)
-		if co == result.OK && now.After(wa.deadline) {
+	ga.queue = slices.DeleteFunc(ga.queue, func(qu queued) bool {
+		co := ga.check(qu.attempt)
+		if co == result.OK && now.After(qu.deadline) {
 			co = result.DeadlinePassed
 		}
 		if co == result.OK {
 			return false
 		}
-		acs = append(acs, ga.refuse(wa, co))
+		acs = append(acs, ga.refuse(qu, co))
 		return true
 	})
 	return acs
 }
 
-func (ga *Gate) start(wa waiting, now time.Time) Action {
+func (ga *Gate) start(qu queued, now time.Time) Action {
 	if ga.running == nil {
 		ga.running = map[Key]time.Time{}
-		ga.served = map[string]float64{}
+		ga.teamTime = map[string]float64{}
 	}
-	ga.running[wa.key] = now
+	ga.running[qu.key] = now
 	ga.limits.Sent(ga.Server, now)
 	ga.pauses.Sent(ga.Server, now)
-	ga.charge(wa.attempt.Team)
-	return Action{do: Start, key: wa.key, attempt: wa.attempt, code: result.OK}
+	ga.charge(qu.attempt.Team)
+	return Action{do: Start, key: qu.key, attempt: qu.attempt, code: result.OK}
 }
 
-func (ga *Gate) refuse(wa waiting, co result.Code) Action {
+func (ga *Gate) refuse(qu queued, co result.Code) Action {
 	after := result.Of(co).RetryAfter()
 	if co == result.Overloaded || co == result.ShareExceeded || co == result.DeadlinePassed {
-		after = max(minRetryAfter, ga.estimate(wa.attempt))
+		after = max(minRetryAfter, ga.estimate(qu.attempt))
 	}
-	return Action{do: Refuse, key: wa.key, attempt: wa.attempt, code: co, retryAfter: after}
+	return Action{do: Refuse, key: qu.key, attempt: qu.attempt, code: co, retryAfter: after}
 }
--- a/internal/gate/gate_test.go
+++ b/internal/gate/gate_test.go
@@ -49,11 +49,11 @@
 	return &wire.Attempt{Team: team, Version: version, WaitMS: 1000}
 }
 
-func open(ga *Gate, stream uint64, at *wire.Attempt, now time.Time) []Action {
+func submit(ga *Gate, stream uint64, at *wire.Attempt, now time.Time) []Action {
 	return ga.Submit(Key{Link: "entry", Stream: stream}, at, now)
 }
 
-func TestOpenStartsOnlyWhatIsAllowed(t *testing.T) {
+func TestSubmitStartsOnlyAllowedAttempts(t *testing.T) {
 	for _, tc := range []struct {
 		team, version string
 		inSession     bool
@@ -73,16 +73,16 @@
 		ga := newGate(t, 1, tc.state, 1)
 		at := attempt(tc.team, tc.version)
 		at.InSession = tc.inSession
-		acs := open(ga, 1, at, start)
+		acs := submit(ga, 1, at, start)
 		require.Len(t, acs, 1)
 		require.Equal(t, tc.want, acs[0].Code(), "%+v", tc)
 	}
 }
 
-func TestWithdrawalReachesWhatWaits(t *testing.T) {
+func TestWithdrawalRefusesQueuedAttempts(t *testing.T) {
 	ga := newGate(t, 1, config.Serving, 1)
-	require.Equal(t, Start, open(ga, 1, attempt("one", "m@v2"), start)[0].Kind())
-	require.Empty(t, open(ga, 2, attempt("one", "m@v2"), start))
+	require.Equal(t, Start, submit(ga, 1, attempt("one", "m@v2"), start)[0].Kind())
+	require.Empty(t, submit(ga, 2, attempt("one", "m@v2"), start))
 	doc := document(config.Withdrawn, 1)
 	acs := ga.Reconfigure(config.Compile(2, doc), start.Add(time.Millisecond))
 	require.Len(t, acs, 1)
@@ -90,30 +90,30 @@
 	require.Equal(t, uint64(2), acs[0].Key().Stream)
 }
 
-func TestReconfigureNeverGoesBack(t *testing.T) {
+func TestReconfigureIgnoresOlderRevisions(t *testing.T) {
 	ga := newGate(t, 5, config.Withdrawn, 1)
 	ga.Reconfigure(config.Compile(4, document(config.Serving, 1)), start)
 	require.Equal(t, uint64(5), ga.Revision())
-	require.Equal(t, result.VersionWithdrawn, open(ga, 1, attempt("one", "m@v2"), start)[0].Code())
+	require.Equal(t, result.VersionWithdrawn, submit(ga, 1, attempt("one", "m@v2"), start)[0].Code())
 }
 
-func TestAfterAFreezeNothingStartsUntilAPeerConfirms(t *testing.T) {
+func TestNothingStartsAfterASuspensionUntilAPeerConfirms(t *testing.T) {
 	ga := newGate(t, 1, config.Serving, 1)
-	woken := start.Add(time.Minute)
-	acs := open(ga, 1, attempt("one", "m@v2"), woken)
+	resumed := start.Add(time.Minute)
+	acs := submit(ga, 1, attempt("one", "m@v2"), resumed)
 	require.Equal(t, result.NoConfiguration, acs[0].Code())
-	require.Empty(t, ga.Confirm(2, woken), "a peer that holds more confirms nothing")
-	require.Equal(t, result.NoConfiguration, open(ga, 2, attempt("one", "m@v2"), woken)[0].Code())
-	ga.Reconfigure(config.Compile(2, document(config.Withdrawn, 1)), woken)
-	ga.Confirm(2, woken)
-	require.Equal(t, result.VersionWithdrawn, open(ga, 3, attempt("one", "m@v2"), woken)[0].Code())
-	require.Equal(t, Start, open(ga, 4, attempt("one", "m@v1"), woken)[0].Kind())
+	require.Empty(t, ga.Confirm(2, resumed), "a peer with a newer revision confirms nothing")
+	require.Equal(t, result.NoConfiguration, submit(ga, 2, attempt("one", "m@v2"), resumed)[0].Code())
+	ga.Reconfigure(config.Compile(2, document(config.Withdrawn, 1)), resumed)
+	ga.Confirm(2, resumed)
+	require.Equal(t, result.VersionWithdrawn, submit(ga, 3, attempt("one", "m@v2"), resumed)[0].Code())
+	require.Equal(t, Start, submit(ga, 4, attempt("one", "m@v1"), resumed)[0].Kind())
 }
 
-func TestWaitingIsRefusedAtItsDeadline(t *testing.T) {
+func TestQueuedAttemptIsRefusedAtItsDeadline(t *testing.T) {
 	ga := newGate(t, 1, config.Serving, 1)
-	open(ga, 1, attempt("one", "m@v1"), start)
-	open(ga, 2, attempt("one", "m@v1"), start)
+	submit(ga, 1, attempt("one", "m@v1"), start)
+	submit(ga, 2, attempt("one", "m@v1"), start)
 	require.Empty(t, ga.Tick(start.Add(time.Second)))
 	acs := ga.Tick(start.Add(1001 * time.Millisecond))
 	require.Len(t, acs, 1)
@@ -121,60 +121,59 @@
 	require.Positive(t, acs[0].RetryAfter())
 }
 
-func TestWhatCannotStartInTimeIsRefusedAtOnce(t *testing.T) {
+func TestAttemptThatCannotStartInTimeIsRefusedImmediately(t *testing.T) {
 	ga := newGate(t, 1, config.Serving, 1)
 	now := start
-	open(ga, 1, attempt("one", "m@v1"), now)
+	submit(ga, 1, attempt("one", "m@v1"), now)
 	for range 8 {
 		now = now.Add(time.Second)
 		ga.Tick(now)
 	}
 	ga.Ended(Key{Link: "entry", Stream: 1}, now)
-	open(ga, 2, attempt("one", "m@v1"), now)
-	acs := open(ga, 3, attempt("one", "m@v1"), now)
+	submit(ga, 2, attempt("one", "m@v1"), now)
+	acs := submit(ga, 3, attempt("one", "m@v1"), now)
 	require.Len(t, acs, 1)
 	require.Equal(t, result.Overloaded, acs[0].Code())
 	require.GreaterOrEqual(t, acs[0].RetryAfter(), 7*time.Second)
 }
 
-func TestABurstCostsItsOwnTeam(t *testing.T) {
+func TestBurstDisplacesOnlyItsOwnTeam(t *testing.T) {
 	ga := newGate(t, 1, config.Serving, 1)
-	open(ga, 1, attempt("one", "m@v1"), start)
+	submit(ga, 1, attempt("one", "m@v1"), start)
 	for id := uint64(2); id < 6; id++ {
-		require.Empty(t, open(ga, id, attempt("one", "m@v1"), start))
+		require.Empty(t, submit(ga, id, attempt("one", "m@v1"), start))
 	}
-	acs := open(ga, 6, attempt("two", "m@v1"), start)
+	acs := submit(ga, 6, attempt("two", "m@v1"), start)
 	require.Len(t, acs, 1)
 	require.Equal(t, result.ShareExceeded, acs[0].Code())
 	require.Equal(t, "one", acs[0].Attempt().Team)
 	next := ga.Ended(Key{Link: "entry", Stream: 1}, start)
 	require.Len(t, next, 1)
-	require.Equal(t, "two", next[0].Attempt().Team, "the team that ran nothing comes before the second of the other")
+	require.Equal(t, "two", next[0].Attempt().Team, "the team without any start comes before the second attempt of the other one")
 }
 
-func TestLeavingTakesNothingNewAndCutsNothing(t *testing.T) {
+func TestLeaveRefusesNewAttemptsAndLetsRunningOnesEnd(t *testing.T) {
 	ga := newGate(t, 1, config.Serving, 1)
-	open(ga, 1, attempt("one", "m@v1"), start)
-	open(ga, 2, attempt("one", "m@v1"), start)
+	submit(ga, 1, attempt("one", "m@v1"), start)
+	submit(ga, 2, attempt("one", "m@v1"), start)
 	acs := ga.Leave(start)
 	require.Len(t, acs, 1)
 	require.Equal(t, result.Leaving, acs[0].Code())
 	require.False(t, ga.Idle())
-	require.Equal(t, result.Leaving, open(ga, 3, attempt("one", "m@v1"), start)[0].Code())
+	require.Equal(t, result.Leaving, submit(ga, 3, attempt("one", "m@v1"), start)[0].Code())
 	ga.Ended(Key{Link: "entry", Stream: 1}, start)
 	require.True(t, ga.Idle())
 }
 
-// TestLeavingAgainstNaive lets a server leave by each signal while attempts
-// come. The gate starts nothing after it; the naive version, which waits for the
-// platform's list, goes on.
-func TestLeavingAgainstNaive(t *testing.T) {
+// A server leaves by each of the two signals while attempts arrive. The gate starts nothing afterwards.
+// A naive gate that waits for the platform's list of servers would start attempts on it.
+func TestLeavingStartsNothing(t *testing.T) {
 	naiveStarted := 0
 	rapid.Check(t, func(rt *rapid.T) {
 		ga := newGate(rt, 1, config.Serving, 4)
 		byConfig := rapid.Bool().Draw(rt, "by configuration")
 		leaves := rapid.IntRange(1, 20).Draw(rt, "leaves at")
-		// The list says so only later.
+		// The platform's list shows it only later.
 		listed := leaves + rapid.IntRange(1, 10).Draw(rt, "lag")
 		for i := 1; i < 30; i++ {
 			now := start.Add(time.Duration(i) * 100 * time.Millisecond)
@@ -186,7 +185,7 @@
 			case i == leaves:
 				ga.Leave(now)
 			}
-			acs := open(ga, uint64(i), attempt("one", "m@v1"), now)
+			acs := submit(ga, uint64(i), attempt("one", "m@v1"), now)
 			if i < leaves {
 				require.Equal(rt, Start, acs[0].Kind())
 				ga.Ended(acs[0].Key(), now)
@@ -201,29 +200,28 @@
 	require.Positive(t, naiveStarted, "the naive version must have started work on a leaving server")
 }
 
-// naive starts whatever comes, as a gate that trusts the entries would.
-type naive struct{ running map[Key]bool }
+// naiveGate starts every attempt, as a gate that relies on the checks of the entries would.
+type naiveGate struct{ running map[Key]bool }
 
-func (na *naive) open(key Key) Kind {
+func (na *naiveGate) submit(key Key) Kind {
 	na.running[key] = true
 	return Start
 }
 
-// TestAgainstNaive drives the gate and the naive version with the same seeded
-// events. The rules hold for the gate whatever comes; the naive version breaks
-// them.
-func TestAgainstNaive(t *testing.T) {
-	broken := 0
+// The gate and a naive gate get the same random events. The gate decides on each attempt once, keeps to
+// the slots and starts no withdrawn version; the naive one starts withdrawn versions.
+func TestRandomEventsKeepTheInvariants(t *testing.T) {
+	violations := 0
 	rapid.Check(t, func(rt *rapid.T) {
 		ga := newGate(rt, 1, config.Serving, 2)
-		na := &naive{running: map[Key]bool{}}
+		na := &naiveGate{running: map[Key]bool{}}
 		now, revision, state := start, uint64(1), config.Serving
 		running := map[Key]bool{}
-		answered := map[Key]int{}
-		see := func(acs []Action) {
+		decided := map[Key]int{}
+		apply := func(acs []Action) {
 			for _, ac := range acs {
-				answered[ac.Key()]++
-				require.Equal(rt, 1, answered[ac.Key()], "one verdict for an attempt")
+				decided[ac.Key()]++
+				require.Equal(rt, 1, decided[ac.Key()], "one decision for each attempt")
 				if ac.Kind() == Refuse {
 					require.Equal(rt, result.DidNotRun, result.Of(ac.Code()).Run())
 					continue
@@ -238,29 +236,29 @@
 			key := Key{Link: "entry", Stream: uint64(i + 1)}
 			switch rapid.SampledFrom([]string{"open", "open", "end", "tick", "change"}).Draw(rt, "event") {
 			case "open":
-				see(ga.Submit(key, attempt("one", "m@v2"), now))
-				if na.open(key) == Start && state == config.Withdrawn {
-					broken++
+				apply(ga.Submit(key, attempt("one", "m@v2"), now))
+				if na.submit(key) == Start && state == config.Withdrawn {
+					violations++
 				}
 			case "end":
 				for ru := range running {
 					delete(running, ru)
-					see(ga.Ended(ru, now))
+					apply(ga.Ended(ru, now))
 					break
 				}
 			case "tick":
-				see(ga.Tick(now))
+				apply(ga.Tick(now))
 			case "change":
 				revision++
 				state = rapid.SampledFrom([]config.State{config.Serving, config.Withdrawn}).Draw(rt, "state")
-				see(ga.Reconfigure(config.Compile(revision, document(state, 2)), now))
+				apply(ga.Reconfigure(config.Compile(revision, document(state, 2)), now))
 			}
 		}
 	})
-	require.Positive(t, broken, "the naive version must have started withdrawn work")
+	require.Positive(t, violations, "the naive version must have started withdrawn work")
 }
 
-func BenchmarkOpenEnded(b *testing.B) {
+func BenchmarkSubmitEnded(b *testing.B) {
 	ga := newGate(b, 1, config.Serving, 64)
 	at := attempt("one", "m@v1")
 	b.ReportAllocs()
@@ -272,33 +270,34 @@
 }
 
 func ExampleGate_Load() {
-	ga := newGate(fatal{}, 1, config.Serving, 2)
+	ga := newGate(panicker{}, 1, config.Serving, 2)
 	ga.Submit(Key{Link: "entry", Stream: 1}, attempt("one", "m@v1"), start)
 	fmt.Println(ga.Load().Running, ga.Load().Slots)
 	// Output: 1 2
 }
 
-// fatal lets a helper be used outside a test.
-type fatal struct{}
+// panicker is a require.TestingT for the use of test helpers outside a test.
+type panicker struct{}
 
-func (fatal) Errorf(format string, args ...any) { panic(fmt.Sprintf(format, args...)) }
-func (fatal) FailNow()                          { panic("failed") }
+func (panicker) Errorf(format string, args ...any) { panic(fmt.Sprintf(format, args...)) }
+func (panicker) FailNow()                          { panic("failed") }
 
-// What runs in a data centre that is emptied ends, what waits and what comes goes elsewhere;
-// after its end the server takes work again, which its reports must not hide.
-func TestAServerOfAnEvacuatedDataCentreTakesNothingNew(t *testing.T) {
+// In an evacuated data centre, running attempts continue while queued and new ones are refused, so that
+// they go elsewhere. After the evacuation the server accepts attempts again, so its load reports must
+// not show it as leaving.
+func TestServerOfAnEvacuatedDataCentreRefusesNewAttempts(t *testing.T) {
 	ga := newGate(t, 1, config.Serving, 1)
-	require.Equal(t, Start, open(ga, 1, attempt("one", "m@v2"), start)[0].Kind())
-	require.Empty(t, open(ga, 2, attempt("one", "m@v2"), start))
+	require.Equal(t, Start, submit(ga, 1, attempt("one", "m@v2"), start)[0].Kind())
+	require.Empty(t, submit(ga, 2, attempt("one", "m@v2"), start))
 	doc := document(config.Serving, 1)
 	doc.Evacuations = []config.Evacuation{{DataCentre: doc.Servers[0].DataCentre}}
 	acs := ga.Reconfigure(config.Compile(2, doc), start.Add(time.Millisecond))
 	require.Len(t, acs, 1)
-	require.Equal(t, uint64(2), acs[0].Key().Stream, "what waits")
+	require.Equal(t, uint64(2), acs[0].Key().Stream, "the queued attempt")
 	require.Equal(t, result.Leaving, acs[0].Code())
-	require.Equal(t, 1, ga.Load().Running, "what runs is not cut")
-	require.False(t, ga.Load().Leaving, "an entry would leave it for good")
-	require.Equal(t, result.Leaving, open(ga, 3, attempt("one", "m@v2"), start)[0].Code())
+	require.Equal(t, 1, ga.Load().Running, "the running attempt continues")
+	require.False(t, ga.Load().Leaving, "an entry would never return to it")
+	require.Equal(t, result.Leaving, submit(ga, 3, attempt("one", "m@v2"), start)[0].Code())
 	ga.Reconfigure(config.Compile(3, document(config.Serving, 2)), start.Add(2*time.Millisecond))
-	require.Equal(t, Start, open(ga, 4, attempt("one", "m@v2"), start.Add(3*time.Millisecond))[0].Kind())
+	require.Equal(t, Start, submit(ga, 4, attempt("one", "m@v2"), start.Add(3*time.Millisecond))[0].Kind())
 }
--- a/internal/gate/limit.go
+++ b/internal/gate/limit.go
@@ -7,8 +7,8 @@
 	"github.com/linnetrudder/linnetrudder/internal/quota"
 )
 
-// SetLimit records the rate limit in requests per second that the server reports, nil for none. Queued
-// attempts may start then.
+// SetLimit records the rate limit in requests per second that the server reports, nil for none, and
+// starts the queued attempts that a changed limit allows.
 func (ga *Gate) SetLimit(perSecond *float64, now time.Time) (backpressure.Change, []Action) {
 	ga.observe(now)
 	change := ga.limits.Report(ga.Server, perSecond, now)
@@ -18,20 +18,21 @@
 	return change, ga.fill(now)
 }
 
-// Pause starts nothing for as long as the server asked for. It reports whether the server was not
-// paused before.
-func (ga *Gate) Pause(lasts time.Duration, now time.Time) bool {
+// Pause starts no attempts for the duration that the server requested. It reports whether the server
+// was not paused before.
+func (ga *Gate) Pause(duration time.Duration, now time.Time) bool {
 	ga.observe(now)
-	return ga.pauses.Begin(ga.Server, lasts, now)
+	return ga.pauses.Begin(ga.Server, duration, now)
 }
 
-// limitWait returns how long nothing starts because of the server's limit or pause, zero if an
-// attempt may. The agent is the only way to its server, and so has all of the limit.
+// limitWait returns how long the server's limit or pause still prevents a start, zero if it does not.
+// All requests to the server pass through this agent, which therefore uses the whole limit.
 func (ga *Gate) limitWait(now time.Time) time.Duration {
 	return max(ga.limits.Wait(ga.Server, quota.Gateway{Fleet: 1}, now), ga.pauses.Left(ga.Server, now))
 }
 
-// mayStart reports whether an attempt may start. After a pause the server is probed by one attempt.
+// mayStart reports whether a slot is free and the server accepts attempts. After a pause the server is
+// probed with a single attempt.
 func (ga *Gate) mayStart(now time.Time) bool {
 	avoid, probe := ga.pauses.Avoid(ga.Server, now)
 	return len(ga.running) < ga.slots() && ga.limitWait(now) == 0 && (!avoid || probe)
--- a/internal/gate/order.go
+++ b/internal/gate/order.go
@@ -8,9 +8,9 @@
 	"github.com/linnetrudder/linnetrudder/internal/wire"
 )
 
-// pick returns the place in the queue of the attempt to start next: highest
-// priority, then the team that was served least for its weight, then the oldest.
-func (ga *Gate) pick() int {
+// next returns the index of the queued attempt to start next: the highest priority first, then the
+// team with the least service for its weight (weighted fair queueing), then the oldest.
+func (ga *Gate) next() int {
 	best := 0
 	for i := 1; i < len(ga.queue); i++ {
 		if ga.before(&ga.queue[i], &ga.queue[best]) {
@@ -20,27 +20,27 @@
 	return best
 }
 
-func (ga *Gate) before(wa, ot *waiting) bool {
-	if wa.attempt.Priority != ot.attempt.Priority {
-		return wa.attempt.Priority > ot.attempt.Priority
+func (ga *Gate) before(qu, ot *queued) bool {
+	if qu.attempt.Priority != ot.attempt.Priority {
+		return qu.attempt.Priority > ot.attempt.Priority
 	}
-	return ga.share(wa.attempt.Team) < ga.share(ot.attempt.Team)
+	return ga.teamVirtualTime(qu.attempt.Team) < ga.teamVirtualTime(ot.attempt.Team)
 }
 
-// share returns a team's virtual time. A team that was away is not owed what
-// it did not ask for.
-func (ga *Gate) share(team string) float64 {
-	return max(ga.served[team], ga.virtual)
+// teamVirtualTime returns a team's virtual time. It is at least that of the latest start, so that a
+// team that was idle gets no credit for the time.
+func (ga *Gate) teamVirtualTime(team string) float64 {
+	return max(ga.teamTime[team], ga.virtualTime)
 }
 
-// charge moves a team's virtual time on by one start, and forgets the teams
-// that the others have caught up with.
+// charge advances a team's virtual time by one start, and removes the teams whose virtual time is no
+// longer ahead.
 func (ga *Gate) charge(team string) {
-	ga.virtual = ga.share(team)
-	ga.served[team] = ga.virtual + 1/float64(ga.weight(team))
-	for na, se := range ga.served {
-		if se <= ga.virtual {
-			delete(ga.served, na)
+	ga.virtualTime = ga.teamVirtualTime(team)
+	ga.teamTime[team] = ga.virtualTime + 1/float64(ga.weight(team))
+	for na, ti := range ga.teamTime {
+		if ti <= ga.virtualTime {
+			delete(ga.teamTime, na)
 		}
 	}
 }
@@ -52,79 +52,81 @@
 	return 1
 }
 
-// shed refuses at once what can surely not start in time, or has no room: the
-// newest attempt of the lowest priority from the team that waits with most for
-// its weight, so that one team's burst costs that team.
+// shed refuses one queued attempt if the queue is too long, or if that attempt can't start before its
+// deadline. It is the newest attempt of the lowest priority from the team with the most queued attempts
+// for its weight, so that one team's burst displaces only attempts of that team.
 func (ga *Gate) shed(now time.Time) []Action {
-	worst := ga.worst()
-	last := now.Add(ga.wait(len(ga.queue)))
-	if len(ga.queue) <= ga.MaxQueued && !last.After(ga.queue[worst].deadline) {
+	last := ga.lastInOrder()
+	lastStart := now.Add(ga.wait(len(ga.queue)))
+	if len(ga.queue) <= ga.MaxQueued && !lastStart.After(ga.queue[last].deadline) {
 		return nil
 	}
-	wa := ga.queue[worst]
-	ga.queue = slices.Delete(ga.queue, worst, worst+1)
-	return []Action{ga.refuse(wa, result.ShareExceeded)}
+	qu := ga.queue[last]
+	ga.queue = slices.Delete(ga.queue, last, last+1)
+	return []Action{ga.refuse(qu, result.ShareExceeded)}
 }
 
-// worst returns the place in the queue of the attempt that comes last.
-func (ga *Gate) worst() int {
-	waits := map[string]int{}
+// lastInOrder returns the index of the queued attempt that shed refuses.
+func (ga *Gate) lastInOrder() int {
+	count := map[string]int{}
 	for i := range ga.queue {
-		waits[ga.queue[i].attempt.Team]++
+		count[ga.queue[i].attempt.Team]++
 	}
-	worst := len(ga.queue) - 1
+	last := len(ga.queue) - 1
 	for i := len(ga.queue) - 2; i >= 0; i-- {
-		wa, wo := ga.queue[i].attempt, ga.queue[worst].attempt
-		if wa.Priority != wo.Priority {
-			if wa.Priority < wo.Priority {
-				worst = i
+		at, la := ga.queue[i].attempt, ga.queue[last].attempt
+		if at.Priority != la.Priority {
+			if at.Priority < la.Priority {
+				last = i
 			}
 			continue
 		}
-		if waits[wa.Team]*ga.weight(wo.Team) > waits[wo.Team]*ga.weight(wa.Team) {
-			worst = i
+		if count[at.Team]*ga.weight(la.Team) > count[la.Team]*ga.weight(at.Team) {
+			last = i
 		}
 	}
-	return worst
+	return last
 }
 
-// estimate returns how long an attempt that came now would wait: for all of a
-// higher priority, and for those of its own that the fair shares put before it.
+// estimate returns how long a new attempt would wait: for all queued attempts of a higher priority,
+// and for those of the same priority that fair queueing places before it.
 func (ga *Gate) estimate(at *wire.Attempt) time.Duration {
 	ahead := 1
-	seen := map[string]float64{}
+	counted := map[string]float64{}
 	for i := range ga.queue {
 		if ga.queue[i].attempt.Team == at.Team {
-			seen[at.Team]++
+			counted[at.Team]++
 		}
 	}
-	own := ga.share(at.Team) + seen[at.Team]/float64(ga.weight(at.Team))
-	clear(seen)
+	own := ga.teamVirtualTime(at.Team) + counted[at.Team]/float64(ga.weight(at.Team))
+	clear(counted)
 	for i := range ga.queue {
-		wa := ga.queue[i].attempt
-		tag := ga.share(wa.Team) + seen[wa.Team]/float64(ga.weight(wa.Team))
-		seen[wa.Team]++
-		if wa.Priority > at.Priority || wa.Priority == at.Priority && tag <= own {
+		ot := ga.queue[i].attempt
+		start := ga.teamVirtualTime(ot.Team) + counted[ot.Team]/float64(ga.weight(ot.Team))
+		counted[ot.Team]++
+		if ot.Priority > at.Priority || ot.Priority == at.Priority && start <= own {
 			ahead++
 		}
 	}
 	return ga.wait(ahead)
 }
 
-// wait returns how long the attempt at a place of the queue waits, served by
-// all slots at the smoothed rate, or at the rate that the server names, after its pause.
-func (ga *Gate) wait(place int) time.Duration {
-	wait := ga.pauses.Left(ga.Server, ga.seen) + ga.service*time.Duration(place)/time.Duration(max(1, ga.slots()))
+// wait returns how long the attempt at a position of the queue, counted from one, waits: after the
+// server's pause, all slots serve at the smoothed service time, or at the server's rate limit if that
+// is slower.
+func (ga *Gate) wait(position int) time.Duration {
+	wait := ga.pauses.Left(ga.Server, ga.lastEvent) + ga.serviceTime*time.Duration(position)/time.Duration(max(1, ga.slots()))
 	if interval, ok := ga.limits.Interval(ga.Server); ok {
-		wait = max(wait, ga.limitWait(ga.seen)+time.Duration(place-1)*interval)
+		wait = max(wait, ga.limitWait(ga.lastEvent)+time.Duration(position-1)*interval)
 	}
 	return wait
 }
 
-func (ga *Gate) learn(took time.Duration) {
-	if ga.service == 0 {
-		ga.service = took
+// recordServiceTime updates the smoothed service time.
+func (ga *Gate) recordServiceTime(took time.Duration) {
+	if ga.serviceTime == 0 {
+		ga.serviceTime = took
 		return
 	}
-	ga.service += time.Duration(smoothing * float64(took-ga.service))
+	ga.serviceTime += time.Duration(smoothing * float64(took-ga.serviceTime))
 }
--- a/internal/poison/detector_test.go
+++ b/internal/poison/detector_test.go
@@ -195,7 +195,7 @@
 	}
 }
 
-// A suspicion that arrives some tens of milliseconds delay moves the crash that it reports towards the
+// A suspicion that arrives some tens of milliseconds late moves the crash that it reports towards the
 // next one. The two may then be attributed to a rack, so that one more server crashes before the
 // block.
 func TestDelayedSuspicionCostsOneMoreServer(t *testing.T) {
