--- a/internal/budget/budget.go
+++ b/internal/budget/budget.go
@@ -1,35 +1,35 @@
-// Package budget bounds retries to a part of the first attempts, so that
-// retries cannot multiply the load of an outage.
+// Package budget limits retries to a fraction of the first attempts, so that retries can't multiply the
+// load during an outage.
 package budget
 
 import "time"
 
 const (
-	// perSecond is what a quiet process may retry all the same.
+	// perSecond is the number of retries per second that are allowed without any first attempts.
 	perSecond = 2.0
-	// burst bounds what is saved up.
+	// burst bounds the retries that accumulate while none are made.
 	burst = 20.0
 )
 
-// Budget counts what may be retried. The zero value, with Ratio set, starts
-// full. It is not safe for concurrent use.
+// Budget is a token bucket of retries. With Ratio set, the zero value is full. It is not safe for
+// concurrent use.
 type Budget struct {
-	// Ratio is how many retries each first attempt allows.
+	// Ratio is the number of retries that each first attempt allows.
 	Ratio float64
 
-	// spent is what is missing from a full budget, from 0 to burst.
+	// spent is the number of tokens missing from a full budget, from 0 to burst.
 	spent float64
-	// seen is when spent was last reckoned.
-	seen time.Time
+	// updated is when spent was last computed.
+	updated time.Time
 }
 
-// Deposit notes a first attempt.
+// Deposit records a first attempt, which adds Ratio tokens.
 func (bu *Budget) Deposit(now time.Time) {
 	bu.refill(now)
 	bu.spent = max(0, bu.spent-bu.Ratio)
 }
 
-// Take reports whether one retry is allowed and takes it.
+// Take reports whether a retry is allowed and, if so, spends a token on it.
 func (bu *Budget) Take(now time.Time) bool {
 	bu.refill(now)
 	if bu.spent+1 > burst {
@@ -40,22 +40,22 @@
 }
 
 func (bu *Budget) refill(now time.Time) {
-	if !bu.seen.IsZero() && now.After(bu.seen) {
-		bu.spent = max(0, bu.spent-perSecond*now.Sub(bu.seen).Seconds())
+	if !bu.updated.IsZero() && now.After(bu.updated) {
+		bu.spent = max(0, bu.spent-perSecond*now.Sub(bu.updated).Seconds())
 	}
-	bu.seen = now
+	bu.updated = now
 }
 
-// Teams holds a budget for each team, so that the refusals of one team's burst
-// leave the others their retries. It is not safe for concurrent use.
+// Teams holds a budget for each team, so that a burst of one team that is refused does not use up the
+// retries of the others. It is not safe for concurrent use.
 type Teams struct {
-	// Ratio is how many retries each first attempt allows.
+	// Ratio is the number of retries that each first attempt allows.
 	Ratio float64
 
 	byTeam map[string]*Budget
 }
 
-// For returns a team's budget.
+// For returns the budget of a team.
 func (te *Teams) For(team string) *Budget {
 	if te.byTeam == nil {
 		te.byTeam = map[string]*Budget{}
--- a/internal/budget/budget_test.go
+++ b/internal/budget/budget_test.go
@@ -9,9 +9,9 @@
 
 var start = time.Unix(1_800_000_000, 0)
 
-// storm sends first attempts that all fail and are tried again as long as the
-// budget allows, and returns all attempts.
-func storm(bu *Budget, firsts int, span time.Duration) int {
+// failAll makes first attempts that all fail and retries each up to three times while the budget allows
+// it. It returns the total number of attempts.
+func failAll(bu *Budget, firsts int, span time.Duration) int {
 	attempts := 0
 	for i := range firsts {
 		now := start.Add(span * time.Duration(i) / time.Duration(firsts))
@@ -26,15 +26,15 @@
 	return attempts
 }
 
-func TestAnOutageIsNotMultiplied(t *testing.T) {
+func TestRetriesDoNotMultiplyAnOutage(t *testing.T) {
 	const firsts = 10_000
 	naive := 4 * firsts
-	ours := storm(&Budget{Ratio: 0.1}, firsts, 10*time.Second)
-	require.Less(t, ours, firsts*12/10)
-	require.Greater(t, naive, 3*ours)
+	limited := failAll(&Budget{Ratio: 0.1}, firsts, 10*time.Second)
+	require.Less(t, limited, firsts*12/10)
+	require.Greater(t, naive, 3*limited)
 }
 
-func TestAQuietProcessMayRetry(t *testing.T) {
+func TestIdleProcessMayRetry(t *testing.T) {
 	bu := Budget{Ratio: 0.1}
 	for i := range 60 {
 		now := start.Add(time.Duration(i) * time.Second)
@@ -43,7 +43,7 @@
 	}
 }
 
-func TestOneTeamsStormLeavesTheOthersTheirRetries(t *testing.T) {
+func TestTeamsHaveSeparateBudgets(t *testing.T) {
 	te := Teams{Ratio: 0.1}
 	for te.For("loud").Take(start) {
 	}
--- a/internal/budget/window.go
+++ b/internal/budget/window.go
@@ -2,83 +2,81 @@
 
 import "time"
 
-// reservePart bounds a window's reserve to a part of what is allowed: in a window with few requests
-// the whole reserve would leave nothing.
-const reservePart = 0.1
+// maxReserveFraction bounds a window's reserve to a fraction of the allowed retries: in a window with
+// few requests the full reserve would leave no optional ones.
+const maxReserveFraction = 0.1
 
-// windowParts is how many parts a window is counted in; an outcome is
-// forgotten at most one part too late.
-const windowParts = 20
+// windowBuckets is the number of buckets of a window. An event expires at most one bucket too late.
+const windowBuckets = 20
 
-// part counts what happened in one part of a window.
-type part struct{ requests, repeats int }
+// bucket holds the counts of one part of a window.
+type bucket struct{ requests, retries int }
 
-// Window bounds repeats within any span of time to a ratio of the requests in
-// it. Where each of several processes holds to its own window, their sum holds
-// as well, whatever the share of each. Its exported fields are set before use;
-// it is not safe for concurrent use.
+// Window limits the retries within any time span to a ratio of the requests in it. If each of several
+// processes keeps the limit in its own window, their sum keeps it too, whatever the share of each.
+// Its exported fields are set before use; it is not safe for concurrent use.
 type Window struct {
 	// Span is the length of the window.
 	Span time.Duration
-	// Ratio is how many repeats each request allows.
+	// Ratio is the number of retries that each request allows.
 	Ratio float64
-	// Allowance is how many repeats are allowed besides.
+	// Allowance is the number of retries that are allowed in addition.
 	Allowance float64
 
-	parts [windowParts]part
-	// newest is the number of the newest part since the zero time.
+	buckets [windowBuckets]bucket
+	// newest is the number of the newest bucket, counted from the Unix epoch.
 	newest int64
 }
 
-// Request notes a request.
+// Request records a request.
 func (wi *Window) Request(now time.Time) {
-	wi.at(now).requests++
+	wi.current(now).requests++
 }
 
-// Take reports whether one more repeat is allowed and takes it.
+// Take reports whether another retry is allowed and, if so, records it.
 func (wi *Window) Take(now time.Time) bool {
-	pa := wi.at(now)
+	bu := wi.current(now)
 	if wi.Remaining(now) < 1 {
 		return false
 	}
-	pa.repeats++
+	bu.retries++
 	return true
 }
 
-// TakeOptional is Take for a repeat that its request can do without: it leaves a reserve to others, or
-// a tenth of what is allowed if that is less.
+// TakeOptional is Take for a retry that its request can do without: it leaves a reserve for other
+// retries, or a tenth of the allowed number if that is less.
 func (wi *Window) TakeOptional(reserve float64, now time.Time) bool {
-	allowed, taken := wi.count(now)
-	return allowed-taken >= 1+min(reserve, reservePart*allowed) && wi.Take(now)
+	allowed, used := wi.count(now)
+	return allowed-used >= 1+min(reserve, maxReserveFraction*allowed) && wi.Take(now)
 }
 
-// Remaining returns how many repeats are allowed now.
+// Remaining returns the number of retries that are still allowed.
 func (wi *Window) Remaining(now time.Time) float64 {
-	allowed, taken := wi.count(now)
-	return allowed - taken
+	allowed, used := wi.count(now)
+	return allowed - used
 }
 
-// count returns how many repeats are allowed within the window and how many were taken.
-func (wi *Window) count(now time.Time) (allowed, taken float64) {
-	wi.at(now)
-	var all part
-	for _, pa := range wi.parts {
-		all.requests += pa.requests
-		all.repeats += pa.repeats
+// count returns how many retries the window allows and how many of them were made.
+func (wi *Window) count(now time.Time) (allowed, used float64) {
+	wi.current(now)
+	var total bucket
+	for _, bu := range wi.buckets {
+		total.requests += bu.requests
+		total.retries += bu.retries
 	}
-	return wi.Ratio*float64(all.requests) + wi.Allowance, float64(all.repeats)
+	return wi.Ratio*float64(total.requests) + wi.Allowance, float64(total.retries)
 }
 
-// at returns the part of the present time and clears those that have passed.
-func (wi *Window) at(now time.Time) *part {
-	number := now.UnixNano() / int64(wi.Span/windowParts)
-	if number > wi.newest+windowParts || wi.newest == 0 {
-		wi.parts = [windowParts]part{}
+// current returns the bucket of the current time and clears the expired ones.
+func (wi *Window) current(now time.Time) *bucket {
+	number := now.UnixNano() / int64(wi.Span/windowBuckets)
+	if number > wi.newest+windowBuckets || wi.newest == 0 {
+		wi.buckets = [windowBuckets]bucket{}
 		wi.newest = number
 	}
 	for wi.newest < number {
 		wi.newest++
-		wi.parts[wi.newest%windowParts] = part{}
+		wi.buckets[wi.newest%windowBuckets] = bucket{}
 	}
-	return &wi.parts[wi.newest%windowParts]
+	return &wi.buckets[wi.newest%windowBuckets]
 }
--- a/internal/budget/window_test.go
+++ b/internal/budget/window_test.go
@@ -8,10 +8,10 @@
 	"pgregory.net/rapid"
 )
 
-func TestAWindowAllowsARatioOfItsRequests(t *testing.T) {
+func TestWindowAllowsARatioOfItsRequests(t *testing.T) {
 	wi := Window{Span: 10 * time.Second, Ratio: 0.5, Allowance: 1}
 	now := time.Unix(1000, 0)
-	require.True(t, wi.Take(now), "the slack")
+	require.True(t, wi.Take(now), "the allowance")
 	require.False(t, wi.Take(now))
 	for range 4 {
 		wi.Request(now)
@@ -19,11 +19,11 @@
 	require.True(t, wi.Take(now))
 	require.True(t, wi.Take(now))
 	require.False(t, wi.Take(now))
-	require.True(t, wi.Take(now.Add(11*time.Second)), "an old repeat is forgotten")
+	require.True(t, wi.Take(now.Add(11*time.Second)), "the earlier retries have expired")
 }
 
-func TestSpareRepeatsLeaveAReserve(t *testing.T) {
-	for requests, want := range map[int]struct{ spare, rest int }{
+func TestOptionalRetriesLeaveAReserve(t *testing.T) {
+	for requests, want := range map[int]struct{ optional, required int }{
 		100: {48, 2}, // of 50
 		20:  {9, 1},  // of 10
 		2:   {0, 1},  // of 1
@@ -33,57 +33,57 @@
 		for range requests {
 			wi.Request(now)
 		}
-		spare, rest := 0, 0
+		optional, required := 0, 0
 		for wi.TakeOptional(2, now) {
-			spare++
+			optional++
 		}
 		for wi.Take(now) {
-			rest++
+			required++
 		}
-		require.Equal(t, want.spare, spare, requests)
-		require.Equal(t, want.rest, rest, requests)
+		require.Equal(t, want.optional, optional, requests)
+		require.Equal(t, want.required, required, requests)
 	}
 }
 
-// Whenever a repeat is allowed, the span before it holds to the ratio; the
-// window is counted in parts, so that it may be one part shorter for repeats.
-func TestAnySpanHoldsToTheRatio(t *testing.T) {
+// Whenever a retry is allowed, the time span before it keeps the ratio. Since a window counts in
+// buckets, its span may be one bucket shorter for retries.
+func TestAnySpanKeepsTheRatio(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		wi := Window{Span: 10 * time.Second, Ratio: 0.85, Allowance: 3}
 		now := time.Unix(1000, 0)
-		type mark struct {
-			at     time.Time
-			repeat bool
+		type event struct {
+			at    time.Time
+			retry bool
 		}
-		var marks []mark
+		var events []event
 		for range rapid.IntRange(1, 200).Draw(rt, "events") {
-			now = now.Add(time.Duration(rapid.IntRange(0, 1500).Draw(rt, "pause")) * time.Millisecond)
-			if rapid.Bool().Draw(rt, "repeat") {
+			now = now.Add(time.Duration(rapid.IntRange(0, 1500).Draw(rt, "gap")) * time.Millisecond)
+			if rapid.Bool().Draw(rt, "retry") {
 				if wi.Take(now) {
-					marks = append(marks, mark{now, true})
+					events = append(events, event{now, true})
 				}
 				continue
 			}
 			wi.Request(now)
-			marks = append(marks, mark{now, false})
+			events = append(events, event{now, false})
 		}
-		part := wi.Span / windowParts
-		for i := range marks {
-			if !marks[i].repeat {
+		bucketSpan := wi.Span / windowBuckets
+		for i := range events {
+			if !events[i].retry {
 				continue
 			}
-			repeats, requests := 0.0, 0.0
-			for _, ma := range marks[:i+1] {
-				age := marks[i].at.Sub(ma.at)
-				if ma.repeat && age < wi.Span-part {
-					repeats++
+			retries, requests := 0.0, 0.0
+			for _, ev := range events[:i+1] {
+				age := events[i].at.Sub(ev.at)
+				if ev.retry && age < wi.Span-bucketSpan {
+					retries++
 				}
-				if !ma.repeat && age < wi.Span {
+				if !ev.retry && age < wi.Span {
 					requests++
 				}
 			}
-			if repeats > 0.85*requests+3 {
-				rt.Fatalf("%v repeats for %v requests", repeats, requests)
+			if retries > 0.85*requests+3 {
+				rt.Fatalf("%v retries for %v requests", retries, requests)
 			}
 		}
 	})
