--- a/internal/relay/loads_test.go
+++ b/internal/relay/loads_test.go
@@ -14,21 +14,21 @@
 	"github.com/linnetrudder/linnetrudder/internal/load"
 )
 
-// reporting is one gateway that takes and gives reports.
-type reporting struct {
+// reporter is one gateway that sends and answers reports.
+type reporter struct {
 	plan  Plan
 	own   load.Work
 	table load.Table
 }
 
-func (re *reporting) report(collector bool) Report {
+func (re *reporter) report(collector bool) Report {
 	if collector {
 		return Report{Box: re.plan.Box, Collector: true, Work: re.table.Group(re.own)}
 	}
 	return Report{Box: re.plan.Box, Work: re.own}
 }
 
-func (re *reporting) take(rp Report) Report {
+func (re *reporter) answer(rp Report) Report {
 	if rp.Collector {
 		re.table.TakeGroup(rp.Box, rp.Work, now)
 		return Report{Box: re.plan.Box, Work: re.table.Group(re.own)}
@@ -37,17 +37,17 @@
 	return Report{Box: re.plan.Box, Work: re.table.Rest(rp.Box, re.own)}
 }
 
-// Whatever members there are, and whichever of them fail: after some rounds each
-// gateway knows exactly what all others that can report do, nothing twice.
-func TestEachGatewayKnowsTheWorkOfAllOthers(t *testing.T) {
+// With any members, each gateway knows the work of all others after three rounds of reports, and counts
+// none of it twice.
+func TestEachGatewayKnowsTheWorkOfAllOthersOnce(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		all := members(rapid.IntRange(1, 40).Draw(rt, "members"))
 		for i := range all {
 			all[i].LinkMbps = rapid.IntRange(1, 3).Draw(rt, "link")
 		}
-		gateways := map[string]*reporting{}
+		gateways := map[string]*reporter{}
 		for i, me := range all {
-			gateways[me.Box] = &reporting{
+			gateways[me.Box] = &reporter{
 				plan: Plan{Box: me.Box, DataCentre: me.DataCentre},
 				own:  load.Work{load.KeyOf("s"): uint32(1 + i)},
 			}
@@ -58,20 +58,20 @@
 				re := gateways[me.Box]
 				peers, collector := re.plan.Peers(all, now)
 				for _, peer := range peers {
-					answer := gateways[peer.Box].take(re.report(collector))
+					answer := gateways[peer.Box].answer(re.report(collector))
 					re.table.TakeGroup(answer.Box, answer.Work, now)
 				}
 			}
 		}
 		for box, re := range gateways {
 			if got, want := re.table.On("s"), total-re.own[load.KeyOf("s")]; got != want {
-				rt.Fatalf("%s knows of %d, others have %d", box, got, want)
+				rt.Fatalf("%s counts work of %d by others, want %d", box, got, want)
 			}
 		}
 	})
 }
 
-func TestReportsPerGatewayStayFewAsTheyGrow(t *testing.T) {
+func TestReportsPerGatewayAreBounded(t *testing.T) {
 	for _, n := range []int{4, 30, 410} {
 		all, most := members(n), 0
 		for _, me := range all {
@@ -86,10 +86,10 @@
 	}
 }
 
-func TestAGatewayWhoseWatchersFailReportsToNobody(t *testing.T) {
+func TestGatewayWhoseWatchersFailReportsToNone(t *testing.T) {
 	all := members(12)
 	pl := Plan{Box: "b09", DataCentre: "dc0"}
-	for range watchers {
+	for range watchersPerCentre {
 		peers, _ := pl.Peers(all, now)
 		require.Len(t, peers, 1)
 		pl.Failed(peers[0].Box, now)
@@ -100,12 +100,12 @@
 	require.Len(t, peers, 1)
 }
 
-// echo answers with the report it got, under its own name.
+// echo answers each report with the same work under the box name "echo".
 type echo struct{}
 
 func (echo) Reported(re Report) Report { return Report{Box: "echo", Collector: true, Work: re.Work} }
 
-func TestReportsAreExchangedOverOneConnection(t *testing.T) {
+func TestClientExchangesReportsOverOneConnection(t *testing.T) {
 	hs := httptest.NewServer(&LoadServer{Handler: echo{}})
 	t.Cleanup(hs.Close)
 	cl := &Client{Address: strings.TrimPrefix(hs.URL, "http://"), Timeout: 5 * time.Second, HTTP: http.DefaultClient}
--- a/internal/relay/plan.go
+++ b/internal/relay/plan.go
@@ -8,109 +8,110 @@
 )
 
 const (
-	// watchers is how many gateways of a data centre watch the key-value service, so that one
-	// may fail.
-	watchers = 2
-	// fewWatchers is up to how many watchers of all data centres call the service directly. Of
-	// more only the roots do, each of another data centre, and the other watchers ask a root.
-	fewWatchers = 4
-	roots       = 3
+	// watchersPerCentre is the number of gateways in each data centre that watch the key-value
+	// service. It is two so that one of them may fail.
+	watchersPerCentre = 2
+	// maxDirectWatchers is the number of watchers in all data centres up to which each of them calls
+	// the service. If there are more, only maxRoots of them do, the roots, each in another data
+	// centre; the other watchers ask a root.
+	maxDirectWatchers = 4
+	maxRoots          = 3
 	// avoidFor is how long a watcher that failed is not asked again.
 	avoidFor = 5 * time.Second
-	// serviceEvery is the least time between two calls of a gateway that does not watch to a
-	// service that does not answer. Its watchers call more often and report its return.
-	serviceEvery = time.Second
-	// serviceSeldom is that time after enoughOld watchers have answered within it that the
-	// service does not answer them either.
-	serviceSeldom = 5 * time.Second
-	enoughOld     = 3
-	// catchUpEvery is the least time between two calls to the service by a gateway whose
-	// revision its watcher does not know.
-	catchUpEvery = time.Second
+	// serviceInterval is the minimum time between two calls to a service that does not answer, by a
+	// gateway that is not a watcher. The watchers call more often and pass on the service's recovery.
+	serviceInterval = time.Second
+	// longServiceInterval replaces serviceInterval if at least minStaleWatchers watchers have answered
+	// within it that the service does not answer them either.
+	longServiceInterval = 5 * time.Second
+	minStaleWatchers    = 3
+	// catchUpInterval is the minimum time between two calls to the service by a gateway whose revision
+	// is not in its watcher's history.
+	catchUpInterval = time.Second
 )
 
-// Member is a gateway that may watch for others.
+// Member is a gateway that can be a watcher.
 type Member struct {
 	Box, DataCentre string
-	// Address is where it answers requests; empty if it does not.
+	// Address is where it answers requests, empty if it answers none.
 	Address string
 	// LinkMbps is the capacity of its box's link in Mbit/s.
 	LinkMbps int
 }
 
-// Plan decides from where a gateway gets changes. Its exported fields are set
+// Plan selects the source from which a gateway gets changes. Its exported fields are set
 // before use; it is not safe for concurrent use.
 type Plan struct {
 	// Box and DataCentre are the gateway's own.
 	Box, DataCentre string
 
-	// failed holds when each watcher failed last, by box, old when each last answered that its
-	// state is out of date.
-	failed, old map[string]time.Time
-	// serviceFailed is when the key-value service failed to answer this gateway last.
+	// failed holds the time of each watcher's last failure, by box; stale holds the time at which each
+	// last answered that its state is out of date.
+	failed, stale map[string]time.Time
+	// serviceFailed is when the key-value service last failed to answer this gateway.
 	serviceFailed time.Time
-	// caughtUp is when CatchUp last allowed a call.
+	// caughtUp is when AllowCatchUp last allowed a call.
 	caughtUp time.Time
 }
 
-// Watcher returns the member to ask, or false if the gateway watches the key-value service
-// itself, as a root or because all its watchers failed. If the service fails as well, watchers of
-// other data centres are asked, and once these failed its own again. Gateways that know the same
-// members choose the same watchers, those with the largest links.
+// Watcher returns the member to ask, or false if the gateway calls the key-value service itself, as a
+// root or because all its watchers have failed. If the service fails as well, watchers in other data
+// centres are asked, and after these have failed its own ones again. Gateways that know the same
+// members select the same watchers, those with the largest links.
 func (pl *Plan) Watcher(members []Member, now time.Time) (Member, bool) {
 	own := watchersOf(members, pl.DataCentre)
-	if !pl.among(own) {
-		return pl.choose(own, watchersElsewhere(members, pl.DataCentre), now)
+	if !pl.isOneOf(own) {
+		return pl.choose(own, watchersOutside(members, pl.DataCentre), now)
 	}
-	first := rootsOf(members)
-	if len(first) == 0 || pl.among(first) {
+	roots := rootsOf(members)
+	if len(roots) == 0 || pl.isOneOf(roots) {
 		return Member{}, false
 	}
-	return pl.choose(first, nil, now)
+	return pl.choose(roots, nil, now)
 }
 
-// choose returns a watcher that has not failed recently; once the service has failed as well, one
-// of another data centre or any of its own.
-func (pl *Plan) choose(own, elsewhere []Member, now time.Time) (Member, bool) {
-	left := pl.leftOf(own, now)
-	if len(left) == 0 && now.Sub(pl.serviceFailed) < pl.servicePause(now) {
-		left = pl.leftOf(elsewhere, now)
-		if len(left) == 0 {
-			left = own
+// choose returns one of the preferred watchers that has not failed recently. If there is none and the
+// service has failed recently as well, it returns one of the others, or any preferred one.
+func (pl *Plan) choose(preferred, others []Member, now time.Time) (Member, bool) {
+	available := pl.available(preferred, now)
+	if len(available) == 0 && now.Sub(pl.serviceFailed) < pl.serviceDelay(now) {
+		available = pl.available(others, now)
+		if len(available) == 0 {
+			available = preferred
 		}
 	}
-	if len(left) == 0 {
+	if len(available) == 0 {
 		return Member{}, false
 	}
-	return left[xxhash.Sum64String(pl.Box)%uint64(len(left))], true
+	return available[xxhash.Sum64String(pl.Box)%uint64(len(available))], true
 }
 
 // IsRoot reports whether this gateway calls the service for other watchers.
-func (pl *Plan) IsRoot(members []Member) bool { return pl.among(rootsOf(members)) }
+func (pl *Plan) IsRoot(members []Member) bool { return pl.isOneOf(rootsOf(members)) }
 
-// leftOf returns the watchers that have not failed recently.
-func (pl *Plan) leftOf(list []Member, now time.Time) []Member {
+// available returns the watchers that have not failed recently.
+func (pl *Plan) available(list []Member, now time.Time) []Member {
 	return slices.DeleteFunc(slices.Clone(list), func(me Member) bool { return pl.avoided(me.Box, now) })
 }
 
-// servicePause returns the least time between two calls to a service that fails.
-func (pl *Plan) servicePause(now time.Time) time.Duration {
-	old := 0
-	for _, at := range pl.old {
-		if now.Sub(at) < serviceSeldom {
-			old++
+// serviceDelay returns the minimum time between two calls to a service that fails.
+func (pl *Plan) serviceDelay(now time.Time) time.Duration {
+	stale := 0
+	for _, at := range pl.stale {
+		if now.Sub(at) < longServiceInterval {
+			stale++
 		}
 	}
-	if old >= enoughOld {
-		return serviceSeldom
+	if stale >= minStaleWatchers {
+		return longServiceInterval
 	}
-	return serviceEvery
+	return serviceInterval
 }
 
-// ShouldJoin reports whether a gateway should be a member: it is a watcher already, as after a
-// restart, or there are too few members with links as large as its own.
+// ShouldJoin reports whether a gateway should register as a member: it is still listed as a
+// watcher after a restart, or there are too few members with links as large as its own.
 func (pl *Plan) ShouldJoin(members []Member, linkMbps int) bool {
-	if pl.among(watchersOf(members, pl.DataCentre)) {
+	if pl.isOneOf(watchersOf(members, pl.DataCentre)) {
 		return true
 	}
 	others := 0
@@ -119,18 +120,18 @@
 			others++
 		}
 	}
-	return others < watchers
+	return others < watchersPerCentre
 }
 
 // IsWatcher reports whether this gateway is one of the watchers of its data centre, or knows
-// of none.
+// none.
 func (pl *Plan) IsWatcher(members []Member) bool {
 	own := watchersOf(members, pl.DataCentre)
-	return len(own) == 0 || pl.among(own)
+	return len(own) == 0 || pl.isOneOf(own)
 }
 
-// Serves reports whether other members may ask this gateway for changes: it is a watcher, and
-// its data centre has other members.
+// Serves reports whether other members may ask this gateway for changes: it is a watcher, and its data
+// centre has members that are not watchers.
 func (pl *Plan) Serves(members []Member) bool {
 	own := 0
 	for _, me := range members {
@@ -138,14 +139,14 @@
 			own++
 		}
 	}
-	return own > watchers && pl.among(watchersOf(members, pl.DataCentre))
+	return own > watchersPerCentre && pl.isOneOf(watchersOf(members, pl.DataCentre))
 }
 
 // Peers returns the members to which this gateway reports its load, and whether it does so as a
-// collector. The watchers are the collectors. Of two collectors the one whose box's name sorts
-// first reports to the other, which answers with its own report.
+// collector. The watchers are the collectors. Of two collectors, the one whose box name sorts first
+// reports to the other, which answers with its own report.
 func (pl *Plan) Peers(members []Member, now time.Time) (peers []Member, collector bool) {
-	if !pl.among(watchersOf(members, pl.DataCentre)) {
+	if !pl.isOneOf(watchersOf(members, pl.DataCentre)) {
 		if wa, ok := pl.Watcher(members, now); ok {
 			peers = append(peers, wa)
 		}
@@ -159,17 +160,17 @@
 	return peers, true
 }
 
-// among reports whether this gateway is one of the watchers.
-func (pl *Plan) among(list []Member) bool {
+// isOneOf reports whether this gateway is in the list.
+func (pl *Plan) isOneOf(list []Member) bool {
 	return slices.ContainsFunc(list, func(me Member) bool { return me.Box == pl.Box })
 }
 
 // Stale records that a watcher answered with a state that is out of date.
 func (pl *Plan) Stale(box string, now time.Time) {
-	if pl.old == nil {
-		pl.old = map[string]time.Time{}
+	if pl.stale == nil {
+		pl.stale = map[string]time.Time{}
 	}
-	pl.old[box] = now
+	pl.stale[box] = now
 	pl.Failed(box, now)
 }
 
@@ -184,10 +185,10 @@
 // ServiceFailed records that the key-value service did not answer this gateway.
 func (pl *Plan) ServiceFailed(now time.Time) { pl.serviceFailed = now }
 
-// AllowCatchUp reports whether a gateway whose watcher does not know its revision may call the service
-// now, and records the call.
+// AllowCatchUp reports whether a gateway whose revision is not in its watcher's history may call the
+// service now, and records the call.
 func (pl *Plan) AllowCatchUp(now time.Time) bool {
-	if now.Sub(pl.caughtUp) < catchUpEvery {
+	if now.Sub(pl.caughtUp) < catchUpInterval {
 		return false
 	}
 	pl.caughtUp = now
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -1,9 +1,9 @@
 // Package relay propagates the state of the key-value service among gateways, so that only some of
-// them call the service. In each data centre a few gateways, the watchers, watch it; the others ask
-// a watcher for changes, over a WebSocket with messages in CBOR, and call the service if their
-// watchers fail. Of many watchers only the roots call the service. Gateways report the load of
-// backend servers, their number and the outcomes of a version on trial over the same kind of
-// connection.
+// them call the service. In each data centre a few gateways, the watchers, watch it; the others ask a
+// watcher for changes, over a WebSocket with messages in CBOR, and call the service if their watchers
+// fail. If there are many watchers, only some of them, the roots, call the service. Over the same kind
+// of connection, gateways report the load of backend servers, the number of gateways and the outcomes
+// of a version under trial.
 package relay
 
 import (
@@ -21,93 +21,92 @@
 // fields are exported because the codec needs them.
 type Request struct {
 	After revision.Revision `cbor:"1,keyasint"`
-	// Wait is how long the answer may be held until there is a change.
+	// Wait is how long the answer may be delayed until there is a change.
 	Wait time.Duration `cbor:"2,keyasint"`
 }
 
 // Update answers a Request. The fields are exported because the codec needs them.
 type Update struct {
-	// Revision is the one to go on from.
+	// Revision is the one to continue from.
 	Revision revision.Revision `cbor:"1,keyasint"`
-	// Age is the longest time since the watcher's state was complete.
+	// Age is an upper bound of the time since the watcher's state was complete.
 	Age time.Duration `cbor:"2,keyasint"`
 	// Batches holds the changes in order.
 	Batches []Batch `cbor:"3,keyasint,omitempty"`
 	// Unknown is set if the watcher's history does not reach back to the revision.
 	Unknown bool `cbor:"4,keyasint,omitempty"`
-	// Snapshot holds the whole state as the watcher encoded it, if its history does not reach back.
+	// Snapshot holds the complete state as the watcher encoded it, if its history does not reach back.
 	Snapshot []byte `cbor:"5,keyasint,omitempty"`
 }
 
 // Batch holds changes that were received together. The fields are exported because the codec
 // needs them.
 type Batch struct {
-	// To is the revision that the changes lead to.
+	// To is the revision after the changes.
 	To revision.Revision `cbor:"1,keyasint"`
-	// Data holds them as the watcher encoded them.
+	// Data holds the changes as the watcher encoded them.
 	Data []byte `cbor:"2,keyasint"`
 }
 
 // Feed answers requests.
 type Feed interface {
-	// Updates returns the changes after a revision, or nothing when the wait is over.
+	// Updates returns the changes after a revision, or none if there are none before the wait is over.
 	Updates(ctx context.Context, rq Request) Update
 }
 
 // Report is sent to another gateway, which answers with its own. The fields are exported because
 // the codec needs them.
 type Report struct {
-	// Box is the sender's.
+	// Box is the sender's box.
 	Box string `cbor:"1,keyasint"`
-	// Collector is set if Work includes that of all gateways that report to the sender.
+	// Collector is set if Work includes the work of all gateways that report to the sender.
 	Collector bool      `cbor:"2,keyasint,omitempty"`
 	Work      load.Work `cbor:"3,keyasint,omitempty"`
-	// Ready is set if the sender serves new callers.
+	// Ready is set if the sender accepts requests of new callers.
 	Ready bool `cbor:"4,keyasint,omitempty"`
 	// Gateways is the number of gateways that Work includes.
 	Gateways int `cbor:"5,keyasint,omitempty"`
-	// Tallies holds outcomes of versions on trial as the sender encoded them, for the collector to
+	// Tallies holds outcomes of versions under trial as the sender encoded them, for the collector to
 	// pass on.
 	Tallies []byte `cbor:"6,keyasint,omitempty"`
 	// Suspicions holds the suspicions that the receiver does not have yet, Blocks the requests that
 	// were blocked recently.
 	Suspicions []poison.Suspicion `cbor:"7,keyasint,omitempty"`
 	Blocks     []poison.Block     `cbor:"8,keyasint,omitempty"`
-	// Doubts names blocked requests that servers answered without ending.
+	// Doubts lists blocked requests that servers answered without crashing.
 	Doubts []poison.Fingerprint `cbor:"9,keyasint,omitempty"`
-	// Limits names the servers whose rate limit changed recently.
+	// Limits lists the servers whose rate limit changed recently.
 	Limits []backpressure.Notice `cbor:"10,keyasint,omitempty"`
-	// Leaving names the servers that announced their shutdown recently.
+	// Leaving lists the servers that announced their shutdown recently.
 	Leaving []gossip.Notice `cbor:"11,keyasint,omitempty"`
-	// Pauses names the servers that recently asked a gateway for a pause.
+	// Pauses lists the servers that recently requested a pause from a gateway.
 	Pauses []gossip.Notice `cbor:"12,keyasint,omitempty"`
 }
 
-// ReportHandler takes reports.
+// ReportHandler handles reports.
 type ReportHandler interface {
-	// Reported takes a report and returns the answer to it.
+	// Reported handles a report and returns the answer to it.
 	Reported(re Report) Report
 }
 
-// historyBatches bounds the batches that a watcher keeps. A gateway that is further behind gets the
-// whole state.
-const historyBatches = 64
+// maxBatches bounds a watcher's history. A gateway that is further behind gets the complete state.
+const maxBatches = 64
 
-// History keeps the newest changes of one era. The zero value knows of no revision. It is
-// not safe for concurrent use.
+// History holds the newest changes of one era. The zero value has no revision. It is not safe for
+// concurrent use.
 type History struct {
 	batches []Batch
-	// from is the revision before the oldest batch, to that after the newest.
+	// from is the revision before the oldest batch, to the one after the newest.
 	from, to revision.Revision
 }
 
-// Reset forgets all changes and begins at a revision.
+// Reset drops all changes and continues from a revision.
 func (hi *History) Reset(re revision.Revision) { hi.batches, hi.from, hi.to = nil, re, re }
 
 // Revision returns the newest revision.
 func (hi *History) Revision() revision.Revision { return hi.to }
 
-// Add takes changes; a batch without data means that nothing of interest changed.
+// Add appends a batch. A batch without data means that nothing relevant changed up to its revision.
 func (hi *History) Add(ba Batch) {
 	if ba.To.Era != hi.to.Era {
 		hi.Reset(ba.To)
@@ -121,15 +120,15 @@
 		return
 	}
 	hi.batches = append(hi.batches, ba)
-	if len(hi.batches) > historyBatches {
+	if len(hi.batches) > maxBatches {
 		hi.from = hi.batches[0].To
 		hi.batches = hi.batches[1:]
 	}
 }
 
-// Since returns the changes after a revision and the revision to go on from, or
-// false if they are not all known, as of another era. A batch that the revision lies
-// within is returned whole: changes may be applied again in their order.
+// Since returns the changes after a revision and the revision to continue from, or false if the history
+// does not hold all of them, as for another era. A batch that the revision is within is returned
+// completely, since changes may be applied again in their order.
 func (hi *History) Since(after revision.Revision) (batches []Batch, to revision.Revision, ok bool) {
 	if hi.to.IsZero() || after.Era != hi.to.Era || hi.from.After(after) {
 		return nil, after, false
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -25,7 +25,7 @@
 	return list
 }
 
-func TestTwoOfADataCentreWatchAndTheOthersAskThem(t *testing.T) {
+func TestTwoGatewaysPerDataCentreWatchForTheOthers(t *testing.T) {
 	all := members(30)
 	watching, asked := map[string]int{}, map[string]int{}
 	for _, me := range all {
@@ -33,7 +33,7 @@
 		wa, ok := pl.Watcher(all, now)
 		if pl.IsWatcher(all) {
 			watching[me.DataCentre]++
-			require.Equal(t, !ok, pl.IsRoot(all), "the roots call the service, the other watchers ask one")
+			require.Equal(t, !ok, pl.IsRoot(all), "the roots call the service, the other watchers ask a root")
 			continue
 		}
 		require.True(t, ok)
@@ -41,10 +41,10 @@
 		asked[wa.Box]++
 	}
 	require.Equal(t, map[string]int{"dc0": 2, "dc1": 2, "dc2": 2}, watching)
-	require.Len(t, asked, 6, "each watcher serves some")
+	require.Len(t, asked, 6, "each watcher serves some gateways")
 }
 
-func TestOnlyWatchersThatOthersAskKeepChanges(t *testing.T) {
+func TestOnlyWatchersOfOtherMembersServe(t *testing.T) {
 	for n, want := range map[int]int{1: 0, 6: 0, 7: 2, 9: 6, 30: 6} {
 		all, serving := members(n), 0
 		for _, me := range all {
@@ -56,7 +56,7 @@
 	}
 }
 
-func TestTheLargestLinksWatch(t *testing.T) {
+func TestGatewaysWithTheLargestLinksWatch(t *testing.T) {
 	all := members(12)
 	all[9].LinkMbps, all[6].LinkMbps = 200, 200
 	for _, me := range all {
@@ -67,7 +67,7 @@
 	}
 }
 
-func TestAGatewayWhoseWatchersFailWatchesItself(t *testing.T) {
+func TestGatewayWhoseWatchersFailCallsTheService(t *testing.T) {
 	all := members(12)
 	pl := Plan{Box: "b09", DataCentre: "dc0"}
 	first, ok := pl.Watcher(all, now)
@@ -84,9 +84,9 @@
 	require.Equal(t, first.Box, again.Box)
 }
 
-// While the service is down for all, the gateways that do not watch leave most calls
-// to those that do, and still try themselves now and then.
-func TestAServiceThatIsDownIsCalledByItsWatchers(t *testing.T) {
+// While the service is down for all gateways, those that are not watchers call it only about once a
+// second.
+func TestUnavailableServiceIsRarelyCalledByOthersThanWatchers(t *testing.T) {
 	all := members(12)
 	pl := Plan{Box: "b09", DataCentre: "dc0"}
 	calls, at := 0, now
@@ -101,17 +101,18 @@
 	}
 	require.LessOrEqual(t, calls, 10)
 	require.GreaterOrEqual(t, calls, 5)
-	for _, me := range all[:roots] {
+	for _, me := range all[:maxRoots] {
 		pl := Plan{Box: me.Box, DataCentre: me.DataCentre}
 		pl.ServiceFailed(now)
 		_, ok := pl.Watcher(all, now)
-		require.False(t, ok, "a root goes on")
+		require.False(t, ok, "a root keeps calling the service")
 	}
 }
 
-// Where the service turns a part of the gateways away, the watchers of another data centre
-// may have it; where it answers nobody, the gateways that do not watch hardly call it.
-func TestWatchersOfOtherDataCentresAreAskedBeforeTheServiceAgain(t *testing.T) {
+// If the service rejects some of the gateways, watchers in another data centre may still have a current
+// state, so they are asked before the service is called again. If it answers no gateway, those that are
+// not watchers rarely call it.
+func TestWatchersInOtherDataCentresAreAskedBeforeTheServiceAgain(t *testing.T) {
 	all := members(12)
 	pl := Plan{Box: "b09", DataCentre: "dc0"}
 	asked, calls := map[string]bool{}, 0
@@ -127,12 +128,12 @@
 	}
 	require.Len(t, asked, 6, "all watchers")
 	require.LessOrEqual(t, calls, 3)
-	require.GreaterOrEqual(t, calls, 2, "the service may answer only this one")
+	require.GreaterOrEqual(t, calls, 2, "the service may answer only this gateway")
 }
 
-// Calls to the service grew with the data centres: ten watchers of five made two thirds of
-// all calls of a fleet of 103 gateways in its calm time.
-func TestInManyDataCentresFewWatchersCallTheService(t *testing.T) {
+// Guards against a number of calls that grows with the number of data centres: in a fleet of 103
+// gateways, the ten watchers of five data centres made two thirds of all calls in normal operation.
+func TestOnlyRootsCallTheServiceWithManyDataCentres(t *testing.T) {
 	for centres := 4; centres <= 9; centres++ {
 		var all []Member
 		for i := range 5 * centres {
@@ -150,20 +151,20 @@
 			if root, ok := second.Watcher(all, now); ok {
 				third := Plan{Box: root.Box, DataCentre: root.DataCentre}
 				_, ok = third.Watcher(all, now)
-				require.False(t, ok, "whom watchers ask calls the service")
+				require.False(t, ok, "a watcher that others ask calls the service")
 			}
 		}
-		require.Len(t, calling, roots, "of unlike data centres")
+		require.Len(t, calling, maxRoots, "in different data centres")
 	}
 }
 
-func TestAWatcherWhoseRootsFailCallsTheService(t *testing.T) {
+func TestWatcherWhoseRootsFailCallsTheService(t *testing.T) {
 	var all []Member
 	for i := range 20 {
 		all = append(all, Member{Box: fmt.Sprintf("b%02d", i), DataCentre: fmt.Sprint("dc", i%5), Address: "a"})
 	}
 	pl := Plan{Box: "b04", DataCentre: "dc4"}
-	for range roots {
+	for range maxRoots {
 		wa, ok := pl.Watcher(all, now)
 		require.True(t, ok)
 		pl.Failed(wa.Box, now)
@@ -172,44 +173,44 @@
 	require.False(t, ok)
 }
 
-func TestOnlyWhoIsNeededJoins(t *testing.T) {
+func TestOnlyNeededGatewaysJoin(t *testing.T) {
 	all := members(6) // two in each of three data centres
 	pl := Plan{Box: "b09", DataCentre: "dc0"}
-	require.False(t, pl.ShouldJoin(all, 0), "two are there")
-	require.True(t, pl.ShouldJoin(all, 1), "a larger link")
-	require.True(t, pl.ShouldJoin(all[1:], 0), "one is missing")
+	require.False(t, pl.ShouldJoin(all, 0), "there are two members with such links")
+	require.True(t, pl.ShouldJoin(all, 1), "its link is larger")
+	require.True(t, pl.ShouldJoin(all[1:], 0), "there is only one member")
 	require.True(t, pl.ShouldJoin(nil, 0))
 	again := Plan{Box: "b00", DataCentre: "dc0"}
-	require.True(t, again.ShouldJoin(append(all, Member{Box: "b06", DataCentre: "dc0", Address: "a"}), 0), "a watcher that was restarted")
+	require.True(t, again.ShouldJoin(append(all, Member{Box: "b06", DataCentre: "dc0", Address: "a"}), 0), "a restarted watcher")
 }
 
-func TestCatchingUpTakesOneCall(t *testing.T) {
+func TestCatchUpCallsAreRateLimited(t *testing.T) {
 	var pl Plan
 	require.True(t, pl.AllowCatchUp(now))
-	require.False(t, pl.AllowCatchUp(now.Add(catchUpEvery-1)), "the watcher has failed")
-	require.True(t, pl.AllowCatchUp(now.Add(catchUpEvery)))
+	require.False(t, pl.AllowCatchUp(now.Add(catchUpInterval-1)), "too soon after the previous call")
+	require.True(t, pl.AllowCatchUp(now.Add(catchUpInterval)))
 }
 
-func TestAGatewayThatKnowsNoMemberWatchesItself(t *testing.T) {
+func TestGatewayWithoutMembersCallsTheService(t *testing.T) {
 	pl := Plan{Box: "b00", DataCentre: "dc0"}
 	_, ok := pl.Watcher(nil, now)
 	require.False(t, ok)
 	_, ok = pl.Watcher([]Member{{Box: "b01", DataCentre: "dc0"}}, now)
-	require.False(t, ok, "one that answers no requests")
+	require.False(t, ok, "the only member answers no requests")
 }
 
-// rev returns a revision of a service that names no era.
+// rev returns a revision of a service without eras.
 func rev(number uint64) revision.Revision { return revision.Revision{Number: number} }
 
-// Whatever revisions the batches lead to, and wherever a gateway stands: it gets
-// every change above its revision, or is told that it can't.
-func TestNoChangeIsLeftOut(t *testing.T) {
+// With any revisions of the batches and of a gateway, the gateway gets every change after its revision,
+// or the answer that the history does not hold them.
+func TestHistoryReturnsEveryChange(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		var hi History
 		begin := uint64(rapid.IntRange(1, 50).Draw(rt, "begin"))
 		hi.Reset(rev(begin))
 		at, all := begin, map[uint64]bool{}
-		for range rapid.IntRange(0, 2*historyBatches).Draw(rt, "batches") {
+		for range rapid.IntRange(0, 2*maxBatches).Draw(rt, "batches") {
 			at += uint64(rapid.IntRange(1, 5).Draw(rt, "step"))
 			if rapid.Bool().Draw(rt, "empty") {
 				hi.Add(Batch{To: rev(at)})
@@ -221,13 +222,13 @@
 		after := uint64(rapid.IntRange(0, int(at)+3).Draw(rt, "after"))
 		batches, to, ok := hi.Since(rev(after))
 		if !ok {
-			if after >= begin && len(hi.batches) < historyBatches {
-				rt.Fatalf("revision %d is not known, history from %d", after, begin)
+			if after >= begin && len(hi.batches) < maxBatches {
+				rt.Fatalf("revision %d is unknown to a history from %d", after, begin)
 			}
 			return
 		}
 		if to.Number < after || to.Number < at {
-			rt.Fatalf("goes on from %s after %d of %d", to, after, at)
+			rt.Fatalf("continues from %s after %d of %d", to, after, at)
 		}
 		got := map[uint64]bool{}
 		for _, ba := range batches {
@@ -235,13 +236,13 @@
 		}
 		for change := range all {
 			if change > after && !got[change] {
-				rt.Fatalf("change %d after %d is left out", change, after)
+				rt.Fatalf("change %d after %d is missing", change, after)
 			}
 		}
 	})
 }
 
-func TestChangesOfAnotherEraAreUnknown(t *testing.T) {
+func TestHistoryHoldsNoChangesOfAnotherEra(t *testing.T) {
 	var hi History
 	hi.Reset(revision.Revision{Era: 2, Number: 75})
 	hi.Add(Batch{To: revision.Revision{Era: 2, Number: 78}, Data: []byte{1}})
@@ -254,19 +255,20 @@
 	require.Len(t, batches, 1)
 	hi.Add(Batch{To: revision.Revision{Era: 3, Number: 70}, Data: []byte{1}})
 	_, _, ok = hi.Since(revision.Revision{Era: 3, Number: 69})
-	require.False(t, ok, "what came between is not known")
+	require.False(t, ok, "the changes in between are unknown")
 }
 
-// feed answers with what it is told, after a pause.
-type feed struct {
+// fakeFeed answers with a fixed update after a delay. The update's revision is relative to the
+// request's.
+type fakeFeed struct {
 	update Update
-	pause  time.Duration
+	delay  time.Duration
 }
 
-func (fe *feed) Updates(ctx context.Context, rq Request) Update {
+func (fe *fakeFeed) Updates(ctx context.Context, rq Request) Update {
 	select {
 	case <-ctx.Done():
-	case <-time.After(fe.pause):
+	case <-time.After(fe.delay):
 	}
 	up := fe.update
 	up.Revision.Number += rq.After.Number
@@ -283,8 +285,8 @@
 	return cl
 }
 
-func TestUpdatesComeOverOneConnection(t *testing.T) {
-	cl := dial(t, &feed{update: Update{Revision: rev(1), Age: time.Second, Batches: []Batch{{To: rev(2), Data: []byte{1}}}}})
+func TestClientFetchesUpdatesOverOneConnection(t *testing.T) {
+	cl := dial(t, &fakeFeed{update: Update{Revision: rev(1), Age: time.Second, Batches: []Batch{{To: rev(2), Data: []byte{1}}}}})
 	for after := range uint64(3) {
 		asked := revision.Revision{Era: 4, Number: after}
 		up, err := cl.Fetch(t.Context(), Request{After: asked, Wait: time.Second})
@@ -294,16 +296,16 @@
 	}
 }
 
-func TestASilentWatcherIsGivenUp(t *testing.T) {
-	cl := dial(t, &feed{pause: time.Minute})
+func TestFetchTimesOutOnAnUnresponsiveWatcher(t *testing.T) {
+	cl := dial(t, &fakeFeed{delay: time.Minute})
 	began := time.Now()
 	_, err := cl.Fetch(t.Context(), Request{Wait: 100 * time.Millisecond})
 	require.Error(t, err)
 	require.Less(t, time.Since(began), 5*time.Second)
 }
 
-func TestWhatIsNoRequestEndsTheConnection(t *testing.T) {
-	cl := dial(t, &feed{})
+func TestMalformedRequestClosesTheConnection(t *testing.T) {
+	cl := dial(t, &fakeFeed{})
 	_, err := cl.Fetch(t.Context(), Request{})
 	require.NoError(t, err)
 	require.NoError(t, write(t.Context(), cl.conn, "no request"))
--- a/internal/relay/socket.go
+++ b/internal/relay/socket.go
@@ -10,33 +10,33 @@
 	"github.com/rotisserie/eris"
 )
 
-// Path is where watchers answer requests, LoadPath where they take reports of load.
+// Path is the HTTP path of requests for changes, LoadPath that of load reports.
 const (
 	Path     = "/changes"
 	LoadPath = "/load"
 )
 
 const (
-	// maxUpdate bounds a message: a configuration may be a megabyte.
-	maxUpdate = 16 << 20
-	// maxRequest bounds a request, a few bytes.
-	maxRequest = 1 << 10
-	// maxReport bounds a report of load: some ten bytes for each server.
-	maxReport = 1 << 20
-	// maxWait bounds how long a request is held, whatever it says.
+	// maxAnswerBytes bounds an answer: a configuration may be a megabyte.
+	maxAnswerBytes = 16 << 20
+	// maxRequestBytes bounds a request, which is a few bytes long.
+	maxRequestBytes = 1 << 10
+	// maxReportBytes bounds a load report: some ten bytes for each server.
+	maxReportBytes = 1 << 20
+	// maxWait bounds how long an answer is delayed, whatever the request asks for.
 	maxWait = 5 * time.Second
-	// idleTimeout ends a connection on which nothing is asked any more.
+	// idleTimeout closes a connection on which no message arrives.
 	idleTimeout = 10 * time.Second
-	// writeTimeout bounds the delivery of an answer.
+	// writeTimeout bounds the writing of an answer.
 	writeTimeout = 2 * time.Second
 )
 
-// Server answers requests on WebSockets. Its exported fields are set before use.
+// Server answers requests for changes on WebSockets. Its exported fields are set before use.
 type Server struct{ Feed Feed }
 
 // ServeHTTP serves one connection.
 func (se *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	serve(w, r, maxRequest, func(ctx context.Context, data []byte) (any, error) {
+	serve(w, r, maxRequestBytes, func(ctx context.Context, data []byte) (any, error) {
 		var rq Request
 		if err := cbor.Unmarshal(data, &rq); err != nil {
 			return nil, eris.Wrap(err, "decode request")
@@ -48,13 +48,12 @@
 	})
 }
 
-// LoadServer takes reports of load on WebSockets. Its exported fields are set
-// before use.
+// LoadServer answers load reports on WebSockets. Its exported fields are set before use.
 type LoadServer struct{ Handler ReportHandler }
 
 // ServeHTTP serves one connection.
 func (ls *LoadServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	serve(w, r, maxReport, func(_ context.Context, data []byte) (any, error) {
+	serve(w, r, maxReportBytes, func(_ context.Context, data []byte) (any, error) {
 		var re Report
 		if err := cbor.Unmarshal(data, &re); err != nil {
 			return nil, eris.Wrap(err, "decode report")
@@ -63,15 +62,15 @@
 	})
 }
 
-// serve answers the messages of one connection, one after the other, until one
-// can't be read, answered or delivered.
-func serve(w http.ResponseWriter, r *http.Request, most int64, answer func(context.Context, []byte) (any, error)) {
+// serve answers the messages of one connection one after the other, until one can't be read, answered
+// or written.
+func serve(w http.ResponseWriter, r *http.Request, maxBytes int64, answer func(context.Context, []byte) (any, error)) {
 	conn, err := websocket.Accept(w, r, nil)
 	if err != nil {
-		return // the library has answered
+		return // Accept has already answered
 	}
 	defer func() { _ = conn.CloseNow() }()
-	conn.SetReadLimit(most)
+	conn.SetReadLimit(maxBytes)
 	for err == nil {
 		err = serveOne(r.Context(), conn, answer)
 	}
@@ -93,12 +92,11 @@
 	return write(wctx, conn, message)
 }
 
-// Client calls one watcher. Its exported fields are set before use; it is not safe
-// for concurrent use.
+// Client calls one gateway. Its exported fields are set before use; it is not safe for concurrent use.
 type Client struct {
-	// Address is the watcher's.
+	// Address is the gateway's address.
 	Address string
-	// Timeout is how long an answer may take beyond the wait.
+	// Timeout bounds a call, in addition to the wait of a request.
 	Timeout time.Duration
 	// HTTP opens the connection.
 	HTTP *http.Client
@@ -106,15 +104,15 @@
 	conn *websocket.Conn
 }
 
-// Fetch asks for changes. After an error the next call opens a new connection.
+// Fetch requests changes. After an error the next call opens a new connection.
 func (cl *Client) Fetch(ctx context.Context, rq Request) (Update, error) {
 	var up Update
 	err := cl.call(ctx, Path, rq.Wait+cl.Timeout, rq, &up)
 	return up, err
 }
 
-// Exchange reports load and returns the watcher's answer. After an error the next
-// call opens a new connection. A client is used for either Ask or Exchange.
+// Exchange sends a load report and returns the answer. After an error the next call opens a new
+// connection. A client is used for either Fetch or Exchange.
 func (cl *Client) Exchange(ctx context.Context, re Report) (Report, error) {
 	var answer Report
 	err := cl.call(ctx, LoadPath, cl.Timeout, re, &answer)
@@ -144,14 +142,14 @@
 	}
 	conn, _, err := websocket.Dial(ctx, "ws://"+cl.Address+path, &websocket.DialOptions{HTTPClient: cl.HTTP})
 	if err != nil {
-		return eris.Wrap(err, "dial watcher")
+		return eris.Wrap(err, "dial gateway")
 	}
-	conn.SetReadLimit(maxUpdate)
+	conn.SetReadLimit(maxAnswerBytes)
 	cl.conn = conn
 	return nil
 }
 
-// Close ends the connection, if there is one.
+// Close closes the connection, if there is one.
 func (cl *Client) Close() {
 	if cl.conn != nil {
 		_ = cl.conn.CloseNow()
--- a/internal/relay/watchers.go
+++ b/internal/relay/watchers.go
@@ -6,21 +6,21 @@
 	"strings"
 )
 
-// rootsOf returns the watchers that the others ask, none where all call the service.
+// rootsOf returns the watchers that the other watchers ask, or none if all watchers call the service.
 func rootsOf(members []Member) []Member {
 	all := allWatchers(members)
-	if len(all) <= fewWatchers {
+	if len(all) <= maxDirectWatchers {
 		return nil
 	}
 	centres := map[string]bool{}
-	var first []Member
-	for _, wa := range ranked(all) {
+	var roots []Member
+	for _, wa := range sortByLink(all) {
 		if !centres[wa.DataCentre] {
 			centres[wa.DataCentre] = true
-			first = append(first, wa)
+			roots = append(roots, wa)
 		}
 	}
-	return first[:min(roots, len(first))]
+	return roots[:min(maxRoots, len(roots))]
 }
 
 // watchersOf returns the watchers of a data centre.
@@ -31,19 +31,19 @@
 			own = append(own, me)
 		}
 	}
-	return ranked(own)[:min(watchers, len(own))]
+	return sortByLink(own)[:min(watchersPerCentre, len(own))]
 }
 
-// ranked puts the members with the largest links first.
-func ranked(list []Member) []Member {
+// sortByLink sorts the members by the capacity of their links, the largest first.
+func sortByLink(list []Member) []Member {
 	slices.SortFunc(list, func(a, b Member) int {
 		return cmp.Or(cmp.Compare(b.LinkMbps, a.LinkMbps), strings.Compare(a.Box, b.Box))
 	})
 	return list
 }
 
-// watchersElsewhere returns the watchers of all data centres but one.
-func watchersElsewhere(members []Member, dataCentre string) []Member {
+// watchersOutside returns the watchers of all data centres but one.
+func watchersOutside(members []Member, dataCentre string) []Member {
 	return slices.DeleteFunc(allWatchers(members), func(me Member) bool { return me.DataCentre == dataCentre })
 }
 
