--- a/internal/change/change.go
+++ b/internal/change/change.go
@@ -1,6 +1,6 @@
-// Package change writes the configuration to the key-value service: checked
-// whole before, by compare-and-swap, and known by its operation id after a
-// lost answer.
+// Package change writes the configuration to the key-value service. The complete document is validated
+// first and written by compare-and-swap; after a lost answer, the change is recognized by its operation
+// id.
 package change
 
 import (
@@ -14,83 +14,83 @@
 	"github.com/linnetrudder/linnetrudder/internal/result"
 )
 
-// Store is what is used of the key-value service.
+// Store is the part of the key-value service that is used.
 type Store interface {
 	Get(ctx context.Context, key string) (kv.Pair, error)
 	Swap(ctx context.Context, key string, value []byte, index uint64) (bool, error)
 }
 
-// Edit makes the new document from the one in the store, nil for none.
+// Edit returns the new document for the one in the store, which is nil if there is none.
 type Edit func(doc *config.Document) (*config.Document, error)
 
-// Request is one change that an operator asks for.
+// Request is a change that an operator requests.
 type Request struct {
-	// Operation is unique for the change; a repeated request with the same
-	// one finds the first's outcome.
+	// Operation is the unique id of the change. A repeated request with the same id returns the outcome
+	// of the first.
 	Operation string
-	// Operator and Summary are kept with the change.
+	// Operator and Summary are stored with the change.
 	Operator, Summary string
-	// Base is the revision that the operator saw; nil takes any.
+	// Base is the revision that the change is based on; nil allows any.
 	Base *uint64
 	Edit Edit
 }
 
 const (
-	// historySlots is how many earlier revisions are kept.
+	// historySlots is the number of earlier revisions that are stored.
 	historySlots = 128
-	// maxTries bounds the tries against other operators and lost answers.
-	maxTries = 6
+	// maxAttempts bounds the attempts in the case of concurrent changes and lost answers.
+	maxAttempts = 6
 )
 
-// Writer makes changes. Its fields are set before use.
+// Writer applies changes. Its fields are set before use.
 type Writer struct {
 	Store Store
-	// Backoff is the time before the second try; it doubles with each.
+	// Backoff is the delay before the second attempt. It doubles with each further one.
 	Backoff time.Duration
 }
 
 // DefaultBackoff suits a service that answers in milliseconds.
 const DefaultBackoff = 20 * time.Millisecond
 
-// Apply makes a change and returns what is stored after it. The error is a
-// *result.Error; with result.StoreUnknown the same request may be repeated.
-func (ch *Writer) Apply(ctx context.Context, re Request, now time.Time) (*config.Envelope, error) {
-	last := error(result.New(result.StoreDown, ""))
-	written := false
-	for try := range maxTries {
-		if try > 0 {
-			ch.pause(ctx, try)
+// Apply makes a change and returns the envelope that is then stored. The error is a *result.Error; if
+// its code is result.StoreUnknown, the same request may be repeated.
+func (wr *Writer) Apply(ctx context.Context, re Request, now time.Time) (*config.Envelope, error) {
+	lastErr := error(result.New(result.StoreDown, ""))
+	mayBeWritten := false
+	for attempt := range maxAttempts {
+		if attempt > 0 {
+			wr.wait(ctx, attempt)
 		}
-		en, done, err := ch.once(ctx, re, now)
+		en, done, err := wr.applyOnce(ctx, re, now)
 		if done || err == nil && en != nil {
 			return en, err
 		}
 		if err != nil {
-			last = err
-			written = written || codeOf(err) == result.StoreUnknown
+			lastErr = err
+			mayBeWritten = mayBeWritten || codeOf(err) == result.StoreUnknown
 		}
 	}
-	if written {
+	if mayBeWritten {
 		return nil, result.New(result.StoreUnknown, re.Operation)
 	}
-	return nil, last
+	return nil, lastErr
 }
 
-// once makes one try. done means that the outcome is final. Neither an
-// envelope nor an error means that another change came between.
-func (ch *Writer) once(ctx context.Context, re Request, now time.Time) (en *config.Envelope, done bool, err error) {
-	pair, err := ch.Store.Get(ctx, config.StoreKey)
+// applyOnce makes one attempt; done is set if its outcome is final. It returns neither an envelope nor
+// an error if another change was written in the meantime.
+func (wr *Writer) applyOnce(ctx context.Context, re Request, now time.Time) (en *config.Envelope, done bool, err error) {
+	pair, err := wr.Store.Get(ctx, config.StoreKey)
 	if err != nil {
 		return nil, false, err
 	}
-	held, err := config.DecodeEnvelope(pair.Value)
+	current, err := config.DecodeEnvelope(pair.Value)
 	if err != nil {
 		return nil, true, err
 	}
-	if _, found := held.Find(re.Operation); found {
-		return held, true, nil
+	if _, found := current.Find(re.Operation); found {
+		return current, true, nil
 	}
-	next, err := prepare(held, re, now)
+	next, err := prepare(current, re, now)
 	if err != nil {
 		return nil, true, err
 	}
@@ -98,26 +98,26 @@
 	if err != nil {
 		return nil, true, err
 	}
-	if err := ch.keep(ctx, held, pair.Value); err != nil {
+	if err := wr.storeHistory(ctx, current, pair.Value); err != nil {
 		return nil, false, err
 	}
-	ok, err := ch.Store.Swap(ctx, config.StoreKey, value, pair.Index)
+	ok, err := wr.Store.Swap(ctx, config.StoreKey, value, pair.Index)
 	if err != nil || !ok {
 		return nil, false, err
 	}
 	return next, true, nil
 }
 
-// Prepare returns the envelope that a change would lead to, for a dry run.
-func Prepare(held *config.Envelope, re Request, now time.Time) (*config.Envelope, error) {
-	return prepare(held, re, now)
+// Prepare returns the envelope that a change would result in, for a dry run.
+func Prepare(current *config.Envelope, re Request, now time.Time) (*config.Envelope, error) {
+	return prepare(current, re, now)
 }
 
-func prepare(held *config.Envelope, re Request, now time.Time) (*config.Envelope, error) {
-	if re.Base != nil && *re.Base != held.Revision {
-		return nil, result.New(result.Conflict, conflict(held, *re.Base))
+func prepare(current *config.Envelope, re Request, now time.Time) (*config.Envelope, error) {
+	if re.Base != nil && *re.Base != current.Revision {
+		return nil, result.New(result.Conflict, conflict(current, *re.Base))
 	}
-	doc, err := re.Edit(held.Document)
+	doc, err := re.Edit(current.Document)
 	if err != nil {
 		return nil, err
 	}
@@ -125,42 +125,42 @@
 		return nil, err
 	}
 	chg := config.Change{Operation: re.Operation, Operator: re.Operator, At: now.UTC(), Summary: re.Summary}
-	return held.Next(doc, chg), nil
+	return current.Next(doc, chg), nil
 }
 
-// conflict names the change that came first.
-func conflict(held *config.Envelope, base uint64) string {
-	for i := len(held.Changes) - 1; i >= 0; i-- {
-		if ch := held.Changes[i]; ch.Revision > base {
+// conflict describes the latest change after a base revision.
+func conflict(current *config.Envelope, base uint64) string {
+	for i := len(current.Changes) - 1; i >= 0; i-- {
+		if ch := current.Changes[i]; ch.Revision > base {
 			return fmt.Sprintf("revision %d by %s: %s", ch.Revision, ch.Operator, ch.Summary)
 		}
 	}
-	return fmt.Sprintf("the revision in force is %d", held.Revision)
+	return fmt.Sprintf("the revision in force is %d", current.Revision)
 }
 
-// keep saves the revision that is about to be replaced. Its slot is free for
-// it unless it holds the same or, after a long pause, a later one.
-func (ch *Writer) keep(ctx context.Context, held *config.Envelope, value []byte) error {
-	if held.Revision == 0 {
+// storeHistory stores the revision that is about to be replaced in its history slot. It leaves the slot
+// as it is if that holds the same revision or, when this process was delayed for long, a later one.
+func (wr *Writer) storeHistory(ctx context.Context, current *config.Envelope, value []byte) error {
+	if current.Revision == 0 {
 		return nil
 	}
-	key := HistoryKey(held.Revision)
-	pair, err := ch.Store.Get(ctx, key)
+	key := HistoryKey(current.Revision)
+	pair, err := wr.Store.Get(ctx, key)
 	if err != nil {
 		return err
 	}
 	slot, err := config.DecodeEnvelope(pair.Value)
-	if err == nil && slot.Revision >= held.Revision {
+	if err == nil && slot.Revision >= current.Revision {
 		return nil
 	}
-	_, err = ch.Store.Swap(ctx, key, value, pair.Index)
+	_, err = wr.Store.Swap(ctx, key, value, pair.Index)
 	if err != nil {
 		return result.New(result.StoreDown, err.Error())
 	}
 	return nil
 }
 
-// HistoryKey returns where a replaced revision is kept.
+// HistoryKey returns the key of a replaced revision.
 func HistoryKey(revision uint64) string {
 	return fmt.Sprintf("%s%d", config.HistoryPrefix, revision%historySlots)
 }
@@ -173,9 +173,9 @@
 	return result.StoreDown
 }
 
-func (ch *Writer) pause(ctx context.Context, try int) {
+func (wr *Writer) wait(ctx context.Context, attempt int) {
 	select {
 	case <-ctx.Done():
-	case <-time.After(ch.Backoff << (try - 1)):
+	case <-time.After(wr.Backoff << (attempt - 1)):
 	}
 }
--- a/internal/change/change_test.go
+++ b/internal/change/change_test.go
@@ -20,43 +20,44 @@
 
 var start = time.Unix(1_800_000_000, 0)
 
-// memory is a key-value service whose swaps of the configuration meet fates:
-// "ok", "lost" (made, not answered), "down", "raced".
-type memory struct {
-	pairs map[string]kv.Pair
-	index uint64
-	fates []string
+// fakeStore is a key-value service in memory. The swaps of the configuration have the given outcomes, one
+// after the other: "ok", "lost" (made, but the answer is lost), "down" or "raced" (after a concurrent
+// change).
+type fakeStore struct {
+	pairs    map[string]kv.Pair
+	index    uint64
+	outcomes []string
 	// race is called before a raced swap.
 	race func()
 	down bool
 }
 
-func newMemory() *memory { return &memory{pairs: map[string]kv.Pair{}} }
+func newFakeStore() *fakeStore { return &fakeStore{pairs: map[string]kv.Pair{}} }
 
-func (me *memory) Get(_ context.Context, key string) (kv.Pair, error) {
-	if me.down {
+func (st *fakeStore) Get(_ context.Context, key string) (kv.Pair, error) {
+	if st.down {
 		return kv.Pair{}, result.New(result.StoreDown, "")
 	}
-	return me.pairs[key], nil
+	return st.pairs[key], nil
 }
 
-func (me *memory) Swap(_ context.Context, key string, value []byte, index uint64) (bool, error) {
-	fate := "ok"
-	if key == config.StoreKey && len(me.fates) > 0 {
-		fate, me.fates = me.fates[0], me.fates[1:]
+func (st *fakeStore) Swap(_ context.Context, key string, value []byte, index uint64) (bool, error) {
+	outcome := "ok"
+	if key == config.StoreKey && len(st.outcomes) > 0 {
+		outcome, st.outcomes = st.outcomes[0], st.outcomes[1:]
 	}
-	if fate == "down" || me.down {
+	if outcome == "down" || st.down {
 		return false, result.New(result.StoreUnknown, "")
 	}
-	if fate == "raced" {
-		me.race()
+	if outcome == "raced" {
+		st.race()
 	}
-	if me.pairs[key].Index != index {
+	if st.pairs[key].Index != index {
 		return false, nil
 	}
-	me.index++
-	me.pairs[key] = kv.Pair{Key: key, Value: value, Index: me.index}
-	if fate == "lost" {
+	st.index++
+	st.pairs[key] = kv.Pair{Key: key, Value: value, Index: st.index}
+	if outcome == "lost" {
 		return false, result.New(result.StoreUnknown, "")
 	}
 	return true, nil
@@ -72,119 +73,118 @@
 	}}
 }
 
-func apply(me *memory, re Request) (*config.Envelope, error) {
-	ch := Writer{Store: me, Backoff: time.Nanosecond}
-	return ch.Apply(context.Background(), re, start)
+func apply(st *fakeStore, re Request) (*config.Envelope, error) {
+	wr := Writer{Store: st, Backoff: time.Nanosecond}
+	return wr.Apply(context.Background(), re, start)
 }
 
-func TestALostAnswerIsResolvedByReadingBack(t *testing.T) {
-	me := newMemory()
-	me.fates = []string{"lost"}
-	en, err := apply(me, adding("op-1", "a"))
+func TestLostAnswerIsResolvedByReading(t *testing.T) {
+	st := newFakeStore()
+	st.outcomes = []string{"lost"}
+	en, err := apply(st, adding("op-1", "a"))
 	require.NoError(t, err)
 	require.Equal(t, uint64(1), en.Revision)
-	en, err = apply(me, adding("op-1", "a"))
+	en, err = apply(st, adding("op-1", "a"))
 	require.NoError(t, err, "the same operation again")
-	require.Equal(t, uint64(1), en.Revision, "is not made twice")
+	require.Equal(t, uint64(1), en.Revision, "it is not made twice")
 }
 
-func TestAWriteThatMayHaveBeenMadeSaysSo(t *testing.T) {
-	me := newMemory()
-	me.fates = []string{"down", "down", "down", "down", "down", "down"}
-	_, err := apply(me, adding("op-1", "a"))
+func TestFailureReportsThatTheWriteMayHaveBeenMade(t *testing.T) {
+	st := newFakeStore()
+	st.outcomes = []string{"down", "down", "down", "down", "down", "down"}
+	_, err := apply(st, adding("op-1", "a"))
 	var er *result.Error
 	require.ErrorAs(t, err, &er)
 	require.Equal(t, result.StoreUnknown, er.Code())
 	require.Equal(t, result.MayHave, result.Of(er.Code()).Run())
 }
 
-func TestARaceNamesTheOtherChange(t *testing.T) {
-	me := newMemory()
-	_, err := apply(me, adding("op-1", "a"))
+func TestConflictNamesTheOtherChange(t *testing.T) {
+	st := newFakeStore()
+	_, err := apply(st, adding("op-1", "a"))
 	require.NoError(t, err)
-	me.fates = []string{"raced"}
-	me.race = func() {
-		me.fates = nil
-		_, err := apply(me, adding("op-2", "b"))
+	st.outcomes = []string{"raced"}
+	st.race = func() {
+		st.outcomes = nil
+		_, err := apply(st, adding("op-2", "b"))
 		require.NoError(t, err)
 	}
 	re := adding("op-3", "c")
 	base := uint64(1)
 	re.Base = &base
-	_, err = apply(me, re)
+	_, err = apply(st, re)
 	require.ErrorContains(t, err, "revision 2 by ana: add b")
 }
 
-func TestABadDocumentIsNotWritten(t *testing.T) {
-	me := newMemory()
-	_, err := apply(me, adding("op-1", ""))
+func TestInvalidDocumentIsNotWritten(t *testing.T) {
+	st := newFakeStore()
+	_, err := apply(st, adding("op-1", ""))
 	require.ErrorContains(t, err, "models[0].name")
-	require.Empty(t, me.pairs)
+	require.Empty(t, st.pairs)
 }
 
-func TestReplacedRevisionsAreKept(t *testing.T) {
-	me := newMemory()
+func TestReplacedRevisionsAreStored(t *testing.T) {
+	st := newFakeStore()
 	for i := range historySlots + 3 {
-		_, err := apply(me, adding(fmt.Sprintf("op-%d", i), fmt.Sprintf("m%d", i)))
+		_, err := apply(st, adding(fmt.Sprintf("op-%d", i), fmt.Sprintf("m%d", i)))
 		require.NoError(t, err)
 	}
-	require.Len(t, me.pairs, historySlots+1)
-	kept, err := config.DecodeEnvelope(me.pairs[HistoryKey(historySlots+2)].Value)
+	require.Len(t, st.pairs, historySlots+1)
+	stored, err := config.DecodeEnvelope(st.pairs[HistoryKey(historySlots+2)].Value)
 	require.NoError(t, err)
-	require.Equal(t, uint64(historySlots+2), kept.Revision)
+	require.Equal(t, uint64(historySlots+2), stored.Revision)
 }
 
-// register is the contract: a change that was accepted stands in every later
-// state, at the revision that its operator was told.
+// register is the sequential specification: the revision that is returned for each accepted change is
+// higher than all earlier ones. Output zero is a change that was not accepted.
 var register = porcupine.Model{
 	Init: func() any { return uint64(0) },
 	Step: func(state, _, output any) (bool, any) {
 		revision := state.(uint64)
-		told := output.(uint64)
-		if told == 0 {
+		accepted := output.(uint64)
+		if accepted == 0 {
 			return true, revision
 		}
-		return told > revision, told
+		return accepted > revision, accepted
 	},
 }
 
-// TestAcceptedChangesNeverRevert lets operators race under lost answers and an
-// outage. Every accepted change is found in the final document once; a naive
-// writer that puts without compare-and-swap loses some.
-func TestAcceptedChangesNeverRevert(t *testing.T) {
+// Operators change the configuration concurrently under lost answers and outages. The final document
+// contains every accepted change exactly once; a naive writer without compare-and-swap loses some.
+func TestAcceptedChangesAreNeverLost(t *testing.T) {
 	naiveLost := 0
 	rapid.Check(t, func(rt *rapid.T) {
-		me := newMemory()
+		st := newFakeStore()
 		var history []porcupine.Operation
 		accepted := map[string]uint64{}
 		naive, seen := []string{}, []string{}
 		for i := range rapid.IntRange(2, 15).Draw(rt, "changes") {
 			name := fmt.Sprintf("m%d", i)
-			me.fates = rapid.SliceOfN(rapid.SampledFrom([]string{"ok", "lost", "down", "raced"}), 0, 4).Draw(rt, "fates")
-			me.race = func() {
-				saved := me.fates
-				me.fates = nil
-				_, err := apply(me, adding("rival-"+name, "r"+name))
+			st.outcomes = rapid.SliceOfN(rapid.SampledFrom([]string{"ok", "lost", "down", "raced"}), 0, 4).Draw(rt, "outcomes")
+			st.race = func() {
+				saved := st.outcomes
+				st.outcomes = nil
+				_, err := apply(st, adding("concurrent-"+name, "r"+name))
 				require.NoError(rt, err)
 				accepted["r"+name] = 1
-				me.fates = saved
+				st.outcomes = saved
 			}
 			if rapid.Bool().Draw(rt, "fresh") {
 				seen = append([]string{}, naive...)
 			}
 			naive = append(append([]string{}, seen...), name)
-			en, err := apply(me, adding("op-"+name, name))
-			told := uint64(0)
+			en, err := apply(st, adding("op-"+name, name))
+			returned := uint64(0)
 			if err == nil {
 				ch, ok := en.Find("op-" + name)
 				require.True(rt, ok)
-				told = ch.Revision
-				accepted[name] = told
+				returned = ch.Revision
+				accepted[name] = returned
 			}
-			history = append(history, porcupine.Operation{ClientId: 0, Input: name, Output: told, Call: int64(2 * i), Return: int64(2*i + 1)})
+			history = append(history, porcupine.Operation{ClientId: 0, Input: name, Output: returned, Call: int64(2 * i), Return: int64(2*i + 1)})
 		}
-		me.fates = nil
-		final, err := config.DecodeEnvelope(me.pairs[config.StoreKey].Value)
+		st.outcomes = nil
+		final, err := config.DecodeEnvelope(st.pairs[config.StoreKey].Value)
 		require.NoError(rt, err)
 		count := map[string]int{}
 		for i := range final.Document.Models {
--- a/internal/gate/gate.go
+++ b/internal/gate/gate.go
@@ -32,7 +32,7 @@
 
 // Action is a decision about one attempt.
 type Action struct {
-	do         Kind
+	kind       Kind
 	key        Key
 	attempt    *wire.Attempt
 	code       result.Code
@@ -40,7 +40,7 @@
 }
 
 // Kind returns what to do with the attempt.
-func (ac Action) Kind() Kind { return ac.do }
+func (ac Action) Kind() Kind { return ac.kind }
 
 // Key returns the attempt's key.
 func (ac Action) Key() Key { return ac.key }
@@ -337,7 +337,7 @@
 	ga.limits.Sent(ga.Server, now)
 	ga.pauses.Sent(ga.Server, now)
 	ga.charge(qu.attempt.Team)
-	return Action{do: Start, key: qu.key, attempt: qu.attempt, code: result.OK}
+	return Action{kind: Start, key: qu.key, attempt: qu.attempt, code: result.OK}
 }
 
 func (ga *Gate) refuse(qu queued, co result.Code) Action {
@@ -345,5 +345,5 @@
 	if co == result.Overloaded || co == result.ShareExceeded || co == result.DeadlinePassed {
 		after = max(minRetryAfter, ga.estimate(qu.attempt))
 	}
-	return Action{do: Refuse, key: qu.key, attempt: qu.attempt, code: co, retryAfter: after}
+	return Action{kind: Refuse, key: qu.key, attempt: qu.attempt, code: co, retryAfter: after}
 }
--- a/internal/kv/kv.go
+++ b/internal/kv/kv.go
@@ -1,6 +1,5 @@
-// Package kv speaks the HTTP protocol of Consul's key-value store, through
-// which the platform's key-value service is met. Every call is counted and
-// held to a rate.
+// Package kv is a client of the platform's key-value service, which has the HTTP API of Consul's
+// key-value store. All calls are counted and rate-limited.
 package kv
 
 import (
@@ -22,29 +21,29 @@
 	"github.com/linnetrudder/linnetrudder/internal/result"
 )
 
-// Pair is one key with its value. Index is the service's modify index, which
-// compare-and-swap refers to; zero means that the key does not exist.
+// Pair is a key with its value. Index is the service's modify index, which compare-and-swap refers to;
+// zero means that the key does not exist.
 type Pair struct {
 	Key   string
 	Value []byte
 	Index uint64
 }
 
-// maxAnswer bounds the answer to one call; a recursive read may be long.
-const maxAnswer = 64 << 20
+// maxResponseBytes bounds the response to one call; that of a recursive read may be long.
+const maxResponseBytes = 64 << 20
 
-// Client calls the service. Its exported fields are set before use; its
-// methods may be called concurrently.
+// Client calls the service. Its exported fields are set before use; its methods are safe for concurrent
+// use.
 type Client struct {
 	// Address is the IP number and port of the service.
 	Address string
 	// Token is sent with each call if it is not empty.
 	Token string
-	// Timeout bounds each call, beyond what a watch waits.
+	// Timeout bounds each call, in addition to the wait of a watch.
 	Timeout time.Duration
-	// Limiter holds the calls to this process's share of the rate.
+	// Limiter limits the calls to this process's share of the rate.
 	Limiter *rate.Limiter
-	// HTTP makes the calls.
+	// HTTP sends the requests.
 	HTTP *http.Client
 }
 
@@ -54,20 +53,20 @@
 	ModifyIndex uint64 `json:"ModifyIndex"`
 }
 
-// Get reads one key. A key that does not exist has index zero.
+// Get reads one key. A pair with index zero means that the key does not exist.
 func (cl *Client) Get(ctx context.Context, key string) (Pair, error) {
 	pairs, _, err := cl.read(ctx, key, url.Values{}, 0)
-	return one(key, pairs), err
+	return firstPair(key, pairs), err
 }
 
-// Watch waits until the key's index is above the one given or the wait is
-// over, and returns what the key holds then and the service's index.
+// Watch waits until the key's index is higher than the given one or the wait is over, and returns the
+// key's pair and the service's index.
 func (cl *Client) Watch(ctx context.Context, key string, after uint64, wait time.Duration) (Pair, uint64, error) {
 	query := url.Values{}
 	query.Set("index", strconv.FormatUint(after, 10))
 	query.Set("wait", fmt.Sprintf("%dms", wait.Milliseconds()))
 	pairs, index, err := cl.read(ctx, key, query, wait)
-	return one(key, pairs), index, err
+	return firstPair(key, pairs), index, err
 }
 
 // List reads all keys below a prefix in one call.
@@ -78,9 +77,9 @@
 	return pairs, err
 }
 
-// Swap writes a value if the key's index is still the one given; zero means
-// that the key must not exist. It reports whether the write was made. An
-// error with the code result.StoreUnknown means that it may have been made.
+// Swap writes a value if the key's index is still the given one; zero means that the key must not exist.
+// It reports whether the value was written. An error with the code result.StoreUnknown means that it
+// may have been written.
 func (cl *Client) Swap(ctx context.Context, key string, value []byte, index uint64) (bool, error) {
 	query := url.Values{}
 	query.Set("cas", strconv.FormatUint(index, 10))
@@ -91,7 +90,7 @@
 	return string(bytes.TrimSpace(body)) == "true", nil
 }
 
-func one(key string, pairs []Pair) Pair {
+func firstPair(key string, pairs []Pair) Pair {
 	if len(pairs) == 0 {
 		return Pair{Key: key}
 	}
@@ -118,7 +117,7 @@
 	return pairs, index, nil
 }
 
-// call makes one call. A nil body without an error means "no such key".
+// call sends one request. A nil body without an error means that the key does not exist.
 func (cl *Client) call(ctx context.Context, method, key string, query url.Values, value []byte, wait time.Duration) ([]byte, uint64, error) {
 	if err := cl.Limiter.Wait(ctx); err != nil {
 		return nil, 0, result.New(result.StoreBudget, err.Error())
@@ -136,7 +135,7 @@
 		return nil, 0, CallError(method == http.MethodPut, err.Error())
 	}
 	defer resp.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
 		metrics.StoreCalls.Add("failed", 1)
 		return nil, 0, CallError(method == http.MethodPut, err.Error())
@@ -166,8 +165,8 @@
 	return req, nil
 }
 
-// CallError tells a read that gave nothing from a write that may have been
-// made.
+// CallError returns the error of a call without a usable response: a write may have been made nonetheless, a
+// read has no result.
 func CallError(write bool, detail string) error {
 	if write {
 		return result.New(result.StoreUnknown, detail)
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -1,6 +1,5 @@
-// Package replica decides how a configuration spreads over the connections
-// between entries and agents and that it never goes back. It does no I/O and
-// reads no clock.
+// Package replica decides how a configuration is propagated over the connections between entries and
+// agents, and ensures that its revision never decreases. It does no I/O and reads no clock.
 package replica
 
 import (
@@ -13,112 +12,112 @@
 	"github.com/linnetrudder/linnetrudder/internal/rendezvous"
 )
 
-// Kind is what the shell must do.
+// Kind is what the caller must do.
 type Kind string
 
-// The things to do.
+// The kinds of actions.
 const (
-	// Adopt takes the snapshot into force in this process.
+	// Adopt puts the replica's snapshot into force in this process.
 	Adopt Kind = "adopt"
-	// Offer tells a peer which revision is held here.
+	// Offer sends a peer the number of the revision in force here.
 	Offer Kind = "offer"
-	// Want asks a peer for what is newer than the revision held here.
+	// Want requests from a peer what is newer than the revision in force here.
 	Want Kind = "want"
-	// Give sends a peer the configuration above the revision it named.
+	// Give sends a peer what is newer than the revision that it has.
 	Give Kind = "give"
 )
 
-// Action is one thing to do.
+// Action is a decision of a replica, for the caller to carry out.
 type Action struct {
-	do       Kind
+	kind     Kind
 	peer     string
 	revision uint64
 }
 
 // Kind returns what to do.
-func (ac Action) Kind() Kind { return ac.do }
+func (ac Action) Kind() Kind { return ac.kind }
 
-// Peer returns the peer to do it with, if any.
+// Peer returns the peer that the action addresses, if any.
 func (ac Action) Peer() string { return ac.peer }
 
-// Revision returns the revision to offer or adopt, the one to ask above, or
-// the one the peer holds.
+// Revision returns the revision to adopt or to offer, the one after which changes are requested, or the
+// one that the peer has.
 func (ac Action) Revision() uint64 { return ac.revision }
 
-// The fan-outs of the two roles. An entry has a few hundred agents, an agent a
-// few dozen entries; with these, a change reaches every process of a data
-// centre of the target's size in a few hops (docs/CAPACITY.md).
+// The fan-outs of the two roles. An entry is connected to a few hundred agents, an agent to a few dozen
+// entries. With these fan-outs, a change reaches every process of a data centre of the target size in
+// a few hops (docs/CAPACITY.md).
 const (
 	EntryFanout = 40
 	AgentFanout = 6
 )
 
-// roundEvery is the time after which it is seen how many of those who were told
-// of a revision did not have it.
-const roundEvery = 500 * time.Millisecond
+// roundInterval is the time after a round of offers at which the requests in response to it are
+// evaluated.
+const roundInterval = 500 * time.Millisecond
 
-// wantTimeout is how long one peer may take to answer before another is asked.
+// wantTimeout is how long a peer may take to answer a request before another peer is asked.
 const wantTimeout = time.Second
 
-// Replica is the configuration as one process holds it. Its exported fields
-// are set before use; it is not safe for concurrent use.
+// Replica is one process's copy of the configuration. Its exported fields are set before use; it is not
+// safe for concurrent use.
 type Replica struct {
-	// Self is the process's own box.
+	// Self is the box of this process.
 	Self string
-	// Fanout bounds the peers that a new revision is offered to at first; zero
-	// means all. More are told while most of those who were did not have it;
-	// the others hear of it from one another, or from heartbeats.
+	// Fanout bounds the peers to which a new revision is offered in the first round; zero means all.
+	// Further rounds follow while at least half of the peers in the previous one did not have it. The
+	// remaining peers receive it from one another, or learn of it from heartbeats.
 	Fanout int
 
-	// snapshot is the highest revision ever held; it never goes back.
+	// snapshot is the configuration in force. Its revision never decreases.
 	snapshot *config.Snapshot
-	// peers holds the highest revision each connected peer has offered.
+	// peers holds the highest revision that each connected peer has offered.
 	peers map[string]uint64
-	// told holds the highest revision that each peer was offered.
-	told map[string]uint64
-	// round is the newest batch of offers.
+	// offered holds the highest revision that was offered to each peer.
+	offered map[string]uint64
+	// round is the latest round of offers.
 	round round
-	// asked is the peer that was asked last, "" if none is to answer.
-	asked   string
-	askedAt time.Time
+	// requestedFrom is the peer whose answer to a request is pending, "" for none.
+	requestedFrom string
+	requestedAt   time.Time
 }
 
-// round is a batch of offers of one revision.
+// round is a number of simultaneous offers of one revision.
 type round struct {
 	revision uint64
 	at       time.Time
-	// sent counts the offers, wanted the peers that did not have it yet.
+	// sent counts the offers, wanted the peers that requested the revision in response.
 	sent, wanted int
 }
 
 // Snapshot returns the revision in force, nil before the first.
 func (re *Replica) Snapshot() *config.Snapshot { return re.snapshot }
 
-// Revision returns the number of the revision in force.
+// Revision returns the number of the revision in force, zero before the first.
 func (re *Replica) Revision() uint64 { return re.snapshot.Revision() }
 
-// PeerUp greets a new peer with the revision held here.
+// PeerUp adds a peer and offers it the revision in force.
 func (re *Replica) PeerUp(peer string) []Action {
 	if re.peers == nil {
 		re.peers = map[string]uint64{}
-		re.told = map[string]uint64{}
+		re.offered = map[string]uint64{}
 	}
 	re.peers[peer] = 0
 	return []Action{re.offer(peer)}
 }
 
-// PeerDown forgets a peer; if it owed an answer, another is asked.
+// PeerDown removes a peer. If its answer to a request was pending, another peer is asked.
 func (re *Replica) PeerDown(peer string, now time.Time) []Action {
 	delete(re.peers, peer)
-	delete(re.told, peer)
-	if re.asked != peer {
+	delete(re.offered, peer)
+	if re.requestedFrom != peer {
 		return nil
 	}
-	re.asked = ""
-	return re.ask(now)
+	re.requestedFrom = ""
+	return re.request(now)
 }
 
-// Offered notes what a peer holds and asks for it if it is newer.
+// Offered records the revision that a peer has and requests it if it is newer.
 func (re *Replica) Offered(peer string, revision uint64, now time.Time) []Action {
 	if _, ok := re.peers[peer]; !ok {
 		return nil
@@ -127,47 +126,48 @@
 	if revision <= re.Revision() {
 		return nil
 	}
-	return re.ask(now)
+	return re.request(now)
 }
 
-// Wanted answers a peer that holds the given revision.
+// Wanted answers the request of a peer that has the given revision.
 func (re *Replica) Wanted(peer string, revision uint64) []Action {
 	if re.Revision() <= revision {
 		return []Action{re.offer(peer)}
 	}
-	if re.round.revision == re.Revision() && re.told[peer] == re.Revision() {
+	if re.round.revision == re.Revision() && re.offered[peer] == re.Revision() {
 		re.round.wanted++
 	}
-	return []Action{{do: Give, peer: peer, revision: revision}}
+	return []Action{{kind: Give, peer: peer, revision: revision}}
 }
 
-// Received takes a snapshot from a peer or from the store. A revision that is
-// not above the one in force is dropped, whoever sends it.
+// Received adopts a snapshot from a peer or from the store and propagates it. A revision that is not
+// higher than the one in force is ignored, whatever its source.
 func (re *Replica) Received(sn *config.Snapshot, now time.Time) []Action {
 	if sn.Revision() <= re.Revision() {
 		return nil
 	}
 	re.snapshot = sn
-	re.asked = ""
-	acs := append([]Action{{do: Adopt, revision: sn.Revision()}}, re.spread(re.Fanout, now)...)
-	return append(acs, re.ask(now)...)
+	re.requestedFrom = ""
+	acs := append([]Action{{kind: Adopt, revision: sn.Revision()}}, re.propagate(re.Fanout, now)...)
+	return append(acs, re.request(now)...)
 }
 
-// Tick asks another peer if the one asked has not answered, and goes on
-// spreading a revision that most of those who were told did not have.
+// Tick asks another peer if a request was not answered in time, and starts another round of offers if at
+// least half of the peers in the last one did not have the revision.
 func (re *Replica) Tick(now time.Time) []Action {
-	acs := re.ask(now)
+	acs := re.request(now)
 	ro := re.round
-	if ro.sent == 0 || ro.revision != re.Revision() || now.Sub(ro.at) < roundEvery || 2*ro.wanted < ro.sent {
+	if ro.sent == 0 || ro.revision != re.Revision() || now.Sub(ro.at) < roundInterval || 2*ro.wanted < ro.sent {
 		return acs
 	}
-	return append(acs, re.spread(2*ro.sent, now)...)
+	return append(acs, re.propagate(2*ro.sent, now)...)
 }
 
-// spread offers the revision in force to some peers that were not told of it.
-func (re *Replica) spread(most int, now time.Time) []Action {
+// propagate offers the revision in force to peers to which it was not offered before, at most limit of
+// them unless that is zero.
+func (re *Replica) propagate(limit int, now time.Time) []Action {
 	var acs []Action
-	for _, peer := range re.recipients(most) {
+	for _, peer := range re.recipients(limit) {
 		acs = append(acs, re.offer(peer))
 	}
 	re.round = round{revision: re.Revision(), at: now, sent: len(acs)}
@@ -175,12 +175,11 @@
 }
 
 func (re *Replica) offer(peer string) Action {
-	re.told[peer] = re.Revision()
-	return Action{do: Offer, peer: peer, revision: re.Revision()}
+	re.offered[peer] = re.Revision()
+	return Action{kind: Offer, peer: peer, revision: re.Revision()}
 }
 
-// PeersBehind returns how many connected peers have not yet offered the revision
-// in force.
+// PeersBehind returns how many connected peers have not yet offered the revision in force.
 func (re *Replica) PeersBehind() int {
 	n := 0
 	for _, have := range re.peers {
@@ -191,7 +190,7 @@
 	return n
 }
 
-// PeerRevisions returns a copy of what each connected peer has offered.
+// PeerRevisions returns the highest revision that each connected peer has offered.
 func (re *Replica) PeerRevisions() map[string]uint64 {
 	all := make(map[string]uint64, len(re.peers))
 	for peer, have := range re.peers {
@@ -200,10 +199,10 @@
 	return all
 }
 
-// ask asks the peer with the highest revision, unless one that was asked may
-// still answer.
-func (re *Replica) ask(now time.Time) []Action {
-	if re.asked != "" && now.Sub(re.askedAt) < wantTimeout {
+// request requests the configuration from the peer with the highest revision, unless the answer to an
+// earlier request is pending.
+func (re *Replica) request(now time.Time) []Action {
+	if re.requestedFrom != "" && now.Sub(re.requestedAt) < wantTimeout {
 		return nil
 	}
 	best := ""
@@ -213,15 +212,15 @@
 		}
 	}
 	if best == "" {
-		re.asked = ""
+		re.requestedFrom = ""
 		return nil
 	}
-	re.asked, re.askedAt = best, now
-	return []Action{{do: Want, peer: best, revision: re.Revision()}}
+	re.requestedFrom, re.requestedAt = best, now
+	return []Action{{kind: Want, peer: best, revision: re.Revision()}}
 }
 
-// better reports whether a peer is a better one to ask than another: it holds
-// more, or as much and was not the one asked last.
+// better reports whether a peer is a better source than another: it has a higher revision, or the same
+// one and was not the last to be asked.
 func (re *Replica) better(peer, than string) bool {
 	have := re.peers[peer]
 	if have <= re.Revision() {
@@ -230,24 +229,25 @@
 	if than == "" || have > re.peers[than] {
 		return true
 	}
-	return have == re.peers[than] && than == re.asked
+	return have == re.peers[than] && than == re.requestedFrom
 }
 
-// recipients returns peers that are not known to hold the revision in force and
-// were not told of it, at most a number of them unless that is zero: other ones
-// for each revision and process, so that together they reach everybody.
-func (re *Replica) recipients(most int) []string {
+// recipients returns the peers to which the revision in force is to be offered next: those that are not
+// known to have it and were not offered it. If there are more than limit and limit is not zero, it
+// selects by rendezvous hashing other ones for each revision and process, so that all processes
+// together reach every peer.
+func (re *Replica) recipients(limit int) []string {
 	var behind []string
 	for _, peer := range re.sortedPeers() {
-		if re.peers[peer] < re.Revision() && re.told[peer] < re.Revision() {
+		if re.peers[peer] < re.Revision() && re.offered[peer] < re.Revision() {
 			behind = append(behind, peer)
 		}
 	}
-	if most == 0 || len(behind) <= most {
+	if limit == 0 || len(behind) <= limit {
 		return behind
 	}
 	key := re.Self + "/" + strconv.FormatUint(re.Revision(), 10)
-	return rendezvous.Rank(key, behind)[:most]
+	return rendezvous.Rank(key, behind)[:limit]
 }
 
 func (re *Replica) sortedPeers() []string {
--- a/internal/revision/guard.go
+++ b/internal/revision/guard.go
@@ -2,23 +2,24 @@
 
 import "time"
 
-// olderLasts is how long a service must answer from an older era alone until that is taken to be
-// its present one. Single answers of an older era are late, or come from a stale replica.
-const olderLasts = 5 * time.Second
+// eraFallbackDelay is how long all answers of a service must come from older eras until such an era is
+// accepted as the current one. Single answers from an older era are delayed ones, or come from a stale
+// replica.
+const eraFallbackDelay = 5 * time.Second
 
-// Guard refuses answers of an older era than the newest one that is known. The zero value knows
-// none. It is not safe for concurrent use.
+// Guard rejects answers from older eras than the current one. The zero value has no current era. It is
+// not safe for concurrent use.
 type Guard struct {
 	era uint64
-	// olderSince is when the first of the answers came that were all of an older era, zero if
-	// the newest one was not.
+	// olderSince is when the current sequence of answers from older eras began, zero if the latest
+	// answer was not from an older era.
 	olderSince time.Time
 }
 
-// Era returns the era in force, zero if none is known.
+// Era returns the current era, zero if none is known.
 func (gu *Guard) Era() uint64 { return gu.era }
 
-// Accept reports whether an answer of an era may be used.
+// Accept reports whether an answer from an era may be used.
 func (gu *Guard) Accept(era uint64, now time.Time) bool {
 	if era >= gu.era {
 		gu.era, gu.olderSince = era, time.Time{}
@@ -27,7 +28,7 @@
 	if gu.olderSince.IsZero() {
 		gu.olderSince = now
 	}
-	if now.Sub(gu.olderSince) < olderLasts {
+	if now.Sub(gu.olderSince) < eraFallbackDelay {
 		return false
 	}
 	gu.era, gu.olderSince = era, time.Time{}
--- a/internal/revision/revision.go
+++ b/internal/revision/revision.go
@@ -1,6 +1,6 @@
-// Package revision orders positions in the history of the key-value service. A service that is
-// restored from an older copy gives its revisions out again, so that a position is an era and a
-// number together. It does no I/O and reads no clock.
+// Package revision orders positions in the history of the key-value service. A service that is restored
+// from a backup assigns the same revision numbers again, so a position consists of an era and a number.
+// It does no I/O and reads no clock.
 package revision
 
 import (
@@ -11,7 +11,7 @@
 // Revision is a position in the history of the key-value service, or the last change of one of
 // its keys. The fields are exported because codecs need them.
 type Revision struct {
-	// Era counts how often the service was restored, zero if it does not say.
+	// Era counts how often the service was restored, zero if the service does not report it.
 	Era uint64 `cbor:"1,keyasint,omitempty"`
 	// Number is the service's revision. Numbers are comparable within an era only.
 	Number uint64 `cbor:"2,keyasint,omitempty"`
@@ -25,10 +25,10 @@
 // After reports whether a revision is later than another one.
 func (re Revision) After(other Revision) bool { return re.Compare(other) > 0 }
 
-// IsZero reports whether there is no revision.
+// IsZero reports whether the revision is not set.
 func (re Revision) IsZero() bool { return re == Revision{} }
 
-// String returns the era and the number.
+// String returns the era and the number, separated by a slash.
 func (re Revision) String() string {
 	return strconv.FormatUint(re.Era, 10) + "/" + strconv.FormatUint(re.Number, 10)
 }
--- a/internal/revision/revision_test.go
+++ b/internal/revision/revision_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestALaterEraComesAfterAllOfAnEarlierOne(t *testing.T) {
+func TestLaterEraIsAfterAllRevisionsOfAnEarlierOne(t *testing.T) {
 	require.True(t, Revision{Era: 2, Number: 75}.After(Revision{Era: 1, Number: 77}))
 	require.False(t, Revision{Era: 1, Number: 77}.After(Revision{Era: 2, Number: 75}))
 	require.True(t, Revision{Era: 1, Number: 77}.After(Revision{Era: 1, Number: 76}))
@@ -17,7 +17,7 @@
 	require.Equal(t, "2/75", Revision{Era: 2, Number: 75}.String())
 }
 
-func TestARevisionIsPassedOnWithItsEra(t *testing.T) {
+func TestRevisionIsEncodedWithItsEra(t *testing.T) {
 	data, err := cbor.Marshal(Revision{Era: 3, Number: 9})
 	require.NoError(t, err)
 	var re Revision
@@ -25,16 +25,16 @@
 	require.Equal(t, Revision{Era: 3, Number: 9}, re)
 }
 
-func TestLateAnswersOfAnOlderEraAreRefused(t *testing.T) {
+func TestDelayedAnswersFromAnOlderEraAreRejected(t *testing.T) {
 	var gu Guard
 	now := time.Unix(1000, 0)
-	require.True(t, gu.Accept(0, now), "a service that names no era")
+	require.True(t, gu.Accept(0, now), "a service without eras")
 	require.True(t, gu.Accept(4, now))
-	require.True(t, gu.Accept(9, now), "an era that jumps")
+	require.True(t, gu.Accept(9, now), "a gap between eras")
 	require.False(t, gu.Accept(4, now))
-	require.True(t, gu.Accept(9, now.Add(olderLasts)))
-	require.False(t, gu.Accept(4, now.Add(olderLasts)), "others came in between")
-	require.False(t, gu.Accept(4, now.Add(2*olderLasts-1)))
-	require.True(t, gu.Accept(4, now.Add(2*olderLasts)), "no other came for long")
+	require.True(t, gu.Accept(9, now.Add(eraFallbackDelay)))
+	require.False(t, gu.Accept(4, now.Add(eraFallbackDelay)), "after an answer from the current era")
+	require.False(t, gu.Accept(4, now.Add(2*eraFallbackDelay-1)))
+	require.True(t, gu.Accept(4, now.Add(2*eraFallbackDelay)), "only answers from an older era since")
 	require.Equal(t, uint64(4), gu.Era())
 }
