--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -55,9 +55,9 @@
 	return se.ID + "@" + strconv.FormatInt(se.Born, 36)
 }
 
-// Life returns the listed server that has the key, nil if there is none: a later life of it has
+// ByKey returns the listed server that has the key, nil if there is none: a later life of it has
 // another one.
-func (di *Directory) Life(key string) *Server {
+func (di *Directory) ByKey(key string) *Server {
 	id := key
 	if at := strings.LastIndexByte(key, '@'); at >= 0 {
 		id = key[:at]
@@ -142,10 +142,10 @@
 	di.byService = nil
 }
 
-// Leave records that a server announced its shutdown. It gets no new requests for the rest of its life,
+// MarkLeaving records that a server announced its shutdown. It gets no new requests for the rest of its life,
 // whatever its entry says: the entry can't be written while the key-value service is away, and may
-// lapse and reappear. Leave reports whether that is news.
-func (di *Directory) Leave(key string, at time.Time) bool {
+// lapse and reappear. MarkLeaving reports whether that is news.
+func (di *Directory) MarkLeaving(key string, at time.Time) bool {
 	if _, known := di.leaving[key]; known {
 		return false
 	}
@@ -166,8 +166,8 @@
 // Leaving returns the servers that announced their shutdown, by the key of their life.
 func (di *Directory) Leaving() []string { return slices.Sorted(maps.Keys(di.leaving)) }
 
-// Drains reports whether a server gets no new requests, by its entry or its announcement.
-func (di *Directory) Drains(se *Server) bool {
+// IsDraining reports whether a server gets no new requests, by its entry or its announcement.
+func (di *Directory) IsDraining(se *Server) bool {
 	_, leaving := di.leaving[se.Key()]
 	return se.Draining || leaving
 }
@@ -216,7 +216,7 @@
 	if se == nil {
 		return
 	}
-	if di.doubtful(now) && !di.Drains(se) {
+	if di.doubtful(now) && !di.IsDraining(se) {
 		if _, ok := di.missing[id]; !ok {
 			di.missing[id] = di.dropAt(now)
 		}
@@ -225,11 +225,11 @@
 	di.end(se, now)
 }
 
-// StoreLost notes that the key-value service gives no answers.
-func (di *Directory) StoreLost() { di.away = true }
+// StoreUnavailable notes that the key-value service gives no answers.
+func (di *Directory) StoreUnavailable() { di.away = true }
 
-// StoreBack notes that the service answers again.
-func (di *Directory) StoreBack(now time.Time) {
+// StoreAvailable notes that the service answers again.
+func (di *Directory) StoreAvailable(now time.Time) {
 	if !di.away {
 		return
 	}
@@ -249,7 +249,7 @@
 	}
 	di.forgetLives(now)
 	maps.DeleteFunc(di.leaving, func(key string, at time.Time) bool {
-		return now.Sub(at) >= leavingKept && di.Life(key) == nil
+		return now.Sub(at) >= leavingKept && di.ByKey(key) == nil
 	})
 	return dropped
 }
@@ -294,7 +294,7 @@
 func (di *Directory) rebuild() {
 	di.byService = map[string][]*Server{}
 	for _, se := range di.servers {
-		if !di.Drains(se) && !di.evacuated[se.DataCentre] {
+		if !di.IsDraining(se) && !di.evacuated[se.DataCentre] {
 			di.byService[se.Service] = append(di.byService[se.Service], se)
 		}
 	}
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -41,8 +41,8 @@
 	var di Directory
 	di.Put(Server{ID: "a", Service: "s"})
 	di.Put(Server{ID: "b", Service: "s"})
-	di.StoreLost()
-	di.StoreBack(at(10))
+	di.StoreUnavailable()
+	di.StoreAvailable(at(10))
 	di.Remove("a", at(10.1))
 	di.Remove("b", at(10.1))
 	require.Len(t, ids(&di), 2)
@@ -59,7 +59,7 @@
 func TestNothingIsDroppedWhileTheStoreIsAway(t *testing.T) {
 	var di Directory
 	di.Put(Server{ID: "a", Service: "s"})
-	di.StoreLost()
+	di.StoreUnavailable()
 	di.Remove("a", at(1))
 	require.Empty(t, di.Tick(at(60)))
 	require.Len(t, ids(&di), 1)
@@ -107,19 +107,19 @@
 func TestAMissingServerThatLeavesIsDroppedOnce(t *testing.T) {
 	var di Directory
 	di.Put(Server{ID: "a", Service: "s"})
-	di.StoreLost()
+	di.StoreUnavailable()
 	di.Remove("a", at(1))
-	di.StoreBack(at(2))
+	di.StoreAvailable(at(2))
 	di.Put(Server{ID: "a", Service: "s"})
 	di.Remove("a", at(3))
 	di.Put(Server{ID: "a", Service: "s", Draining: true})
 	di.Remove("a", at(3.5))
 	require.Empty(t, di.Tick(at(60)))
 	di.Put(Server{ID: "b", Service: "s"})
-	di.StoreLost()
+	di.StoreUnavailable()
 	di.Remove("b", at(61))
 	di.Drop("b")
-	di.StoreBack(at(62))
+	di.StoreAvailable(at(62))
 	require.Empty(t, di.Tick(at(90)))
 }
 
@@ -166,12 +166,12 @@
 	var di Directory
 	di.Put(Server{ID: "a@b", Service: "s"})
 	di.Put(Server{ID: "c", Born: 1000, Service: "s"})
-	require.NotNil(t, di.Life("a@b"))
-	require.NotNil(t, di.Life(di.Get("c").Key()))
-	require.Nil(t, di.Life("c"))
-	require.Nil(t, di.Life("d"))
+	require.NotNil(t, di.ByKey("a@b"))
+	require.NotNil(t, di.ByKey(di.Get("c").Key()))
+	require.Nil(t, di.ByKey("c"))
+	require.Nil(t, di.ByKey("d"))
 	di.Put(Server{ID: "c", Born: 2000, Service: "s"})
-	require.Nil(t, di.Life((&Server{ID: "c", Born: 1000}).Key()))
+	require.Nil(t, di.ByKey((&Server{ID: "c", Born: 1000}).Key()))
 }
 
 func TestAnnouncedShutdownOutlastsTheEntry(t *testing.T) {
@@ -179,17 +179,17 @@
 	di.Put(Server{ID: "a", Service: "s", Born: 1})
 	di.Put(Server{ID: "b", Service: "s", Born: 1})
 	key := di.Get("a").Key()
-	require.True(t, di.Leave(key, t0))
-	require.False(t, di.Leave(key, at(1)), "no news")
+	require.True(t, di.MarkLeaving(key, t0))
+	require.False(t, di.MarkLeaving(key, at(1)), "no news")
 	require.Equal(t, []string{"b"}, ids(&di))
-	require.True(t, di.Drains(di.Get("a")))
+	require.True(t, di.IsDraining(di.Get("a")))
 
 	di.Put(Server{ID: "a", Service: "s", Born: 1})
 	require.Equal(t, []string{"b"}, ids(&di), "a late entry says that it is ready")
-	di.StoreLost()
+	di.StoreUnavailable()
 	di.Remove("a", at(2))
 	require.Nil(t, di.Get("a"), "a server that leaves is not waited for")
-	di.StoreBack(at(3))
+	di.StoreAvailable(at(3))
 	di.Put(Server{ID: "a", Service: "s", Born: 1})
 	require.Equal(t, []string{"b"}, ids(&di), "its entry reappears")
 	di.Drop("a")
@@ -200,8 +200,8 @@
 func TestAnnouncedShutdownsAreForgottenWithTheirServers(t *testing.T) {
 	var di Directory
 	di.Put(Server{ID: "listed", Service: "s"})
-	di.Leave("listed", t0)
-	di.Leave("gone", t0)
+	di.MarkLeaving("listed", t0)
+	di.MarkLeaving("gone", t0)
 	di.Tick(t0.Add(leavingKept - 1))
 	require.Equal(t, []string{"gone", "listed"}, di.Leaving())
 	di.Tick(t0.Add(leavingKept))
--- a/internal/directory/restored.go
+++ b/internal/directory/restored.go
@@ -24,22 +24,22 @@
 	until time.Time
 }
 
-// Lose takes that a restored service does not hold a server's entry, which it may have lost: the
+// MarkLost takes that a restored service does not hold a server's entry, which it may have lost: the
 // server is used until it had time to write it again. One that leaves is dropped at once.
-func (di *Directory) Lose(id string, now time.Time) {
+func (di *Directory) MarkLost(id string, now time.Time) {
 	se := di.servers[id]
 	switch _, missing := di.missing[id]; {
 	case se == nil || missing:
-	case di.Drains(se):
+	case di.IsDraining(se):
 		di.end(se, now)
 	default:
 		di.missing[id] = now.Add(returnGrace)
 	}
 }
 
-// Revive takes an entry that a restored service lists. It reports whether the life has ended: such
+// Quarantine takes an entry that a restored service lists. It reports whether the life has ended: such
 // a server is not used, unless its entry is still there after a while.
-func (di *Directory) Revive(se Server, now time.Time) bool {
+func (di *Directory) Quarantine(se Server, now time.Time) bool {
 	if di.past[se.life()].ended.IsZero() {
 		return false
 	}
@@ -52,8 +52,8 @@
 	return true
 }
 
-// Revived returns the entries of ended lives that are still there after a while.
-func (di *Directory) Revived(now time.Time) []Server {
+// ReleaseQuarantined returns the entries of ended lives that are still there after a while.
+func (di *Directory) ReleaseQuarantined(now time.Time) []Server {
 	var list []Server
 	for id, re := range di.revived {
 		if !now.Before(re.until) {
--- a/internal/directory/restored_test.go
+++ b/internal/directory/restored_test.go
@@ -15,7 +15,7 @@
 	require.False(t, di.Put(Server{ID: "b", Service: "s", Born: 1, Seq: 2}), "the entry before")
 	require.Equal(t, []string{"a"}, ids(&di))
 
-	di.Lose("b", at(1))
+	di.MarkLost("b", at(1))
 	require.Nil(t, di.Get("b"), "a server that leaves is not waited for")
 	di.Put(Server{ID: "b", Service: "s", Born: 1, Seq: 3})
 	require.Equal(t, []string{"a"}, ids(&di), "its entry reappears")
@@ -29,11 +29,11 @@
 	di.Put(Server{ID: "b", Service: "s", Seq: 1})
 	di.Put(Server{ID: "c", Service: "s", Seq: 1})
 	for _, id := range []string{"a", "b", "c", "none"} {
-		di.Lose(id, t0)
+		di.MarkLost(id, t0)
 	}
 	require.Len(t, ids(&di), 3)
 	di.Put(Server{ID: "a", Service: "s", Seq: 2})
-	di.Lose("b", at(1.9))
+	di.MarkLost("b", at(1.9))
 	require.Empty(t, di.Tick(at(1.9)))
 	require.Len(t, di.Tick(at(2)), 2)
 	require.Equal(t, []string{"a"}, ids(&di))
@@ -48,19 +48,19 @@
 		di.Remove(id, t0)
 	}
 	for _, id := range []string{"ended", "back", "written"} {
-		require.True(t, di.Revive(Server{ID: id, Service: "s", Born: 1, Seq: 4}, at(1)))
+		require.True(t, di.Quarantine(Server{ID: id, Service: "s", Born: 1, Seq: 4}, at(1)))
 	}
-	require.False(t, di.Revive(Server{ID: "ended", Service: "s", Born: 2, Seq: 1}, at(1)), "its next life")
-	require.False(t, di.Revive(Server{ID: "new", Service: "s"}, at(1)))
+	require.False(t, di.Quarantine(Server{ID: "ended", Service: "s", Born: 2, Seq: 1}, at(1)), "its next life")
+	require.False(t, di.Quarantine(Server{ID: "new", Service: "s"}, at(1)))
 	require.Empty(t, ids(&di))
 	di.Put(Server{ID: "written", Service: "s", Born: 1, Seq: 6})
 	require.Equal(t, []string{"written"}, ids(&di), "it writes")
 	di.Remove("ended", at(3))
-	require.Empty(t, di.Revived(at(1).Add(revivedHold-1)))
-	back := di.Revived(at(1).Add(revivedHold))
+	require.Empty(t, di.ReleaseQuarantined(at(1).Add(revivedHold-1)))
+	back := di.ReleaseQuarantined(at(1).Add(revivedHold))
 	require.Len(t, back, 1)
 	require.Equal(t, "back", back[0].ID)
-	require.Empty(t, di.Revived(at(100)))
+	require.Empty(t, di.ReleaseQuarantined(at(100)))
 }
 
 func TestEndedServersAreNamedUnlessTheyAreListedAgain(t *testing.T) {
@@ -79,8 +79,8 @@
 	di.Put(Server{ID: "a", Service: "s"})
 	di.Remove("a", t0)
 	di.Tick(t0.Add(leavingKept - time.Second))
-	require.True(t, di.Revive(Server{ID: "a", Service: "s"}, t0))
+	require.True(t, di.Quarantine(Server{ID: "a", Service: "s"}, t0))
 	di.Tick(t0.Add(leavingKept))
-	require.False(t, di.Revive(Server{ID: "b", Service: "s"}, t0))
+	require.False(t, di.Quarantine(Server{ID: "b", Service: "s"}, t0))
 	require.Empty(t, di.past)
 }
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -29,7 +29,7 @@
 	server directory.Server
 	began  time.Time
 	// offer is how the server was chosen, prompt what it is to read.
-	offer  pool.Offer
+	offer  pool.Selection
 	prompt pool.Prompt
 	cancel context.CancelFunc
 	// answer is nil until the head came.
@@ -85,7 +85,7 @@
 		ex.begun = listed.Version
 	}
 	se.offer, se.prompt = ex.offer, ex.prompt(step.Model())
-	ga.pool.Started(se.server.Key(), se.offer.Read(), now)
+	ga.pool.Started(se.server.Key(), se.offer.PrefillTime(), now)
 	ga.sentTo(se.server, ex.route.Name, now)
 	se.run = ga.runs.Sent(se.server.Key(), ex.print, ex.as.ID, now)
 	ga.waiting[se] = true
@@ -138,7 +138,7 @@
 	ga, took := se.ex.ga, now.Sub(se.began)
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
-	ga.pool.Read(se.server.Key(), se.offer.Read())
+	ga.pool.PrefillDone(se.server.Key(), se.offer.PrefillTime())
 	delete(ga.waiting, se)
 	if se.err == nil {
 		ga.pool.Responded(se.server.Key(), now)
@@ -154,7 +154,7 @@
 	if se.err != nil {
 		return
 	}
-	ga.pool.Took(se.offer, se.prompt, took, now)
+	ga.pool.HeadReceived(se.offer, se.prompt, took, now)
 	failed := se.answer.Status >= direct.ServerFailed
 	ga.observe(se.server, se.ex.route.Name, failed)
 	if !failed && !se.answer.Stream {
@@ -189,7 +189,7 @@
 	if models := ex.request.Models; len(models) > 0 && step.Model() == models[0] {
 		return mostUrgent
 	}
-	return mostUrgent + 1 + ex.priority() + int(ex.offer.Read()/readRank)
+	return mostUrgent + 1 + ex.priority() + int(ex.offer.PrefillTime()/readRank)
 }
 
 func (ex *exchange) priority() int {
--- a/internal/gateway/deliver.go
+++ b/internal/gateway/deliver.go
@@ -183,7 +183,7 @@
 	ga, now := ex.ga, clock.Now()
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
-	ask := ga.restrict(pool.Ask{Service: ex.service, Tried: []string{se.server.ID}, Cold: ga.coldLimit(ex.service)}, ex, now)
+	ask := ga.restrict(pool.Query{Service: ex.service, Tried: []string{se.server.ID}, ColdLimit: ga.coldLimit(ex.service)}, ex, now)
 	_, ok := ga.pool.Pick(ask, 0, now)
 	return ok && ga.window(ex.service).Left(now) >= 1
 }
--- a/internal/gateway/ends.go
+++ b/internal/gateway/ends.go
@@ -122,7 +122,7 @@
 	}
 	suspected := func(pr poison.Print) bool { return ga.cases.Servers(pr) > 0 || ga.blocks.Left(pr, now) > 0 }
 	for _, key := range ga.runs.Unproven(suspected, now) {
-		if se := ga.servers.Life(key); se != nil {
+		if se := ga.servers.ByKey(key); se != nil {
 			ga.probe(ctx, *se, now)
 		}
 	}
--- a/internal/gateway/follow.go
+++ b/internal/gateway/follow.go
@@ -147,7 +147,7 @@
 	ga.mu.Lock()
 	was := ga.fresh.Failed()
 	ga.plan.ServiceFailed(clock.Now())
-	ga.servers.StoreLost()
+	ga.servers.StoreUnavailable()
 	age, began := ga.fresh.Age(clock.Now()), !ga.fresh.Known()
 	ga.mu.Unlock()
 	storeFailures.Inc()
@@ -184,7 +184,7 @@
 
 // regained records that the service answers again. The lock is held.
 func (ga *Gateway) regained() {
-	ga.servers.StoreBack(clock.Now())
+	ga.servers.StoreAvailable(clock.Now())
 	ga.Log.Info().Int("event", int(event.StoreRegained)).Msg(event.Name(event.StoreRegained))
 }
 
--- a/internal/gateway/limits.go
+++ b/internal/gateway/limits.go
@@ -17,7 +17,7 @@
 // receiveLimitNotices applies another gateway's notices of rate limits. The lock is held.
 func (ga *Gateway) receiveLimitNotices(re relay.Report, now time.Time) {
 	for _, no := range re.Limits {
-		if ga.servers.Life(no.Server) == nil {
+		if ga.servers.ByKey(no.Server) == nil {
 			continue
 		}
 		sent, lasts := ga.pool.Limits.Use(no.Server, now)
--- a/internal/gateway/limits_test.go
+++ b/internal/gateway/limits_test.go
@@ -161,9 +161,9 @@
 		"unusable entry": func(ga *Gateway, _ time.Time) { ga.entryUnusable(UnusableServer{ID: "x1"}) },
 		"no entry":       func(ga *Gateway, now time.Time) { ga.serverGone("x1", now) },
 		"lost in an outage": func(ga *Gateway, now time.Time) {
-			ga.servers.StoreLost()
+			ga.servers.StoreUnavailable()
 			ga.serverGone("x1", now)
-			ga.servers.StoreBack(now)
+			ga.servers.StoreAvailable(now)
 			ga.dropMissing(now.Add(time.Minute))
 		},
 	} {
--- a/internal/gateway/loads.go
+++ b/internal/gateway/loads.go
@@ -132,7 +132,7 @@
 	defer ga.mu.Unlock()
 	re := relay.Report{Box: ga.Box, Collector: collector, Work: ga.pool.Work(), Gateways: 1}
 	if collector {
-		re.Work, re.Gateways = ga.loads.Group(re.Work), ga.loads.GroupSize()
+		re.Work, re.Gateways = ga.loads.GroupSum(re.Work), ga.loads.GroupSize()
 	}
 	if !collector {
 		re.Tallies = ga.outgoing()
@@ -171,16 +171,16 @@
 
 // takeGroup takes the report of several gateways; the lock is held.
 func (ga *Gateway) takeGroup(re relay.Report, now time.Time) {
-	ga.loads.TakeGroup(re.Box, re.Work, now)
-	ga.loads.CountGroup(re.Box, re.Gateways)
+	ga.loads.PutGroup(re.Box, re.Work, now)
+	ga.loads.SetGroupSize(re.Box, re.Gateways)
 	ga.resize()
 }
 
 // resize takes the number of gateways that are known. While a report is missing, as when a
 // collector has gone, the others are taken to be there still. The lock is held.
 func (ga *Gateway) resize() {
-	known := max(len(ga.members), 1+ga.loads.Others())
-	if known >= ga.size || ga.loads.Known() {
+	known := max(len(ga.members), 1+ga.loads.OtherGateways())
+	if known >= ga.size || ga.loads.HasReports() {
 		ga.size = known
 		ga.pool.Members = known
 	}
@@ -221,12 +221,12 @@
 	if re.Collector {
 		to = gossip.BetweenCollectors
 		ga.takeGroup(re, now)
-		work, gateways = ga.loads.Group(ga.pool.Work()), ga.loads.GroupSize()
+		work, gateways = ga.loads.GroupSum(ga.pool.Work()), ga.loads.GroupSize()
 	} else {
-		ga.loads.TakeMember(re.Box, re.Work, now)
+		ga.loads.PutMember(re.Box, re.Work, now)
 		ga.resize()
 		ga.gather(re.Tallies)
-		work, gateways = ga.loads.Rest(re.Box, ga.pool.Work()), ga.loads.Others()
+		work, gateways = ga.loads.SumExcept(re.Box, ga.pool.Work()), ga.loads.OtherGateways()
 	}
 	answer := relay.Report{
 		Box: ga.Box, Collector: true, Work: work.Busiest(loadServers), Ready: ga.isReady(now), Gateways: gateways,
--- a/internal/gateway/loads_test.go
+++ b/internal/gateway/loads_test.go
@@ -18,7 +18,7 @@
 	ga := re.gateways[box]
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
-	return ga.loads.On("s"), ga.loads.Known()
+	return ga.loads.OnServer("s"), ga.loads.HasReports()
 }
 
 // start notes attempts of a gateway at the server s.
--- a/internal/gateway/models.go
+++ b/internal/gateway/models.go
@@ -105,8 +105,8 @@
 		}
 		op.Price, op.Head = ex.price(i), unreachable
 		if of, ok := ga.pool.Pick(ex.askFor(model, nil, now), 0, now); ok {
-			op.Head = of.Head()
-			op.Load = of.Read().Seconds() / usual.Seconds()
+			op.Head = of.TimeToHead()
+			op.Load = of.PrefillTime().Seconds() / usual.Seconds()
 		}
 	}
 }
@@ -145,7 +145,7 @@
 	ga, models := ex.ga, ex.request.Models
 	own := ownPart*float64(ex.as.PromptTokens) + (1-ownPart)*ga.prompts.means[ex.route.Name]
 	tokens := math.Sqrt(max(1, own) * max(1, ga.prompts.means[ex.service]))
-	return max(time.Microsecond, ga.pool.ReadTime(ex.prompt(models[len(models)-1]), tokens))
+	return max(time.Microsecond, ga.pool.PrefillTime(ex.prompt(models[len(models)-1]), tokens))
 }
 
 // ownPart is the part of a prompt's worth that grows with its size, by the users' rules.
@@ -159,11 +159,11 @@
 		return pool.Prompt{}
 	}
 	pr := pool.Prompt{
-		Model: ex.modelKey(model), PerToken: ex.perToken(model), Start: start,
-		Shared: shared, Own: max(0, as.PromptTokens-shared), KB: float64(len(ex.body)) / 1000,
+		Model: ex.modelKey(model), PrefillPerToken: ex.perToken(model), PrefixID: start,
+		PrefixTokens: shared, SuffixTokens: max(0, as.PromptTokens-shared), SizeKB: float64(len(ex.body)) / 1000,
 	}
 	if n := len(as.Prompt); n > 1 {
-		pr.Whole = as.Prompt[n-1].ID
+		pr.FullID = as.Prompt[n-1].ID
 	}
 	return pr
 }
--- a/internal/gateway/rollouts.go
+++ b/internal/gateway/rollouts.go
@@ -154,23 +154,23 @@
 
 // restrict narrows an attempt to the version that its session belongs to, or for
 // a request without one to the version that it drew. The lock is held.
-func (ga *Gateway) restrict(ask pool.Ask, ex *exchange, now time.Time) pool.Ask {
+func (ga *Gateway) restrict(ask pool.Query, ex *exchange, now time.Time) pool.Query {
 	ro := ga.rollouts[ask.Service]
 	if ro == nil {
 		return ask
 	}
-	ask.Version, ask.Without = ro.order.Plan.Version, ro.withdrawn
-	ask.Only = ro.goesToNew(ex, now)
-	ask.Except = !ask.Only
+	ask.Version, ask.ExcludedVersions = ro.order.Plan.Version, ro.withdrawn
+	ask.OnlyVersion = ro.goesToNew(ex, now)
+	ask.ExceptVersion = !ask.OnlyVersion
 	if ro.canary.Phase() == rollout.Failed {
 		return ask
 	}
-	if !ga.pool.Any(ask) {
+	if !ga.pool.HasEligible(ask) {
 		// No server of that version is there (yet or any more).
-		ask.Only, ask.Except = ask.Except, ask.Only
+		ask.OnlyVersion, ask.ExceptVersion = ask.ExceptVersion, ask.OnlyVersion
 	}
-	if ask.Only && ro.canary.Phase() == rollout.Trying {
-		ask.Few, ask.FewKey = ro.canary.TrialServers(ga.pool.Count(ask)), ro.order.Revision.Number
+	if ask.OnlyVersion && ro.canary.Phase() == rollout.Trying {
+		ask.SubsetSize, ask.SubsetKey = ro.canary.TrialServers(ga.pool.CountEligible(ask)), ro.order.Revision.Number
 	}
 	return ask
 }
@@ -260,7 +260,7 @@
 	}
 	if next.Phase == rollout.Trying && next.Shares == nil {
 		plan := ro.order.Plan
-		plan.Servers = ga.pool.Count(pool.Ask{Service: plan.Service, Version: plan.Version, Only: true})
+		plan.Servers = ga.pool.CountEligible(pool.Query{Service: plan.Service, Version: plan.Version, OnlyVersion: true})
 		next.Shares, next.Burst = plan.Shares(ga.demand(plan.Service).All(now))
 	}
 	return next, due || !known || kept.Phase != next.Phase || ga.isOld(ro, kept, next, now)
--- a/internal/gateway/rollouts_test.go
+++ b/internal/gateway/rollouts_test.go
@@ -140,7 +140,7 @@
 	picked := map[string]bool{}
 	for i := range 400 {
 		ex := &exchange{ga: ga, route: &routing.Route{Name: "r"}, service: "s", session: fmt.Sprint("session-", i)}
-		if of, ok := ga.pool.Pick(ga.restrict(pool.Ask{Service: "s"}, ex, time.Now()), uint64(i), time.Now()); ok {
+		if of, ok := ga.pool.Pick(ga.restrict(pool.Query{Service: "s"}, ex, time.Now()), uint64(i), time.Now()); ok {
 			picked[of.Server().Version] = true
 		}
 	}
@@ -194,7 +194,7 @@
 	list(ga, "v1", "v2")
 	now := time.Now()
 	version := func(ex *exchange) string {
-		of, ok := ga.pool.Pick(ga.restrict(pool.Ask{Service: "s"}, ex, now), 1, now)
+		of, ok := ga.pool.Pick(ga.restrict(pool.Query{Service: "s"}, ex, now), 1, now)
 		require.True(t, ok)
 		return of.Server().Version
 	}
--- a/internal/gateway/selfreports.go
+++ b/internal/gateway/selfreports.go
@@ -78,7 +78,7 @@
 // serverLeaves takes a server out of use that announced its shutdown, and propagates that to other
 // gateways. The lock is held.
 func (ga *Gateway) serverLeaves(key string, at time.Time, hops uint8, detail string) {
-	if !ga.servers.Leave(key, at) {
+	if !ga.servers.MarkLeaving(key, at) {
 		return
 	}
 	ga.leavingNews.Learn(key, hops, clock.Now())
@@ -95,7 +95,7 @@
 		}
 	}
 	for _, no := range re.Pauses {
-		if no.Valid() && ga.servers.Life(no.Server) != nil && ga.pool.Pauses.Told(no.Server, no.Lasts-no.Age, now) {
+		if no.Valid() && ga.servers.ByKey(no.Server) != nil && ga.pool.Pauses.Told(no.Server, no.Lasts-no.Age, now) {
 			ga.pauseNews.Learn(no.Server, no.Hops+1, now)
 		}
 	}
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -96,7 +96,7 @@
 	// there was one.
 	begun string
 	// offer is the server chosen last.
-	offer pool.Offer
+	offer pool.Selection
 	// choice is what a model was last chosen by, smallest the confidence of the smallest
 	// model's answer.
 	choice   modelChoice
@@ -203,13 +203,13 @@
 func (ex *exchange) Wait(model string, tried []string, now time.Time) time.Duration {
 	ex.ga.mu.Lock()
 	defer ex.ga.mu.Unlock()
-	return ex.ga.pool.Wait(ex.askFor(model, tried, now), now)
+	return ex.ga.pool.RetryAfter(ex.askFor(model, tried, now), now)
 }
 
 // askFor returns what an attempt needs; the lock is held.
-func (ex *exchange) askFor(model string, tried []string, now time.Time) pool.Ask {
-	ask := pool.Ask{
-		Service: ex.service, Tried: tried, Prompt: ex.prompt(model), Cold: ex.ga.coldLimit(ex.service), Alone: ex.trial,
+func (ex *exchange) askFor(model string, tried []string, now time.Time) pool.Query {
+	ask := pool.Query{
+		Service: ex.service, Tried: tried, Prompt: ex.prompt(model), ColdLimit: ex.ga.coldLimit(ex.service), PreferIdle: ex.trial,
 		// Only first attempts probe: a request that was rejected would be again.
 		Probe: len(ex.attempts) == 0,
 	}
@@ -255,7 +255,7 @@
 	if model == "" {
 		return usual
 	}
-	return max(usual, expectedTimes*ex.offer.Head())
+	return max(usual, expectedTimes*ex.offer.TimeToHead())
 }
 
 // run carries out the decisions until the request has its answer.
--- a/internal/gateway/servers.go
+++ b/internal/gateway/servers.go
@@ -31,7 +31,7 @@
 		ga.noteServer(event.ServerListed, se.ID, se.Service+" "+se.Version+" "+se.Address)
 	case se.Born != old.Born:
 		ga.noteEnded(old.Key(), "it has started again", now)
-		ga.pool.ForgetLife(old.Key())
+		ga.pool.ForgetInstance(old.Key())
 		ga.noteServer(event.ServerRestarted, se.ID, se.Service+" "+se.Version+" "+se.Address)
 	case se.Draining && !old.Draining:
 		ga.noteServer(event.ServerDraining, se.ID, se.Service)
@@ -42,7 +42,7 @@
 // serverGone takes the end of a server's entry; the lock is held.
 func (ga *Gateway) serverGone(id string, now time.Time) {
 	key := ga.keyOf(id)
-	if se := ga.servers.Get(id); se != nil && !ga.servers.Drains(se) && ga.runs.Broken(key, now) {
+	if se := ga.servers.Get(id); se != nil && !ga.servers.IsDraining(se) && ga.runs.Broken(key, now) {
 		// A machine that is gone with its server refuses no connection.
 		ga.noteEnded(key, "it broke off and its entry ended", now)
 	}
@@ -74,7 +74,7 @@
 		switch {
 		case listed[se.ID]:
 		case restored:
-			ga.servers.Lose(se.ID, now)
+			ga.servers.MarkLost(se.ID, now)
 		default:
 			ga.serverGone(se.ID, now)
 		}
@@ -84,7 +84,7 @@
 // revives reports whether a restored service lists a server that has ended, which is not used for
 // a while. The lock is held.
 func (ga *Gateway) revives(se directory.Server, now time.Time) bool {
-	if !ga.servers.Revive(se, now) {
+	if !ga.servers.Quarantine(se, now) {
 		return false
 	}
 	ga.noteServer(event.ServerRevived, se.ID, se.Service)
@@ -180,7 +180,7 @@
 // countFleet takes how many gateways there may be; the lock is held.
 func (ga *Gateway) countFleet(now time.Time) {
 	ga.fleet.Observe(ga.size, now)
-	ga.pool.Fleet = ga.fleet.Most(now)
+	ga.pool.MaxMembers = ga.fleet.Most(now)
 }
 
 // dropMissing drops the servers whose entries did not come back, and lists those whose entries
@@ -188,7 +188,7 @@
 func (ga *Gateway) dropMissing(now time.Time) {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
-	for _, se := range ga.servers.Revived(now) {
+	for _, se := range ga.servers.ReleaseQuarantined(now) {
 		ga.putServer(se, now)
 	}
 	for _, se := range ga.servers.Tick(now) {
--- a/internal/gateway/servers_test.go
+++ b/internal/gateway/servers_test.go
@@ -43,7 +43,7 @@
 		Bounds: Bounds{RetryRatio: 1, RetryWindow: time.Second, ColdRatio: 1.5, ColdExtra: 5},
 	}
 	ga.prepare()
-	ga.pool.Fleet = 1
+	ga.pool.MaxMembers = 1
 	all := append([]Change{{Document: coldDocument()}, serverChange("x0", "dc0"), serverChange("x1", "dc1"), serverChange("x2", "dc2")}, changes...)
 	if err := ga.takeRead(State{Revision: rev(1), Changes: all}, time.Now()); err != nil {
 		panic(err)
@@ -155,7 +155,7 @@
 	}
 	ex := &exchange{ga: ga, as: &Ask{}, route: &routing.Route{Name: "r"}, service: "s", session: "any"}
 	ask := ex.askFor("", nil, now)
-	require.True(t, ask.Only)
+	require.True(t, ask.OnlyVersion)
 	require.Equal(t, "v2", ask.Version)
 }
 
@@ -189,7 +189,7 @@
 func TestAnUnusableEntryTakesItsServerOutOfUse(t *testing.T) {
 	now := time.Now()
 	ga, log := newServing()
-	ga.servers.StoreLost()
+	ga.servers.StoreUnavailable()
 	ga.change(Change{Unusable: &UnusableServer{ID: "x1", Reason: "a field is missing"}})
 	require.Equal(t, map[string]bool{"x0": true, "x2": true}, servedBy(ga, now), "at once, whatever the store does")
 	for range 50 {
@@ -244,7 +244,7 @@
 	began := time.Now()
 	for i := range fleet {
 		ga, _ := newServing(Change{Gone: "x0"}, Change{Gone: "x1"}, Change{Gone: "x2"})
-		ga.Log, ga.Box, ga.pool.Box, ga.pool.Fleet = zerolog.Nop(), fmt.Sprint("box-", i), fmt.Sprint("box-", i), gateways
+		ga.Log, ga.Box, ga.pool.Box, ga.pool.MaxMembers = zerolog.Nop(), fmt.Sprint("box-", i), fmt.Sprint("box-", i), gateways
 		for s := range servers {
 			se := serverChange(fmt.Sprint("y", s), fmt.Sprint("dc", s%3))
 			se.Server.ColdFor = 3 * time.Second
--- a/internal/gateway/trials.go
+++ b/internal/gateway/trials.go
@@ -52,7 +52,7 @@
 func (ga *Gateway) takeTrial(ex *exchange, now time.Time) bool {
 	pr := ex.print
 	trial, due := ga.blocks.Trial(pr, now)
-	if trial == 0 || !ga.triesFor(pr, trial, due) || !ga.pool.AnyIdle(ex.askFor("", nil, now), now) {
+	if trial == 0 || !ga.triesFor(pr, trial, due) || !ga.pool.HasIdle(ex.askFor("", nil, now), now) {
 		return false
 	}
 	ga.blocks.Try(pr, trial, now)
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -84,8 +84,8 @@
 	ofMembers, ofAll Work
 }
 
-// TakeMember takes the report of a single gateway.
-func (ta *Table) TakeMember(box string, wo Work, now time.Time) {
+// PutMember takes the report of a single gateway.
+func (ta *Table) PutMember(box string, wo Work, now time.Time) {
 	ta.prepare()
 	ta.dropMember(box)
 	ta.members[box] = report{work: wo, at: now, gateways: 1}
@@ -93,16 +93,16 @@
 	ta.ofAll.add(wo)
 }
 
-// TakeGroup takes the sum that a collector reports.
-func (ta *Table) TakeGroup(box string, wo Work, now time.Time) {
+// PutGroup takes the sum that a collector reports.
+func (ta *Table) PutGroup(box string, wo Work, now time.Time) {
 	ta.prepare()
 	ta.dropGroup(box)
 	ta.groups[box] = report{work: wo, at: now}
 	ta.ofAll.add(wo)
 }
 
-// CountGroup notes how many gateways the newest report of a collector is of.
-func (ta *Table) CountGroup(box string, gateways int) {
+// SetGroupSize notes how many gateways the newest report of a collector is of.
+func (ta *Table) SetGroupSize(box string, gateways int) {
 	if re, ok := ta.groups[box]; ok {
 		re.gateways = gateways
 		ta.groups[box] = re
@@ -112,8 +112,8 @@
 // GroupSize returns how many gateways the sum that Group returns is of.
 func (ta *Table) GroupSize() int { return 1 + len(ta.members) }
 
-// Others returns how many other gateways have reported, themselves or through a collector.
-func (ta *Table) Others() int {
+// OtherGateways returns how many other gateways have reported, themselves or through a collector.
+func (ta *Table) OtherGateways() int {
 	others := len(ta.members)
 	for _, re := range ta.groups {
 		others += re.gateways
@@ -154,18 +154,18 @@
 	}
 }
 
-// Known reports whether there is any report.
-func (ta *Table) Known() bool { return len(ta.members)+len(ta.groups) > 0 }
+// HasReports reports whether there is any report.
+func (ta *Table) HasReports() bool { return len(ta.members)+len(ta.groups) > 0 }
 
-// On returns the work of all other gateways in progress on a server, in attempts.
-func (ta *Table) On(id string) uint32 { return ta.ofAll[KeyOf(id)] }
+// OnServer returns the work of all other gateways in progress on a server, in attempts.
+func (ta *Table) OnServer(id string) uint32 { return ta.ofAll[KeyOf(id)] }
 
-// Group returns what a collector reports to another one.
-func (ta *Table) Group(own Work) Work { return own.plus(ta.ofMembers) }
+// GroupSum returns what a collector reports to another one.
+func (ta *Table) GroupSum(own Work) Work { return own.plus(ta.ofMembers) }
 
-// Rest returns what a collector tells a gateway of its group: everything but that
+// SumExcept returns what a collector tells a gateway of its group: everything but that
 // gateway's own work.
-func (ta *Table) Rest(box string, own Work) Work {
+func (ta *Table) SumExcept(box string, own Work) Work {
 	rest := own.plus(ta.ofAll)
 	rest.subtract(ta.members[box].work)
 	return rest
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -13,35 +13,35 @@
 
 func TestWorkOfOthersIsAddedUp(t *testing.T) {
 	var ta Table
-	require.False(t, ta.Known())
-	require.Zero(t, ta.On("s"))
-	ta.TakeMember("a", Work{KeyOf("s"): 3}, now)
-	ta.TakeGroup("b", Work{KeyOf("s"): 4, KeyOf("t"): 1}, now)
-	require.True(t, ta.Known())
-	require.EqualValues(t, 7, ta.On("s"))
+	require.False(t, ta.HasReports())
+	require.Zero(t, ta.OnServer("s"))
+	ta.PutMember("a", Work{KeyOf("s"): 3}, now)
+	ta.PutGroup("b", Work{KeyOf("s"): 4, KeyOf("t"): 1}, now)
+	require.True(t, ta.HasReports())
+	require.EqualValues(t, 7, ta.OnServer("s"))
 	own := Work{KeyOf("s"): 10}
-	require.Equal(t, Work{KeyOf("s"): 13}, ta.Group(own), "what other groups do is theirs to report")
-	require.Equal(t, Work{KeyOf("s"): 14, KeyOf("t"): 1}, ta.Rest("a", own))
+	require.Equal(t, Work{KeyOf("s"): 13}, ta.GroupSum(own), "what other groups do is theirs to report")
+	require.Equal(t, Work{KeyOf("s"): 14, KeyOf("t"): 1}, ta.SumExcept("a", own))
 	require.Equal(t, Work{KeyOf("s"): 10}, own, "an argument is left as it is")
 }
 
 func TestANewReportReplacesTheOldOne(t *testing.T) {
 	var ta Table
-	ta.TakeMember("a", Work{KeyOf("s"): 3}, now)
-	ta.TakeMember("a", Work{KeyOf("t"): 1}, now)
-	require.Zero(t, ta.On("s"))
-	require.EqualValues(t, 1, ta.On("t"))
+	ta.PutMember("a", Work{KeyOf("s"): 3}, now)
+	ta.PutMember("a", Work{KeyOf("t"): 1}, now)
+	require.Zero(t, ta.OnServer("s"))
+	require.EqualValues(t, 1, ta.OnServer("t"))
 }
 
 func TestOldReportsAreDropped(t *testing.T) {
 	var ta Table
-	ta.TakeMember("a", Work{KeyOf("s"): 3}, now)
-	ta.TakeGroup("b", Work{KeyOf("s"): 4}, now.Add(time.Second))
+	ta.PutMember("a", Work{KeyOf("s"): 3}, now)
+	ta.PutGroup("b", Work{KeyOf("s"): 4}, now.Add(time.Second))
 	ta.Expire(now.Add(time.Second))
-	require.EqualValues(t, 4, ta.On("s"))
+	require.EqualValues(t, 4, ta.OnServer("s"))
 	ta.Expire(now.Add(2 * time.Second))
-	require.False(t, ta.Known())
-	require.Zero(t, ta.On("s"))
+	require.False(t, ta.HasReports())
+	require.Zero(t, ta.OnServer("s"))
 }
 
 func TestTheBusiestServersAreTold(t *testing.T) {
@@ -81,10 +81,10 @@
 			}
 			switch rapid.IntRange(0, 2).Draw(rt, "what") {
 			case 0:
-				ta.TakeMember(box, wo, at)
+				ta.PutMember(box, wo, at)
 				na.members[box] = report{work: wo, at: at}
 			case 1:
-				ta.TakeGroup(box, wo, at)
+				ta.PutGroup(box, wo, at)
 				na.groups[box] = report{work: wo, at: at}
 			default:
 				before := at.Add(-500 * time.Millisecond)
@@ -93,10 +93,10 @@
 				expire(na.groups, before)
 			}
 		}
-		if got, want := ta.Group(nil), na.sum(na.members); fmt.Sprint(got) != fmt.Sprint(want) {
+		if got, want := ta.GroupSum(nil), na.sum(na.members); fmt.Sprint(got) != fmt.Sprint(want) {
 			rt.Fatalf("group %v, naive %v", got, want)
 		}
-		if got, want := ta.Rest("none", nil), na.sum(na.members, na.groups); fmt.Sprint(got) != fmt.Sprint(want) {
+		if got, want := ta.SumExcept("none", nil), na.sum(na.members, na.groups); fmt.Sprint(got) != fmt.Sprint(want) {
 			rt.Fatalf("rest %v, naive %v", got, want)
 		}
 	})
--- a/internal/pool/observe.go
+++ b/internal/pool/observe.go
@@ -14,24 +14,24 @@
 	po.outliers.Sent(id, now)
 }
 
-// Read records that the prompt of an attempt was read or dropped.
-func (po *Pool) Read(id string, read time.Duration) {
+// PrefillDone records that the prompt of an attempt was read or dropped.
+func (po *Pool) PrefillDone(id string, read time.Duration) {
 	po.reading[id] = max(0, po.reading[id]-read)
 }
 
-// Took records the time from an offer to the head of the answer.
-func (po *Pool) Took(of Offer, pr Prompt, took time.Duration, now time.Time) {
+// HeadReceived records the time from an offer to the head of the answer.
+func (po *Pool) HeadReceived(of Selection, pr Prompt, took time.Duration, now time.Time) {
 	id := of.server.Key()
-	if pr.Start == "" {
+	if pr.PrefixID == "" {
 		return
 	}
 	known := po.holdings.has(id, pr.start(), now)
-	again := pr.Whole != "" && po.holdings.has(anyServer, pr.whole(), now)
+	again := pr.FullID != "" && po.holdings.has(anyServer, pr.whole(), now)
 	if !again {
 		po.learn(of, pr, took-headOverhead, known)
 	}
 	po.holdings.add(id, pr.start(), now)
-	if pr.Whole != "" {
+	if pr.FullID != "" {
 		po.holdings.add(id, pr.whole(), now)
 		po.holdings.add(anyServer, pr.whole(), now)
 	}
@@ -39,8 +39,8 @@
 
 // learn updates the model's reading speed from a prompt that no server had read before, and the
 // chance that a server holds a prompt's start.
-func (po *Pool) learn(of Offer, pr Prompt, took time.Duration, known bool) {
-	po.speeds.Observe(pr.Model, pr.Own, took)
+func (po *Pool) learn(of Selection, pr Prompt, took time.Duration, known bool) {
+	po.speeds.Observe(pr.Model, pr.SuffixTokens, took)
 	re := po.readingOf(pr)
 	if known || re.shared < leastTellingRead {
 		return
@@ -86,8 +86,8 @@
 	delete(po.responses, id)
 }
 
-// ForgetLife drops all state of a server's life that has ended.
-func (po *Pool) ForgetLife(id string) {
+// ForgetInstance drops all state of a server's life that has ended.
+func (po *Pool) ForgetInstance(id string) {
 	po.Forget(id)
 	po.Limits.Forget(id)
 }
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -31,45 +31,45 @@
 	longestQuotaWait = time.Second
 )
 
-// Ask describes an attempt that needs a server.
-type Ask struct {
+// Query describes an attempt that needs a server.
+type Query struct {
 	Service string
 	// Version restricts the choice to servers of one version if Only is set,
 	// and to servers of any other version if Except is set.
 	Version      string
-	Only, Except bool
-	// Without holds versions that are not used.
-	Without []string
+	OnlyVersion, ExceptVersion bool
+	// ExcludedVersions holds versions that are not used.
+	ExcludedVersions []string
 	// Prompt is what the server is to read, the zero value for a plain service.
 	Prompt Prompt
 	// Tried holds the ids of servers that are not to be chosen again.
 	Tried []string
-	// Few restricts the choice to that many servers, the same in all processes for the same key;
+	// SubsetSize restricts the choice to that many servers, the same in all processes for the same key;
 	// zero for all.
-	Few    int
-	FewKey uint64
-	// Alone asks for a server that runs nothing else, if there is one.
-	Alone bool
+	SubsetSize    int
+	SubsetKey uint64
+	// PreferIdle asks for a server that runs nothing else, if there is one.
+	PreferIdle bool
 	// Probe allows a server that may still reject everything after its pause.
 	Probe bool
-	// Cold is the rate limit of cold servers.
-	Cold quota.Limit
+	// ColdLimit is the rate limit of cold servers.
+	ColdLimit quota.Limit
 }
 
 // fits reports whether a server is eligible for an attempt, now or later.
-func (ask *Ask) fits(se *directory.Server) bool {
+func (ask *Query) fits(se *directory.Server) bool {
 	switch {
-	case slices.Contains(ask.Tried, se.ID), slices.Contains(ask.Without, se.Version):
+	case slices.Contains(ask.Tried, se.ID), slices.Contains(ask.ExcludedVersions, se.Version):
 		return false
-	case ask.Only:
+	case ask.OnlyVersion:
 		return se.Version == ask.Version
 	default:
-		return !ask.Except || se.Version != ask.Version
+		return !ask.ExceptVersion || se.Version != ask.Version
 	}
 }
 
-// Offer is a server for an attempt and the expected time to the head of its answer.
-type Offer struct {
+// Selection is a server for an attempt and the expected time to the head of its answer.
+type Selection struct {
 	server *directory.Server
 	// home is set if the server ranks first for the prompt by rendezvous hashing.
 	home       bool
@@ -77,13 +77,13 @@
 }
 
 // Server returns the server.
-func (of Offer) Server() *directory.Server { return of.server }
+func (of Selection) Server() *directory.Server { return of.server }
 
-// Read returns the expected time for reading the prompt.
-func (of Offer) Read() time.Duration { return of.read }
+// PrefillTime returns the expected time for reading the prompt.
+func (of Selection) PrefillTime() time.Duration { return of.read }
 
-// Head returns the expected time until the head of the answer, the server's backlog included.
-func (of Offer) Head() time.Duration { return of.wait + of.read + headOverhead }
+// TimeToHead returns the expected time until the head of the answer, the server's backlog included.
+func (of Selection) TimeToHead() time.Duration { return of.wait + of.read + headOverhead }
 
 // Pool is what one process knows of the backend servers. Its exported fields
 // are set before use; it is not safe for concurrent use.
@@ -94,9 +94,9 @@
 	// Members is the number of processes that share the servers, this one included. It may
 	// change at any time.
 	Members int
-	// Fleet is the most processes that there may be, recently unreachable ones included. It may
+	// MaxMembers is the most processes that there may be, recently unreachable ones included. It may
 	// change at any time.
-	Fleet int
+	MaxMembers int
 	// Loads holds the work of the other processes.
 	Loads *load.Table
 	// Warmup tracks cold servers.
@@ -124,11 +124,11 @@
 
 // Pick returns a server for an attempt. If every server that fits is avoided or was ejected, it
 // returns one of them rather than none.
-func (po *Pool) Pick(ask Ask, random uint64, now time.Time) (Offer, bool) {
+func (po *Pool) Pick(ask Query, random uint64, now time.Time) (Selection, bool) {
 	po.usable, po.avoided, po.ejected = po.usable[:0], po.avoided[:0], po.ejected[:0]
 	for _, se := range po.Directory.Servers(ask.Service) {
 		switch {
-		case !ask.fits(se), !po.accepts(se, ask.Cold, now):
+		case !ask.fits(se), !po.accepts(se, ask.ColdLimit, now):
 		case !po.outliers.Usable(se.Key(), now):
 			po.ejected = append(po.ejected, se)
 		case po.avoids(se, ask.Probe, now):
@@ -145,28 +145,28 @@
 		list = po.ejected
 	}
 	if len(list) == 0 {
-		return Offer{}, false
+		return Selection{}, false
 	}
-	if ask.Few > 0 && ask.Few < len(list) {
-		list = few(list, ask.Few, ask.FewKey)
+	if ask.SubsetSize > 0 && ask.SubsetSize < len(list) {
+		list = few(list, ask.SubsetSize, ask.SubsetKey)
 	}
 	if se := po.silent(list, now); se != nil {
 		list = []*directory.Server{se}
 	}
-	if ask.Alone {
+	if ask.PreferIdle {
 		list = po.idle(list)
 	}
-	if ask.Prompt.Start != "" {
+	if ask.Prompt.PrefixID != "" {
 		return po.holder(list, ask.Prompt, now), true
 	}
-	return Offer{server: po.leastLoaded(list, random)}, true
+	return Selection{server: po.leastLoaded(list, random)}, true
 }
 
 // waitFor returns how long this process has to wait before it may send to a server: for quotas that
 // all processes share, and for a pause that the server asked for. Every way of sending an attempt has
 // to check it, since a paused server looks idle.
 func (po *Pool) waitFor(se *directory.Server, cold quota.Limit, now time.Time) (quotas, pause time.Duration) {
-	gw := quota.Gateway{Box: po.Box, Fleet: po.Fleet}
+	gw := quota.Gateway{Box: po.Box, Fleet: po.MaxMembers}
 	quotas = max(po.Warmup.Wait(se.Key(), cold, gw, now), po.Limits.Wait(se.Key(), gw, now))
 	return quotas, po.Pauses.Left(se.Key(), now)
 }
@@ -194,14 +194,14 @@
 	return nil
 }
 
-// Wait returns the Retry-After if no eligible server may be sent to now, zero otherwise.
-func (po *Pool) Wait(ask Ask, now time.Time) time.Duration {
+// RetryAfter returns the Retry-After if no eligible server may be sent to now, zero otherwise.
+func (po *Pool) RetryAfter(ask Query, now time.Time) time.Duration {
 	least := time.Duration(0)
 	for _, se := range po.Directory.Servers(ask.Service) {
 		if !ask.fits(se) {
 			continue
 		}
-		quotas, pause := po.waitFor(se, ask.Cold, now)
+		quotas, pause := po.waitFor(se, ask.ColdLimit, now)
 		wait := max(pause, min(quotas, longestQuotaWait))
 		if wait == 0 {
 			return 0
@@ -228,10 +228,10 @@
 	return idle
 }
 
-// AnyIdle reports whether an attempt may go to a server that runs nothing else.
-func (po *Pool) AnyIdle(ask Ask, now time.Time) bool {
+// HasIdle reports whether an attempt may go to a server that runs nothing else.
+func (po *Pool) HasIdle(ask Query, now time.Time) bool {
 	return slices.ContainsFunc(po.Directory.Servers(ask.Service), func(se *directory.Server) bool {
-		return ask.fits(se) && po.attempts(se.Key()) == 0 && po.accepts(se, ask.Cold, now) && po.outliers.Usable(se.Key(), now)
+		return ask.fits(se) && po.attempts(se.Key()) == 0 && po.accepts(se, ask.ColdLimit, now) && po.outliers.Usable(se.Key(), now)
 	})
 }
 
@@ -243,8 +243,8 @@
 	return list[:n]
 }
 
-// Count returns the number of eligible servers, whether or not they may be sent to now.
-func (po *Pool) Count(ask Ask) int {
+// CountEligible returns the number of eligible servers, whether or not they may be sent to now.
+func (po *Pool) CountEligible(ask Query) int {
 	n := 0
 	for _, se := range po.Directory.Servers(ask.Service) {
 		if ask.fits(se) {
@@ -254,13 +254,13 @@
 	return n
 }
 
-// Any reports whether there is an eligible server, whether or not it may be sent to now.
-func (po *Pool) Any(ask Ask) bool {
+// HasEligible reports whether there is an eligible server, whether or not it may be sent to now.
+func (po *Pool) HasEligible(ask Query) bool {
 	return slices.ContainsFunc(po.Directory.Servers(ask.Service), ask.fits)
 }
 
 // Reserve records that an attempt will be made at the server of an offer.
-func (po *Pool) Reserve(of Offer, now time.Time) {
+func (po *Pool) Reserve(of Selection, now time.Time) {
 	po.Warmup.Sent(of.server.Key(), now)
 	po.Limits.Sent(of.server.Key(), now)
 	po.Pauses.Sent(of.server.Key(), now)
@@ -270,17 +270,17 @@
 // between servers are not included.
 func (po *Pool) load(id string) time.Duration {
 	own := po.reading[id] + attemptWork*time.Duration(po.running[id])
-	if po.Loads.Known() {
-		return own + attemptWork*time.Duration(po.Loads.On(id))
+	if po.Loads.HasReports() {
+		return own + attemptWork*time.Duration(po.Loads.OnServer(id))
 	}
 	return time.Duration(float64(own) * max(1, crowdPart*float64(po.Members)))
 }
 
-// ReadTime returns how long a typical server reads that many tokens of a prompt's model.
-func (po *Pool) ReadTime(pr Prompt, tokens float64) time.Duration {
+// PrefillTime returns how long a typical server reads that many tokens of a prompt's model.
+func (po *Pool) PrefillTime(pr Prompt, tokens float64) time.Duration {
 	per, ok := po.speeds.PerToken(pr.Model)
 	if !ok {
-		per = float64(pr.PerToken)
+		per = float64(pr.PrefillPerToken)
 	}
 	return time.Duration(per * tokens)
 }
@@ -299,7 +299,7 @@
 }
 
 // attempts returns the known attempts in progress on a server.
-func (po *Pool) attempts(id string) int { return po.running[id] + int(po.Loads.On(id)) }
+func (po *Pool) attempts(id string) int { return po.running[id] + int(po.Loads.OnServer(id)) }
 
 // Work returns this process's work in progress by server, for a report.
 func (po *Pool) Work() load.Work {
@@ -331,5 +331,5 @@
 
 // Tick drops expired state.
 func (po *Pool) Tick(now time.Time) {
-	po.Limits.Tick(func(id string) bool { return po.Directory.Life(id) != nil }, now)
+	po.Limits.Tick(func(id string) bool { return po.Directory.ByKey(id) != nil }, now)
 }
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -24,10 +24,10 @@
 // prompt returns one whose shared part takes so long to read, and whose own part a
 // tenth of that.
 func prompt(start string, shared time.Duration) Prompt {
-	return Prompt{Model: "m", PerToken: time.Millisecond, Start: start, Shared: int(shared.Milliseconds()), Own: int(shared.Milliseconds() / 10)}
+	return Prompt{Model: "m", PrefillPerToken: time.Millisecond, PrefixID: start, PrefixTokens: int(shared.Milliseconds()), SuffixTokens: int(shared.Milliseconds() / 10)}
 }
 
-func pick(po *Pool, ask Ask, random uint64) *directory.Server {
+func pick(po *Pool, ask Query, random uint64) *directory.Server {
 	of, ok := po.Pick(ask, random, now)
 	if !ok {
 		return nil
@@ -37,7 +37,7 @@
 
 func TestAPromptKeepsItsServerWhileTheLoadAllows(t *testing.T) {
 	po := pool(6)
-	ask := Ask{Service: "svc", Prompt: prompt("p", time.Second)}
+	ask := Query{Service: "svc", Prompt: prompt("p", time.Second)}
 	home := pick(po, ask, 1)
 	for range 3 {
 		require.Equal(t, home.ID, pick(po, ask, 2).ID)
@@ -46,7 +46,7 @@
 	po.Started(home.ID, 300*time.Millisecond, now)
 	other := pick(po, ask, 3)
 	require.NotEqual(t, home.ID, other.ID, "waiting there is longer than reading it elsewhere")
-	po.Read(home.ID, time.Second)
+	po.PrefillDone(home.ID, time.Second)
 	require.Equal(t, home.ID, pick(po, ask, 4).ID)
 }
 
@@ -55,9 +55,9 @@
 	for _, dc := range []string{"dc0", "dc1", "dc2"} {
 		po := pool(9)
 		po.DataCentre = dc
-		se := pick(po, Ask{Service: "svc", Prompt: Prompt{Model: "m", PerToken: time.Millisecond, Start: "p", Shared: 100, KB: 10}}, 1)
+		se := pick(po, Query{Service: "svc", Prompt: Prompt{Model: "m", PrefillPerToken: time.Millisecond, PrefixID: "p", PrefixTokens: 100, SizeKB: 10}}, 1)
 		require.Equal(t, dc, se.DataCentre)
-		homes[pick(po, Ask{Service: "svc", Prompt: Prompt{Model: "m", PerToken: time.Millisecond, Start: "p", Shared: 5000, KB: 10}}, 1).ID] = true
+		homes[pick(po, Query{Service: "svc", Prompt: Prompt{Model: "m", PrefillPerToken: time.Millisecond, PrefixID: "p", PrefixTokens: 5000, SizeKB: 10}}, 1).ID] = true
 	}
 	require.Len(t, homes, 1, "a long one is read once")
 }
@@ -65,37 +65,37 @@
 func TestAServerThatHasReadAPromptIsAskedAgain(t *testing.T) {
 	po := pool(9)
 	pr := prompt("p", time.Second)
-	home := pick(po, Ask{Service: "svc", Prompt: pr}, 1)
-	of, _ := po.Pick(Ask{Service: "svc", Prompt: pr, Tried: []string{home.ID}}, 1, now)
+	home := pick(po, Query{Service: "svc", Prompt: pr}, 1)
+	of, _ := po.Pick(Query{Service: "svc", Prompt: pr, Tried: []string{home.ID}}, 1, now)
 	require.NotEqual(t, home.ID, of.Server().ID)
-	require.Greater(t, of.Read(), 300*time.Millisecond)
-	po.Took(of, pr, of.Head(), now)
-	again, _ := po.Pick(Ask{Service: "svc", Prompt: pr, Tried: []string{home.ID}}, 1, now)
+	require.Greater(t, of.PrefillTime(), 300*time.Millisecond)
+	po.HeadReceived(of, pr, of.TimeToHead(), now)
+	again, _ := po.Pick(Query{Service: "svc", Prompt: pr, Tried: []string{home.ID}}, 1, now)
 	require.Equal(t, of.Server().ID, again.Server().ID)
-	require.Equal(t, 100*time.Millisecond, again.Read())
-	later, _ := po.Pick(Ask{Service: "svc", Prompt: pr, Tried: []string{home.ID}}, 1, now.Add(2*heldFor))
-	require.Greater(t, later.Read(), 300*time.Millisecond, "it may have given way to others")
+	require.Equal(t, 100*time.Millisecond, again.PrefillTime())
+	later, _ := po.Pick(Query{Service: "svc", Prompt: pr, Tried: []string{home.ID}}, 1, now.Add(2*heldFor))
+	require.Greater(t, later.PrefillTime(), 300*time.Millisecond, "it may have given way to others")
 }
 
 func TestASessionsPromptIsHeldWhole(t *testing.T) {
 	po := pool(9)
 	pr := prompt("p", time.Second)
-	pr.Whole = "session"
-	of, _ := po.Pick(Ask{Service: "svc", Prompt: pr}, 1, now)
-	po.Took(of, pr, of.Head(), now)
-	again, _ := po.Pick(Ask{Service: "svc", Prompt: pr}, 1, now)
-	require.Zero(t, again.Read())
-	require.Equal(t, headOverhead, again.Head())
+	pr.FullID = "session"
+	of, _ := po.Pick(Query{Service: "svc", Prompt: pr}, 1, now)
+	po.HeadReceived(of, pr, of.TimeToHead(), now)
+	again, _ := po.Pick(Query{Service: "svc", Prompt: pr}, 1, now)
+	require.Zero(t, again.PrefillTime())
+	require.Equal(t, headOverhead, again.TimeToHead())
 }
 
 func TestTheHeadIsExpectedAfterWhatIsInProgress(t *testing.T) {
 	po := pool(1)
-	po.Loads.TakeGroup("b", nil, now)
-	of, _ := po.Pick(Ask{Service: "svc", Prompt: prompt("p", time.Second)}, 1, now)
-	po.Started(of.Server().ID, of.Read(), now)
-	then, _ := po.Pick(Ask{Service: "svc", Prompt: prompt("p", time.Second)}, 1, now)
-	require.Equal(t, of.Head()+of.Read()+attemptWork, then.Head())
-	require.Equal(t, of.Read()+attemptWork, po.Backlog("svc"))
+	po.Loads.PutGroup("b", nil, now)
+	of, _ := po.Pick(Query{Service: "svc", Prompt: prompt("p", time.Second)}, 1, now)
+	po.Started(of.Server().ID, of.PrefillTime(), now)
+	then, _ := po.Pick(Query{Service: "svc", Prompt: prompt("p", time.Second)}, 1, now)
+	require.Equal(t, of.TimeToHead()+of.PrefillTime()+attemptWork, then.TimeToHead())
+	require.Equal(t, of.PrefillTime()+attemptWork, po.Backlog("svc"))
 	require.Zero(t, po.Backlog("other"))
 }
 
@@ -105,12 +105,12 @@
 		po := pool(6)
 		for i := range 200 {
 			pr := prompt(fmt.Sprint(i), time.Second)
-			of, _ := po.Pick(Ask{Service: "svc", Prompt: pr}, 1, now)
+			of, _ := po.Pick(Query{Service: "svc", Prompt: pr}, 1, now)
 			took := headOverhead + 100*time.Millisecond
 			if !held {
 				took += time.Second
 			}
-			po.Took(of, pr, took, now)
+			po.HeadReceived(of, pr, took, now)
 		}
 		chance := po.holdings.chance(true)
 		require.Equal(t, held, chance > homeChance, chance)
@@ -120,23 +120,23 @@
 func TestTheLeastLoadedOfTheOwnDataCentreIsChosen(t *testing.T) {
 	po := pool(6)
 	for random := range uint64(20) {
-		se := pick(po, Ask{Service: "svc"}, random)
+		se := pick(po, Query{Service: "svc"}, random)
 		require.Equal(t, "dc0", se.DataCentre)
 	}
 	for range 5 {
 		po.Started("s0", 0, now)
 		po.Started("s3", 0, now)
 	}
-	se := pick(po, Ask{Service: "svc"}, 0)
+	se := pick(po, Query{Service: "svc"}, 0)
 	require.NotEqual(t, "dc0", se.DataCentre)
 }
 
 func TestVersionsCanBeAskedForOrLeftOut(t *testing.T) {
 	po := pool(6)
 	for random := range uint64(20) {
-		se := pick(po, Ask{Service: "svc", Version: "v2", Only: true}, random)
+		se := pick(po, Query{Service: "svc", Version: "v2", OnlyVersion: true}, random)
 		require.Equal(t, "v2", se.Version)
-		se = pick(po, Ask{Service: "svc", Version: "v2", Except: true, Prompt: prompt(fmt.Sprint(random), time.Second)}, random)
+		se = pick(po, Query{Service: "svc", Version: "v2", ExceptVersion: true, Prompt: prompt(fmt.Sprint(random), time.Second)}, random)
 		require.Equal(t, "v1", se.Version)
 	}
 }
@@ -147,25 +147,25 @@
 		po.Failed("s0", now)
 	}
 	for random := range uint64(10) {
-		se := pick(po, Ask{Service: "svc"}, random)
+		se := pick(po, Query{Service: "svc"}, random)
 		require.Equal(t, "s1", se.ID)
 	}
-	require.Equal(t, "s0", pick(po, Ask{Service: "svc", Tried: []string{"s1"}}, 0).ID)
-	_, ok := po.Pick(Ask{Service: "svc", Tried: []string{"s0", "s1"}}, 0, now)
+	require.Equal(t, "s0", pick(po, Query{Service: "svc", Tried: []string{"s1"}}, 0).ID)
+	_, ok := po.Pick(Query{Service: "svc", Tried: []string{"s0", "s1"}}, 0, now)
 	require.False(t, ok)
 }
 
 func TestTheWorkOfOthersCounts(t *testing.T) {
 	po := pool(6)
-	ask := Ask{Service: "svc", Prompt: prompt("p", 500*time.Millisecond)}
+	ask := Query{Service: "svc", Prompt: prompt("p", 500*time.Millisecond)}
 	home := pick(po, ask, 1)
 	const waits = uint32(time.Second / attemptWork)
-	po.Loads.TakeGroup("b", load.Work{load.KeyOf(home.ID): waits + 100}, now)
+	po.Loads.PutGroup("b", load.Work{load.KeyOf(home.ID): waits + 100}, now)
 	require.NotEqual(t, home.ID, pick(po, ask, 1).ID)
-	po.Loads.TakeGroup("b", load.Work{load.KeyOf(home.ID): waits - 100}, now)
+	po.Loads.PutGroup("b", load.Work{load.KeyOf(home.ID): waits - 100}, now)
 	require.Equal(t, home.ID, pick(po, ask, 1).ID)
-	po.Loads.TakeGroup("b", load.Work{load.KeyOf("s0"): 3, load.KeyOf("s3"): 2 + remoteCost}, now)
-	se := pick(po, Ask{Service: "svc"}, 0)
+	po.Loads.PutGroup("b", load.Work{load.KeyOf("s0"): 3, load.KeyOf("s3"): 2 + remoteCost}, now)
+	se := pick(po, Query{Service: "svc"}, 0)
 	require.NotEqual(t, "dc0", se.DataCentre, "a plain service's attempts count as well")
 }
 
@@ -175,7 +175,7 @@
 	po.Started("s0", 10*attemptWork, now)
 	po.Started("s0", 0, now)
 	require.Equal(t, load.Work{load.KeyOf("s0"): 12}, po.Work())
-	po.Read("s0", 10*attemptWork)
+	po.PrefillDone("s0", 10*attemptWork)
 	po.Ended("s0")
 	require.Equal(t, load.Work{load.KeyOf("s0"): 1}, po.Work())
 	po.Ended("s0")
@@ -190,10 +190,10 @@
 	for i := 1; i < 60; i++ {
 		wo[load.KeyOf(fmt.Sprint("s", i))] = 10_000
 	}
-	po.Loads.TakeGroup("b", wo, now)
+	po.Loads.PutGroup("b", wo, now)
 	idle := 0
 	for i := range 300 {
-		if pick(po, Ask{Service: "svc", Prompt: prompt(fmt.Sprint(i), 100*time.Millisecond)}, 0).ID == "s0" {
+		if pick(po, Query{Service: "svc", Prompt: prompt(fmt.Sprint(i), 100*time.Millisecond)}, 0).ID == "s0" {
 			idle++
 		}
 	}
@@ -206,7 +206,7 @@
 	a, b := pool(12), pool(12)
 	first := map[string]int{}
 	for i := range 1200 {
-		ask := Ask{Service: "svc", Prompt: prompt(fmt.Sprint(i), time.Second)}
+		ask := Query{Service: "svc", Prompt: prompt(fmt.Sprint(i), time.Second)}
 		se := pick(a, ask, 1)
 		require.Equal(t, se.ID, pick(b, ask, 2).ID)
 		first[se.ID]++
@@ -224,8 +224,8 @@
 	for _, servers := range []int{60, 1500} {
 		b.Run(fmt.Sprint(servers), func(b *testing.B) {
 			po := pool(servers)
-			po.Loads.TakeGroup("b", load.Work{load.KeyOf("s1"): 10}, now)
-			ask := Ask{Service: "svc", Prompt: prompt("p", time.Second)}
+			po.Loads.PutGroup("b", load.Work{load.KeyOf("s1"): 10}, now)
+			ask := Query{Service: "svc", Prompt: prompt("p", time.Second)}
 			b.ReportAllocs()
 			for b.Loop() {
 				po.Pick(ask, 1, now)
@@ -240,7 +240,7 @@
 	chosen := func(po *Pool, key uint64) map[string]bool {
 		ids := map[string]bool{}
 		for i := range uint64(200) {
-			ask := Ask{Service: "svc", Version: "v2", Only: true, Few: 3, FewKey: key}
+			ask := Query{Service: "svc", Version: "v2", OnlyVersion: true, SubsetSize: 3, SubsetKey: key}
 			if i%2 == 0 {
 				ask.Prompt = prompt(fmt.Sprint(i), time.Second)
 			}
@@ -262,7 +262,7 @@
 	}
 	require.Len(t, chosen(a, 7), 3)
 	require.NotEqual(t, first, chosen(a, 7))
-	require.Equal(t, 12, a.Count(Ask{Service: "svc", Version: "v2", Only: true}))
+	require.Equal(t, 12, a.CountEligible(Query{Service: "svc", Version: "v2", OnlyVersion: true}))
 }
 
 // A paused server is idle, and would be preferred.
@@ -270,14 +270,14 @@
 	po := pool(3)
 	po.Started("s2", 0, now)
 	require.True(t, po.Pauses.Begin("s1", 3*time.Second, now))
-	ask := Ask{Service: "svc"}
+	ask := Query{Service: "svc"}
 	for i := range uint64(20) {
 		of, ok := po.Pick(ask, i, now)
 		require.True(t, ok)
 		require.NotEqual(t, "s1", of.Server().ID)
 	}
-	require.Zero(t, po.Wait(ask, now), "others accept requests")
-	require.True(t, po.Any(ask))
+	require.Zero(t, po.RetryAfter(ask, now), "others accept requests")
+	require.True(t, po.HasEligible(ask))
 
 	ask.Tried = nil
 	for _, se := range po.Directory.Servers("svc") {
@@ -287,10 +287,10 @@
 	}
 	_, ok := po.Pick(ask, 0, now)
 	require.False(t, ok)
-	require.False(t, po.AnyIdle(ask, now))
-	require.Equal(t, 3*time.Second, po.Wait(ask, now))
+	require.False(t, po.HasIdle(ask, now))
+	require.Equal(t, 3*time.Second, po.RetryAfter(ask, now))
 	po.Forget("s1")
-	require.Equal(t, time.Second, po.Wait(ask, now.Add(2*time.Second)), "its entry says nothing about its pause")
+	require.Equal(t, time.Second, po.RetryAfter(ask, now.Add(2*time.Second)), "its entry says nothing about its pause")
 	_, ok = po.Pick(ask, 0, now.Add(3*time.Second))
 	require.True(t, ok)
 }
@@ -299,17 +299,17 @@
 // another process may have a share left.
 func TestCallersAreToldWhenToRetry(t *testing.T) {
 	po := pool(3)
-	po.Fleet = 1
+	po.MaxMembers = 1
 	rate := 0.1
 	for _, se := range po.Directory.Servers("svc") {
 		po.Limits.Report(se.Key(), &rate, now)
 		po.Limits.Sent(se.Key(), now)
 	}
-	require.Equal(t, longestQuotaWait, po.Wait(Ask{Service: "svc"}, now))
+	require.Equal(t, longestQuotaWait, po.RetryAfter(Query{Service: "svc"}, now))
 	for _, se := range po.Directory.Servers("svc") {
 		po.Pauses.Begin(se.Key(), 2*time.Second, now)
 	}
-	require.Equal(t, 2*time.Second, po.Wait(Ask{Service: "svc"}, now))
+	require.Equal(t, 2*time.Second, po.RetryAfter(Query{Service: "svc"}, now))
 }
 
 // A server that asked another process for a pause is used if there is no other.
@@ -318,10 +318,10 @@
 	po.Pauses.Told("s0", 3*time.Second, now)
 	po.Pauses.Told("s1", 3*time.Second, now)
 	for i := range uint64(20) {
-		require.Equal(t, "s2", pick(po, Ask{Service: "svc", Probe: true}, i).ID)
+		require.Equal(t, "s2", pick(po, Query{Service: "svc", Probe: true}, i).ID)
 	}
-	require.NotEqual(t, "s2", pick(po, Ask{Service: "svc", Tried: []string{"s2"}}, 0).ID)
-	require.Zero(t, po.Wait(Ask{Service: "svc", Tried: []string{"s2"}}, now))
+	require.NotEqual(t, "s2", pick(po, Query{Service: "svc", Tried: []string{"s2"}}, 0).ID)
+	require.Zero(t, po.RetryAfter(Query{Service: "svc", Tried: []string{"s2"}}, now))
 }
 
 // After its pause one first attempt probes a server; requests that were rejected go elsewhere.
@@ -331,12 +331,12 @@
 	for range 3 {
 		po.Started("s0", 0, now)
 	}
-	require.Equal(t, "s0", pick(po, Ask{Service: "svc"}, 0).ID)
-	of, ok := po.Pick(Ask{Service: "svc", Probe: true}, 0, now)
+	require.Equal(t, "s0", pick(po, Query{Service: "svc"}, 0).ID)
+	of, ok := po.Pick(Query{Service: "svc", Probe: true}, 0, now)
 	require.True(t, ok)
 	require.Equal(t, "s1", of.Server().ID)
 	po.Reserve(of, now)
-	require.Equal(t, "s0", pick(po, Ask{Service: "svc", Probe: true}, 0).ID, "one at a time")
+	require.Equal(t, "s0", pick(po, Query{Service: "svc", Probe: true}, 0).ID, "one at a time")
 	po.Pauses.Accepted("s1", now)
-	require.Equal(t, "s1", pick(po, Ask{Service: "svc"}, 0).ID)
+	require.Equal(t, "s1", pick(po, Query{Service: "svc"}, 0).ID)
 }
--- a/internal/pool/prompt.go
+++ b/internal/pool/prompt.go
@@ -27,34 +27,34 @@
 type Prompt struct {
 	// Model is the model that reads it.
 	Model string
-	// PerToken is the assumed reading time of a token until answers of the model show it.
-	PerToken time.Duration
-	// Start names the part that other requests share, Whole all of it, which only later
+	// PrefillPerToken is the assumed reading time of a token until answers of the model show it.
+	PrefillPerToken time.Duration
+	// PrefixID names the part that other requests share, FullID all of it, which only later
 	// requests of the same session share.
-	Start, Whole string
-	// Shared and Own are the tokens of the shared part and of the rest.
-	Shared, Own int
-	// KB is the size of the request.
-	KB float64
+	PrefixID, FullID string
+	// PrefixTokens and SuffixTokens are the tokens of the shared part and of the rest.
+	PrefixTokens, SuffixTokens int
+	// SizeKB is the size of the request.
+	SizeKB float64
 }
 
 // start and whole hash a prompt's parts with its model, to which the cache belongs.
-func (pr Prompt) start() uint64 { return xxhash.Sum64String(pr.Model + "\x00" + pr.Start) }
+func (pr Prompt) start() uint64 { return xxhash.Sum64String(pr.Model + "\x00" + pr.PrefixID) }
 
-func (pr Prompt) whole() uint64 { return xxhash.Sum64String(pr.Model + "\x01" + pr.Whole) }
+func (pr Prompt) whole() uint64 { return xxhash.Sum64String(pr.Model + "\x01" + pr.FullID) }
 
 // reading is how long a typical server reads the parts of a prompt.
 type reading struct{ shared, own time.Duration }
 
 func (po *Pool) readingOf(pr Prompt) reading {
-	return reading{shared: po.ReadTime(pr, float64(pr.Shared)), own: po.ReadTime(pr, float64(pr.Own))}
+	return reading{shared: po.PrefillTime(pr, float64(pr.PrefixTokens)), own: po.PrefillTime(pr, float64(pr.SuffixTokens))}
 }
 
 // expected returns the expected reading time of a prompt on a server.
 func (po *Pool) expected(se *directory.Server, pr Prompt, re reading, home bool, now time.Time) time.Duration {
 	took := re.own
 	switch {
-	case pr.Whole != "" && po.holdings.has(se.Key(), pr.whole(), now):
+	case pr.FullID != "" && po.holdings.has(se.Key(), pr.whole(), now):
 		return 0
 	case !po.holdings.has(se.Key(), pr.start(), now):
 		took += time.Duration((1 - po.holdings.chance(home)) * float64(re.shared))
@@ -65,18 +65,18 @@
 // holder returns the server with the least expected time for a prompt: its backlog, the parts that it
 // has to read, and the way to another data centre. Servers that rank first by rendezvous hashing most
 // likely hold the prompt's start.
-func (po *Pool) holder(list []*directory.Server, pr Prompt, now time.Time) Offer {
+func (po *Pool) holder(list []*directory.Server, pr Prompt, now time.Time) Selection {
 	re, start := po.readingOf(pr), pr.start()
-	var best Offer
+	var best Selection
 	least := time.Duration(0)
 	weigh := func(se *directory.Server, home bool) {
-		of := Offer{server: se, home: home, wait: po.load(se.Key()), read: po.expected(se, pr, re, home, now)}
+		of := Selection{server: se, home: home, wait: po.load(se.Key()), read: po.expected(se, pr, re, home, now)}
 		cost := of.wait + re.own
 		if !home && !po.holdings.has(se.Key(), start, now) {
 			cost += strangerCost * re.shared
 		}
 		if se.DataCentre != po.DataCentre {
-			cost += time.Duration(pr.KB * float64(wayCost))
+			cost += time.Duration(pr.SizeKB * float64(wayCost))
 		}
 		if best.server == nil || cost < least {
 			best, least = of, cost
--- a/internal/relay/loads_test.go
+++ b/internal/relay/loads_test.go
@@ -23,18 +23,18 @@
 
 func (re *reporting) report(collector bool) Report {
 	if collector {
-		return Report{Box: re.plan.Box, Collector: true, Work: re.table.Group(re.own)}
+		return Report{Box: re.plan.Box, Collector: true, Work: re.table.GroupSum(re.own)}
 	}
 	return Report{Box: re.plan.Box, Work: re.own}
 }
 
 func (re *reporting) take(rp Report) Report {
 	if rp.Collector {
-		re.table.TakeGroup(rp.Box, rp.Work, now)
-		return Report{Box: re.plan.Box, Work: re.table.Group(re.own)}
+		re.table.PutGroup(rp.Box, rp.Work, now)
+		return Report{Box: re.plan.Box, Work: re.table.GroupSum(re.own)}
 	}
-	re.table.TakeMember(rp.Box, rp.Work, now)
-	return Report{Box: re.plan.Box, Work: re.table.Rest(rp.Box, re.own)}
+	re.table.PutMember(rp.Box, rp.Work, now)
+	return Report{Box: re.plan.Box, Work: re.table.SumExcept(rp.Box, re.own)}
 }
 
 // Whatever members there are, and whichever of them fail: after some rounds each
@@ -59,12 +59,12 @@
 				peers, collector := re.plan.Peers(all, now)
 				for _, peer := range peers {
 					answer := gateways[peer.Box].take(re.report(collector))
-					re.table.TakeGroup(answer.Box, answer.Work, now)
+					re.table.PutGroup(answer.Box, answer.Work, now)
 				}
 			}
 		}
 		for box, re := range gateways {
-			if got, want := re.table.On("s"), total-re.own[load.KeyOf("s")]; got != want {
+			if got, want := re.table.OnServer("s"), total-re.own[load.KeyOf("s")]; got != want {
 				rt.Fatalf("%s knows of %d, others have %d", box, got, want)
 			}
 		}
