--- a/internal/balance/balance.go
+++ b/internal/balance/balance.go
@@ -39,9 +39,9 @@
 // pool is the servers that hold one version or answer one service.
 type pool struct{ local, remote []*server }
 
-// Board is what an entry knows of all backend servers. Its exported fields
+// Balancer is what an entry knows of all backend servers. Its exported fields
 // are set before use; it is not safe for concurrent use.
-type Board struct {
+type Balancer struct {
 	// DataCentre is the entry's own.
 	DataCentre string
 
@@ -53,13 +53,13 @@
 }
 
 // Reconfigure takes a newer configuration.
-func (bo *Board) Reconfigure(sn *config.Snapshot) {
+func (bo *Balancer) Reconfigure(sn *config.Snapshot) {
 	bo.snapshot = sn
 	bo.rebuild()
 }
 
-// Up notes that the link to a server's agent is open.
-func (bo *Board) Up(name, dataCentre string) {
+// LinkUp notes that the link to a server's agent is open.
+func (bo *Balancer) LinkUp(name, dataCentre string) {
 	if bo.servers == nil {
 		bo.servers = map[string]*server{}
 	}
@@ -67,24 +67,24 @@
 	bo.rebuild()
 }
 
-// Down notes that the link to a server's agent has ended.
-func (bo *Board) Down(name string) {
+// LinkDown notes that the link to a server's agent has ended.
+func (bo *Balancer) LinkDown(name string) {
 	if se := bo.servers[name]; se != nil {
 		se.up = false
 		bo.rebuild()
 	}
 }
 
-// Leaving notes that a server takes nothing new.
-func (bo *Board) Leaving(name string) {
+// SetLeaving notes that a server takes nothing new.
+func (bo *Balancer) SetLeaving(name string) {
 	if se := bo.servers[name]; se != nil && !se.leaving {
 		se.leaving = true
 		bo.rebuild()
 	}
 }
 
-// Load notes what an agent reported.
-func (bo *Board) Load(name string, lo wire.Load) {
+// SetLoad notes what an agent reported.
+func (bo *Balancer) SetLoad(name string, lo wire.Load) {
 	se := bo.servers[name]
 	if se == nil {
 		return
@@ -96,22 +96,22 @@
 	}
 }
 
-// Sent notes an attempt that was sent.
-func (bo *Board) Sent(name string) {
+// AttemptSent notes an attempt that was sent.
+func (bo *Balancer) AttemptSent(name string) {
 	if se := bo.servers[name]; se != nil {
 		se.sent++
 	}
 }
 
 // Has reports whether any usable server holds the version or service.
-func (bo *Board) Has(what string) bool {
+func (bo *Balancer) Has(what string) bool {
 	po := bo.pools[what]
 	return len(po.local)+len(po.remote) > 0
 }
 
 // Pick returns a server that holds the version or service and was not tried
 // yet. random is uniform over all 64-bit numbers.
-func (bo *Board) Pick(what string, tried []string, random uint64) (string, bool) {
+func (bo *Balancer) Pick(what string, tried []string, random uint64) (string, bool) {
 	po := bo.pools[what]
 	local := twoChoices(po.local, tried, random)
 	if local != nil && local.load() < fullLoad {
@@ -165,7 +165,7 @@
 	return nil
 }
 
-func (bo *Board) rebuild() {
+func (bo *Balancer) rebuild() {
 	bo.pools = map[string]pool{}
 	if bo.snapshot == nil {
 		return
@@ -189,7 +189,7 @@
 	}
 }
 
-func (bo *Board) add(what string, se *server) {
+func (bo *Balancer) add(what string, se *server) {
 	po := bo.pools[what]
 	if se.dataCentre == bo.DataCentre {
 		po.local = append(po.local, se)
--- a/internal/balance/balance_test.go
+++ b/internal/balance/balance_test.go
@@ -12,7 +12,7 @@
 )
 
 // board has a number of servers, every third in another data centre.
-func board(servers int) *Board {
+func board(servers int) *Balancer {
 	doc := &config.Document{}
 	for i := range servers {
 		dc := "here"
@@ -21,9 +21,9 @@
 		}
 		doc.Servers = append(doc.Servers, config.Server{Name: fmt.Sprintf("s%d", i), DataCentre: dc, Slots: 4, Versions: []string{"m@v1"}})
 	}
-	bo := &Board{DataCentre: "here"}
+	bo := &Balancer{DataCentre: "here"}
 	for i := range doc.Servers {
-		bo.Up(doc.Servers[i].Name, doc.Servers[i].DataCentre)
+		bo.LinkUp(doc.Servers[i].Name, doc.Servers[i].DataCentre)
 	}
 	bo.Reconfigure(config.Compile(1, doc))
 	return bo
@@ -31,9 +31,9 @@
 
 func TestOnlyUsableServersArePicked(t *testing.T) {
 	bo := board(6)
-	bo.Down("s0")
-	bo.Leaving("s1")
-	bo.Load("s3", wire.Load{Slots: 4, Leaving: true})
+	bo.LinkDown("s0")
+	bo.SetLeaving("s1")
+	bo.SetLoad("s3", wire.Load{Slots: 4, Leaving: true})
 	for r := range uint64(1000) {
 		server, ok := bo.Pick("m@v1", nil, r*0x9e3779b97f4a7c15)
 		require.True(t, ok)
@@ -47,12 +47,12 @@
 // An agent may take new work again once its server's next life has begun.
 func TestServersAreUsedAgainAfterDraining(t *testing.T) {
 	bo := board(1)
-	bo.Load("s0", wire.Load{Slots: 4, Leaving: true})
+	bo.SetLoad("s0", wire.Load{Slots: 4, Leaving: true})
 	require.False(t, bo.Has("m@v1"))
-	bo.Load("s0", wire.Load{Slots: 4})
+	bo.SetLoad("s0", wire.Load{Slots: 4})
 	require.True(t, bo.Has("m@v1"))
-	bo.Leaving("s0")
-	bo.Load("s0", wire.Load{Slots: 4})
+	bo.SetLeaving("s0")
+	bo.SetLoad("s0", wire.Load{Slots: 4})
 	require.False(t, bo.Has("m@v1"), "the list of boxes says that it leaves")
 }
 
@@ -72,7 +72,7 @@
 func TestAFullDataCentreHandsOn(t *testing.T) {
 	bo := board(3)
 	for _, na := range []string{"s0", "s1"} {
-		bo.Load(na, wire.Load{Running: 4, Queued: 20, Slots: 4})
+		bo.SetLoad(na, wire.Load{Running: 4, Queued: 20, Slots: 4})
 	}
 	server, ok := bo.Pick("m@v1", nil, 7)
 	require.True(t, ok)
@@ -83,14 +83,14 @@
 // servers of which one is slow and reports late. The longest queue shows the
 // difference.
 func TestAgainstRoundRobin(t *testing.T) {
-	longest := func(pick func(bo *Board, i int, random uint64) string) int {
+	longest := func(pick func(bo *Balancer, i int, random uint64) string) int {
 		bo := board(12)
 		ra := rand.New(rand.NewPCG(1, 2))
 		queues := map[string]int{}
 		most := 0
 		for i := range 6000 {
 			server := pick(bo, i, ra.Uint64())
-			bo.Sent(server)
+			bo.AttemptSent(server)
 			queues[server]++
 			most = max(most, queues[server])
 			for na := range queues {
@@ -102,15 +102,15 @@
 					queues[na] = max(0, queues[na]-1)
 				}
 				if i%16 == 0 {
-					bo.Load(na, wire.Load{Running: queues[na], Slots: 4})
+					bo.SetLoad(na, wire.Load{Running: queues[na], Slots: 4})
 				}
 			}
 		}
 		return most
 	}
 	local := []string{"s0", "s1", "s3", "s4", "s6", "s7", "s9", "s10"}
-	naive := longest(func(_ *Board, i int, _ uint64) string { return local[i%len(local)] })
-	ours := longest(func(bo *Board, _ int, random uint64) string {
+	naive := longest(func(_ *Balancer, i int, _ uint64) string { return local[i%len(local)] })
+	ours := longest(func(bo *Balancer, _ int, random uint64) string {
 		server, _ := bo.Pick("m@v1", nil, random)
 		return server
 	})
@@ -125,7 +125,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				server, _ := bo.Pick("m@v1", nil, ra.Uint64())
-				bo.Sent(server)
+				bo.AttemptSent(server)
 			}
 		})
 	}
--- a/internal/cascade/cascade.go
+++ b/internal/cascade/cascade.go
@@ -52,23 +52,23 @@
 type Option struct {
 	// Price is what its answer costs, as a part of what a good one is worth.
 	Price float64
-	// Head is the time until the head of its answer if it is asked now.
-	Head time.Duration
-	// Load is the work of reading the prompt, as a part of that of a prompt of usual size
+	// TimeToHead is the time until the head of its answer if it is asked now.
+	TimeToHead time.Duration
+	// RelativeWork is the work of reading the prompt, as a part of that of a prompt of usual size
 	// by the largest model.
-	Load float64
-	// Gain is by how much its confidence is above that of the smallest model's answer to
+	RelativeWork float64
+	// ConfidenceGain is by how much its confidence is above that of the smallest model's answer to
 	// the same request.
-	Gain float64
+	ConfidenceGain float64
 }
 
 // State is what a decision depends on besides the models.
 type State struct {
-	// Left is the time to the request's target latency, Target the whole of it.
-	Left, Target time.Duration
+	// Remaining is the time to the request's target latency, Target the whole of it.
+	Remaining, Target time.Duration
 	// Backlog is how long servers have to work on average for what is in progress now,
-	// Lasting how long they had to over the last seconds.
-	Backlog, Lasting time.Duration
+	// SmoothedBacklog how long they had to over the last seconds.
+	Backlog, SmoothedBacklog time.Duration
 	// Priority ranks the request; 0 is the most urgent.
 	Priority int
 }
@@ -80,11 +80,11 @@
 	if confidence < 0 {
 		return place, false
 	}
-	best, most := place, st.timely(0)*usefulness(Poor(float64(confidence)))
+	best, most := place, st.timely(0)*usefulness(PoorProbability(float64(confidence)))
 	for i := place + 1; i < len(options); i++ {
 		risk := 0.0
 		if i < len(options)-1 {
-			risk = Poor(float64(confidence) + options[i].Gain - options[place].Gain)
+			risk = PoorProbability(float64(confidence) + options[i].ConfidenceGain - options[place].ConfidenceGain)
 		}
 		if value := st.value(options[i], risk); value > most {
 			best, most = i, value
@@ -97,14 +97,14 @@
 func (st State) value(op Option, risk float64) float64 {
 	target := max(st.Target, time.Millisecond).Seconds()
 	crowd := crowdPrice * st.Backlog.Seconds() / target
-	crowd *= 1 + lastingPrice*st.Lasting.Seconds()/target
+	crowd *= 1 + lastingPrice*st.SmoothedBacklog.Seconds()/target
 	crowd *= 1 + priorityPrice*float64(st.Priority)
-	return st.timely(op.Head)*usefulness(risk) - op.Price - crowd*op.Load
+	return st.timely(op.TimeToHead)*usefulness(risk) - op.Price - crowd*op.RelativeWork
 }
 
 // timely returns what a good answer is worth whose head is expected after a time.
 func (st State) timely(head time.Duration) float64 {
-	if st.Left <= 0 {
+	if st.Remaining <= 0 {
 		return lateWorth
 	}
 	if head <= 0 {
@@ -112,7 +112,7 @@
 	}
 	// A logistic curve in place of the normal distribution, which it follows within a
 	// hundredth at 1.7 times the steepness.
-	deviation := math.Log(headMargin*st.Left.Seconds()/head.Seconds()) / headSpread
+	deviation := math.Log(headMargin*st.Remaining.Seconds()/head.Seconds()) / headSpread
 	inTime := 1 / (1 + math.Exp(-1.7*deviation))
 	return inTime + (1-inTime)*lateWorth
 }
@@ -120,7 +120,7 @@
 // usefulness returns what an answer is worth that is poor by a chance.
 func usefulness(risk float64) float64 { return 1 - risk*(1-poorWorth) }
 
-// Poor returns the chance that an answer of a confidence is poor.
-func Poor(confidence float64) float64 {
+// PoorProbability returns the chance that an answer of a confidence is poor.
+func PoorProbability(confidence float64) float64 {
 	return 1 / (1 + math.Exp((confidence-evenConfidence)/confidenceWidth))
 }
--- a/internal/cascade/cascade_test.go
+++ b/internal/cascade/cascade_test.go
@@ -9,10 +9,10 @@
 
 // idle is a request for which nothing is in the way, with three models.
 func idle() (State, []Option) {
-	return State{Left: 3 * time.Second, Target: 3 * time.Second}, []Option{
-		{Price: 0.01, Head: 50 * time.Millisecond, Load: 0.1},
-		{Price: 0.075, Head: 100 * time.Millisecond, Load: 0.3, Gain: 15},
-		{Price: 0.15, Head: 300 * time.Millisecond, Load: 1, Gain: 70},
+	return State{Remaining: 3 * time.Second, Target: 3 * time.Second}, []Option{
+		{Price: 0.01, TimeToHead: 50 * time.Millisecond, RelativeWork: 0.1},
+		{Price: 0.075, TimeToHead: 100 * time.Millisecond, RelativeWork: 0.3, ConfidenceGain: 15},
+		{Price: 0.15, TimeToHead: 300 * time.Millisecond, RelativeWork: 1, ConfidenceGain: 70},
 	}
 }
 
@@ -63,10 +63,10 @@
 	st, ops := idle()
 	last := 101
 	for _, backlog := range []time.Duration{0, 300 * time.Millisecond, time.Second, 2 * time.Second, 10 * time.Second} {
-		st.Backlog, st.Lasting = backlog, backlog
+		st.Backlog, st.SmoothedBacklog = backlog, backlog
 		loaded := append([]Option(nil), ops...)
 		for i := range loaded {
-			loaded[i].Head += backlog
+			loaded[i].TimeToHead += backlog
 		}
 		st.Priority = 0
 		keep := keepFrom(st, loaded)
@@ -80,26 +80,26 @@
 
 func TestWhatWouldBeLateIsNotAskedAgain(t *testing.T) {
 	st, ops := idle()
-	ops[1].Head = time.Hour
+	ops[1].TimeToHead = time.Hour
 	inTime := keepFrom(st, ops)
-	ops[2].Head = 10 * time.Second
+	ops[2].TimeToHead = 10 * time.Second
 	require.Less(t, keepFrom(st, ops), inTime)
 	_, ok := st.Next(0, 45, ops)
 	require.False(t, ok)
-	st.Left = -time.Second
+	st.Remaining = -time.Second
 	_, ok = st.Next(0, 55, ops)
 	require.False(t, ok, "an answer that is late already is worth less, and waiting more")
 }
 
 func TestTheGainOfAModelIsLearnt(t *testing.T) {
-	var ga Gains
-	require.InDelta(t, usualGain, ga.Of("m"), 1e-9)
+	var ga ConfidenceGains
+	require.InDelta(t, usualGain, ga.Estimate("m"), 1e-9)
 	for range 200 {
 		ga.Observe("m", 40, 70)
 		ga.Observe("m", 0, 100)
 	}
-	require.InDelta(t, 30, ga.Of("m"), 1)
-	require.InDelta(t, usualGain, ga.Of("other"), 1e-9)
+	require.InDelta(t, 30, ga.Estimate("m"), 1)
+	require.InDelta(t, usualGain, ga.Estimate("other"), 1e-9)
 }
 
 // The choice of the next model; the figure of one core of the build machine is in
--- a/internal/cascade/gain.go
+++ b/internal/cascade/gain.go
@@ -11,16 +11,16 @@
 	mostTold  = 97
 )
 
-// Gains learns by how much models' confidence is above the smallest one's in answers to
+// ConfidenceGains learns by how much models' confidence is above the smallest one's in answers to
 // the same requests. The zero value knows nothing. It is not safe for concurrent use.
-type Gains struct {
+type ConfidenceGains struct {
 	sums   map[string]float64
 	counts map[string]float64
 }
 
 // Observe takes the confidences of the smallest model's answer and of another one's to
 // the same request.
-func (ga *Gains) Observe(model string, smallest, other int) {
+func (ga *ConfidenceGains) Observe(model string, smallest, other int) {
 	if smallest < leastTold || smallest > mostTold || other < leastTold || other > mostTold {
 		return
 	}
@@ -31,7 +31,7 @@
 	ga.counts[model]++
 }
 
-// Of returns the gain of a model.
-func (ga *Gains) Of(model string) float64 {
+// Estimate returns the gain of a model.
+func (ga *ConfidenceGains) Estimate(model string) float64 {
 	return (ga.sums[model] + priorAnswers*usualGain) / (ga.counts[model] + priorAnswers)
 }
--- a/internal/cascade/queue_test.go
+++ b/internal/cascade/queue_test.go
@@ -79,12 +79,12 @@
 	ops := make([]Option, len(reads))
 	for i := range ops {
 		ops[i] = Option{
-			Price: prices[i], Head: inSeconds(seen + reads[i]), Load: reads[i] / reads[2], Gain: 154 * (quality[i] - quality[0]),
+			Price: prices[i], TimeToHead: inSeconds(seen + reads[i]), RelativeWork: reads[i] / reads[2], ConfidenceGain: 154 * (quality[i] - quality[0]),
 		}
 	}
 	place, left := qu.ask(0, queueTarget)
 	confidence := min(100, max(0, 50+154*(quality[0]-hard)+12*qu.random.NormFloat64()))
-	st := State{Left: inSeconds(left), Target: inSeconds(queueTarget), Backlog: inSeconds(seen), Lasting: inSeconds(qu.lasting)}
+	st := State{Remaining: inSeconds(left), Target: inSeconds(queueTarget), Backlog: inSeconds(seen), SmoothedBacklog: inSeconds(qu.lasting)}
 	if next := decide(st, ops, int(confidence)); next > 0 {
 		place, left = qu.ask(next, left)
 	}
--- a/internal/choice/choice.go
+++ b/internal/choice/choice.go
@@ -25,14 +25,14 @@
 	Tokens(kind string) (prompt, completion float64)
 }
 
-// Reach says which versions have a backend server.
-type Reach interface {
+// Availability says which versions have a backend server.
+type Availability interface {
 	// Has reports whether any usable server holds the version.
 	Has(version string) bool
 }
 
-// Ask is what is asked of a choice.
-type Ask struct {
+// Request is what is asked of a choice.
+type Request struct {
 	// Team, Kind and Model are what the request named.
 	Team, Kind, Model string
 	// Pinned is the version of the request's session, "" if it has none yet.
@@ -97,7 +97,7 @@
 )
 
 // Choose plans a request.
-func Choose(sn *config.Snapshot, ask Ask, es Estimates, re Reach) Plan {
+func Choose(sn *config.Snapshot, ask Request, es Estimates, re Availability) Plan {
 	if ask.Pinned != "" {
 		return pinned(sn, ask, re)
 	}
@@ -126,7 +126,7 @@
 }
 
 // pinned keeps a session on its version, whatever else would be chosen.
-func pinned(sn *config.Snapshot, ask Ask, re Reach) Plan {
+func pinned(sn *config.Snapshot, ask Request, re Availability) Plan {
 	pl := Plan{reason: "session keeps its version", code: sn.MayStart(ask.Team, ask.Pinned, true)}
 	if pl.code == result.OK && !re.Has(ask.Pinned) {
 		pl.code = result.NoServer
@@ -138,7 +138,7 @@
 }
 
 // askedFor returns the versions that could answer, before any check.
-func askedFor(sn *config.Snapshot, ki *config.Kind, ask Ask) []*config.Version {
+func askedFor(sn *config.Snapshot, ki *config.Kind, ask Request) []*config.Version {
 	list := slices.Clone(sn.VersionsOf(ask.Model))
 	if ask.Model != Auto && len(list) == 0 {
 		return nil
@@ -157,7 +157,7 @@
 	return list
 }
 
-func weigh(sn *config.Snapshot, ask Ask, ve *config.Version, es Estimates, re Reach) Candidate {
+func weigh(sn *config.Snapshot, ask Request, ve *config.Version, es Estimates, re Availability) Candidate {
 	ca := Candidate{version: ve.ID(), code: sn.MayStart(ask.Team, ve.ID(), false)}
 	if ca.code == result.OK && !re.Has(ve.ID()) {
 		ca.code = result.NoServer
@@ -233,7 +233,7 @@
 }
 
 // order fills the steps from one version of each model.
-func (pl *Plan) order(list []*config.Version, ki *config.Kind, ask Ask, es Estimates) {
+func (pl *Plan) order(list []*config.Version, ki *config.Kind, ask Request, es Estimates) {
 	slices.SortStableFunc(list, func(a, b *config.Version) int {
 		return cmp.Compare(Cost(a, ask.Kind, es), Cost(b, ask.Kind, es))
 	})
@@ -252,7 +252,7 @@
 // confidence. Now and then it returns a cheaper one that may meet it, to learn;
 // the bounds come together as ratings come in, so that this ends by itself. If
 // none meets the target, it is the best there is.
-func target(list []*config.Version, ki *config.Kind, ask Ask, es Estimates) (*config.Version, string) {
+func target(list []*config.Version, ki *config.Kind, ask Request, es Estimates) (*config.Version, string) {
 	best, reason := list[0], "best quality, none surely meets the target"
 	bestMean, slack := -1.0, 0.0
 	var maybe []*config.Version
@@ -281,7 +281,7 @@
 // the part of requests that go on must cost less than going straight, and what
 // is kept must surely not pull the quality below the target. Now and then it is
 // enough that it may not, to learn.
-func cascade(list []*config.Version, best *config.Version, ki *config.Kind, ask Ask, es Estimates) *config.Version {
+func cascade(list []*config.Version, best *config.Version, ki *config.Kind, ask Request, es Estimates) *config.Version {
 	straight := Cost(best, ask.Kind, es)
 	strong, _ := es.Quality(ask.Team, ask.Kind, best)
 	var first *config.Version
@@ -291,7 +291,7 @@
 			break
 		}
 		pass := es.PassRate(ask.Team, ask.Kind, ve)
-		kept, sure := es.Quality(ask.Team, KeptKind(ask.Kind), ve)
+		kept, sure := es.Quality(ask.Team, AcceptedKind(ask.Kind), ve)
 		if ask.Explore < leastExploration {
 			sure = min(1, 2*kept-sure)
 		}
@@ -303,7 +303,7 @@
 	return first
 }
 
-// KeptKind is the kind under which the ratings of first tries that were kept
+// AcceptedKind is the kind under which the ratings of first tries that were kept
 // are learnt. They were chosen for being good, so they say nothing of what the
 // version makes of all requests.
-func KeptKind(kind string) string { return kind + "/kept" }
+func AcceptedKind(kind string) string { return kind + "/kept" }
--- a/internal/choice/choice_test.go
+++ b/internal/choice/choice_test.go
@@ -49,26 +49,26 @@
 	leaving := func(doc *config.Document) { doc.Versions[2].State = config.RollingOut }
 	for _, tc := range []struct {
 		name   string
-		ask    Ask
+		ask    Request
 		change func(doc *config.Document)
 		lacks  lacking
 		code   result.Code
 		steps  []string
 	}{
-		{name: "the model asked for", ask: Ask{Team: "kitchen-a", Model: "menu", Draw: 0.5, Explore: 1}, code: result.OK, steps: []string{"menu@v1"}},
-		{name: "not the new version that no grant opens", ask: Ask{Team: "kitchen-a", Model: "menu", Explore: 1}, code: result.OK, steps: []string{"menu@v1"}},
-		{name: "its share to the new one", ask: Ask{Team: "cooperative", Model: "menu", Draw: 0.05, Explore: 1}, code: result.OK, steps: []string{"menu@v2"}},
-		{name: "the rest to the old one", ask: Ask{Team: "cooperative", Model: "menu", Draw: 0.15, Explore: 1}, code: result.OK, steps: []string{"menu@v1"}},
-		{name: "a cheaper one that meets the target", ask: Ask{Team: "kitchen-a", Model: "menu", Kind: "allergen", Draw: 0.5, Explore: 1}, code: result.OK, steps: []string{"notes@v1"}},
-		{name: "no model of that name", ask: Ask{Team: "kitchen-a", Model: "none"}, code: result.UnknownModel},
-		{name: "a team that does not exist", ask: Ask{Team: "nobody", Model: "menu"}, code: result.UnknownModel},
-		{name: "withdrawn", ask: Ask{Team: "kitchen-a", Model: "menu"}, change: withdrawn, code: result.VersionWithdrawn},
-		{name: "rolling out", ask: Ask{Team: "kitchen-a", Model: "menu"}, change: leaving, code: result.VersionNoNewWork},
-		{name: "no server", ask: Ask{Team: "kitchen-a", Model: "menu"}, lacks: lacking{"menu@v1"}, code: result.NoServer},
-		{name: "a session keeps its version", ask: Ask{Team: "cooperative", Model: "menu", Pinned: "menu@v1", Draw: 0.05}, code: result.OK, steps: []string{"menu@v1"}},
-		{name: "a session keeps one that rolls out", ask: Ask{Team: "kitchen-a", Model: "menu", Pinned: "menu@v1"}, change: leaving, code: result.OK, steps: []string{"menu@v1"}},
-		{name: "a session on a withdrawn one", ask: Ask{Team: "kitchen-a", Model: "menu", Pinned: "menu@v1"}, change: withdrawn, code: result.VersionWithdrawn},
-		{name: "a session that has no server now", ask: Ask{Team: "kitchen-a", Model: "menu", Pinned: "menu@v1"}, lacks: lacking{"menu@v1"}, code: result.NoServer},
+		{name: "the model asked for", ask: Request{Team: "kitchen-a", Model: "menu", Draw: 0.5, Explore: 1}, code: result.OK, steps: []string{"menu@v1"}},
+		{name: "not the new version that no grant opens", ask: Request{Team: "kitchen-a", Model: "menu", Explore: 1}, code: result.OK, steps: []string{"menu@v1"}},
+		{name: "its share to the new one", ask: Request{Team: "cooperative", Model: "menu", Draw: 0.05, Explore: 1}, code: result.OK, steps: []string{"menu@v2"}},
+		{name: "the rest to the old one", ask: Request{Team: "cooperative", Model: "menu", Draw: 0.15, Explore: 1}, code: result.OK, steps: []string{"menu@v1"}},
+		{name: "a cheaper one that meets the target", ask: Request{Team: "kitchen-a", Model: "menu", Kind: "allergen", Draw: 0.5, Explore: 1}, code: result.OK, steps: []string{"notes@v1"}},
+		{name: "no model of that name", ask: Request{Team: "kitchen-a", Model: "none"}, code: result.UnknownModel},
+		{name: "a team that does not exist", ask: Request{Team: "nobody", Model: "menu"}, code: result.UnknownModel},
+		{name: "withdrawn", ask: Request{Team: "kitchen-a", Model: "menu"}, change: withdrawn, code: result.VersionWithdrawn},
+		{name: "rolling out", ask: Request{Team: "kitchen-a", Model: "menu"}, change: leaving, code: result.VersionNoNewWork},
+		{name: "no server", ask: Request{Team: "kitchen-a", Model: "menu"}, lacks: lacking{"menu@v1"}, code: result.NoServer},
+		{name: "a session keeps its version", ask: Request{Team: "cooperative", Model: "menu", Pinned: "menu@v1", Draw: 0.05}, code: result.OK, steps: []string{"menu@v1"}},
+		{name: "a session keeps one that rolls out", ask: Request{Team: "kitchen-a", Model: "menu", Pinned: "menu@v1"}, change: leaving, code: result.OK, steps: []string{"menu@v1"}},
+		{name: "a session on a withdrawn one", ask: Request{Team: "kitchen-a", Model: "menu", Pinned: "menu@v1"}, change: withdrawn, code: result.VersionWithdrawn},
+		{name: "a session that has no server now", ask: Request{Team: "kitchen-a", Model: "menu", Pinned: "menu@v1"}, lacks: lacking{"menu@v1"}, code: result.NoServer},
 	} {
 		pl := Choose(snapshot(t, tc.change), tc.ask, known, tc.lacks)
 		require.Equal(t, tc.code, pl.Code(), tc.name)
@@ -77,7 +77,7 @@
 }
 
 func TestACascadeMustBeWorthIt(t *testing.T) {
-	ask := Ask{Team: "kitchen-a", Model: Auto, Kind: "draft", Draw: 0.5, Explore: 1}
+	ask := Request{Team: "kitchen-a", Model: Auto, Kind: "draft", Draw: 0.5, Explore: 1}
 	pl := Choose(snapshot(t, nil), ask, known, lacking(nil))
 	require.Equal(t, []string{"menu@v1"}, pl.Steps(), "what is kept of the first try would pull drafts below their target")
 	better := sure{"notes@v1": 0.88, "notes@v2": 0.88, "menu@v1": 0.98}
@@ -89,7 +89,7 @@
 }
 
 func TestCandidatesExplainThemselves(t *testing.T) {
-	pl := Choose(snapshot(t, nil), Ask{Team: "kitchen-a", Model: Auto, Kind: "draft", Explore: 1}, known, lacking{"notes@v2"})
+	pl := Choose(snapshot(t, nil), Request{Team: "kitchen-a", Model: Auto, Kind: "draft", Explore: 1}, known, lacking{"notes@v2"})
 	codes := map[string]result.Code{}
 	for _, ca := range pl.Candidates() {
 		codes[ca.Version()] = ca.Code()
@@ -107,7 +107,7 @@
 	doc, err := config.Decode(data)
 	require.NoError(b, err)
 	sn := config.Compile(1, doc)
-	ask := Ask{Team: "kitchen-a", Model: Auto, Kind: "draft", Draw: 0.5, Explore: 1}
+	ask := Request{Team: "kitchen-a", Model: Auto, Kind: "draft", Draw: 0.5, Explore: 1}
 	b.ReportAllocs()
 	for b.Loop() {
 		Choose(sn, ask, known, lacking(nil))
--- a/internal/direct/direct.go
+++ b/internal/direct/direct.go
@@ -20,8 +20,8 @@
 	Wait(model string, tried []string, now time.Time) time.Duration
 }
 
-// Retries bounds the attempts beyond the first of each request.
-type Retries interface {
+// RetryBudget bounds the attempts beyond the first of each request.
+type RetryBudget interface {
 	// Take reports whether one more is allowed and takes it.
 	Take(now time.Time) bool
 	// TakeSpare is Take for an attempt that the request can do without.
@@ -37,14 +37,14 @@
 	Next(place, confidence int, now time.Time) (int, bool)
 }
 
-// Blocks knows requests that are not to be sent to servers.
-type Blocks interface {
+// Blocklist knows requests that are not to be sent to servers.
+type Blocklist interface {
 	// Blocked returns how long the request is not to be sent any more, zero if it may be.
 	Blocked(now time.Time) time.Duration
 }
 
-// Pace knows how long servers take.
-type Pace interface {
+// LatencyEstimator knows how long servers take.
+type LatencyEstimator interface {
 	// Usual returns how long the head of a model's answer usually takes now,
 	// zero if that is not known.
 	Usual(model string) time.Duration
@@ -71,8 +71,8 @@
 	limitTimes = 10
 	// minLeft is the least time left in which an attempt is still made.
 	minLeft = 5 * time.Millisecond
-	// ServerFailed is the first status that says that a server failed.
-	ServerFailed = 500
+	// FirstServerError is the first status that says that a server failed.
+	FirstServerError = 500
 )
 
 // Request is one request in progress. Its exported fields are set before
@@ -90,10 +90,10 @@
 	// Deadline when it is given up.
 	Received, Target, Deadline time.Time
 	Picker                     Picker
-	Retries                    Retries
+	RetryBudget                RetryBudget
 	Cascade                    Cascade
-	Pace                       Pace
-	Blocks                     Blocks
+	Latency                    LatencyEstimator
+	Blocklist                  Blocklist
 
 	// place is the model asked now.
 	place int
@@ -113,9 +113,9 @@
 // Runs returns how many attempts ran or may have run.
 func (re *Request) Runs() int { return re.runs }
 
-// LastChance reports whether the caller has a part of the answer and one run is left to
+// FinalRunLeft reports whether the caller has a part of the answer and one run is left to
 // give it the rest.
-func (re *Request) LastChance() bool { return re.delivered && re.runs+1 >= re.MaxRuns }
+func (re *Request) FinalRunLeft() bool { return re.delivered && re.runs+1 >= re.MaxRuns }
 
 // Begin makes the first attempt.
 func (re *Request) Begin(now time.Time) Step {
@@ -149,7 +149,7 @@
 func (re *Request) Answered(status, confidence int, now time.Time) Step {
 	re.runs++
 	switch {
-	case status >= ServerFailed:
+	case status >= FirstServerError:
 		return re.failed(now)
 	case len(re.Models) > 0 && re.Idempotent:
 		if next, ok := re.Cascade.Next(re.place, confidence, now); ok {
@@ -163,7 +163,7 @@
 
 // Broken says that the stream being delivered broke off.
 func (re *Request) Broken(now time.Time) Step {
-	if !re.MayResume(now) {
+	if !re.CanResume(now) {
 		return Step{do: Abort, code: result.AnswerBroken}
 	}
 	server, ok := re.Picker.Pick(re.model(), re.tried, now)
@@ -178,8 +178,8 @@
 	return re.attempt(server, now)
 }
 
-// MayResume reports whether a stream that breaks now may be continued.
-func (re *Request) MayResume(now time.Time) bool {
+// CanResume reports whether a stream that breaks now may be continued.
+func (re *Request) CanResume(now time.Time) bool {
 	return re.Resumable && re.mayRun(now) && re.maySend()
 }
 
@@ -217,12 +217,12 @@
 	return st, true
 }
 
-// Released says that the shell no longer holds the answer from before the escalation.
-func (re *Request) Released() { re.held = false }
+// FallbackDropped says that the shell no longer holds the answer from before the escalation.
+func (re *Request) FallbackDropped() { re.held = false }
 
 // again makes another attempt after one that gave nothing.
 func (re *Request) again(co result.Code, now time.Time) Step {
-	left := re.Blocks.Blocked(now)
+	left := re.Blocklist.Blocked(now)
 	switch {
 	case re.delivered:
 		return re.Broken(now)
@@ -249,7 +249,7 @@
 		re.unused--
 		return true
 	}
-	return re.Retries.Take(now)
+	return re.RetryBudget.Take(now)
 }
 
 // takeSpare reports whether an attempt is allowed that the request can do without.
@@ -258,13 +258,13 @@
 		re.unused--
 		return true
 	}
-	return re.Retries.TakeSpare(now)
+	return re.RetryBudget.TakeSpare(now)
 }
 
 // mayRun reports whether one more run is allowed and has time, and may be made: by then its
 // servers may have ended under the request.
 func (re *Request) mayRun(now time.Time) bool {
-	return re.runs < re.MaxRuns && re.Deadline.Sub(now) > minLeft && re.Blocks.Blocked(now) == 0
+	return re.runs < re.MaxRuns && re.Deadline.Sub(now) > minLeft && re.Blocklist.Blocked(now) == 0
 }
 
 // maySend reports whether one more attempt may be sent, also if servers refuse
@@ -286,7 +286,7 @@
 	if re.Deadline.Sub(now) <= minLeft {
 		return re.refuse(result.DeadlinePassed, 0)
 	}
-	if left := re.Blocks.Blocked(now); left > 0 {
+	if left := re.Blocklist.Blocked(now); left > 0 {
 		return re.refuse(result.RequestBlocked, left)
 	}
 	server, ok := re.Picker.Pick(re.model(), re.tried, now)
@@ -315,7 +315,7 @@
 	if !re.Idempotent || re.runs+1 >= re.MaxRuns {
 		return re.Deadline, re.Deadline
 	}
-	usual := re.Pace.Usual(re.model())
+	usual := re.Latency.Usual(re.model())
 	wait := time.Duration(patiencePart * float64(re.Target.Sub(re.Received)))
 	wait = max(wait, patienceTimes*usual)
 	patience = earlier(now.Add(wait), re.Deadline)
--- a/internal/direct/direct_test.go
+++ b/internal/direct/direct_test.go
@@ -63,8 +63,8 @@
 	retries := purse(10)
 	re := &Request{
 		Idempotent: true, MaxRuns: 3, Received: t0, Target: t0.Add(time.Second), Deadline: t0.Add(4 * time.Second),
-		Picker: servers{"a", "b", "c", "d", "e", "f"}, Retries: &retries, Cascade: threshold(50), Pace: pace(0),
-		Blocks: new(blocks),
+		Picker: servers{"a", "b", "c", "d", "e", "f"}, RetryBudget: &retries, Cascade: threshold(50), Latency: pace(0),
+		Blocklist: new(blocks),
 	}
 	if change != nil {
 		change(re)
@@ -79,12 +79,12 @@
 	t.Cleanup(func() { limitWait = 0 })
 	re := request(func(re *Request) { re.Picker = servers{} })
 	st := re.Begin(t0)
-	require.Equal(t, Refuse, st.Do())
+	require.Equal(t, Refuse, st.Op())
 	require.Equal(t, result.Overloaded, st.Code())
 	require.Equal(t, 300*time.Millisecond, st.RetryAfter())
 	limitWait = 2 * time.Second
 	re = request(func(re *Request) { re.MaxRuns = 1 })
-	for st = re.Begin(t0); st.Do() == Send; {
+	for st = re.Begin(t0); st.Op() == Send; {
 		st = re.Refused(t0)
 	}
 	require.Equal(t, result.Overloaded, st.Code())
@@ -96,9 +96,9 @@
 
 func TestAnUnsafeRequestIsNotRepeatedOnceItMayHaveRun(t *testing.T) {
 	re := request(func(re *Request) { re.Idempotent, re.MaxRuns = false, 1 })
-	require.Equal(t, Send, re.Begin(t0).Do())
+	require.Equal(t, Send, re.Begin(t0).Op())
 	st := re.Lost(t0)
-	require.Equal(t, Refuse, st.Do())
+	require.Equal(t, Refuse, st.Op())
 	require.Equal(t, result.MayHave, result.Of(st.Code()).Run())
 }
 
@@ -109,7 +109,7 @@
 	require.Equal(t, "c", re.Unsent(t0).Server())
 	require.Equal(t, "d", re.Refused(t0).Server(), "b never had it")
 	st := re.Refused(t0)
-	require.Equal(t, Refuse, st.Do())
+	require.Equal(t, Refuse, st.Op())
 	require.Equal(t, result.DidNotRun, result.Of(st.Code()).Run())
 	require.Equal(t, time.Second, st.RetryAfter())
 }
@@ -117,7 +117,7 @@
 func TestAnUnsafeFailureIsTheCallersAnswer(t *testing.T) {
 	re := request(func(re *Request) { re.Idempotent, re.MaxRuns = false, 1 })
 	re.Begin(t0)
-	require.Equal(t, Deliver, re.Answered(500, -1, t0).Do())
+	require.Equal(t, Deliver, re.Answered(500, -1, t0).Op())
 }
 
 // What users saw: an answer was ready, a larger model was asked for a better one, its server rejected
@@ -127,7 +127,7 @@
 	escalated := func(t *testing.T, retries int) *Request {
 		t.Helper()
 		pu := purse(retries)
-		re := request(func(re *Request) { re.Models, re.Retries = []string{"small", "large"}, &pu })
+		re := request(func(re *Request) { re.Models, re.RetryBudget = []string{"small", "large"}, &pu })
 		require.False(t, re.Begin(t0).Escalates())
 		st := re.Answered(200, 10, t0)
 		require.Equal(t, "large", st.Model())
@@ -141,27 +141,27 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			st := reject(escalated(t, 1))
-			require.Equal(t, Deliver, st.Do())
+			require.Equal(t, Deliver, st.Op())
 			require.True(t, st.Fallback())
 			require.Equal(t, "small", st.Model())
 
 			re := escalated(t, 1)
-			re.Released()
+			re.FallbackDropped()
 			st = reject(re)
-			require.Equal(t, Refuse, st.Do())
+			require.Equal(t, Refuse, st.Op())
 			require.Equal(t, result.LinkLost, st.Code())
 		})
 	}
 	st := escalated(t, 2).Refused(t0)
-	require.Equal(t, Send, st.Do(), "another server of the larger model comes first")
+	require.Equal(t, Send, st.Op(), "another server of the larger model comes first")
 	require.False(t, st.Escalates())
 }
 
 func TestABlockedRequestIsRefusedAtOnce(t *testing.T) {
 	bl := blocks(time.Minute)
-	re := request(func(re *Request) { re.Blocks = &bl })
+	re := request(func(re *Request) { re.Blocklist = &bl })
 	st := re.Begin(t0)
-	require.Equal(t, Refuse, st.Do())
+	require.Equal(t, Refuse, st.Op())
 	require.Equal(t, result.RequestBlocked, st.Code())
 	require.Equal(t, result.DidNotRun, result.Of(st.Code()).Run())
 	require.Equal(t, time.Minute, st.RetryAfter())
@@ -181,13 +181,13 @@
 	} {
 		var bl blocks
 		re := request(func(re *Request) {
-			re.Blocks, re.Models, re.Resumable = &bl, []string{"small", "large"}, true
+			re.Blocklist, re.Models, re.Resumable = &bl, []string{"small", "large"}, true
 		})
-		require.Equal(t, Send, re.Begin(t0).Do())
+		require.Equal(t, Send, re.Begin(t0).Op())
 		bl = blocks(time.Minute)
 		st := then(re)
-		require.NotEqual(t, Send, st.Do(), name)
-		if st.Do() == Refuse {
+		require.NotEqual(t, Send, st.Op(), name)
+		if st.Op() == Refuse {
 			ran := name == "lost"
 			require.Equal(t, ran, result.Of(st.Code()).Run() == result.MayHave, name)
 		}
@@ -200,49 +200,49 @@
 	require.Equal(t, "b", re.Answered(500, -1, t0).Server())
 	require.Equal(t, "c", re.Lost(t0).Server())
 	st := re.Answered(500, -1, t0)
-	require.Equal(t, Deliver, st.Do(), "three runs are the most")
+	require.Equal(t, Deliver, st.Op(), "three runs are the most")
 }
 
 func TestTheRetryBudgetEndsARequest(t *testing.T) {
-	re := request(func(re *Request) { pu := purse(0); re.Retries = &pu })
+	re := request(func(re *Request) { pu := purse(0); re.RetryBudget = &pu })
 	re.Begin(t0)
 	st := re.Lost(t0)
-	require.Equal(t, Refuse, st.Do())
+	require.Equal(t, Refuse, st.Op())
 	require.Equal(t, result.MayHave, result.Of(st.Code()).Run())
 }
 
 // Seen on a grown site: while two fifths of the servers were gone, connections that
 // no server took used the budget up, and requests failed after one attempt.
 func TestAnAttemptThatReachedNoServerLeavesItsRetryToTheNext(t *testing.T) {
-	re := request(func(re *Request) { pu := purse(0); re.Retries = &pu })
+	re := request(func(re *Request) { pu := purse(0); re.RetryBudget = &pu })
 	re.Begin(t0)
 	require.Equal(t, "b", re.Unsent(t0).Server(), "the first was never sent: this is no retry")
 	require.Equal(t, "c", re.Unsent(t0).Server())
-	require.Equal(t, Refuse, re.Lost(t0).Do(), "this one would be")
+	require.Equal(t, Refuse, re.Lost(t0).Op(), "this one would be")
 
-	re = request(func(re *Request) { pu := purse(1); re.Retries, re.Resumable = &pu, true })
+	re = request(func(re *Request) { pu := purse(1); re.RetryBudget, re.Resumable = &pu, true })
 	re.Begin(t0)
-	require.Equal(t, Deliver, re.Answered(200, 90, t0).Do())
+	require.Equal(t, Deliver, re.Answered(200, 90, t0).Op())
 	require.Equal(t, "b", re.Broken(t0).Server())
 	require.Equal(t, "c", re.Unsent(t0).Server(), "the retry taken for b")
-	require.Equal(t, Abort, re.Broken(t0).Do())
+	require.Equal(t, Abort, re.Broken(t0).Op())
 }
 
 // Seen on grown sites where 20 to 29 servers crashed at once: requests met four in a row
 // that were gone and were refused after one run, with seconds of their time left.
 func TestServersThatAreGoneUseNoAttemptUp(t *testing.T) {
-	re := request(func(re *Request) { re.Picker = many{}; pu := purse(1); re.Retries = &pu })
+	re := request(func(re *Request) { re.Picker = many{}; pu := purse(1); re.RetryBudget = &pu })
 	re.Begin(t0)
-	require.Equal(t, Send, re.Lost(t0).Do())
+	require.Equal(t, Send, re.Lost(t0).Op())
 	for range 10 {
-		require.Equal(t, Send, re.Unsent(t0).Do())
+		require.Equal(t, Send, re.Unsent(t0).Op())
 	}
-	require.Equal(t, Deliver, re.Answered(200, -1, t0).Do())
+	require.Equal(t, Deliver, re.Answered(200, -1, t0).Op())
 
 	re = request(func(re *Request) { re.Picker = many{} })
 	st := re.Begin(t0)
 	sends := 0
-	for ; st.Do() == Send; sends++ {
+	for ; st.Op() == Send; sends++ {
 		st = re.Unsent(t0)
 	}
 	require.Equal(t, mostSends, sends, "a pool that is gone as a whole is given up")
@@ -259,69 +259,69 @@
 // The last run that is left goes to a server that surely is there.
 func TestTheLastRunIsMadeOnANewConnection(t *testing.T) {
 	re := request(func(re *Request) { re.Resumable = true })
-	require.False(t, re.Begin(t0).Last())
-	require.False(t, re.Lost(t0).Last())
+	require.False(t, re.Begin(t0).FinalRun())
+	require.False(t, re.Lost(t0).FinalRun())
 	st := re.Answered(200, -1, t0)
-	require.Equal(t, Deliver, st.Do())
-	require.True(t, re.Broken(t0).Last())
+	require.Equal(t, Deliver, st.Op())
+	require.True(t, re.Broken(t0).FinalRun())
 	unsafe := request(func(re *Request) { re.Idempotent, re.MaxRuns = false, 1 })
-	require.False(t, unsafe.Begin(t0).Last(), "the first is not one after others")
+	require.False(t, unsafe.Begin(t0).FinalRun(), "the first is not one after others")
 }
 
 func TestADoubtfulAnswerEscalatesOnce(t *testing.T) {
 	re := request(func(re *Request) { re.Models = []string{"small", "large"} })
 	require.Equal(t, "small", re.Begin(t0).Model())
 	st := re.Answered(200, 10, t0)
-	require.Equal(t, Send, st.Do())
+	require.Equal(t, Send, st.Op())
 	require.Equal(t, "large", st.Model())
-	require.Equal(t, Deliver, re.Answered(200, 10, t0).Do())
+	require.Equal(t, Deliver, re.Answered(200, 10, t0).Op())
 }
 
 func TestAnAnswerIsKeptWhereNothingBetterCanBeHad(t *testing.T) {
 	re := request(func(re *Request) {
 		pu := purse(0)
-		re.Models, re.Retries = []string{"small", "large"}, &pu
+		re.Models, re.RetryBudget = []string{"small", "large"}, &pu
 	})
 	re.Begin(t0)
-	require.Equal(t, Deliver, re.Answered(200, 10, t0).Do())
+	require.Equal(t, Deliver, re.Answered(200, 10, t0).Op())
 }
 
 func TestABrokenStreamGoesOnElsewhere(t *testing.T) {
 	re := request(func(re *Request) { re.Models, re.Resumable = []string{"small", "large"}, true })
 	re.Begin(t0)
-	require.Equal(t, Deliver, re.Answered(200, 90, t0).Do())
+	require.Equal(t, Deliver, re.Answered(200, 90, t0).Op())
 	st := re.Broken(t0)
-	require.Equal(t, Send, st.Do())
+	require.Equal(t, Send, st.Op())
 	require.True(t, st.Resume())
 	require.Equal(t, "small", st.Model())
 	require.Equal(t, "b", st.Server())
-	require.Equal(t, Abort, request(nil).Broken(t0).Do(), "one that may not be resumed is broken off")
+	require.Equal(t, Abort, request(nil).Broken(t0).Op(), "one that may not be resumed is broken off")
 }
 
 func TestTheLastChanceIsKnown(t *testing.T) {
 	re := request(func(re *Request) { re.Models, re.Resumable, re.MaxRuns = []string{"small"}, true, 2 })
 	re.Begin(t0)
-	require.False(t, re.LastChance(), "nothing was delivered")
-	require.Equal(t, Deliver, re.Answered(200, 90, t0).Do())
-	require.True(t, re.LastChance(), "one run is left for the rest")
+	require.False(t, re.FinalRunLeft(), "nothing was delivered")
+	require.Equal(t, Deliver, re.Answered(200, 90, t0).Op())
+	require.True(t, re.FinalRunLeft(), "one run is left for the rest")
 }
 
 func TestPatienceLeavesTimeForASecondTry(t *testing.T) {
 	re := request(func(re *Request) { re.MaxRuns = 2 })
-	require.Equal(t, t0.Add(600*time.Millisecond), re.Begin(t0).Patience())
-	require.Equal(t, re.Deadline, re.Lost(t0).Patience(), "the last try has all the time")
+	require.Equal(t, t0.Add(600*time.Millisecond), re.Begin(t0).SoftDeadline())
+	require.Equal(t, re.Deadline, re.Lost(t0).SoftDeadline(), "the last try has all the time")
 }
 
 func TestASlowPoolIsNotGivenUpOn(t *testing.T) {
-	re := request(func(re *Request) { re.Pace = pace(300 * time.Millisecond) })
+	re := request(func(re *Request) { re.Latency = pace(300 * time.Millisecond) })
 	st := re.Begin(t0)
-	require.Equal(t, t0.Add(1200*time.Millisecond), st.Patience())
-	require.Equal(t, t0.Add(3*time.Second), st.Limit(), "where the server answers others")
-	re = request(func(re *Request) { re.Pace = pace(20 * time.Millisecond) })
+	require.Equal(t, t0.Add(1200*time.Millisecond), st.SoftDeadline())
+	require.Equal(t, t0.Add(3*time.Second), st.HardDeadline(), "where the server answers others")
+	re = request(func(re *Request) { re.Latency = pace(20 * time.Millisecond) })
 	st = re.Begin(t0)
-	require.Equal(t, st.Patience(), st.Limit(), "a quick pool has lost it by then")
-	re = request(func(re *Request) { re.Pace = pace(time.Minute) })
-	require.Equal(t, re.Deadline, re.Begin(t0).Patience())
+	require.Equal(t, st.SoftDeadline(), st.HardDeadline(), "a quick pool has lost it by then")
+	re = request(func(re *Request) { re.Latency = pace(time.Minute) })
+	require.Equal(t, re.Deadline, re.Begin(t0).SoftDeadline())
 }
 
 // Whatever happens, no more attempts run than allowed, one that is not
@@ -339,18 +339,18 @@
 		now, ran, sent, reached := t0, 0, 0, 0
 		st := re.Begin(now)
 		for range 30 {
-			if st.Do() == Send {
+			if st.Op() == Send {
 				sent++
 				reached++
 			}
 			now = now.Add(time.Duration(rapid.IntRange(0, 800).Draw(rt, "pause")) * time.Millisecond)
 			switch {
-			case st.Do() == Refuse || st.Do() == Abort:
+			case st.Op() == Refuse || st.Op() == Abort:
 				if result.Of(st.Code()).Run() == result.DidNotRun && ran > 0 {
 					rt.Fatal("said not run")
 				}
 				return
-			case st.Do() == Deliver:
+			case st.Op() == Deliver:
 				if !re.Resumable || rapid.Bool().Draw(rt, "whole") {
 					return
 				}
--- a/internal/direct/step.go
+++ b/internal/direct/step.go
@@ -6,24 +6,24 @@
 	"github.com/linnetrudder/linnetrudder/internal/result"
 )
 
-// Do is what the shell must do next.
-type Do string
+// Op is what the shell must do next.
+type Op string
 
 // The things to do.
 const (
 	// Send makes an attempt; one that is still open is dropped first.
-	Send Do = "send"
+	Send Op = "send"
 	// Deliver gives the caller the answer at hand.
-	Deliver Do = "deliver"
+	Deliver Op = "deliver"
 	// Refuse ends the request with a code; nothing was delivered.
-	Refuse Do = "refuse"
+	Refuse Op = "refuse"
 	// Abort breaks the caller's answer off; a part of it was delivered.
-	Abort Do = "abort"
+	Abort Op = "abort"
 )
 
 // Step is one thing to do.
 type Step struct {
-	do       Do
+	do       Op
 	attempt  int
 	server   string
 	model    string
@@ -37,8 +37,8 @@
 	after    time.Duration
 }
 
-// Do returns what to do.
-func (st Step) Do() Do { return st.do }
+// Op returns what to do.
+func (st Step) Op() Op { return st.do }
 
 // Attempt returns the attempt's number, from 1.
 func (st Step) Attempt() int { return st.attempt }
@@ -49,18 +49,18 @@
 // Model returns the model to ask, "" for a plain service.
 func (st Step) Model() string { return st.model }
 
-// Patience returns when an attempt without the head of an answer is given up.
-func (st Step) Patience() time.Time { return st.patience }
+// SoftDeadline returns when an attempt without the head of an answer is given up.
+func (st Step) SoftDeadline() time.Time { return st.patience }
 
-// Limit returns when an attempt without the head of an answer is given up even
+// HardDeadline returns when an attempt without the head of an answer is given up even
 // if its server has answered others meanwhile; it is not before Patience.
-func (st Step) Limit() time.Time { return st.limit }
+func (st Step) HardDeadline() time.Time { return st.limit }
 
 // Resume reports whether the attempt continues a stream.
 func (st Step) Resume() bool { return st.resume }
 
-// Last reports whether the attempt is the last that may run, after others that did.
-func (st Step) Last() bool { return st.last }
+// FinalRun reports whether the attempt is the last that may run, after others that did.
+func (st Step) FinalRun() bool { return st.last }
 
 // Escalates reports whether the attempt asks a larger model although an answer is at hand. The shell
 // holds that answer until the attempt's server had time to reject it.
--- a/internal/entry/ask.go
+++ b/internal/entry/ask.go
@@ -72,9 +72,9 @@
 		at.Body = as.body
 		return at
 	}
-	at.Version = ac.What()
+	at.Version = ac.Target()
 	at.InSession = as.inSession
-	at.Body = as.chatBody(ac.What())
+	at.Body = as.chatBody(ac.Target())
 	return at
 }
 
--- a/internal/entry/callers.go
+++ b/internal/entry/callers.go
@@ -102,7 +102,7 @@
 func (en *Entry) choose(as *ask) choice.Plan {
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	pl := choice.Choose(en.Node.Snapshot(), choice.Ask{
+	pl := choice.Choose(en.Node.Snapshot(), choice.Request{
 		Team: as.team, Kind: as.kind, Model: as.model, Pinned: as.pinned,
 		Draw: rand.Float64(), Explore: rand.Float64(),
 	}, estimates{Table: en.learnt.table}, &en.board)
@@ -122,8 +122,8 @@
 		en: en, w: w, ask: as, streams: map[int]uint64{}, ready: make(chan struct{}, 1),
 		route: &route.Request{
 			Steps: steps, Repeatable: !as.once, Deadline: as.deadline,
-			Picker: pick{en: en}, Retries: pick{en: en, team: as.team}, Judge: judge{en: en, as: as},
-			Blocks: block{en: en, print: as.print},
+			Picker: pick{en: en}, RetryBudget: pick{en: en, team: as.team}, Evaluator: judge{en: en, as: as},
+			Blocklist: block{en: en, print: as.print},
 		},
 	}
 	co := ex.serve(r)
@@ -191,8 +191,8 @@
 // minConfidence is the least confidence of a first answer that is kept.
 const minConfidence = 0.5
 
-// Good says whether the answer is kept.
-func (ju judge) Good(what string, status int, body []byte, us *wire.Usage) bool {
+// Acceptable says whether the answer is kept.
+func (ju judge) Acceptable(what string, status int, body []byte, us *wire.Usage) bool {
 	kept := status == http.StatusOK && len(body) > 0 && us != nil &&
 		(us.Confidence == 0 || us.Confidence >= minConfidence)
 	ju.en.tried(ju.as, what, kept)
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -78,7 +78,7 @@
 	// mu guards what follows. It may be taken while the node's lock is held,
 	// so nothing under it may call what takes the node's lock.
 	mu      sync.Mutex
-	board   balance.Board
+	board   balance.Balancer
 	view    member.View
 	budgets budget.Teams
 	ledger  bill.Ledger
@@ -141,7 +141,7 @@
 
 func (en *Entry) prepare() {
 	se := en.Node.Settings
-	en.board = balance.Board{DataCentre: se.DataCentre}
+	en.board = balance.Balancer{DataCentre: se.DataCentre}
 	en.view = member.View{Self: se.Box}
 	en.budgets = budget.Teams{Ratio: se.Limits.RetryRatio}
 	en.ledger = bill.Ledger{Bound: se.Limits.Bills, Every: billRepeat, Spare: spareBills}
@@ -196,7 +196,7 @@
 	}
 	if fr.Load != nil {
 		en.mu.Lock()
-		en.board.Load(en.serverOf[li.Peer.Box()], *fr.Load)
+		en.board.SetLoad(en.serverOf[li.Peer.Box()], *fr.Load)
 		for _, ou := range fr.Load.Versions {
 			en.learnt.count(li.Peer.Box(), ou.Version, rollout.Tally{Started: ou.Started, Failed: ou.Failed})
 		}
@@ -280,7 +280,7 @@
 	defer pi.en.mu.Unlock()
 	server, ok := pi.en.board.Pick(what, tried, rand.Uint64())
 	if ok {
-		pi.en.board.Sent(server)
+		pi.en.board.AttemptSent(server)
 	}
 	return server, ok
 }
--- a/internal/entry/exchange.go
+++ b/internal/entry/exchange.go
@@ -101,7 +101,7 @@
 	for co == 0 {
 		select {
 		case <-r.Context().Done():
-			co = ex.act(ex.route.Gone())
+			co = ex.act(ex.route.CallerGone())
 		case now := <-ti.C:
 			co = ex.act(ex.route.Tick(now))
 		case <-ex.ready:
@@ -115,7 +115,7 @@
 // watch lets the ticker run only while time can change anything: an answer
 // that comes in needs no clock.
 func (ex *exchange) watch(ti *time.Ticker, before bool) bool {
-	waiting := ex.route.Waiting()
+	waiting := ex.route.Pending()
 	switch {
 	case waiting && !before:
 		ti.Reset(giveUpCheck)
@@ -132,7 +132,7 @@
 func (ex *exchange) read() result.Code {
 	arrivals, full := ex.take()
 	if full {
-		return ex.act(ex.route.TooSlow())
+		return ex.act(ex.route.CallerTooSlow())
 	}
 	for _, ar := range arrivals {
 		if co := ex.act(ex.step(ar, time.Now())); co != 0 {
@@ -146,7 +146,7 @@
 func (ex *exchange) step(ar arrival, now time.Time) []route.Action {
 	switch {
 	case ar.frame == nil:
-		return ex.route.Lost(ar.number, now)
+		return ex.route.LinkLost(ar.number, now)
 	case ar.frame.Kind == wire.Verdict:
 		after := time.Duration(ar.frame.RetryAfterMS) * time.Millisecond
 		return ex.route.Verdict(ar.number, ar.frame.Code, after, now)
@@ -158,7 +158,7 @@
 // is one, and zero before.
 func (ex *exchange) act(acs []route.Action) result.Code {
 	for _, ac := range acs {
-		switch ac.Do() {
+		switch ac.Op() {
 		case route.Dispatch:
 			if !ex.dispatch(ac) {
 				return ex.act(ex.route.Verdict(ac.Attempt(), result.NotDispatched, 0, time.Now()))
@@ -179,7 +179,7 @@
 
 // dispatch sends an attempt. It reports whether there was a link to send on.
 func (ex *exchange) dispatch(ac route.Action) bool {
-	ex.version = ac.What()
+	ex.version = ac.Target()
 	en := ex.en
 	en.mu.Lock()
 	box := en.boxOf[ac.Server()]
@@ -221,11 +221,11 @@
 }
 
 func (ex *exchange) head(ac route.Action) {
-	ex.version = ac.What()
+	ex.version = ac.Target()
 	ex.w.Header().Set("Content-Type", ac.Head().Type)
 	ex.w.Header().Set(headerRequest, ex.ask.id)
 	ex.w.Header().Set(headerVersion, ex.version)
-	if ac.Kept() {
+	if ac.FirstTryAccepted() {
 		ex.w.Header().Set(headerKept, "true")
 	}
 	ex.w.WriteHeader(ac.Head().Status)
--- a/internal/entry/learn.go
+++ b/internal/entry/learn.go
@@ -119,7 +119,7 @@
 func (le *learnt) rate(ra Rating) {
 	kind := ra.Kind
 	if ra.Kept {
-		kind = choice.KeptKind(kind)
+		kind = choice.AcceptedKind(kind)
 	}
 	ce := quality.Cell{Team: ra.Team, Kind: kind, Version: ra.Version}
 	le.fresh.Add(ce, ra.Score)
--- a/internal/entry/links.go
+++ b/internal/entry/links.go
@@ -76,7 +76,7 @@
 		en.serverOf[box] = bo.Server
 		en.boxOf[bo.Server] = box
 		if bo.State == boxes.Leaving {
-			en.board.Leaving(bo.Server)
+			en.board.SetLeaving(bo.Server)
 		}
 		if _, ok := en.dialers[box]; !ok {
 			starting = append(starting, bo)
@@ -174,13 +174,13 @@
 	en.mu.Lock()
 	en.serverOf[li.Peer.Box()] = bo.Server
 	en.boxOf[bo.Server] = li.Peer.Box()
-	en.board.Up(bo.Server, bo.DataCentre)
+	en.board.LinkUp(bo.Server, bo.DataCentre)
 	en.mu.Unlock()
 	en.Node.LinkUp(li)
 	err = li.Run(ctx)
 	if en.Node.LinkDown(li, err) {
 		en.mu.Lock()
-		en.board.Down(bo.Server)
+		en.board.LinkDown(bo.Server)
 		en.view.AgentDown(li.Peer.Box())
 		en.mu.Unlock()
 	}
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -94,7 +94,7 @@
 	if step.Attempt() > 1 {
 		ex.noteAttempt(se)
 	}
-	patience := time.AfterFunc(step.Patience().Sub(now), se.impatient)
+	patience := time.AfterFunc(step.SoftDeadline().Sub(now), se.impatient)
 	se.call(ctx)
 	patience.Stop()
 	se.left = !se.settled.CompareAndSwap(false, true)
@@ -113,7 +113,7 @@
 // waits on for a last time if it has: such a server is slow and not dead, and to
 // ask another one would be the same work again. It runs on a timer of its own.
 func (se *sent) impatient() {
-	ga, more := se.ex.ga, se.step.Limit().Sub(se.step.Patience())
+	ga, more := se.ex.ga, se.step.HardDeadline().Sub(se.step.SoftDeadline())
 	ga.mu.Lock()
 	alive := ga.pool.LastResponse(se.server.Key()).After(se.began)
 	ga.mu.Unlock()
@@ -144,7 +144,7 @@
 		ga.pool.Responded(se.server.Key(), now)
 		ga.runs.Answered(se.run, now)
 	}
-	if se.err != nil && now.Before(se.step.Patience()) {
+	if se.err != nil && now.Before(se.step.SoftDeadline()) {
 		return
 	}
 	name := se.ex.modelKey(se.step.Model())
@@ -155,7 +155,7 @@
 		return
 	}
 	ga.pool.HeadReceived(se.offer, se.prompt, took, now)
-	failed := se.answer.Status >= direct.ServerFailed
+	failed := se.answer.Status >= direct.FirstServerError
 	ga.observe(se.server, se.ex.route.Name, failed)
 	if !failed && !se.answer.Stream {
 		ga.observePace(se.server, "whole "+name+se.ex.route.Name, took, slowWhole, now)
@@ -166,7 +166,7 @@
 	ex := se.ex
 	se.answer, se.err = ex.ga.Backend.Call(ctx, &Attempt{
 		Ask: ex.as, Body: ex.body, Server: se.server, Team: ex.team(), Model: se.step.Model(),
-		Urgency: ex.urgency(se.step), Left: ex.left(clock.Now()), LastEvent: ex.lastEvent(se.step), Fresh: se.step.Last(),
+		Urgency: ex.urgency(se.step), Left: ex.left(clock.Now()), LastEvent: ex.lastEvent(se.step), Fresh: se.step.FinalRun(),
 	})
 	ex.ga.applySelfReport(se, clock.Now())
 	if se.err != nil || se.answer.Stream {
@@ -247,7 +247,7 @@
 		}
 		return ex.request.Lost(now)
 	}
-	good := se.answer.Status < direct.ServerFailed
+	good := se.answer.Status < direct.FirstServerError
 	if !good || !se.answer.Stream {
 		ex.ga.judge(ctx, se, good, now)
 	}
--- a/internal/gateway/deliver.go
+++ b/internal/gateway/deliver.go
@@ -113,10 +113,10 @@
 // resume continues a broken stream; it returns nil if the request has ended.
 func (ex *exchange) resume(ctx context.Context, why error) *sent {
 	step := ex.request.Broken(clock.Now())
-	for step.Do() == direct.Send && ctx.Err() == nil {
+	for step.Op() == direct.Send && ctx.Err() == nil {
 		se := ex.open(ctx, step)
 		step = ex.outcome(ctx, se)
-		if step.Do() == direct.Deliver && se.answer.Stream {
+		if step.Op() == direct.Deliver && se.answer.Stream {
 			return se
 		}
 		se.drop()
@@ -172,7 +172,7 @@
 // silence is no reason to end it. It runs on a timer while relay waits, when
 // nothing of the request changes.
 func (ex *exchange) stalled(se *sent) {
-	if ex.request.MayResume(clock.Now()) && ex.spare(se) {
+	if ex.request.CanResume(clock.Now()) && ex.spare(se) {
 		se.stalled.Store(true)
 		se.cancel()
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -150,7 +150,7 @@
 	// prompts knows the usual size of prompts by route and by service, gains by how much
 	// models rate their answers higher than the smallest.
 	prompts sizes
-	gains   cascade.Gains
+	gains   cascade.ConfidenceGains
 	// backlogs follows each service's backlog.
 	backlogs map[string]*pace.Trend
 	// best knows how long answers take at their best, by service and model.
--- a/internal/gateway/held.go
+++ b/internal/gateway/held.go
@@ -41,7 +41,7 @@
 	}
 	if at.answer != nil || !ex.held.release.Stop() {
 		ex.dropHeld()
-		ex.request.Released()
+		ex.request.FallbackDropped()
 	}
 }
 
--- a/internal/gateway/models.go
+++ b/internal/gateway/models.go
@@ -50,8 +50,8 @@
 	if len(mc.options) == 0 {
 		return le
 	}
-	return le.Dur("left_ms", mc.state.Left).Dur("backlog_ms", mc.state.Backlog).
-		Dur("largest_ms", mc.options[len(mc.options)-1].Head)
+	return le.Dur("left_ms", mc.state.Remaining).Dur("backlog_ms", mc.state.Backlog).
+		Dur("largest_ms", mc.options[len(mc.options)-1].TimeToHead)
 }
 
 // First returns the model to ask first. A caller that resumes a stream may have
@@ -89,8 +89,8 @@
 	backlog := ga.pool.Backlog(ex.service)
 	ex.choice = modelChoice{
 		state: cascade.State{
-			Left: ex.request.Target.Sub(now), Target: ex.route.Target, Priority: ex.priority(),
-			Backlog: backlog, Lasting: ga.backlog(ex.service).Follow(backlog, now),
+			Remaining: ex.request.Target.Sub(now), Target: ex.route.Target, Priority: ex.priority(),
+			Backlog: backlog, SmoothedBacklog: ga.backlog(ex.service).Follow(backlog, now),
 		},
 		options: make([]cascade.Option, len(ex.request.Models)),
 	}
@@ -98,15 +98,15 @@
 	for i, model := range ex.request.Models {
 		op := &ex.choice.options[i]
 		if i > 0 {
-			op.Gain = ga.gains.Of(ex.modelKey(model))
+			op.ConfidenceGain = ga.gains.Estimate(ex.modelKey(model))
 		}
 		if i <= place {
 			continue
 		}
-		op.Price, op.Head = ex.price(i), unreachable
+		op.Price, op.TimeToHead = ex.price(i), unreachable
 		if of, ok := ga.pool.Pick(ex.askFor(model, nil, now), 0, now); ok {
-			op.Head = of.TimeToHead()
-			op.Load = of.PrefillTime().Seconds() / usual.Seconds()
+			op.TimeToHead = of.TimeToHead()
+			op.RelativeWork = of.PrefillTime().Seconds() / usual.Seconds()
 		}
 	}
 }
--- a/internal/gateway/rollouts.go
+++ b/internal/gateway/rollouts.go
@@ -179,7 +179,7 @@
 func (ro *timedRollout) goesToNew(ex *exchange, now time.Time) bool {
 	switch {
 	case ex.begun != "":
-		return ro.canary.Continues(ex.begun == ro.order.Plan.Version, ex.request.LastChance())
+		return ro.canary.Continues(ex.begun == ro.order.Plan.Version, ex.request.FinalRunLeft())
 	case ex.single:
 		return ro.canary.NewSingle(ex.route.Name, ex.draw, now)
 	default:
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -125,7 +125,7 @@
 	if ex.route == nil {
 		return ex.denied(result.UnknownPath)
 	}
-	if ex.table.Protected() && !ex.route.Public {
+	if ex.table.RequiresKeys() && !ex.route.Public {
 		if !ga.isFresh(now) {
 			return result.StaleConfiguration
 		}
@@ -159,7 +159,7 @@
 // prepare fills the request from the route.
 func (ex *exchange) prepare() {
 	as, ro := ex.as, ex.route
-	ex.service = ro.Pick(rand.Float64())
+	ex.service = ro.PickService(rand.Float64())
 	ex.draw = rand.Float64()
 	ex.session = as.Session
 	if ex.session == "" && len(as.Prompt) > 0 {
@@ -177,7 +177,7 @@
 		Idempotent: ro.Idempotent(), Resumable: ro.Kind == routing.Streaming && ro.Resumable,
 		MaxRuns:  max(plainAttempts, ro.Attempts),
 		Received: as.Received, Target: as.Received.Add(ro.Target), Deadline: as.Received.Add(limit),
-		Picker: ex, Retries: ex, Cascade: ex, Pace: ex, Blocks: ex,
+		Picker: ex, RetryBudget: ex, Cascade: ex, Latency: ex, Blocklist: ex,
 	}
 	if as.AnyModel {
 		ex.request.Models = ro.Models
@@ -272,7 +272,7 @@
 	defer ex.dropHeld()
 	var at *sent
 	for {
-		switch step.Do() {
+		switch step.Op() {
 		case direct.Refuse:
 			ex.refuse(step.Code(), "", step.RetryAfter())
 			return
@@ -290,7 +290,7 @@
 		default:
 			return
 		}
-		if ctx.Err() != nil && step.Do() != direct.Deliver {
+		if ctx.Err() != nil && step.Op() != direct.Deliver {
 			ex.gone(ctx, at)
 			return
 		}
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -36,7 +36,7 @@
 	Service string
 	// Version restricts the choice to servers of one version if Only is set,
 	// and to servers of any other version if Except is set.
-	Version      string
+	Version                    string
 	OnlyVersion, ExceptVersion bool
 	// ExcludedVersions holds versions that are not used.
 	ExcludedVersions []string
@@ -46,8 +46,8 @@
 	Tried []string
 	// SubsetSize restricts the choice to that many servers, the same in all processes for the same key;
 	// zero for all.
-	SubsetSize    int
-	SubsetKey uint64
+	SubsetSize int
+	SubsetKey  uint64
 	// PreferIdle asks for a server that runs nothing else, if there is one.
 	PreferIdle bool
 	// Probe allows a server that may still reject everything after its pause.
--- a/internal/route/action.go
+++ b/internal/route/action.go
@@ -7,26 +7,26 @@
 	"github.com/linnetrudder/linnetrudder/internal/wire"
 )
 
-// Do is what the shell must do.
-type Do string
+// Op is what the shell must do.
+type Op string
 
 // The things to do.
 const (
 	// Dispatch sends an attempt to a server.
-	Dispatch Do = "dispatch"
+	Dispatch Op = "dispatch"
 	// Cancel stops an attempt.
-	Cancel Do = "cancel"
+	Cancel Op = "cancel"
 	// DeliverHead sends the caller the status and type of the answer.
-	DeliverHead Do = "deliver head"
+	DeliverHead Op = "deliver head"
 	// Deliver sends the caller a part of the answer.
-	Deliver Do = "deliver"
+	Deliver Op = "deliver"
 	// Close ends the request with a code; it is the last action.
-	Close Do = "close"
+	Close Op = "close"
 )
 
 // Action is one thing to do.
 type Action struct {
-	do         Do
+	do         Op
 	attempt    int
 	step       int
 	what       string
@@ -38,8 +38,8 @@
 	retryAfter time.Duration
 }
 
-// Do returns what to do.
-func (ac Action) Do() Do { return ac.do }
+// Op returns what to do.
+func (ac Action) Op() Op { return ac.do }
 
 // Attempt returns the attempt's number, from 1.
 func (ac Action) Attempt() int { return ac.attempt }
@@ -47,11 +47,11 @@
 // Step returns the place in the cascade, from 0.
 func (ac Action) Step() int { return ac.step }
 
-// What returns the version or plain service to run, or that the answer is of.
-func (ac Action) What() string { return ac.what }
+// Target returns the version or plain service to run, or that the answer is of.
+func (ac Action) Target() string { return ac.what }
 
-// Kept reports whether the answer is a first try that was kept.
-func (ac Action) Kept() bool { return ac.kept }
+// FirstTryAccepted reports whether the answer is a first try that was kept.
+func (ac Action) FirstTryAccepted() bool { return ac.kept }
 
 // Server returns the server to send to.
 func (ac Action) Server() string { return ac.server }
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -16,22 +16,22 @@
 	Pick(what string, tried []string) (string, bool)
 }
 
-// Retries bounds retries.
-type Retries interface {
+// RetryBudget bounds retries.
+type RetryBudget interface {
 	// Take reports whether one more retry is allowed and takes it.
 	Take(now time.Time) bool
 }
 
-// Blocks knows requests that are not to be sent to servers.
-type Blocks interface {
+// Blocklist knows requests that are not to be sent to servers.
+type Blocklist interface {
 	// Blocked returns how long the request is not to be sent any more, zero if it may be.
 	Blocked(now time.Time) time.Duration
 }
 
-// Judge says whether the answer of a first try is good enough to keep.
-type Judge interface {
-	// Good is given the version and its whole answer.
-	Good(what string, status int, body []byte, us *wire.Usage) bool
+// Evaluator says whether the answer of a first try is good enough to keep.
+type Evaluator interface {
+	// Acceptable is given the version and its whole answer.
+	Acceptable(what string, status int, body []byte, us *wire.Usage) bool
 }
 
 const (
@@ -86,10 +86,10 @@
 	// Deadline is when a request that has not started is given up.
 	Deadline time.Time
 	// Picker, Retries, Judge and Blocks make the decisions that vary.
-	Picker  Picker
-	Retries Retries
-	Judge   Judge
-	Blocks  Blocks
+	Picker      Picker
+	RetryBudget RetryBudget
+	Evaluator   Evaluator
+	Blocklist   Blocklist
 
 	step int
 	// current is the attempt whose answer counts, nil between attempts.
@@ -116,8 +116,8 @@
 // Closed reports whether the final answer was decided.
 func (re *Request) Closed() bool { return re.closed }
 
-// Waiting reports whether time alone can change what becomes of the request.
-func (re *Request) Waiting() bool {
+// Pending reports whether time alone can change what becomes of the request.
+func (re *Request) Pending() bool {
 	at := re.current
 	return !re.closed && at != nil && (at.phase == sent || at.phase == queued)
 }
@@ -163,8 +163,8 @@
 	}
 }
 
-// Lost says that the connection of an attempt has broken.
-func (re *Request) Lost(number int, now time.Time) []Action {
+// LinkLost says that the connection of an attempt has broken.
+func (re *Request) LinkLost(number int, now time.Time) []Action {
 	at := re.live(number)
 	if at == nil {
 		return nil
@@ -172,20 +172,20 @@
 	return re.fail(at, result.LinkLost, now)
 }
 
-// Gone says that the caller went away.
-func (re *Request) Gone() []Action {
+// CallerGone says that the caller went away.
+func (re *Request) CallerGone() []Action {
 	return re.giveUp(result.Stopped)
 }
 
-// TooSlow says that the caller reads too slowly.
-func (re *Request) TooSlow() []Action {
+// CallerTooSlow says that the caller reads too slowly.
+func (re *Request) CallerTooSlow() []Action {
 	return re.giveUp(result.CallerTooSlow)
 }
 
 // Tick leaves an agent that says nothing, where the request may be repeated,
 // and gives the request up once its time to start has passed.
 func (re *Request) Tick(now time.Time) []Action {
-	if !re.Waiting() {
+	if !re.Pending() {
 		return nil
 	}
 	at := re.current
@@ -240,7 +240,7 @@
 	if re.last() {
 		return re.close(result.OK, 0)
 	}
-	if re.Judge.Good(at.what, at.head.Status, at.body, at.usage) {
+	if re.Evaluator.Acceptable(at.what, at.head.Status, at.body, at.usage) {
 		re.kept = at
 		return re.settle(result.OK, 0)
 	}
@@ -274,7 +274,7 @@
 
 // retry makes another attempt of the step if that is allowed.
 func (re *Request) retry(co result.Code, after time.Duration, now time.Time) []Action {
-	if !again(co) || re.tries >= maxAttempts || !now.Before(re.Deadline) || !re.Retries.Take(now) {
+	if !again(co) || re.tries >= maxAttempts || !now.Before(re.Deadline) || !re.RetryBudget.Take(now) {
 		return re.settle(co, after)
 	}
 	return re.dispatch(co, after, now)
@@ -292,7 +292,7 @@
 // dispatch sends the step to a server not tried yet; if there is none, the
 // code of the last refusal is final.
 func (re *Request) dispatch(co result.Code, after time.Duration, now time.Time) []Action {
-	if left := re.Blocks.Blocked(now); left > 0 {
+	if left := re.Blocklist.Blocked(now); left > 0 {
 		return re.settle(result.RequestBlocked, left)
 	}
 	what := re.Steps[re.step]
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -36,7 +36,7 @@
 // confident keeps answers that hold the word good.
 type confident struct{}
 
-func (confident) Good(_ string, _ int, body []byte, _ *wire.Usage) bool {
+func (confident) Acceptable(_ string, _ int, body []byte, _ *wire.Usage) bool {
 	return strings.Contains(string(body), "good")
 }
 
@@ -48,8 +48,8 @@
 func newRequest(repeatable bool, steps ...string) *Request {
 	return &Request{
 		Steps: steps, Repeatable: repeatable, Deadline: start.Add(2 * time.Second),
-		Picker: pickNext{3}, Retries: &allow{3}, Judge: confident{},
-		Blocks: new(blocks),
+		Picker: pickNext{3}, RetryBudget: &allow{3}, Evaluator: confident{},
+		Blocklist: new(blocks),
 	}
 }
 
@@ -57,7 +57,7 @@
 	var sc script
 	bl := blocks(time.Minute)
 	re := newRequest(true, "a")
-	re.Blocks = &bl
+	re.Blocklist = &bl
 	sc.add(re.Begin(start))
 	require.Empty(t, sc.sent)
 	require.Equal(t, []result.Code{result.RequestBlocked}, sc.codes)
@@ -70,7 +70,7 @@
 	var sc script
 	var bl blocks
 	re := newRequest(true, "a")
-	re.Blocks = &bl
+	re.Blocklist = &bl
 	sc.add(re.Begin(start))
 	bl = blocks(time.Minute)
 	sc.add(re.Frame(1, end(1, result.ServerFailed), start))
@@ -79,7 +79,7 @@
 
 	sc, bl = script{}, 0
 	re = newRequest(true, "a", "b")
-	re.Blocks = &bl
+	re.Blocklist = &bl
 	sc.add(re.Begin(start))
 	sc.add(re.Frame(1, head(), start))
 	sc.add(re.Frame(1, data(2, "bad"), start))
@@ -114,16 +114,16 @@
 
 func (sc *script) add(acs []Action) {
 	for _, ac := range acs {
-		switch ac.Do() {
+		switch ac.Op() {
 		case DeliverHead:
-			sc.by = ac.What()
+			sc.by = ac.Target()
 		case Deliver:
 			sc.body += string(ac.Body())
 		case Close:
 			sc.codes = append(sc.codes, ac.Code())
 			sc.after = ac.RetryAfter()
 		case Dispatch:
-			sc.sent = append(sc.sent, ac.What()+" on "+ac.Server())
+			sc.sent = append(sc.sent, ac.Target()+" on "+ac.Server())
 		}
 	}
 }
@@ -155,7 +155,7 @@
 
 func TestWithoutBudgetThereIsNoRetry(t *testing.T) {
 	re := newRequest(true, "m@v1")
-	re.Retries = &allow{0}
+	re.RetryBudget = &allow{0}
 	var sc script
 	sc.add(re.Begin(start))
 	sc.add(re.Verdict(1, result.Overloaded, time.Second, start))
@@ -181,7 +181,7 @@
 		re := newRequest(tc.repeatable, "m@v1")
 		var sc script
 		sc.add(re.Begin(start))
-		sc.add(re.Lost(1, start))
+		sc.add(re.LinkLost(1, start))
 		require.Equal(t, tc.codes, sc.codes)
 		require.Len(t, sc.sent, tc.sent)
 	}
@@ -193,7 +193,7 @@
 	sc.add(re.Begin(start))
 	sc.add(re.Frame(1, head(), start))
 	sc.add(re.Frame(1, data(2, "half"), start))
-	sc.add(re.Lost(1, start))
+	sc.add(re.LinkLost(1, start))
 	require.Equal(t, []result.Code{result.AnswerBroken}, sc.codes)
 	require.Len(t, sc.sent, 1)
 	require.Empty(t, re.Frame(1, data(3, "late"), start))
@@ -269,10 +269,10 @@
 func TestACallerThatLeavesFreesTheServer(t *testing.T) {
 	re := newRequest(true, "m@v1")
 	re.Begin(start)
-	acs := re.Gone()
-	require.Equal(t, Cancel, acs[0].Do())
+	acs := re.CallerGone()
+	require.Equal(t, Cancel, acs[0].Op())
 	require.Equal(t, result.Stopped, acs[1].Code())
-	require.Empty(t, re.Gone())
+	require.Empty(t, re.CallerGone())
 }
 
 // naive delivers each frame as it comes and tries again after any loss, as a
@@ -307,7 +307,7 @@
 				sc.add(re.Frame(n, fr, now))
 				na.body += string(fr.Body)
 			case "lost":
-				sc.add(re.Lost(n, now))
+				sc.add(re.LinkLost(n, now))
 				na.runs++
 			case "refused":
 				sc.add(re.Verdict(n, result.Overloaded, 0, now))
@@ -358,7 +358,7 @@
 					surelyNot++
 				}
 			case "lost":
-				sc.add(re.Lost(current, now))
+				sc.add(re.LinkLost(current, now))
 			case "tick":
 				sc.add(re.Tick(now))
 			}
@@ -384,10 +384,10 @@
 			case "refused":
 				sc.add(re.Verdict(n, result.Overloaded, 0, now))
 			case "lost before it started":
-				sc.add(re.Lost(n, now))
+				sc.add(re.LinkLost(n, now))
 			case "ran and lost":
 				ran = true
-				sc.add(re.Lost(n, now))
+				sc.add(re.LinkLost(n, now))
 			case "failed":
 				ran = true
 				sc.add(re.Verdict(n, result.OK, 0, now))
--- a/internal/routing/table.go
+++ b/internal/routing/table.go
@@ -75,9 +75,9 @@
 // Limits returns what bounds callers.
 func (ta *Table) Limits() Limits { return ta.doc.Limits }
 
-// Protected reports whether the configuration knows teams, so that routes that
+// RequiresKeys reports whether the configuration knows teams, so that routes that
 // are not public need a key.
-func (ta *Table) Protected() bool { return len(ta.doc.Teams) > 0 }
+func (ta *Table) RequiresKeys() bool { return len(ta.doc.Teams) > 0 }
 
 // Route returns the host's route with the longest prefix of the path, or nil.
 func (ta *Table) Route(host, path string) *Route {
@@ -95,9 +95,9 @@
 // Service returns a service by name, or nil.
 func (ta *Table) Service(name string) *Service { return ta.services[name] }
 
-// Pick returns the service for a request of the route. draw is uniform over
+// PickService returns the service for a request of the route. draw is uniform over
 // [0, 1).
-func (ro *Route) Pick(draw float64) string {
+func (ro *Route) PickService(draw float64) string {
 	total := 0
 	for _, sh := range ro.Split {
 		total += sh.Weight
--- a/internal/routing/table_test.go
+++ b/internal/routing/table_test.go
@@ -37,17 +37,17 @@
 	require.NoError(t, err)
 	require.Equal(t, "t", ta.TeamByKey("k2").Name)
 	require.Nil(t, ta.TeamByKey(""))
-	require.True(t, ta.Protected())
+	require.True(t, ta.RequiresKeys())
 }
 
 func TestASplitIsDividedByWeight(t *testing.T) {
 	ta, err := Compile(document())
 	require.NoError(t, err)
 	ro := ta.Route("h", "/x/y/")
-	require.Equal(t, "a", ro.Pick(0))
-	require.Equal(t, "a", ro.Pick(0.89))
-	require.Equal(t, "b", ro.Pick(0.91))
-	require.Equal(t, "b", ro.Pick(0.999999))
+	require.Equal(t, "a", ro.PickService(0))
+	require.Equal(t, "a", ro.PickService(0.89))
+	require.Equal(t, "b", ro.PickService(0.91))
+	require.Equal(t, "b", ro.PickService(0.999999))
 }
 
 func TestABadRouteIsRefusedByName(t *testing.T) {
--- a/standin/cmd/days/losses.go
+++ b/standin/cmd/days/losses.go
@@ -211,5 +211,5 @@
 	default:
 		lo.middle++
 	}
-	lo.poor += credit * (1 - poorCredit) * cascade.Poor(float64(en.Confidence))
+	lo.poor += credit * (1 - poorCredit) * cascade.PoorProbability(float64(en.Confidence))
 }
--- a/standin/trial/load.go
+++ b/standin/trial/load.go
@@ -253,7 +253,7 @@
 // pool is the system: a board and a retry budget at each entry, a gate at each
 // server.
 type pool struct {
-	boards  [rushEntries]balance.Board
+	boards  [rushEntries]balance.Balancer
 	budgets [rushEntries]budget.Teams
 	gates   [rushServers]gate.Gate
 	jobs    map[gate.Key]*job
@@ -286,9 +286,9 @@
 		po.gates[i].Confirm(1, begin)
 	}
 	for e := range po.boards {
-		po.boards[e] = balance.Board{DataCentre: "dc"}
+		po.boards[e] = balance.Balancer{DataCentre: "dc"}
 		for i := range rushServers {
-			po.boards[e].Up(serverName(i), "dc")
+			po.boards[e].LinkUp(serverName(i), "dc")
 		}
 		po.boards[e].Reconfigure(sn)
 		po.budgets[e] = budget.Teams{Ratio: 0.1}
@@ -317,7 +317,7 @@
 	}
 	jo.tried = append(jo.tried, server)
 	jo.tries++
-	po.boards[jo.entry].Sent(server)
+	po.boards[jo.entry].AttemptSent(server)
 	po.stream++
 	key := gate.Key{Link: fmt.Sprint(jo.entry), Stream: po.stream}
 	po.jobs[key] = jo
@@ -348,13 +348,13 @@
 		lo := po.gates[i].Load()
 		if ac.Do() == gate.Start {
 			st.began(jo, now)
-			st.at(now.Add(wireDelay), func(time.Time) { po.boards[jo.entry].Load(serverName(i), lo) })
+			st.at(now.Add(wireDelay), func(time.Time) { po.boards[jo.entry].SetLoad(serverName(i), lo) })
 			st.at(now.Add(jo.service), func(now time.Time) { po.ended(st, i, ac.Key(), now) })
 			continue
 		}
 		delete(po.jobs, ac.Key())
 		st.at(now.Add(wireDelay), func(now time.Time) {
-			po.boards[jo.entry].Load(serverName(i), lo)
+			po.boards[jo.entry].SetLoad(serverName(i), lo)
 			po.refused(st, jo, now)
 		})
 	}
@@ -365,7 +365,7 @@
 	delete(po.jobs, key)
 	po.act(st, i, po.gates[i].Ended(key, now), now)
 	lo := po.gates[i].Load()
-	st.at(now.Add(wireDelay), func(time.Time) { po.boards[jo.entry].Load(serverName(i), lo) })
+	st.at(now.Add(wireDelay), func(time.Time) { po.boards[jo.entry].SetLoad(serverName(i), lo) })
 }
 
 // maxTries is how often the route tries servers.
@@ -381,7 +381,7 @@
 
 func (po *pool) lose(_ *stage, i int, _ time.Time) {
 	for e := range po.boards {
-		po.boards[e].Down(serverName(i))
+		po.boards[e].LinkDown(serverName(i))
 	}
 }
 
@@ -390,6 +390,6 @@
 	po.gates[i].Tick(now)
 	po.gates[i].Confirm(1, now)
 	for e := range po.boards {
-		po.boards[e].Up(serverName(i), "dc")
+		po.boards[e].LinkUp(serverName(i), "dc")
 	}
 }
--- a/standin/trial/versions.go
+++ b/standin/trial/versions.go
@@ -195,7 +195,7 @@
 func (oneToken) Tokens(string) (prompt, completion float64) { return 0, 1 }
 
 func (le *learner) plan(re *request) []int {
-	pl := choice.Choose(le.sn, choice.Ask{
+	pl := choice.Choose(le.sn, choice.Request{
 		Team: teamName(re.team), Kind: kindSpecs[re.kind].name, Model: choice.Auto,
 		Draw: re.share, Explore: re.explore,
 	}, oneToken{&le.table}, everywhere{})
@@ -213,7 +213,7 @@
 func (le *learner) rate(ra rating) {
 	kind := kindSpecs[ra.kind].name
 	if ra.kept {
-		kind = choice.KeptKind(kind)
+		kind = choice.AcceptedKind(kind)
 	}
 	le.table.Add(quality.Cell{Team: teamName(ra.team), Kind: kind, Version: versionNames[ra.version] + "@v1"}, ra.score)
 }
