--- a/internal/gateway/ends.go
+++ b/internal/gateway/ends.go
@@ -124,7 +124,7 @@
 		return ga.cases.CrashedServers(pr) > 0 || ga.blocks.Remaining(pr, now) > 0
 	}
 	for _, key := range ga.runs.Unconfirmed(suspected, now) {
-		if se := ga.servers.Life(key); se != nil {
+		if se := ga.servers.ByKey(key); se != nil {
 			ga.probe(ctx, *se, now)
 		}
 	}
