--- a/internal/gate/gate.go
+++ b/internal/gate/gate.go
@@ -19,7 +19,7 @@
 	Stream uint64
 }
 
-// Kind is what the caller must do with an attempt.
+// Kind is the kind of an action: what the caller must do with an attempt.
 type Kind string
 
 // The kinds of actions.
@@ -190,7 +190,7 @@
 	return ga.sweep(now)
 }
 
-// Leaving reports whether the gate refuses new attempts for a shutdown of the agent or the server.
+// Leaving reports whether the gate refuses new attempts because the agent or the server is leaving.
 func (ga *Gate) Leaving() bool {
 	return ga.leaving || ga.serverLeaving || ga.server() != nil && ga.server().Leaving
 }
--- a/internal/poison/detector.go
+++ b/internal/poison/detector.go
@@ -24,8 +24,8 @@
 	// maxHarmless bounds the fingerprints in each of the two generations: some minutes of a busy
 	// gateway, 64 KB.
 	maxHarmless = 4096
-	// suspicionRetention is how long suspicions are kept to be sent to others. They have dropped a
-	// gateway that was silent for longer.
+	// suspicionRetention is how long suspicions are kept to be sent to other gateways. These no longer
+	// exchange reports with a gateway that was silent for longer.
 	suspicionRetention = 10 * time.Second
 	// maxSuspects bounds the suspected requests, at some 250 B each. Where many servers crash, most
 	// requests that ran there are suspected once.
--- a/internal/relay/plan.go
+++ b/internal/relay/plan.go
@@ -39,8 +39,8 @@
 	LinkMbps int
 }
 
-// Plan selects the source from which a gateway gets changes. Its exported fields are set
-// before use; it is not safe for concurrent use.
+// Plan selects the source from which a gateway gets changes. Its exported fields are set before use; it
+// is not safe for concurrent use.
 type Plan struct {
 	// Box and DataCentre are the gateway's own.
 	Box, DataCentre string
@@ -54,10 +54,11 @@
 	caughtUp time.Time
 }
 
-// Watcher returns the member to ask, or false if the gateway calls the key-value service itself, as a
-// root or because all its watchers have failed. If the service fails as well, watchers in other data
-// centres are asked, and after these have failed its own ones again. Gateways that know the same
-// members select the same watchers, those with the largest links.
+// Watcher returns the member to ask, or false if the gateway calls the key-value service itself: as a
+// root, as a watcher where there are no roots, or because all the members that it would ask have
+// failed. If the service fails as well, a gateway that is not a watcher asks those of other data
+// centres, and after these have failed its own ones again. Gateways that know the same members select
+// the same watchers, those with the largest links.
 func (pl *Plan) Watcher(members []Member, now time.Time) (Member, bool) {
 	own := watchersOf(members, pl.DataCentre)
 	if !pl.isOneOf(own) {
@@ -123,8 +124,7 @@
 	return others < watchersPerCentre
 }
 
-// IsWatcher reports whether this gateway is one of the watchers of its data centre, or knows
-// none.
+// IsWatcher reports whether this gateway is one of the watchers of its data centre, or knows none.
 func (pl *Plan) IsWatcher(members []Member) bool {
 	own := watchersOf(members, pl.DataCentre)
 	return len(own) == 0 || pl.isOneOf(own)
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -12,7 +12,7 @@
 	"github.com/linnetrudder/linnetrudder/internal/rendezvous"
 )
 
-// Kind is what the caller must do.
+// Kind is the kind of an action that the caller must carry out.
 type Kind string
 
 // The kinds of actions.
