--- a/internal/backpressure/backpressure.go
+++ b/internal/backpressure/backpressure.go
@@ -59,11 +59,11 @@
 type Tracker struct {
 	limits map[string]*reportedLimit
 	// uses holds the requests sent to all servers: those sent just before a limit count as well.
-	uses map[string]*quota.Use
+	uses map[string]*quota.Usage
 	// reported is when each server reported its limit, or the end of one.
 	reported map[string]time.Time
 	// spread holds the servers whose limits are propagated.
-	spread gossip.Spread
+	spread gossip.FactSet
 }
 
 // Report applies what a server reports in an answer: a rate in requests per second, nil for no limit.
@@ -89,7 +89,7 @@
 	tr.reported[key] = up.at
 	change := tr.set(key, up.perSecond, now)
 	if change != Unchanged {
-		tr.spread.Learn(key, up.hops, now)
+		tr.spread.Add(key, up.hops, now)
 	}
 	return change
 }
@@ -142,7 +142,7 @@
 // quotaFor returns the quota of a server with a rate limit.
 func quotaFor(perSecond float64) quota.Limit {
 	return quota.Limit{
-		PerSecond: max(leastRate, perSecond), Most: overage*perSecond*window.Seconds() + extra, Window: window, Endless: true,
+		PerSecond: max(leastRate, perSecond), MaxInWindow: overage*perSecond*window.Seconds() + extra, Window: window, LongLived: true,
 	}
 }
 
@@ -154,19 +154,19 @@
 	}
 	us := tr.uses[key]
 	if us == nil {
-		us = &quota.Use{}
+		us = &quota.Usage{}
 	}
 	return quotaFor(li.perSecond).Wait(us, gw, key, now)
 }
 
-// Sent records that a request is sent to a server.
-func (tr *Tracker) Sent(key string, now time.Time) {
+// RecordSent records that a request is sent to a server.
+func (tr *Tracker) RecordSent(key string, now time.Time) {
 	if tr.uses == nil {
-		tr.uses = map[string]*quota.Use{}
+		tr.uses = map[string]*quota.Usage{}
 	}
 	us := tr.uses[key]
 	if us == nil {
-		us = &quota.Use{}
+		us = &quota.Usage{}
 		tr.uses[key] = us
 	}
 	us.Add(now)
@@ -175,9 +175,9 @@
 	}
 }
 
-// Use returns how many requests this gateway has sent to a server since it learned of its limit, and
+// LimitUsage returns how many requests this gateway has sent to a server since it learned of its limit, and
 // how long ago that was; both are zero if the server has none.
-func (tr *Tracker) Use(key string, now time.Time) (sent int, lasts time.Duration) {
+func (tr *Tracker) LimitUsage(key string, now time.Time) (sent int, lasts time.Duration) {
 	if li := tr.limits[key]; li != nil {
 		return li.sent, now.Sub(li.since)
 	}
@@ -202,7 +202,7 @@
 	}
 	for key, at := range tr.reported {
 		switch {
-		case tr.limits[key] == nil && !tr.spread.Spreads(key):
+		case tr.limits[key] == nil && !tr.spread.Active(key):
 			delete(tr.reported, key)
 		case tr.limits[key] != nil && now.Sub(at) >= unlistedKept && !listed(key):
 			tr.Forget(key)
--- a/internal/backpressure/backpressure_test.go
+++ b/internal/backpressure/backpressure_test.go
@@ -34,22 +34,22 @@
 
 func TestTheUseOfALimitIsCounted(t *testing.T) {
 	var tr Tracker
-	tr.Sent("a", t0)
+	tr.RecordSent("a", t0)
 	tr.Report("a", rate(2), t0)
-	tr.Sent("a", t0)
-	tr.Sent("a", t0)
-	sent, lasts := tr.Use("a", t0.Add(time.Second))
+	tr.RecordSent("a", t0)
+	tr.RecordSent("a", t0)
+	sent, lasts := tr.LimitUsage("a", t0.Add(time.Second))
 	require.Equal(t, 2, sent)
 	require.Equal(t, time.Second, lasts)
 	tr.Forget("a")
-	sent, lasts = tr.Use("a", t0)
+	sent, lasts = tr.LimitUsage("a", t0)
 	require.Zero(t, sent)
 	require.Zero(t, lasts)
 }
 
 var (
-	alone = quota.Gateway{Box: "a", Fleet: 1}
-	four  = quota.Gateway{Box: "a", Fleet: 4}
+	alone = quota.Gateway{Box: "a", FleetSize: 1}
+	four  = quota.Gateway{Box: "a", FleetSize: 4}
 )
 
 // What was sent just before a server names its limit counts: a server in need is left alone at
@@ -57,7 +57,7 @@
 func TestWhatWasSentBeforeCounts(t *testing.T) {
 	var tr Tracker
 	for i := range 6 {
-		tr.Sent("a", t0.Add(time.Duration(i)*100*time.Millisecond))
+		tr.RecordSent("a", t0.Add(time.Duration(i)*100*time.Millisecond))
 	}
 	now := t0.Add(600 * time.Millisecond)
 	require.Zero(t, tr.Wait("a", four, now))
@@ -72,12 +72,12 @@
 	sent := 0
 	for now := t0; now.Before(t0.Add(20 * time.Second)); now = now.Add(10 * time.Millisecond) {
 		if tr.Wait("a", alone, now) == 0 {
-			tr.Sent("a", now)
+			tr.RecordSent("a", now)
 			sent++
 		}
 	}
 	require.InDelta(t, 40, sent, 1)
-	sent, lasts := tr.Use("a", t0.Add(20*time.Second))
+	sent, lasts := tr.LimitUsage("a", t0.Add(20*time.Second))
 	require.InDelta(t, 40, sent, 1)
 	require.Equal(t, 20*time.Second, lasts)
 }
@@ -90,7 +90,7 @@
 	sent := 0
 	for now := t0; now.Before(t0.Add(time.Minute)); now = now.Add(100 * time.Millisecond) {
 		if tr.Wait("a", alone, now) == 0 {
-			tr.Sent("a", now)
+			tr.RecordSent("a", now)
 			sent++
 		}
 	}
@@ -103,14 +103,14 @@
 	tr.Report("a", rate(2), t0)
 	require.False(t, tr.Silent("a", t0.Add(time.Second)))
 	require.True(t, tr.Silent("a", t0.Add(silentAfter)))
-	tr.Sent("a", t0.Add(silentAfter))
+	tr.RecordSent("a", t0.Add(silentAfter))
 	require.False(t, tr.Silent("a", t0.Add(silentAfter+time.Second)), "it was just asked")
 	tr.Report("a", rate(2), t0.Add(silentAfter+time.Second))
 	require.False(t, tr.Silent("a", t0.Add(2*silentAfter)))
 }
 
 // carry passes a tracker's news on to another one.
-func carry(from, to *Tracker, by gossip.Peer, now time.Time) (changes int) {
+func carry(from, to *Tracker, by gossip.Direction, now time.Time) (changes int) {
 	for _, no := range from.Notices(by, now) {
 		if to.Receive(no, now) != Unchanged {
 			changes++
@@ -142,8 +142,8 @@
 	_, ok = collector.PerSecond("a")
 	require.False(t, ok)
 
-	collector.Tick(func(string) bool { return true }, now.Add(gossip.KeepFor))
-	require.Empty(t, collector.Notices(gossip.ToMember, now.Add(gossip.KeepFor)))
+	collector.Tick(func(string) bool { return true }, now.Add(gossip.FactLifetime))
+	require.Empty(t, collector.Notices(gossip.ToMember, now.Add(gossip.FactLifetime)))
 	require.Empty(t, collector.reported, "nothing is left of it")
 }
 
@@ -155,15 +155,15 @@
 		{Server: "a", PerSecond: rate(-1)},
 		{Server: "a", PerSecond: &nan},
 		{Server: "a", PerSecond: rate(1), Age: -1},
-		{Server: "a", PerSecond: rate(1), Hops: gossip.MostHops},
+		{Server: "a", PerSecond: rate(1), Hops: gossip.MaxHops},
 	} {
 		require.Equal(t, Unchanged, tr.Receive(no, t0), "%+v", no)
 	}
 	require.Empty(t, tr.limits)
-	for i := range 2 * gossip.MostPerReport {
+	for i := range 2 * gossip.MaxFactsPerReport {
 		tr.Report(fmt.Sprint(i), rate(1), t0)
 	}
-	require.Len(t, tr.Notices(gossip.ToCollector, t0), gossip.MostPerReport)
+	require.Len(t, tr.Notices(gossip.ToCollector, t0), gossip.MaxFactsPerReport)
 }
 
 func TestLimitsOfServersThatAreNotListedEnd(t *testing.T) {
--- a/internal/backpressure/notice.go
+++ b/internal/backpressure/notice.go
@@ -21,7 +21,7 @@
 
 // Valid reports whether a notice from another process is well-formed.
 func (no *Notice) Valid() bool {
-	return no.Server != "" && no.Age >= 0 && no.Hops < gossip.MostHops && (no.PerSecond == nil || *no.PerSecond >= 0)
+	return no.Server != "" && no.Age >= 0 && no.Hops < gossip.MaxHops && (no.PerSecond == nil || *no.PerSecond >= 0)
 }
 
 // Receive applies a notice from another gateway.
@@ -33,7 +33,7 @@
 }
 
 // Notices returns the notices for a report to another gateway.
-func (tr *Tracker) Notices(to gossip.Peer, now time.Time) []Notice {
+func (tr *Tracker) Notices(to gossip.Direction, now time.Time) []Notice {
 	var list []Notice
 	for _, fa := range tr.spread.Due(to, now) {
 		no := Notice{Server: fa.Key(), Age: max(0, now.Sub(tr.reported[fa.Key()])), Hops: fa.Hops()}
--- a/internal/backpressure/pause.go
+++ b/internal/backpressure/pause.go
@@ -54,9 +54,9 @@
 	return began
 }
 
-// Rejected records that a server rejected a request without asking for a pause. The server is avoided
-// for a moment. Rejected reports whether that is long enough to be propagated.
-func (pa *Pauses) Rejected(key string, now time.Time) bool {
+// RecordRejected records that a server rejected a request without asking for a pause. The server is avoided
+// for a moment. RecordRejected reports whether that is long enough to be propagated.
+func (pa *Pauses) RecordRejected(key string, now time.Time) bool {
 	se := pa.server(key)
 	if now.Before(se.avoided) {
 		return false // it was sent before the rejection that counts already
@@ -66,8 +66,8 @@
 	return se.backoff >= leastNews
 }
 
-// Told records that a server asked another process for a pause. It reports whether that is news.
-func (pa *Pauses) Told(key string, left time.Duration, now time.Time) bool {
+// RecordRemote records that a server asked another process for a pause. It reports whether that is news.
+func (pa *Pauses) RecordRemote(key string, left time.Duration, now time.Time) bool {
 	if left-pa.Remaining(key, now) < leastNews {
 		return false
 	}
@@ -97,8 +97,8 @@
 	return se
 }
 
-// Left returns how long a server still wants no requests, zero if it accepts them.
-func (pa *Pauses) Left(key string, now time.Time) time.Duration {
+// LocalRemaining returns how long a server still wants no requests, zero if it accepts them.
+func (pa *Pauses) LocalRemaining(key string, now time.Time) time.Duration {
 	if se := pa.servers[key]; se != nil {
 		return max(0, se.until.Sub(now))
 	}
@@ -124,8 +124,8 @@
 	return true, se.probed.IsZero() || now.Sub(se.probed) >= probeTimeout
 }
 
-// Sent records that a request is sent to a server.
-func (pa *Pauses) Sent(key string, now time.Time) {
+// RecordSent records that a request is sent to a server.
+func (pa *Pauses) RecordSent(key string, now time.Time) {
 	se := pa.servers[key]
 	switch {
 	case se == nil:
@@ -136,8 +136,8 @@
 	}
 }
 
-// Accepted records that a server did not reject a request, which ends its recovery.
-func (pa *Pauses) Accepted(key string, now time.Time) {
+// RecordAccepted records that a server did not reject a request, which ends its recovery.
+func (pa *Pauses) RecordAccepted(key string, now time.Time) {
 	if se := pa.servers[key]; se != nil && !now.Before(se.until) {
 		se.until, se.probed, se.avoided, se.backoff = time.Time{}, time.Time{}, time.Time{}, 0
 	}
--- a/internal/backpressure/ways_test.go
+++ b/internal/backpressure/strategies_test.go
@@ -33,21 +33,21 @@
 }
 
 func (ta *taken) allows(gateway int, now time.Time) bool {
-	gw := quota.Gateway{Box: fmt.Sprint("box-", gateway), Fleet: len(ta.trackers)}
+	gw := quota.Gateway{Box: fmt.Sprint("box-", gateway), FleetSize: len(ta.trackers)}
 	return ta.trackers[gateway].Wait(ta.server, gw, now) == 0
 }
 
-func (ta *taken) sent(gateway int, now time.Time) { ta.trackers[gateway].Sent(ta.server, now) }
+func (ta *taken) sent(gateway int, now time.Time) { ta.trackers[gateway].RecordSent(ta.server, now) }
 
 // once draws the gateways that send for good.
 type once struct {
 	server string
 	limit  quota.Limit
-	uses   []quota.Use
+	uses   []quota.Usage
 }
 
 func (on *once) allows(gateway int, now time.Time) bool {
-	gw := quota.Gateway{Box: fmt.Sprint("box-", gateway), Fleet: len(on.uses)}
+	gw := quota.Gateway{Box: fmt.Sprint("box-", gateway), FleetSize: len(on.uses)}
 	return on.limit.Wait(&on.uses[gateway], gw, on.server, now) == 0
 }
 
@@ -152,7 +152,7 @@
 					},
 					"lent": &lent{room: int(perSecond*window.Seconds()) + 1},
 					"once": &once{
-						server: server, limit: quota.Limit{PerSecond: li.PerSecond, Most: li.Most, Window: li.Window}, uses: make([]quota.Use, gateways),
+						server: server, limit: quota.Limit{PerSecond: li.PerSecond, MaxInWindow: li.MaxInWindow, Window: li.Window}, uses: make([]quota.Usage, gateways),
 					},
 					"taken": newTaken(server, gateways, perSecond),
 				} {
@@ -160,12 +160,12 @@
 					worst[name] = outcome{max(wo.most, out.most), wo.used + out.used/plays, max(wo.silent, out.silent)}
 				}
 			}
-			t.Logf("%v a second, %d gateways, %v allowed: %+v", perSecond, gateways, int(li.Most), worst)
-			require.LessOrEqual(t, worst["taken"].most, int(li.Most), "%v, %d gateways", perSecond, gateways)
-			if gateways > int(li.Most) {
-				require.Greater(t, worst["all"].most, int(li.Most))
-				require.Greater(t, worst["parted"].most, int(li.Most))
-				require.Greater(t, worst["lent"].most, int(li.Most))
+			t.Logf("%v a second, %d gateways, %v allowed: %+v", perSecond, gateways, int(li.MaxInWindow), worst)
+			require.LessOrEqual(t, worst["taken"].most, int(li.MaxInWindow), "%v, %d gateways", perSecond, gateways)
+			if gateways > int(li.MaxInWindow) {
+				require.Greater(t, worst["all"].most, int(li.MaxInWindow))
+				require.Greater(t, worst["parted"].most, int(li.MaxInWindow))
+				require.Greater(t, worst["lent"].most, int(li.MaxInWindow))
 			}
 		}
 	}
--- a/internal/entry/learn.go
+++ b/internal/entry/learn.go
@@ -135,8 +135,8 @@
 func (en *Entry) tried(as *ask, version string, kept bool) {
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	en.learnt.fresh.AddTry(as.team, as.kind, version, kept)
-	en.learnt.table.AddTry(as.team, as.kind, version, kept)
+	en.learnt.fresh.AddFirstAttempt(as.team, as.kind, version, kept)
+	en.learnt.table.AddFirstAttempt(as.team, as.kind, version, kept)
 }
 
 // learn stores what is fresh and reads what all have stored.
@@ -171,9 +171,9 @@
 		outcomes = ratedOnly(outcomes)
 	}
 	dc := en.Node.Settings.DataCentre
-	if fresh.Cells() > 0 && !en.merge(ctx, ratingsPrefix+dc, addRatings(&fresh)) {
+	if fresh.Len() > 0 && !en.merge(ctx, ratingsPrefix+dc, addRatings(&fresh)) {
 		en.mu.Lock()
-		en.learnt.fresh.MergeLines(fresh.Lines())
+		en.learnt.fresh.MergeEntries(fresh.Entries())
 		en.mu.Unlock()
 	}
 	if len(outcomes) > 0 && !en.merge(ctx, rollout.OutcomesPrefix+dc, addOutcomes(outcomes)) {
@@ -201,7 +201,7 @@
 		if err != nil {
 			ta = &quality.Table{}
 		}
-		ta.MergeLines(fresh.Lines())
+		ta.MergeEntries(fresh.Entries())
 		return ta.Encode()
 	}
 }
@@ -255,11 +255,11 @@
 	for _, pair := range pairs {
 		part, err := quality.Decode(pair.Value)
 		if err == nil {
-			all.MergeLines(part.Lines())
+			all.MergeEntries(part.Entries())
 		}
 	}
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	all.MergeLines(en.learnt.fresh.Lines())
+	all.MergeEntries(en.learnt.fresh.Entries())
 	en.learnt.table = all
 }
--- a/internal/entry/rollouts.go
+++ b/internal/entry/rollouts.go
@@ -66,13 +66,13 @@
 // configuration follows it. If this process dies in between, the next one sees
 // that the configuration does not follow yet.
 func (en *Entry) decideRollout(ctx context.Context, doc *config.Document, plan *config.Rollout, all rollout.Tallies) {
-	key := rollout.Prefix + plan.Model + "@" + plan.To
+	key := rollout.ProgressPrefix + plan.Model + "@" + plan.To
 	pair, err := en.Store.Get(ctx, key)
 	if err != nil {
 		return
 	}
 	pr, err := rollout.DecodeProgress(pair.Value)
-	if err != nil || pr.Verdict != rollout.Reversed && rollout.Withdrawn(doc, plan) {
+	if err != nil || pr.Verdict != rollout.RolledBack && rollout.IsWithdrawn(doc, plan) {
 		return
 	}
 	version, others := all.Split(doc, plan)
@@ -109,7 +109,7 @@
 		return
 	}
 	kind := event.RolloutStep
-	if pr.Verdict == rollout.Reversed {
+	if pr.Verdict == rollout.RolledBack {
 		kind = event.RolloutReversed
 	}
 	en.Node.Note(timeline.Entry{Event: kind, Revision: ev.Revision, Version: pr.Version, Detail: pr.Reason})
--- a/internal/gate/gate.go
+++ b/internal/gate/gate.go
@@ -330,8 +330,8 @@
 		ga.served = map[string]float64{}
 	}
 	ga.running[wa.key] = now
-	ga.limits.Sent(ga.Server, now)
-	ga.pauses.Sent(ga.Server, now)
+	ga.limits.RecordSent(ga.Server, now)
+	ga.pauses.RecordSent(ga.Server, now)
 	ga.charge(wa.attempt.Team)
 	return Action{do: Start, key: wa.key, attempt: wa.attempt, code: result.OK}
 }
--- a/internal/gate/limit.go
+++ b/internal/gate/limit.go
@@ -28,7 +28,7 @@
 // limitWait returns how long nothing starts because of the server's limit or pause, zero if an
 // attempt may. The agent is the only way to its server, and so has all of the limit.
 func (ga *Gate) limitWait(now time.Time) time.Duration {
-	return max(ga.limits.Wait(ga.Server, quota.Gateway{Fleet: 1}, now), ga.pauses.Left(ga.Server, now))
+	return max(ga.limits.Wait(ga.Server, quota.Gateway{FleetSize: 1}, now), ga.pauses.LocalRemaining(ga.Server, now))
 }
 
 // mayStart reports whether an attempt may start. After a pause the server is probed by one attempt.
@@ -40,6 +40,6 @@
 // Accepted records that the server did not reject an attempt.
 func (ga *Gate) Accepted(now time.Time) []Action {
 	ga.observe(now)
-	ga.pauses.Accepted(ga.Server, now)
+	ga.pauses.RecordAccepted(ga.Server, now)
 	return ga.fill(now)
 }
--- a/internal/gate/order.go
+++ b/internal/gate/order.go
@@ -114,7 +114,7 @@
 // wait returns how long the attempt at a place of the queue waits, served by
 // all slots at the smoothed rate, or at the rate that the server names, after its pause.
 func (ga *Gate) wait(place int) time.Duration {
-	wait := ga.pauses.Left(ga.Server, ga.seen) + ga.service*time.Duration(place)/time.Duration(max(1, ga.slots()))
+	wait := ga.pauses.LocalRemaining(ga.Server, ga.seen) + ga.service*time.Duration(place)/time.Duration(max(1, ga.slots()))
 	if interval, ok := ga.limits.Interval(ga.Server); ok {
 		wait = max(wait, ga.limitWait(ga.seen)+time.Duration(place-1)*interval)
 	}
--- a/internal/gateway/follow.go
+++ b/internal/gateway/follow.go
@@ -217,7 +217,7 @@
 				continue
 			}
 		case ch.Leaving != "":
-			ga.serverLeaves(ch.Leaving, clock.Now(), gossip.MostHops, "announced to a watcher")
+			ga.serverLeaves(ch.Leaving, clock.Now(), gossip.MaxHops, "announced to a watcher")
 		case ch.Evacuated != "":
 			evacuated[ch.Evacuated] = true
 		case ch.Blocked != nil:
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -18,8 +18,8 @@
 	"github.com/linnetrudder/linnetrudder/internal/freshness"
 	"github.com/linnetrudder/linnetrudder/internal/gossip"
 	"github.com/linnetrudder/linnetrudder/internal/grace"
+	"github.com/linnetrudder/linnetrudder/internal/latency"
 	"github.com/linnetrudder/linnetrudder/internal/load"
-	"github.com/linnetrudder/linnetrudder/internal/pace"
 	"github.com/linnetrudder/linnetrudder/internal/poison"
 	"github.com/linnetrudder/linnetrudder/internal/pool"
 	"github.com/linnetrudder/linnetrudder/internal/quota"
@@ -132,7 +132,7 @@
 	rejoin   chan struct{}
 	// leavingNews and pauseNews hold the servers whose shutdown or pause is propagated to other
 	// gateways.
-	leavingNews, pauseNews gossip.Spread
+	leavingNews, pauseNews gossip.FactSet
 	// loads holds what other gateways report of servers' work, loadPlan says to which
 	// of them this one reports.
 	loads    load.Table
@@ -146,15 +146,15 @@
 	// back gets a value when the first one says so after none did.
 	back chan struct{}
 	// pace knows how long heads take, by service and model.
-	pace pace.Meter
+	pace latency.Meter
 	// prompts knows the usual size of prompts by route and by service, gains by how much
 	// models rate their answers higher than the smallest.
 	prompts sizes
 	gains   cascade.Gains
 	// backlogs follows each service's backlog.
-	backlogs map[string]*pace.Trend
+	backlogs map[string]*latency.Smoother
 	// best knows how long answers take at their best, by service and model.
-	best pace.Floor
+	best latency.Baseline
 	// retries holds the window of each service.
 	retries map[string]*budget.Window
 	// rollouts holds the newest roll-out of each service.
@@ -213,7 +213,7 @@
 	ga.rollouts = map[string]*timedRollout{}
 	ga.phases = map[string]StoredPhase{}
 	ga.demands = map[string]*rate.Meter{}
-	ga.backlogs = map[string]*pace.Trend{}
+	ga.backlogs = map[string]*latency.Smoother{}
 	ga.probes = map[string]*probe{}
 	ga.cases = poison.Cases{Ends: poison.FewestEnds}
 	ga.waiting = map[*sent]bool{}
--- a/internal/gateway/limits.go
+++ b/internal/gateway/limits.go
@@ -10,7 +10,7 @@
 
 // applyLimit records the limit that a server's answer reports, nil for none. The lock is held.
 func (ga *Gateway) applyLimit(server string, limit *float64, now time.Time) {
-	sent, lasts := ga.pool.Limits.Use(server, now)
+	sent, lasts := ga.pool.Limits.LimitUsage(server, now)
 	ga.noteLimit(ga.pool.Limits.Report(server, limit, now), server, sent, lasts, "")
 }
 
@@ -20,7 +20,7 @@
 		if ga.servers.Life(no.Server) == nil {
 			continue
 		}
-		sent, lasts := ga.pool.Limits.Use(no.Server, now)
+		sent, lasts := ga.pool.Limits.LimitUsage(no.Server, now)
 		ga.noteLimit(ga.pool.Limits.Receive(no, now), no.Server, sent, lasts, re.Box)
 	}
 }
--- a/internal/gateway/models.go
+++ b/internal/gateway/models.go
@@ -7,7 +7,7 @@
 	"github.com/rs/zerolog"
 
 	"github.com/linnetrudder/linnetrudder/internal/cascade"
-	"github.com/linnetrudder/linnetrudder/internal/pace"
+	"github.com/linnetrudder/linnetrudder/internal/latency"
 	"github.com/linnetrudder/linnetrudder/internal/pool"
 )
 
@@ -90,7 +90,7 @@
 	ex.choice = modelChoice{
 		state: cascade.State{
 			Left: ex.request.Target.Sub(now), Target: ex.route.Target, Priority: ex.priority(),
-			Backlog: backlog, Lasting: ga.backlog(ex.service).Follow(backlog, now),
+			Backlog: backlog, Lasting: ga.backlog(ex.service).Update(backlog, now),
 		},
 		options: make([]cascade.Option, len(ex.request.Models)),
 	}
@@ -112,10 +112,10 @@
 }
 
 // backlog returns the trend of a service's backlog; the lock is held.
-func (ga *Gateway) backlog(service string) *pace.Trend {
+func (ga *Gateway) backlog(service string) *latency.Smoother {
 	tr := ga.backlogs[service]
 	if tr == nil {
-		tr = &pace.Trend{}
+		tr = &latency.Smoother{}
 		ga.backlogs[service] = tr
 	}
 	return tr
--- a/internal/gateway/outcomes.go
+++ b/internal/gateway/outcomes.go
@@ -11,7 +11,7 @@
 func (ga *Gateway) sentTo(se directory.Server, route string, now time.Time) {
 	ga.demand(se.Service).Count(route, now)
 	if ro := ga.rollouts[se.Service]; ro != nil && !ro.over() {
-		ro.canary.Sent(route, se.Version == ro.order.Plan.Version, now)
+		ro.canary.RecordSent(route, se.Version == ro.order.Plan.Version, now)
 	}
 }
 
@@ -25,7 +25,7 @@
 func (ga *Gateway) demand(service string) *rate.Meter {
 	me := ga.demands[service]
 	if me == nil {
-		me = &rate.Meter{Memory: demandMemory}
+		me = &rate.Meter{TimeConstant: demandMemory}
 		ga.demands[service] = me
 	}
 	return me
@@ -60,7 +60,7 @@
 	if !isNew {
 		ga.best.Observe(name, took)
 	}
-	if best := ga.best.Floor(name); ro != nil && !ro.over() && best > 0 {
-		ro.canary.ObservePace(se.Key(), isNew, float64(took) > times*float64(best), now)
+	if best := ga.best.Latency(name); ro != nil && !ro.over() && best > 0 {
+		ro.canary.ObserveLatency(se.Key(), isNew, float64(took) > times*float64(best), now)
 	}
 }
--- a/internal/gateway/restored_test.go
+++ b/internal/gateway/restored_test.go
@@ -149,11 +149,11 @@
 	for name, order := range map[string]revision.Revision{"in the copy": inEra(2, 20), "written again": inEra(2, 23), "written again later": inEra(2, 90)} {
 		for _, ph := range []rollout.Phase{rollout.Trying, rollout.Shifting, rollout.Complete, rollout.Failed} {
 			ga := inRollout(t, ph)
-			began := ga.rollouts["s"].canary.Began
+			began := ga.rollouts["s"].canary.OrderedAt
 			ga.restored(t, phaseAt(inEra(2, 21), inEra(1, 20), rollout.Waiting), orderAt(order, "v2"))
 			ro := ga.rollouts["s"]
 			require.Equal(t, ph, ro.canary.Phase(), name)
-			require.Equal(t, began, ro.canary.Began, name)
+			require.Equal(t, began, ro.canary.OrderedAt, name)
 			next, due := ga.dueFor(ro, time.Now())
 			require.True(t, due, "what was lost is stored again")
 			require.Equal(t, ph, next.Phase)
@@ -215,11 +215,11 @@
 	other := inRollout(t, rollout.Trying)
 	other.restored(t, orderAt(inEra(2, 21), "v2"))
 	other.tallied(tally)
-	require.Equal(t, 1, other.rollouts["s"].canary.BadKnown(), "told before the order was written again")
+	require.Equal(t, 1, other.rollouts["s"].canary.TotalBad(), "told before the order was written again")
 	tally.Version = "v1"
 	tally.Box = "b"
 	other.tallied(tally)
-	require.Equal(t, 1, other.rollouts["s"].canary.BadKnown(), "of an earlier order")
+	require.Equal(t, 1, other.rollouts["s"].canary.TotalBad(), "of an earlier order")
 }
 
 // firstJoin returns how many changes there were before the first gateway joined.
--- a/internal/gateway/rollouts.go
+++ b/internal/gateway/rollouts.go
@@ -67,7 +67,7 @@
 		return
 	}
 	or.Plan.MostShare, or.Plan.MostExtra = ga.Bounds.CanaryShare, ga.ownExtra()
-	ro := &timedRollout{order: or, before: orderBefore(old), canary: rollout.Canary{Plan: or.Plan, Began: clock.Now().Add(-ga.unseen)}}
+	ro := &timedRollout{order: or, before: orderBefore(old), canary: rollout.Canary{Plan: or.Plan, OrderedAt: clock.Now().Add(-ga.unseen)}}
 	ro.withdrawn = ga.withdrawnFor(old, or)
 	ga.rollouts[or.Plan.Service] = ro
 	ga.Log.Info().Int("event", int(event.RolloutOrdered)).Str("service", or.Plan.Service).
@@ -115,7 +115,7 @@
 	for _, se := range ga.servers.Servers(or.Plan.Service) {
 		listed = append(listed, se.Version)
 	}
-	return rollout.Withdraw(before, version, ph, listed, or.Plan.Version)
+	return rollout.WithdrawnVersions(before, version, ph, listed, or.Plan.Version)
 }
 
 // stored takes a phase that was kept by any gateway; the lock is held.
@@ -132,8 +132,8 @@
 
 // take takes what is kept of a roll-out.
 func (ga *Gateway) take(ro *timedRollout, ph StoredPhase) {
-	ro.canary.Try(ph.Shares, ph.Burst)
-	ro.canary.BeganBefore(clock.Now().Add(-ph.Elapsed))
+	ro.canary.SetShares(ph.Shares, ph.Burst)
+	ro.canary.OrderedNoLaterThan(clock.Now().Add(-ph.Elapsed))
 	if ro.canary.Phase() == ph.Phase {
 		return
 	}
@@ -179,11 +179,11 @@
 func (ro *timedRollout) goesToNew(ex *exchange, now time.Time) bool {
 	switch {
 	case ex.begun != "":
-		return ro.canary.Continues(ex.begun == ro.order.Plan.Version, ex.request.LastChance())
+		return ro.canary.RetriesOnNew(ex.begun == ro.order.Plan.Version, ex.request.LastChance())
 	case ex.single:
-		return ro.canary.NewSingle(ex.route.Name, ex.draw, now)
+		return ro.canary.SelectsRequest(ex.route.Name, ex.draw, now)
 	default:
-		return ro.canary.New(ex.session, ex.route.Name, now)
+		return ro.canary.SelectsSession(ex.session, ex.route.Name, now)
 	}
 }
 
@@ -197,7 +197,7 @@
 // settle leaves a version that counts as bad, whether the store can be reached or
 // not. The lock is held.
 func (ga *Gateway) settle(ro *timedRollout, now time.Time) {
-	if ro.canary.Settle(now) {
+	if ro.canary.FailIfBad(now) {
 		ga.noteEntered(ro)
 		ro.tried = time.Time{}
 	}
@@ -235,7 +235,7 @@
 		ph = rollout.Waiting
 	}
 	boxes := slices.Collect(maps.Keys(ga.members))
-	return now.Sub(ro.dueSince) >= rollout.Turn(ga.Box, boxes, ga.size, ro.order.Revision.Number, ph)
+	return now.Sub(ro.dueSince) >= rollout.StoreDelay(ga.Box, boxes, ga.size, ro.order.Revision.Number, ph)
 }
 
 // elapsedEvery is how often the elapsed time of a trial is stored. A process that starts in the middle
@@ -252,7 +252,7 @@
 	}
 	next := StoredPhase{
 		Service: ro.order.Plan.Service, Order: ro.order.Revision, Phase: ro.canary.Phase(), Revision: kept.Revision,
-		Version: ro.order.Plan.Version, Withdrawn: ro.withdrawn, Shares: ro.canary.Shares(), Burst: ro.canary.Burst(), Elapsed: now.Sub(ro.canary.Began),
+		Version: ro.order.Plan.Version, Withdrawn: ro.withdrawn, Shares: ro.canary.Shares(), Burst: ro.canary.Burst(), Elapsed: now.Sub(ro.canary.OrderedAt),
 	}
 	ph, due := ro.canary.Due(now)
 	if due {
@@ -272,7 +272,7 @@
 // service does not answer nobody does.
 func (ga *Gateway) isOld(ro *timedRollout, kept, next StoredPhase, now time.Time) bool {
 	tried := next.Phase == rollout.Waiting || next.Phase == rollout.Trying
-	if !tried || next.Elapsed-kept.Elapsed < elapsedEvery || ro.canary.Deciding(now) {
+	if !tried || next.Elapsed-kept.Elapsed < elapsedEvery || ro.canary.DecisionImminent(now) {
 		return false
 	}
 	return !ga.fresh.Failing() && ga.plan.Watches(ga.memberList())
--- a/internal/gateway/rollouts_test.go
+++ b/internal/gateway/rollouts_test.go
@@ -190,7 +190,7 @@
 // were continued on one on trial, which failed until no run was left.
 func TestWhatBeganOnTheOldVersionIsNoSubjectForATrial(t *testing.T) {
 	ga, ro := rolling(t)
-	ro.canary.Try(rollout.Shares{rollout.AnyRoute: 1}, 0)
+	ro.canary.SetShares(rollout.Shares{rollout.AnyRoute: 1}, 0)
 	list(ga, "v1", "v2")
 	now := time.Now()
 	version := func(ex *exchange) string {
@@ -220,7 +220,7 @@
 // finishes in time, and sessions that had moved stay where they are.
 func TestARolloutGoesOnAfterARestart(t *testing.T) {
 	ga, ro := ordered(t)
-	ph, due := ga.dueFor(ro, ro.canary.Began.Add(10*time.Second))
+	ph, due := ga.dueFor(ro, ro.canary.OrderedAt.Add(10*time.Second))
 	require.True(t, due)
 	require.Equal(t, rollout.Trying, ph.Phase)
 	ph.Revision = rev(9)
@@ -230,10 +230,10 @@
 	again.ordered(ro.order)
 	rest := again.rollouts["s"]
 	require.Equal(t, ph.Shares, rest.canary.Shares())
-	require.InDelta(t, 10, time.Since(rest.canary.Began).Seconds(), 0.5)
+	require.InDelta(t, 10, time.Since(rest.canary.OrderedAt).Seconds(), 0.5)
 	moved := 0
 	for i := range 10_000 {
-		if rest.canary.New(fmt.Sprint("session-", i), "r", time.Now()) {
+		if rest.canary.SelectsSession(fmt.Sprint("session-", i), "r", time.Now()) {
 			moved++
 		}
 	}
@@ -243,7 +243,7 @@
 	next, due := again.dueFor(rest, time.Now().Add(elapsedEvery))
 	require.True(t, due, "what is kept grows old")
 	require.Greater(t, next.Elapsed, ph.Elapsed)
-	late, due := again.dueFor(rest, rest.canary.Began.Add(17500*time.Millisecond))
+	late, due := again.dueFor(rest, rest.canary.OrderedAt.Add(17500*time.Millisecond))
 	require.False(t, due, "no write just before the shift: %v", late)
 }
 
@@ -263,7 +263,7 @@
 	collector.Reported(re)
 	leaf.tookReport(re, now)
 	require.Empty(t, leaf.report(false).Tallies, "once")
-	require.Equal(t, 1, of.canary.BadKnown(), "the collector knows at once")
+	require.Equal(t, 1, of.canary.TotalBad(), "the collector knows at once")
 
 	collector.tell(t.Context(), of, now.Add(time.Second))
 	require.Eventually(t, func() bool { return len(te.all()) == 2 }, 5*time.Second, time.Millisecond)
@@ -271,10 +271,10 @@
 	for _, ta := range te.all() {
 		third.tallied(ta)
 	}
-	require.Equal(t, 1, by.canary.BadKnown())
+	require.Equal(t, 1, by.canary.TotalBad())
 	third.tallied(Tally{Service: "s", Order: rev(7), Box: "b", Life: leaf.life})
 	third.tallied(te.all()[0])
-	require.Equal(t, 1, by.canary.BadKnown(), "what is older, or came on another way, is not counted again")
+	require.Equal(t, 1, by.canary.TotalBad(), "what is older, or came on another way, is not counted again")
 
 	leaf.reported = now.Add(-time.Minute)
 	leaf.observe(directory.Server{ID: "y", Service: "s", Version: "v2"}, "r", true)
@@ -315,7 +315,7 @@
 			now = now.Add(10 * time.Millisecond)
 			ga.observe(directory.Server{ID: "a", Service: "s", Version: "v2"}, "r", true)
 			if ga.mayTell(ro, now) {
-				ro.toldAt, ro.toldTried = now, ro.canary.OwnTried()
+				ro.toldAt, ro.toldTried = now, ro.canary.OwnCount()
 				_, ro.toldBad = ro.canary.Counts()
 				told++
 			}
@@ -330,7 +330,7 @@
 func TestWhatCanNotBeStoredIsTriedLessOften(t *testing.T) {
 	ga, ro := rolling(t)
 	ga.stored(StoredPhase{Service: "s", Order: rev(7), Phase: rollout.Trying, Revision: rev(9)})
-	old := ro.canary.Began.Add(4 * elapsedEvery)
+	old := ro.canary.OrderedAt.Add(4 * elapsedEvery)
 	_, due := ga.dueFor(ro, old)
 	require.True(t, due)
 	ga.fresh.Failed()
@@ -357,12 +357,12 @@
 		now := time.Now()
 		require.NoError(t, ga.takeRead(State{Revision: rev(2)}, now.Add(-tc.silent)))
 		require.NoError(t, ga.takeRead(State{Revision: rev(9), Changes: []Change{order}}, now))
-		require.InDelta(t, float64(tc.older), float64(now.Sub(ga.rollouts["s"].canary.Began)), float64(50*time.Millisecond))
+		require.InDelta(t, float64(tc.older), float64(now.Sub(ga.rollouts["s"].canary.OrderedAt)), float64(50*time.Millisecond))
 	}
 	ga := &Gateway{Log: zerolog.Nop()}
 	ga.prepare()
 	now := time.Now()
 	require.NoError(t, ga.takeRead(State{Revision: rev(2)}, now.Add(-time.Second)))
 	ga.apply(State{Revision: rev(9), Changes: []Change{order}}, now, time.Second, now)
-	require.False(t, ga.rollouts["s"].canary.Began.Before(now), "a watch tells at once")
+	require.False(t, ga.rollouts["s"].canary.OrderedAt.Before(now), "a watch tells at once")
 }
--- a/internal/gateway/selfreports.go
+++ b/internal/gateway/selfreports.go
@@ -47,11 +47,11 @@
 	case re.RetryAfter > 0:
 		ga.pauseServer(key, re.RetryAfter, now)
 	case se.answer == nil:
-		if ga.pool.Pauses.Rejected(key, now) {
-			ga.pauseNews.Learn(key, 0, now)
+		if ga.pool.Pauses.RecordRejected(key, now) {
+			ga.pauseNews.Add(key, 0, now)
 		}
 	default:
-		ga.pool.Pauses.Accepted(key, now)
+		ga.pool.Pauses.RecordAccepted(key, now)
 	}
 	if re.Leaving {
 		ga.serverLeaves(key, now, 0, "announced in an answer")
@@ -63,7 +63,7 @@
 	if !ga.pool.Pauses.Begin(key, lasts, now) {
 		return
 	}
-	ga.pauseNews.Learn(key, 0, now)
+	ga.pauseNews.Add(key, 0, now)
 	serverPauses.Inc()
 	ga.Log.Info().Int("event", int(event.ServerPaused)).Str("server", key).Dur("for_ms", lasts).Msg(event.Name(event.ServerPaused))
 }
@@ -81,7 +81,7 @@
 	if !ga.servers.Leave(key, at) {
 		return
 	}
-	ga.leavingNews.Learn(key, hops, clock.Now())
+	ga.leavingNews.Add(key, hops, clock.Now())
 	serversLeaving.Inc()
 	ga.noteServer(event.ServerLeaving, key, detail)
 }
@@ -95,14 +95,14 @@
 		}
 	}
 	for _, no := range re.Pauses {
-		if no.Valid() && ga.servers.Life(no.Server) != nil && ga.pool.Pauses.Told(no.Server, no.Lasts-no.Age, now) {
-			ga.pauseNews.Learn(no.Server, no.Hops+1, now)
+		if no.Valid() && ga.servers.Life(no.Server) != nil && ga.pool.Pauses.RecordRemote(no.Server, no.Duration-no.Age, now) {
+			ga.pauseNews.Add(no.Server, no.Hops+1, now)
 		}
 	}
 }
 
 // addNotices adds notices of what servers reported to a report for another gateway. The lock is held.
-func (ga *Gateway) addNotices(re *relay.Report, to gossip.Peer, now time.Time) {
+func (ga *Gateway) addNotices(re *relay.Report, to gossip.Direction, now time.Time) {
 	re.Limits = ga.pool.Limits.Notices(to, now)
 	for _, fa := range ga.leavingNews.Due(to, now) {
 		if at, ok := ga.servers.LeavingSince(fa.Key()); ok {
@@ -111,7 +111,7 @@
 	}
 	for _, fa := range ga.pauseNews.Due(to, now) {
 		if left := ga.pool.Pauses.Remaining(fa.Key(), now); left > 0 {
-			re.Pauses = append(re.Pauses, gossip.Notice{Server: fa.Key(), Hops: fa.Hops(), Lasts: left})
+			re.Pauses = append(re.Pauses, gossip.Notice{Server: fa.Key(), Hops: fa.Hops(), Duration: left})
 		}
 	}
 }
@@ -121,7 +121,7 @@
 func (ga *Gateway) noteUnwanted(se *sent, now time.Time) {
 	key := se.server.Key()
 	since, leaving := ga.servers.LeavingSince(key)
-	pause := ga.pool.Pauses.Left(key, now)
+	pause := ga.pool.Pauses.LocalRemaining(key, now)
 	if !leaving && pause == 0 {
 		return
 	}
--- a/internal/gateway/selfreports_test.go
+++ b/internal/gateway/selfreports_test.go
@@ -315,7 +315,7 @@
 	now := clock.Now()
 	ga, _ := newServing()
 	ga.Reported(relay.Report{Box: "b", Leaving: []gossip.Notice{
-		{Server: "x0", Hops: gossip.MostHops}, {Server: "x1", Age: -time.Second}, {}, {Server: "x2", Age: time.Hour},
+		{Server: "x0", Hops: gossip.MaxHops}, {Server: "x1", Age: -time.Second}, {}, {Server: "x2", Age: time.Hour},
 	}})
 	require.Equal(t, map[string]bool{"x0": true, "x1": true}, servedBy(ga, now))
 }
--- a/internal/gateway/servers.go
+++ b/internal/gateway/servers.go
@@ -129,7 +129,7 @@
 
 // cool notes for how long a server is cold; the lock is held.
 func (ga *Gateway) cool(se *directory.Server, left time.Duration, now time.Time) {
-	if ga.pool.Warmup.Cool(se.Key(), left, now) {
+	if ga.pool.Warmup.MarkCold(se.Key(), left, now) {
 		ga.noteServer(event.ServerCold, se.Key(), strconv.FormatInt(left.Milliseconds(), 10)+" ms")
 	}
 }
@@ -142,7 +142,7 @@
 		return quota.Limit{}
 	}
 	return quota.Limit{
-		PerSecond: sv.ColdPerSecond, Most: sv.ColdPerSecond*ga.Bounds.ColdRatio + ga.Bounds.ColdExtra, Window: warmup.Window,
+		PerSecond: sv.ColdPerSecond, MaxInWindow: sv.ColdPerSecond*ga.Bounds.ColdRatio + ga.Bounds.ColdExtra, Window: warmup.Window,
 	}
 }
 
@@ -180,7 +180,7 @@
 // countFleet takes how many gateways there may be; the lock is held.
 func (ga *Gateway) countFleet(now time.Time) {
 	ga.fleet.Observe(ga.size, now)
-	ga.pool.Fleet = ga.fleet.Most(now)
+	ga.pool.Fleet = ga.fleet.Estimate(now)
 }
 
 // dropMissing drops the servers whose entries did not come back, and lists those whose entries
--- a/internal/gateway/servers_test.go
+++ b/internal/gateway/servers_test.go
@@ -150,7 +150,7 @@
 	ro.canary.Enter("shifting")
 	for _, se := range ga.servers.Listed() {
 		if se.Version == "v2" {
-			ga.pool.Warmup.Cool(se.Key(), time.Minute, now)
+			ga.pool.Warmup.MarkCold(se.Key(), time.Minute, now)
 		}
 	}
 	ex := &exchange{ga: ga, as: &Ask{}, route: &routing.Route{Name: "r"}, service: "s", session: "any"}
--- a/internal/gateway/tallies.go
+++ b/internal/gateway/tallies.go
@@ -33,14 +33,14 @@
 	_, bad := ro.canary.Counts()
 	since := now.Sub(ro.toldAt)
 	switch {
-	case ro.over() || ro.canary.OwnTried() == ro.toldTried:
+	case ro.over() || ro.canary.OwnCount() == ro.toldTried:
 		return false
 	case bad > ro.toldBad:
 		return since >= max(tellEvery, tellSpacing*time.Duration(ga.size))
-	case ro.canary.Deciding(now):
+	case ro.canary.DecisionImminent(now):
 		return since >= max(decideEvery, tellSpacing*time.Duration(ga.size))
 	default:
-		return ro.canary.BadKnown() >= answerFromBad && (ro.toldTried == 0 || since >= answerEvery)
+		return ro.canary.TotalBad() >= answerFromBad && (ro.toldTried == 0 || since >= answerEvery)
 	}
 }
 
@@ -54,7 +54,7 @@
 	}
 	if ga.mayTell(ro, now) {
 		_, bad := ro.canary.Counts()
-		ro.toldBad, ro.toldTried, ro.toldAt = bad, ro.canary.OwnTried(), now
+		ro.toldBad, ro.toldTried, ro.toldAt = bad, ro.canary.OwnCount(), now
 		ro.outbox = ga.ownTally(ro)
 	}
 	if now.Sub(ga.reported) < loadKept {
--- a/internal/gateway/whole.go
+++ b/internal/gateway/whole.go
@@ -128,7 +128,7 @@
 	}
 	for _, se := range ga.servers.Listed() {
 		listed := *se
-		listed.ColdFor = ga.pool.Warmup.Left(se.Key(), clock.Now())
+		listed.ColdFor = ga.pool.Warmup.Remaining(se.Key(), clock.Now())
 		all = append(all, Change{Server: &listed})
 	}
 	for _, id := range ga.servers.EndedSince(ga.endedFrom(clock.Now())) {
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -9,41 +9,41 @@
 )
 
 const (
-	// KeepFor is how long a fact is propagated. Reports are sent ten times per second, so
+	// FactLifetime is how long a fact is propagated. Reports are sent ten times per second, so
 	// that a few of them may be lost.
-	KeepFor = time.Second
-	// MostPerReport bounds the facts of one kind in one report, at about 25 B each.
-	MostPerReport = 64
+	FactLifetime = time.Second
+	// MaxFactsPerReport bounds the facts of one kind in one report, at about 25 B each.
+	MaxFactsPerReport = 64
 	// longestNotice bounds how long a notice may hold.
 	longestNotice = time.Hour
-	// MostHops is how many gateways a fact may pass. Without a bound it would circulate
+	// MaxHops is how many gateways a fact may pass. Without a bound it would circulate
 	// forever: each gateway adds the transfer time to its age unnoticed.
-	MostHops = 3
+	MaxHops = 3
 )
 
-// Peer is the role of the gateway that a report goes to.
-type Peer string
+// Direction is the role of the gateway that a report goes to.
+type Direction string
 
 // The peers.
 const (
 	// ToCollector is a gateway's collector.
-	ToCollector Peer = "to collector"
+	ToCollector Direction = "to collector"
 	// BetweenCollectors is another collector.
-	BetweenCollectors Peer = "between collectors"
+	BetweenCollectors Direction = "between collectors"
 	// ToMember is a gateway that reports to this collector.
-	ToMember Peer = "to member"
+	ToMember Direction = "to member"
 )
 
 // hops returns the most gateways that a fact for the peer may have passed. Collectors exchange only what
 // their own groups learned.
-func (pe Peer) hops() uint8 {
+func (pe Direction) hops() uint8 {
 	switch pe {
 	case ToCollector:
 		return 0
 	case BetweenCollectors:
 		return 1
 	default:
-		return MostHops - 1
+		return MaxHops - 1
 	}
 }
 
@@ -65,13 +65,13 @@
 	hops uint8
 }
 
-// Spread holds the facts of one kind that are being propagated. The zero value is empty. It is not
+// FactSet holds the facts of one kind that are being propagated. The zero value is empty. It is not
 // safe for concurrent use.
-type Spread struct{ facts map[string]learned }
+type FactSet struct{ facts map[string]learned }
 
-// Learn begins to propagate a fact that has passed a number of gateways, zero if it was observed here.
+// Add begins to propagate a fact that has passed a number of gateways, zero if it was observed here.
 // A fact that is learned again is propagated for another KeepFor.
-func (sp *Spread) Learn(key string, hops uint8, now time.Time) {
+func (sp *FactSet) Add(key string, hops uint8, now time.Time) {
 	if sp.facts == nil {
 		sp.facts = map[string]learned{}
 	}
@@ -79,28 +79,28 @@
 }
 
 // Due returns the facts for a report to a peer.
-func (sp *Spread) Due(to Peer, now time.Time) []Fact {
+func (sp *FactSet) Due(to Direction, now time.Time) []Fact {
 	var list []Fact
 	for key, le := range sp.facts {
-		if le.hops <= to.hops() && now.Sub(le.at) < KeepFor && len(list) < MostPerReport {
+		if le.hops <= to.hops() && now.Sub(le.at) < FactLifetime && len(list) < MaxFactsPerReport {
 			list = append(list, Fact{key: key, hops: le.hops})
 		}
 	}
 	return list
 }
 
-// Spreads reports whether a fact is still being propagated.
-func (sp *Spread) Spreads(key string) bool {
+// Active reports whether a fact is still being propagated.
+func (sp *FactSet) Active(key string) bool {
 	_, ok := sp.facts[key]
 	return ok
 }
 
 // Forget stops propagating a fact.
-func (sp *Spread) Forget(key string) { delete(sp.facts, key) }
+func (sp *FactSet) Forget(key string) { delete(sp.facts, key) }
 
 // Tick drops the facts that are no longer propagated.
-func (sp *Spread) Tick(now time.Time) {
-	maps.DeleteFunc(sp.facts, func(_ string, le learned) bool { return now.Sub(le.at) >= KeepFor })
+func (sp *FactSet) Tick(now time.Time) {
+	maps.DeleteFunc(sp.facts, func(_ string, le learned) bool { return now.Sub(le.at) >= FactLifetime })
 }
 
 // Notice propagates one report of a server. Its fields are exported because the codec needs
@@ -112,11 +112,11 @@
 	Age time.Duration `cbor:"2,keyasint"`
 	// Hops is how many gateways the notice has passed.
 	Hops uint8 `cbor:"3,keyasint,omitempty"`
-	// Lasts is for how long it holds, counted from Age; zero if it has no end.
-	Lasts time.Duration `cbor:"4,keyasint,omitempty"`
+	// Duration is for how long it holds, counted from Age; zero if it has no end.
+	Duration time.Duration `cbor:"4,keyasint,omitempty"`
 }
 
 // Valid reports whether a notice from another process is well-formed.
 func (no *Notice) Valid() bool {
-	return no.Server != "" && no.Age >= 0 && no.Hops < MostHops && no.Lasts >= 0 && no.Lasts <= longestNotice
+	return no.Server != "" && no.Age >= 0 && no.Hops < MaxHops && no.Duration >= 0 && no.Duration <= longestNotice
 }
--- a/internal/pace/pace.go
+++ b/internal/latency/latency.go
@@ -1,7 +1,7 @@
 // Package pace knows how long the head of an answer usually takes, so that an
 // attempt is not given up as dead only because everything is slow. It does no
 // I/O and reads no clock.
-package pace
+package latency
 
 import "time"
 
@@ -32,13 +32,13 @@
 	floorStep = 0.1
 )
 
-// Floor follows the time that only the quickest answers stay below, by name: how
+// Baseline follows the time that only the quickest answers stay below, by name: how
 // long an answer takes when nothing is in its way. The zero value knows none. It
 // is not safe for concurrent use.
-type Floor struct{ floor map[string]float64 }
+type Baseline struct{ floor map[string]float64 }
 
 // Observe notes a time.
-func (fl *Floor) Observe(name string, took time.Duration) {
+func (fl *Baseline) Observe(name string, took time.Duration) {
 	if fl.floor == nil {
 		fl.floor = map[string]float64{}
 	}
@@ -55,8 +55,8 @@
 	fl.floor[name] = at
 }
 
-// Floor returns the time, zero if none is known.
-func (fl *Floor) Floor(name string) time.Duration { return time.Duration(fl.floor[name]) }
+// Latency returns the time, zero if none is known.
+func (fl *Baseline) Latency(name string) time.Duration { return time.Duration(fl.floor[name]) }
 
 // Usual returns the usual time, zero if none is known.
 func (me *Meter) Usual(name string) time.Duration { return me.usual[name] }
--- a/internal/pace/pace_test.go
+++ b/internal/latency/latency_test.go
@@ -1,4 +1,4 @@
-package pace
+package latency
 
 import (
 	"math"
@@ -23,30 +23,30 @@
 
 func TestTheFloorIsNearTheQuickestAnswers(t *testing.T) {
 	ra := rand.New(rand.NewPCG(1, 2))
-	var fl Floor
-	require.Zero(t, fl.Floor("m"))
+	var fl Baseline
+	require.Zero(t, fl.Latency("m"))
 	for range 500 {
 		took := 10 * math.Exp(1.2*math.Abs(ra.NormFloat64()))
 		fl.Observe("m", time.Duration(took*float64(time.Millisecond)))
 	}
-	require.InDelta(t, 11, fl.Floor("m").Seconds()*1000, 3)
+	require.InDelta(t, 11, fl.Latency("m").Seconds()*1000, 3)
 }
 
 func TestABurstDoesNotMoveTheFloor(t *testing.T) {
-	var fl Floor
+	var fl Baseline
 	for range 200 {
 		fl.Observe("m", 20*time.Millisecond)
 	}
-	before := fl.Floor("m")
+	before := fl.Latency("m")
 	for range 120 {
 		fl.Observe("m", 100*time.Millisecond)
 	}
-	require.Less(t, fl.Floor("m"), before*5/4)
+	require.Less(t, fl.Latency("m"), before*5/4)
 }
 
 func TestTheReadingTimeIsThatOfAnIdleServer(t *testing.T) {
 	ra := rand.New(rand.NewPCG(1, 2))
-	var re Reading
+	var re PromptTime
 	_, ok := re.PerToken("m")
 	require.False(t, ok)
 	re.Observe("m", fewestTokens-1, time.Second)
@@ -63,17 +63,17 @@
 }
 
 func TestATrendFollowsTheClock(t *testing.T) {
-	var tr Trend
+	var tr Smoother
 	now := time.Unix(1000, 0)
-	require.Equal(t, time.Second, tr.Follow(time.Second, now))
-	require.Equal(t, time.Second, tr.Follow(5*time.Second, now), "no time has passed")
-	require.InDelta(t, 5, tr.Follow(5*time.Second, now.Add(5*trendMemory)).Seconds(), 0.05)
+	require.Equal(t, time.Second, tr.Update(time.Second, now))
+	require.Equal(t, time.Second, tr.Update(5*time.Second, now), "no time has passed")
+	require.InDelta(t, 5, tr.Update(5*time.Second, now.Add(5*trendMemory)).Seconds(), 0.05)
 }
 
 // After a start a first answer of a busy server stood for a model's time: the largest
 // model was asked too seldom for some ten seconds.
 func TestAFewTimesTellWhatAnIdleServerTakes(t *testing.T) {
-	var re Reading
+	var re PromptTime
 	for _, took := range []time.Duration{900, 400, 600, 150, 500} {
 		re.Observe("m", 1000, took*time.Millisecond)
 	}
--- a/internal/pace/reading.go
+++ b/internal/latency/prompttime.go
@@ -1,4 +1,4 @@
-package pace
+package latency
 
 import (
 	"math"
@@ -19,17 +19,17 @@
 	firstTimes = 10
 )
 
-// Reading knows how long a model takes for each token of a prompt at a server that has
+// PromptTime knows how long a model takes for each token of a prompt at a server that has
 // nothing else to do: most answers take longer. The zero value knows nothing. It is not
 // safe for concurrent use.
-type Reading struct {
+type PromptTime struct {
 	perToken map[string]float64
 	// times counts what was observed, by model.
 	times map[string]int
 }
 
 // Observe notes how long a model took for a prompt of which so many tokens were read.
-func (re *Reading) Observe(model string, tokens int, took time.Duration) {
+func (re *PromptTime) Observe(model string, tokens int, took time.Duration) {
 	if tokens < fewestTokens || took <= 0 {
 		return
 	}
@@ -53,7 +53,7 @@
 }
 
 // PerToken returns the time for a token in nanoseconds, false if it is not known.
-func (re *Reading) PerToken(model string) (float64, bool) {
+func (re *PromptTime) PerToken(model string) (float64, bool) {
 	at, ok := re.perToken[model]
 	return at, ok
 }
--- a/internal/pace/trend.go
+++ b/internal/latency/smoother.go
@@ -1,4 +1,4 @@
-package pace
+package latency
 
 import (
 	"math"
@@ -8,15 +8,15 @@
 // trendMemory is how far back a trend looks. 3 and 6 s differ by less than the noise.
 const trendMemory = 6 * time.Second
 
-// Trend follows a time that is looked at now and then, smoothed by the clock. The zero
+// Smoother follows a time that is looked at now and then, smoothed by the clock. The zero
 // value begins with what it is given first. It is not safe for concurrent use.
-type Trend struct {
+type Smoother struct {
 	at    time.Time
 	value float64
 }
 
-// Follow takes the present value and returns the smoothed one.
-func (tr *Trend) Follow(present time.Duration, now time.Time) time.Duration {
+// Update takes the present value and returns the smoothed one.
+func (tr *Smoother) Update(present time.Duration, now time.Time) time.Duration {
 	if tr.at.IsZero() {
 		tr.at, tr.value = now, float64(present)
 	}
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -11,9 +11,9 @@
 
 	"github.com/linnetrudder/linnetrudder/internal/backpressure"
 	"github.com/linnetrudder/linnetrudder/internal/directory"
+	"github.com/linnetrudder/linnetrudder/internal/latency"
 	"github.com/linnetrudder/linnetrudder/internal/load"
 	"github.com/linnetrudder/linnetrudder/internal/outlier"
-	"github.com/linnetrudder/linnetrudder/internal/pace"
 	"github.com/linnetrudder/linnetrudder/internal/quota"
 	"github.com/linnetrudder/linnetrudder/internal/warmup"
 )
@@ -108,7 +108,7 @@
 
 	outliers outlier.Detector
 	// speeds tracks how quickly models read.
-	speeds   pace.Reading
+	speeds   latency.PromptTime
 	holdings holdings
 	// The maps below are keyed by a server's life (directory.Server.Key).
 
@@ -166,9 +166,9 @@
 // all processes share, and for a pause that the server asked for. Every way of sending an attempt has
 // to check it, since a paused server looks idle.
 func (po *Pool) waitFor(se *directory.Server, cold quota.Limit, now time.Time) (quotas, pause time.Duration) {
-	gw := quota.Gateway{Box: po.Box, Fleet: po.Fleet}
+	gw := quota.Gateway{Box: po.Box, FleetSize: po.Fleet}
 	quotas = max(po.Warmup.Wait(se.Key(), cold, gw, now), po.Limits.Wait(se.Key(), gw, now))
-	return quotas, po.Pauses.Left(se.Key(), now)
+	return quotas, po.Pauses.LocalRemaining(se.Key(), now)
 }
 
 // accepts reports whether this process may send to a server now.
@@ -261,9 +261,9 @@
 
 // Reserve records that an attempt will be made at the server of an offer.
 func (po *Pool) Reserve(of Offer, now time.Time) {
-	po.Warmup.Sent(of.server.Key(), now)
-	po.Limits.Sent(of.server.Key(), now)
-	po.Pauses.Sent(of.server.Key(), now)
+	po.Warmup.RecordSent(of.server.Key(), now)
+	po.Limits.RecordSent(of.server.Key(), now)
+	po.Pauses.RecordSent(of.server.Key(), now)
 }
 
 // load returns the work in progress of all processes on a server, as time. Differences in speed
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -303,7 +303,7 @@
 	rate := 0.1
 	for _, se := range po.Directory.Servers("svc") {
 		po.Limits.Report(se.Key(), &rate, now)
-		po.Limits.Sent(se.Key(), now)
+		po.Limits.RecordSent(se.Key(), now)
 	}
 	require.Equal(t, longestQuotaWait, po.Wait(Ask{Service: "svc"}, now))
 	for _, se := range po.Directory.Servers("svc") {
@@ -315,8 +315,8 @@
 // A server that asked another process for a pause is used if there is no other.
 func TestAvoidedServersAreUsedIfThereIsNoOther(t *testing.T) {
 	po := pool(3)
-	po.Pauses.Told("s0", 3*time.Second, now)
-	po.Pauses.Told("s1", 3*time.Second, now)
+	po.Pauses.RecordRemote("s0", 3*time.Second, now)
+	po.Pauses.RecordRemote("s1", 3*time.Second, now)
 	for i := range uint64(20) {
 		require.Equal(t, "s2", pick(po, Ask{Service: "svc", Probe: true}, i).ID)
 	}
@@ -337,6 +337,6 @@
 	require.Equal(t, "s1", of.Server().ID)
 	po.Reserve(of, now)
 	require.Equal(t, "s0", pick(po, Ask{Service: "svc", Probe: true}, 0).ID, "one at a time")
-	po.Pauses.Accepted("s1", now)
+	po.Pauses.RecordAccepted("s1", now)
 	require.Equal(t, "s1", pick(po, Ask{Service: "svc"}, 0).ID)
 }
--- a/internal/quality/codec.go
+++ b/internal/quality/codec.go
@@ -5,23 +5,23 @@
 	"github.com/rotisserie/eris"
 )
 
-// Line is one cell as it is sent and stored.
-type Line struct {
+// Entry is one cell as it is sent and stored.
+type Entry struct {
 	Cell  Cell  `cbor:"1,keyasint" json:"cell"`
 	Count Count `cbor:"2,keyasint" json:"count"`
 }
 
-// Lines returns the table's counts as lines, in no order.
-func (ta *Table) Lines() []Line {
-	lines := make([]Line, 0, len(ta.cells))
+// Entries returns the table's counts as lines, in no order.
+func (ta *Table) Entries() []Entry {
+	lines := make([]Entry, 0, len(ta.cells))
 	for ce, co := range ta.cells {
-		lines = append(lines, Line{ce, co})
+		lines = append(lines, Entry{ce, co})
 	}
 	return lines
 }
 
-// MergeLines adds lines.
-func (ta *Table) MergeLines(lines []Line) {
+// MergeEntries adds lines.
+func (ta *Table) MergeEntries(lines []Entry) {
 	for _, li := range lines {
 		ta.Merge(li.Cell, li.Count)
 	}
@@ -29,7 +29,7 @@
 
 // Encode writes the table as it is stored.
 func (ta *Table) Encode() ([]byte, error) {
-	value, err := cbor.Marshal(ta.Lines())
+	value, err := cbor.Marshal(ta.Entries())
 	return value, eris.Wrap(err, "ratings")
 }
 
@@ -39,13 +39,13 @@
 	if len(value) == 0 {
 		return ta, nil
 	}
-	var lines []Line
+	var lines []Entry
 	if err := cbor.Unmarshal(value, &lines); err != nil {
 		return nil, eris.Wrap(err, "ratings")
 	}
-	ta.MergeLines(lines)
+	ta.MergeEntries(lines)
 	return ta, nil
 }
 
-// Cells returns how many cells the table holds.
-func (ta *Table) Cells() int { return len(ta.cells) }
+// Len returns how many cells the table holds.
+func (ta *Table) Len() int { return len(ta.cells) }
--- a/internal/quality/quality.go
+++ b/internal/quality/quality.go
@@ -114,8 +114,8 @@
 	po.stale = true
 }
 
-// OfVersion returns the count of all teams and kinds for a version.
-func (ta *Table) OfVersion(version string) Count {
+// VersionTotal returns the count of all teams and kinds for a version.
+func (ta *Table) VersionTotal(version string) Count {
 	var all Count
 	for ce, co := range ta.cells {
 		if ce.Version == version {
@@ -148,22 +148,22 @@
 	return mean, max(0, mean-z*spread)
 }
 
-// TryKind is the kind under which it is counted how many first tries of a kind
+// FirstAttemptKind is the kind under which it is counted how many first tries of a kind
 // were kept.
-func TryKind(kind string) string { return kind + "/tries" }
+func FirstAttemptKind(kind string) string { return kind + "/tries" }
 
-// AddTry notes whether a first try was kept.
-func (ta *Table) AddTry(team, kind, version string, kept bool) {
+// AddFirstAttempt notes whether a first try was kept.
+func (ta *Table) AddFirstAttempt(team, kind, version string, kept bool) {
 	score := 0.0
 	if kept {
 		score = 1
 	}
-	ta.Add(Cell{Team: team, Kind: TryKind(kind), Version: version}, score)
+	ta.Add(Cell{Team: team, Kind: FirstAttemptKind(kind), Version: version}, score)
 }
 
 // PassRate returns how often a first try is kept.
 func (ta *Table) PassRate(team, kind string, ve *config.Version) float64 {
-	mean, _ := ta.Quality(team, TryKind(kind), ve)
+	mean, _ := ta.Quality(team, FirstAttemptKind(kind), ve)
 	return mean
 }
 
--- a/internal/quality/quality_test.go
+++ b/internal/quality/quality_test.go
@@ -58,15 +58,15 @@
 func TestTheOrderOfMergingDoesNotMatter(t *testing.T) {
 	var one, two Table
 	ra := rand.New(rand.NewPCG(1, 3))
-	var parts []Line
+	var parts []Entry
 	for _, team := range []string{"a", "b", "c"} {
 		var ta Table
 		rate(&ta, team, 50, 0.8, ra)
-		parts = append(parts, ta.Lines()...)
+		parts = append(parts, ta.Entries()...)
 	}
-	one.MergeLines(parts)
+	one.MergeEntries(parts)
 	parts[0], parts[2] = parts[2], parts[0]
-	two.MergeLines(parts)
+	two.MergeEntries(parts)
 	require.Equal(t, one.cells, two.cells)
 	value, err := one.Encode()
 	require.NoError(t, err)
--- a/internal/quota/fleet.go
+++ b/internal/quota/fleet.go
@@ -32,8 +32,8 @@
 	fl.present = max(fl.present, gateways)
 }
 
-// Most returns the estimate.
-func (fl *Fleet) Most(now time.Time) int {
+// Estimate returns the estimate.
+func (fl *Fleet) Estimate(now time.Time) int {
 	if fl.began.IsZero() || now.Sub(fl.began) < settleTime {
 		return presumed
 	}
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -30,15 +30,15 @@
 type Limit struct {
 	// PerSecond is the rate in requests per second for all gateways together.
 	PerSecond float64
-	// Most bounds the arrivals within any Window; at least one.
-	Most   float64
-	Window time.Duration
-	// Endless limits may hold for long, so that the gateways that send are drawn repeatedly.
-	Endless bool
+	// MaxInWindow bounds the arrivals within any Window; at least one.
+	MaxInWindow float64
+	Window      time.Duration
+	// LongLived limits may hold for long, so that the gateways that send are drawn repeatedly.
+	LongLived bool
 }
 
-// Bounds reports whether there is a limit.
-func (li Limit) Bounds() bool { return li.PerSecond > 0 && li.Most >= 1 }
+// Enabled reports whether there is a limit.
+func (li Limit) Enabled() bool { return li.PerSecond > 0 && li.MaxInWindow >= 1 }
 
 // share is one gateway's share of a limit.
 type share struct {
@@ -53,13 +53,13 @@
 // shareOf divides a limit among a number of gateways.
 func (li Limit) shareOf(gateways int) share {
 	n := float64(max(1, gateways))
-	if n <= safePart*li.Most {
-		return share{chance: 1, most: int(safePart * li.Most / n), gap: li.gap(n)}
+	if n <= safePart*li.MaxInWindow {
+		return share{chance: 1, most: int(safePart * li.MaxInWindow / n), gap: li.gap(n)}
 	}
 	// One request of each drawn gateway: drawn + deviations * sqrt(drawn) = Most.
-	root := (math.Sqrt(deviations*deviations+4*li.Most) - deviations) / 2
+	root := (math.Sqrt(deviations*deviations+4*li.MaxInWindow) - deviations) / 2
 	drawn := root * root
-	if li.Endless {
+	if li.LongLived {
 		// Gateways start their draws at different times, so that a window overlaps two draws.
 		drawn /= 1 + li.span().Seconds()/drawTime.Seconds()
 	}
@@ -74,14 +74,14 @@
 // span is the time for which a gateway's own requests count.
 func (li Limit) span() time.Duration { return li.Window + transitTime }
 
-// Use holds the requests that one gateway sent to one server. The zero value is empty.
-type Use struct {
+// Usage holds the requests that one gateway sent to one server. The zero value is empty.
+type Usage struct {
 	// sent holds the times of recent requests, oldest first.
 	sent []time.Time
 }
 
 // Add records that a request is sent.
-func (us *Use) Add(now time.Time) {
+func (us *Usage) Add(now time.Time) {
 	for len(us.sent) > 0 && now.Sub(us.sent[0]) >= useKept {
 		us.sent = us.sent[1:]
 	}
@@ -89,7 +89,7 @@
 }
 
 // Since returns how long ago the newest request was sent, useKept if none counts.
-func (us *Use) Since(now time.Time) time.Duration {
+func (us *Usage) Since(now time.Time) time.Duration {
 	if len(us.sent) == 0 {
 		return useKept
 	}
@@ -97,10 +97,10 @@
 }
 
 // Idle reports whether no request counts any longer.
-func (us *Use) Idle(now time.Time) bool { return us.Since(now) >= useKept }
+func (us *Usage) Idle(now time.Time) bool { return us.Since(now) >= useKept }
 
 // within counts the requests sent within a span.
-func (us *Use) within(span time.Duration, now time.Time) int {
+func (us *Usage) within(span time.Duration, now time.Time) int {
 	n := 0
 	for i := len(us.sent) - 1; i >= 0 && now.Sub(us.sent[i]) < span; i-- {
 		n++
@@ -112,17 +112,17 @@
 type Gateway struct {
 	// Box is its name, by which gateways are drawn.
 	Box string
-	// Fleet is the number of gateways, estimated from above.
-	Fleet int
+	// FleetSize is the number of gateways, estimated from above.
+	FleetSize int
 }
 
 // Wait returns how long a gateway with a use sends nothing to the server of a key, zero if it may send
 // now.
-func (li Limit) Wait(us *Use, gw Gateway, key string, now time.Time) time.Duration {
-	if !li.Bounds() {
+func (li Limit) Wait(us *Usage, gw Gateway, key string, now time.Time) time.Duration {
+	if !li.Enabled() {
 		return 0
 	}
-	sh := li.shareOf(gw.Fleet)
+	sh := li.shareOf(gw.FleetSize)
 	if sh.chance < 1 {
 		lot, next := li.draw(gw.Box, key, now)
 		if lot >= sh.chance {
@@ -143,7 +143,7 @@
 // draw returns a number from 0 to 1 for a gateway and a server, and how long until the next draw.
 func (li Limit) draw(box, key string, now time.Time) (lot float64, next time.Duration) {
 	seed := xxhash.Sum64String(box + "\x00" + key)
-	if !li.Endless {
+	if !li.LongLived {
 		return unit(seed), li.span()
 	}
 	at := uint64(now.UnixNano()) + seed%uint64(drawTime)
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -14,23 +14,23 @@
 var t0 = time.Unix(1000, 0)
 
 // usual is what the servers of the users' sites bear while they are cold.
-var usual = Limit{PerSecond: 14, Most: 26, Window: time.Second}
+var usual = Limit{PerSecond: 14, MaxInWindow: 26, Window: time.Second}
 
 // A gateway that has just started has heard of few others.
 func TestAGatewayThatHasJustStartedTakesNextToNothing(t *testing.T) {
 	var fl Fleet
 	fl.Observe(1, t0)
-	require.Equal(t, presumed, fl.Most(t0.Add(time.Second)))
+	require.Equal(t, presumed, fl.Estimate(t0.Add(time.Second)))
 	fl.Observe(23, t0.Add(2*time.Second))
-	require.Equal(t, 23, fl.Most(t0.Add(settleTime)))
+	require.Equal(t, 23, fl.Estimate(t0.Add(settleTime)))
 	fl.Observe(8, t0.Add(10*time.Second))
-	require.Equal(t, 23, fl.Most(t0.Add(10*time.Second)), "a data centre that is cut off is still there")
+	require.Equal(t, 23, fl.Estimate(t0.Add(10*time.Second)), "a data centre that is cut off is still there")
 	fl.Observe(8, t0.Add(16*time.Second))
 	fl.Observe(8, t0.Add(29*time.Second))
-	require.Equal(t, 23, fl.Most(t0.Add(29*time.Second)))
+	require.Equal(t, 23, fl.Estimate(t0.Add(29*time.Second)))
 	fl.Observe(8, t0.Add(32*time.Second))
-	require.Equal(t, 8, fl.Most(t0.Add(32*time.Second)))
-	require.Equal(t, 1, (&Fleet{began: t0}).Most(t0.Add(time.Minute)), "alone")
+	require.Equal(t, 8, fl.Estimate(t0.Add(32*time.Second)))
+	require.Equal(t, 1, (&Fleet{began: t0}).Estimate(t0.Add(time.Minute)), "alone")
 }
 
 // player decides for one gateway whether it sends to a cold server.
@@ -41,20 +41,20 @@
 
 // drawn is what this package does.
 type drawn struct {
-	uses     [][]Use
+	uses     [][]Usage
 	gateways int
 }
 
 func newDrawn(gateways, servers int) *drawn {
-	dr := &drawn{uses: make([][]Use, gateways), gateways: gateways}
+	dr := &drawn{uses: make([][]Usage, gateways), gateways: gateways}
 	for i := range dr.uses {
-		dr.uses[i] = make([]Use, servers)
+		dr.uses[i] = make([]Usage, servers)
 	}
 	return dr
 }
 
 func (dr *drawn) allows(gateway, server int, now time.Time) bool {
-	gw := Gateway{Box: fmt.Sprint("box-", gateway), Fleet: dr.gateways}
+	gw := Gateway{Box: fmt.Sprint("box-", gateway), FleetSize: dr.gateways}
 	return usual.Wait(&dr.uses[gateway][server], gw, fmt.Sprint("server-", server), now) == 0
 }
 
@@ -191,13 +191,13 @@
 				}
 			}
 			t.Logf("%d gateways, %v times the rate: %+v", gateways, demand, worst)
-			require.LessOrEqual(t, worst["drawn"].most, int(usual.Most), "%d gateways", gateways)
+			require.LessOrEqual(t, worst["drawn"].most, int(usual.MaxInWindow), "%d gateways", gateways)
 			if gateways >= 23 && demand > 1 {
-				require.Greater(t, worst["naive"].most, int(usual.Most))
+				require.Greater(t, worst["naive"].most, int(usual.MaxInWindow))
 			}
-			if gateways > int(usual.Most) && demand > 1 {
-				require.Greater(t, worst["parted"].most, int(usual.Most))
-				require.Greater(t, worst["lent"].most, int(usual.Most))
+			if gateways > int(usual.MaxInWindow) && demand > 1 {
+				require.Greater(t, worst["parted"].most, int(usual.MaxInWindow))
+				require.Greater(t, worst["lent"].most, int(usual.MaxInWindow))
 			}
 		}
 	}
@@ -209,7 +209,7 @@
 	for _, known := range []int{4, 20, 23, 60, 103, 300} {
 		dr := newDrawn(known+known/10, 14)
 		dr.gateways = known
-		require.LessOrEqual(t, play(dr, len(dr.uses), 14, 6, rn).most, int(usual.Most), known)
+		require.LessOrEqual(t, play(dr, len(dr.uses), 14, 6, rn).most, int(usual.MaxInWindow), known)
 	}
 }
 
@@ -226,7 +226,7 @@
 					drawn++
 				}
 			}
-			if drawn > int(usual.Most) {
+			if drawn > int(usual.MaxInWindow) {
 				over++
 			}
 		}
--- a/internal/rate/rate.go
+++ b/internal/rate/rate.go
@@ -10,9 +10,9 @@
 // Meter measures rates by name. Its exported fields are set before use; it is not safe
 // for concurrent use.
 type Meter struct {
-	// Memory is how far back a rate looks: an event counts by e to the power of minus
-	// its age over Memory. It is above zero.
-	Memory time.Duration
+	// TimeConstant is how far back a rate looks: an event counts by e to the power of minus
+	// its age over TimeConstant. It is above zero.
+	TimeConstant time.Duration
 
 	// first is when counting began.
 	first  time.Time
@@ -41,7 +41,7 @@
 		co = &count{at: now}
 		me.counts[name] = co
 	}
-	co.events = co.decayed(me.Memory, now) + 1
+	co.events = co.decayed(me.TimeConstant, now) + 1
 	co.at = now
 }
 
@@ -51,7 +51,7 @@
 	if co == nil {
 		return 0
 	}
-	return co.decayed(me.Memory, now) / me.span(now)
+	return co.decayed(me.TimeConstant, now) / me.span(now)
 }
 
 // All returns the rates of all names.
@@ -68,6 +68,6 @@
 
 // span returns the seconds that the decayed counts stand for.
 func (me *Meter) span(now time.Time) float64 {
-	counted, memory := now.Sub(me.first).Seconds(), me.Memory.Seconds()
+	counted, memory := now.Sub(me.first).Seconds(), me.TimeConstant.Seconds()
 	return max(leastSpan, memory*(1-math.Exp(-counted/memory)))
 }
--- a/internal/rate/rate_test.go
+++ b/internal/rate/rate_test.go
@@ -22,14 +22,14 @@
 
 func TestARateIsThatOfTheEvents(t *testing.T) {
 	for _, seconds := range []float64{1, 3, 20} {
-		me := Meter{Memory: 4 * time.Second}
+		me := Meter{TimeConstant: 4 * time.Second}
 		now := countEvenly(&me, 20, t0, seconds)
 		require.InDelta(t, 20, me.PerSecond("a", now), 2, seconds)
 	}
 }
 
 func TestARateFollows(t *testing.T) {
-	me := Meter{Memory: 4 * time.Second}
+	me := Meter{TimeConstant: 4 * time.Second}
 	now := countEvenly(&me, 10, t0, 20)
 	now = countEvenly(&me, 40, now, 10)
 	require.InDelta(t, 40, me.PerSecond("a", now), 4)
@@ -37,7 +37,7 @@
 }
 
 func TestRatesAreByName(t *testing.T) {
-	me := Meter{Memory: 4 * time.Second}
+	me := Meter{TimeConstant: 4 * time.Second}
 	require.Zero(t, me.PerSecond("a", t0))
 	require.Empty(t, me.All(t0))
 	now := countEvenly(&me, 10, t0, 10)
--- a/internal/rollout/apply.go
+++ b/internal/rollout/apply.go
@@ -8,10 +8,10 @@
 	"github.com/linnetrudder/linnetrudder/internal/config"
 )
 
-// Prefix is where the progress of roll-outs is kept, OutcomesPrefix where each
+// ProgressPrefix is where the progress of roll-outs is kept, OutcomesPrefix where each
 // data centre adds up what became of its requests.
 const (
-	Prefix         = "linnetrudder/rollouts/"
+	ProgressPrefix = "linnetrudder/rollouts/"
 	OutcomesPrefix = "linnetrudder/outcomes/"
 )
 
@@ -39,7 +39,7 @@
 		ve := &next.Versions[i]
 		switch {
 		case ve.Model != plan.Model:
-		case ve.Name == plan.To && pr.Verdict == Reversed:
+		case ve.Name == plan.To && pr.Verdict == RolledBack:
 			set(ve, config.Withdrawn, 0)
 		case ve.Name == plan.To && pr.Verdict == Done:
 			set(ve, config.Serving, 0)
@@ -47,7 +47,7 @@
 			set(ve, config.RollingIn, share)
 		case pr.Verdict == Done && ve.State == config.Serving:
 			set(ve, config.RollingOut, 0)
-		case pr.Verdict == Reversed && ve.State == config.RollingOut:
+		case pr.Verdict == RolledBack && ve.State == config.RollingOut:
 			set(ve, config.Serving, 0)
 		}
 	}
@@ -57,8 +57,8 @@
 	return &next, true
 }
 
-// Withdrawn reports whether an operator has withdrawn the plan's version.
-func Withdrawn(doc *config.Document, plan *config.Rollout) bool {
+// IsWithdrawn reports whether an operator has withdrawn the plan's version.
+func IsWithdrawn(doc *config.Document, plan *config.Rollout) bool {
 	for i := range doc.Versions {
 		ve := &doc.Versions[i]
 		if ve.Model == plan.Model && ve.Name == plan.To {
--- a/internal/rollout/canary.go
+++ b/internal/rollout/canary.go
@@ -44,9 +44,9 @@
 // set before use; it is not safe for concurrent use.
 type Canary struct {
 	Plan Plan
-	// Began is when the roll-out was ordered, as far as this process knows: when it
+	// OrderedAt is when the roll-out was ordered, as far as this process knows: when it
 	// first saw the order, or before.
-	Began time.Time
+	OrderedAt time.Time
 
 	phase Phase
 	// shares is what is tried of each route; nothing is until it is known.
@@ -97,32 +97,32 @@
 // Burst returns what is tried besides of each route in the last part of the trial.
 func (ca *Canary) Burst() float64 { return ca.burst }
 
-// Try takes what is tried of each route, and what besides in the last part of the trial; the
+// SetShares takes what is tried of each route, and what besides in the last part of the trial; the
 // first that is known holds.
-func (ca *Canary) Try(shares Shares, burst float64) {
+func (ca *Canary) SetShares(shares Shares, burst float64) {
 	if ca.shares == nil && len(shares) > 0 {
 		ca.shares, ca.burst = shares, burst
 	}
 }
 
-// Sent notes an attempt of a route at a server of one of the versions.
-func (ca *Canary) Sent(route string, isNew bool, now time.Time) {
+// RecordSent notes an attempt of a route at a server of one of the versions.
+func (ca *Canary) RecordSent(route string, isNew bool, now time.Time) {
 	if ca.Phase() == Trying {
 		ca.sent.countTrial(ca.shareOf(route, now), ca.shares.Of(route))
 	}
 	ca.sent.count(isNew, now)
 }
 
-// BeganBefore takes that the order is at least so old.
-func (ca *Canary) BeganBefore(at time.Time) {
-	if at.Before(ca.Began) {
-		ca.Began = at
+// OrderedNoLaterThan takes that the order is at least so old.
+func (ca *Canary) OrderedNoLaterThan(at time.Time) {
+	if at.Before(ca.OrderedAt) {
+		ca.OrderedAt = at
 	}
 }
 
-// Settle enters Failed once the version has counted as bad for a while, in which
+// FailIfBad enters Failed once the version has counted as bad for a while, in which
 // the other gateways tell what speaks for it. It reports whether it did.
-func (ca *Canary) Settle(now time.Time) bool {
+func (ca *Canary) FailIfBad(now time.Time) bool {
 	if ph := ca.Phase(); ph == Complete || ph == Failed {
 		return false
 	}
@@ -148,10 +148,10 @@
 	return now.Sub(ca.since)
 }
 
-// Deciding reports whether the next decision is near, for which the outcomes of all
+// DecisionImminent reports whether the next decision is near, for which the outcomes of all
 // gateways count.
-func (ca *Canary) Deciding(now time.Time) bool {
-	elapsed := now.Sub(ca.Began)
+func (ca *Canary) DecisionImminent(now time.Time) bool {
+	elapsed := now.Sub(ca.OrderedAt)
 	ph := ca.Phase()
 	return ph == Shifting || ph == Trying && ca.Plan.Within-elapsed <= ca.sent.tail(ca.Plan, elapsed)+revealing
 }
@@ -159,7 +159,7 @@
 // Due returns the phase that should be stored now, or false if the present one
 // holds. Failed is entered by Settle.
 func (ca *Canary) Due(now time.Time) (Phase, bool) {
-	elapsed := now.Sub(ca.Began)
+	elapsed := now.Sub(ca.OrderedAt)
 	left := ca.Plan.Within - elapsed
 	in := ca.in(now)
 	switch ph := ca.Phase(); {
--- a/internal/rollout/canary_test.go
+++ b/internal/rollout/canary_test.go
@@ -22,8 +22,8 @@
 
 // waiting returns a roll-out that has just been ordered.
 func waiting() *Canary {
-	ca := &Canary{Began: began, Plan: Plan{Service: "s", Version: "v2", Within: 20 * time.Second, MostShare: 0.15}}
-	ca.Try(Shares{AnyRoute: 0.05}, 0)
+	ca := &Canary{OrderedAt: began, Plan: Plan{Service: "s", Version: "v2", Within: 20 * time.Second, MostShare: 0.15}}
+	ca.SetShares(Shares{AnyRoute: 0.05}, 0)
 	return ca
 }
 
@@ -32,18 +32,18 @@
 	count := 0
 	for i := range 10_000 {
 		session := fmt.Sprint(i)
-		require.Equal(t, a.New(session, "r", inBurst), b.New(session, "r", inBurst))
-		if a.New(session, "r", inBurst) {
+		require.Equal(t, a.SelectsSession(session, "r", inBurst), b.SelectsSession(session, "r", inBurst))
+		if a.SelectsSession(session, "r", inBurst) {
 			count++
 		}
 	}
 	require.InDelta(t, 0.05*10_000, count, 120)
 	a.Enter(Shifting)
-	require.True(t, a.New("any", "r", inBurst))
+	require.True(t, a.SelectsSession("any", "r", inBurst))
 	a.Enter(Trying)
 	require.Equal(t, Shifting, a.Phase(), "a phase never goes back")
 	a.Enter(Failed)
-	require.False(t, a.New("any", "r", inBurst))
+	require.False(t, a.SelectsSession("any", "r", inBurst))
 }
 
 // Seen with under_load on Quito, and whenever sessions went on at another gateway than
@@ -55,7 +55,7 @@
 		require.False(t, due, at)
 	}
 	for i := range 1000 {
-		require.False(t, ca.New(fmt.Sprint(i), "r", inBurst))
+		require.False(t, ca.SelectsSession(fmt.Sprint(i), "r", inBurst))
 	}
 	ph, due := ca.Due(began.Add(ca.Plan.Within / 2))
 	require.True(t, due)
@@ -67,8 +67,8 @@
 func TestTheShareHoldsForAVersionOfWhichNothingBadIsKnown(t *testing.T) {
 	for _, within := range []time.Duration{12 * time.Second, 14 * time.Second, 24 * time.Second, time.Minute} {
 		for _, burst := range []int{1, 3} {
-			checkShare(t, within, burst, func(ca *Canary, n int, now time.Time) bool { return ca.NewSingle("r", float64(n%100)/100, now) })
-			checkShare(t, within, burst, func(ca *Canary, n int, now time.Time) bool { return ca.New(fmt.Sprint(n), "r", now) })
+			checkShare(t, within, burst, func(ca *Canary, n int, now time.Time) bool { return ca.SelectsRequest("r", float64(n%100)/100, now) })
+			checkShare(t, within, burst, func(ca *Canary, n int, now time.Time) bool { return ca.SelectsSession(fmt.Sprint(n), "r", now) })
 		}
 	}
 }
@@ -93,7 +93,7 @@
 		for range arrivals {
 			all++
 			to := isNew(ca, all, now)
-			ca.Sent("r", to, now)
+			ca.RecordSent("r", to, now)
 			ca.Observe("server", "r", to, false)
 			if to {
 				toNew++
@@ -208,7 +208,7 @@
 	ca.Enter(Failed)
 	ca.Enter(Complete)
 	require.Equal(t, Complete, ca.Phase())
-	require.True(t, ca.New("any", "r", inBurst))
+	require.True(t, ca.SelectsSession("any", "r", inBurst))
 	_, due := ca.Due(began.Add(time.Minute))
 	require.False(t, due)
 	ca.Enter(Failed)
@@ -277,7 +277,7 @@
 	for ; !ca.Bad() && n < 200; n++ {
 		server := fmt.Sprint(ra.IntN(12))
 		ca.Observe(server, "r", true, false)
-		ca.ObservePace(server, true, ra.Float64() < 0.4, began)
+		ca.ObserveLatency(server, true, ra.Float64() < 0.4, began)
 	}
 	require.Less(t, n, 40)
 	for range 100 {
@@ -285,7 +285,7 @@
 		for range 100 {
 			server := ra.IntN(18)
 			ca.Observe(fmt.Sprint(server), "r", true, false)
-			ca.ObservePace(fmt.Sprint(server), true, server < 3 || ra.Float64() < 0.01, began)
+			ca.ObserveLatency(fmt.Sprint(server), true, server < 3 || ra.Float64() < 0.01, began)
 		}
 		require.False(t, ca.Bad())
 	}
@@ -297,17 +297,17 @@
 		ca.Observe(fmt.Sprint(i), "r", true, true)
 	}
 	require.True(t, ca.Bad())
-	require.False(t, ca.Settle(began))
-	require.False(t, ca.Settle(began.Add(hearing/2)))
+	require.False(t, ca.FailIfBad(began))
+	require.False(t, ca.FailIfBad(began.Add(hearing/2)))
 	for range 200 {
 		ca.Merge("peer", Outcomes{Routes: map[string]RouteOutcomes{"r": {Tried: 300}}})
 	}
-	require.False(t, ca.Settle(began.Add(hearing)), "the others have seen nothing bad")
+	require.False(t, ca.FailIfBad(began.Add(hearing)), "the others have seen nothing bad")
 	for i := range 30 {
 		ca.Observe(fmt.Sprint(i), "r", true, true)
 	}
-	require.False(t, ca.Settle(began.Add(2*hearing)))
-	require.True(t, ca.Settle(began.Add(3*hearing)))
+	require.False(t, ca.FailIfBad(began.Add(2*hearing)))
+	require.True(t, ca.FailIfBad(began.Add(3*hearing)))
 	require.Equal(t, Failed, ca.Phase())
 }
 
@@ -316,14 +316,14 @@
 func TestAVersionUnderSuspicionIsTriedOn(t *testing.T) {
 	ca := canary()
 	for i, slow := range []bool{true, true, false, false, false} {
-		ca.ObservePace(fmt.Sprint(i), true, slow, began)
+		ca.ObserveLatency(fmt.Sprint(i), true, slow, began)
 	}
 	require.False(t, ca.Bad())
 	ca.Due(began)
 	_, due := ca.Due(began.Add(ca.Plan.Within))
 	require.False(t, due)
 	for range 20 {
-		ca.ObservePace("a", true, false, began)
+		ca.ObserveLatency("a", true, false, began)
 	}
 	_, due = ca.Due(began.Add(ca.Plan.Within))
 	require.True(t, due)
@@ -348,7 +348,7 @@
 		{[]string{"v2"}, "v3", Failed, "v4", []string{"v2", "v3"}},
 		{[]string{"v2"}, "v3", Failed, "v2", []string{"v3"}},
 	} {
-		require.ElementsMatch(t, ca.want, Withdraw(ca.before, ca.version, ca.phase, listed, ca.target), "%+v", ca)
+		require.ElementsMatch(t, ca.want, WithdrawnVersions(ca.before, ca.version, ca.phase, listed, ca.target), "%+v", ca)
 	}
 }
 
@@ -364,10 +364,10 @@
 		for range 200 {
 			ca := canary()
 			for range 300 {
-				ca.ObservePace("old", false, ra.Float64() < 0.15, began)
+				ca.ObserveLatency("old", false, ra.Float64() < 0.15, began)
 			}
 			for range 60 {
-				ca.ObservePace(fmt.Sprint(ra.IntN(12)), true, ra.Float64() < tc.slow, began)
+				ca.ObserveLatency(fmt.Sprint(ra.IntN(12)), true, ra.Float64() < tc.slow, began)
 				if ca.Bad() {
 					bad++
 					break
@@ -381,13 +381,13 @@
 
 func TestTheLastRunOfADeliveredAnswerEndsOnWhatIsProved(t *testing.T) {
 	ca := canary()
-	require.True(t, ca.Continues(true, false))
-	require.False(t, ca.Continues(true, true))
-	require.False(t, ca.Continues(false, false))
+	require.True(t, ca.RetriesOnNew(true, false))
+	require.False(t, ca.RetriesOnNew(true, true))
+	require.False(t, ca.RetriesOnNew(false, false))
 	ca.Enter(Shifting)
-	require.True(t, ca.Continues(false, true))
+	require.True(t, ca.RetriesOnNew(false, true))
 	ca.Enter(Failed)
-	require.False(t, ca.Continues(true, false))
+	require.False(t, ca.RetriesOnNew(true, false))
 }
 
 // Seen on the day late-while-gateways-restart: a process that had just been restarted
--- a/internal/rollout/exposure.go
+++ b/internal/rollout/exposure.go
@@ -35,7 +35,7 @@
 	if isNew {
 		ex.toNew++
 	}
-	ex.arrivals.Memory = rateMemory
+	ex.arrivals.TimeConstant = rateMemory
 	ex.arrivals.Count("", now)
 }
 
--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -74,11 +74,11 @@
 	return max(pl.wait(), pl.Within-time.Duration(longestTail*float64(pl.Within))-burstTime)
 }
 
-// Withdraw returns the versions of a service that get nothing any more once a newer
+// WithdrawnVersions returns the versions of a service that get nothing any more once a newer
 // order for a target comes: those that got nothing before, the version of the order
 // before unless everything had moved to it, and otherwise those it had moved from,
 // which are among the listed ones. Their servers may be listed for some seconds more.
-func Withdraw(before []string, version string, ph Phase, listed []string, target string) []string {
+func WithdrawnVersions(before []string, version string, ph Phase, listed []string, target string) []string {
 	gone := slices.Clone(before)
 	switch {
 	case version == "":
--- a/internal/rollout/power_test.go
+++ b/internal/rollout/power_test.go
@@ -42,8 +42,8 @@
 	shares, burst := plan.Shares(rates)
 	plan.MostExtra /= float64(ro.gateways)
 	for i := range gateways {
-		gateways[i] = &Canary{Began: began, Plan: plan}
-		gateways[i].Try(shares, burst)
+		gateways[i] = &Canary{OrderedAt: began, Plan: plan}
+		gateways[i].SetShares(shares, burst)
 	}
 	const step = 10 * time.Millisecond
 	phase, fiftieth := Waiting, time.Duration(-1)
@@ -58,7 +58,7 @@
 					}
 				}
 			}
-			ca.Settle(now)
+			ca.FailIfBad(now)
 			if ca.Phase() == Failed {
 				phase = Failed
 			} else if ph, due := ca.Due(now); due {
@@ -70,9 +70,9 @@
 				continue
 			}
 			route, ca := fmt.Sprint(i), gateways[rn.IntN(ro.gateways)]
-			isNew := ca.NewSingle(route, rn.Float64(), now)
+			isNew := ca.SelectsRequest(route, rn.Float64(), now)
 			bad := isNew && i == 0 && rn.Float64() < ro.failing
-			ca.Sent(route, isNew, now)
+			ca.RecordSent(route, isNew, now)
 			ca.Observe(fmt.Sprint(rn.IntN(12)), route, isNew, bad)
 			if bad {
 				if out.bad++; out.bad == 50 {
--- a/internal/rollout/rollout.go
+++ b/internal/rollout/rollout.go
@@ -17,12 +17,12 @@
 
 // The verdicts.
 const (
-	// Growing means that no end is reached.
-	Growing Verdict = "growing"
+	// InProgress means that no end is reached.
+	InProgress Verdict = "growing"
 	// Done means that the version has the last step's share and was good.
 	Done Verdict = "done"
-	// Reversed means that the version was bad.
-	Reversed Verdict = "reversed"
+	// RolledBack means that the version was bad.
+	RolledBack Verdict = "reversed"
 )
 
 // Tally counts what became of a version's requests, since some beginning.
@@ -62,12 +62,12 @@
 	Step int `json:"step"`
 	// Since is when the step was taken.
 	Since time.Time `json:"since"`
-	// Seen is the version's tally at the last decision, Base that of the
+	// LastTally is the version's tally at the last decision, Base that of the
 	// versions it is compared with.
-	Seen Tally `json:"seen"`
-	Base Tally `json:"base"`
-	// Enough counts the requests and ratings of this step.
-	Enough Tally `json:"enough"`
+	LastTally     Tally `json:"seen"`
+	BaselineTally Tally `json:"base"`
+	// StepTally counts the requests and ratings of this step.
+	StepTally Tally `json:"enough"`
 	// Failures and Ratings are the cumulative sums of the two tests; they are
 	// never below zero.
 	Failures float64 `json:"failures"`
@@ -103,17 +103,17 @@
 // Decide takes the newest tallies and returns the progress after them. share
 // is what the version takes of new work from now on.
 func Decide(plan *config.Rollout, pr Progress, now time.Time, version, others Tally) (next Progress, share float64) {
-	if pr.Verdict == Reversed {
+	if pr.Verdict == RolledBack {
 		return pr, 0
 	}
 	if pr.Version == "" {
-		pr = Progress{Version: plan.Model + "@" + plan.To, Verdict: Growing, Since: now, Seen: version, Base: others}
+		pr = Progress{Version: plan.Model + "@" + plan.To, Verdict: InProgress, Since: now, LastTally: version, BaselineTally: others}
 		return pr, plan.Steps[0]
 	}
-	fresh := version.since(pr.Seen)
+	fresh := version.since(pr.LastTally)
 	base := others.since(Tally{})
-	pr.Seen, pr.Base = version, others
-	pr.Enough = pr.Enough.Add(fresh)
+	pr.LastTally, pr.BaselineTally = version, others
+	pr.StepTally = pr.StepTally.Add(fresh)
 	good := rates(plan, base)
 	bad := good.bad(plan)
 	pr.Failures = sum(pr.Failures, float64(fresh.Failed), float64(fresh.Started), good.failure, bad.failure)
@@ -136,7 +136,7 @@
 }
 
 func (pr Progress) reverse(reason string) Progress {
-	pr.Verdict = Reversed
+	pr.Verdict = RolledBack
 	pr.Reason = reason
 	return pr
 }
@@ -149,7 +149,7 @@
 	}
 	pr.Step++
 	pr.Since = now
-	pr.Enough = Tally{}
+	pr.StepTally = Tally{}
 	return pr, plan.Steps[pr.Step]
 }
 
@@ -160,13 +160,13 @@
 	if pr.Verdict == Done || held < hold {
 		return false
 	}
-	if evidence(float64(pr.Enough.Started), float64(pr.Enough.Failed), good.failure, bad.failure) < clearEvidence {
+	if evidence(float64(pr.StepTally.Started), float64(pr.StepTally.Failed), good.failure, bad.failure) < clearEvidence {
 		return false
 	}
-	if pr.Enough.Rated == 0 {
+	if pr.StepTally.Rated == 0 {
 		return held >= unratedStep*hold
 	}
-	return evidence(pr.Enough.Rated, pr.Enough.Low, good.low, bad.low) >= clearEvidence
+	return evidence(pr.StepTally.Rated, pr.StepTally.Low, good.low, bad.low) >= clearEvidence
 }
 
 // pair is a rate of failures and one of low ratings.
--- a/internal/rollout/sessions.go
+++ b/internal/rollout/sessions.go
@@ -6,15 +6,15 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// New reports whether a session's request on a route goes to the new version. Every
+// SelectsSession reports whether a session's request on a route goes to the new version. Every
 // gateway computes the same from the stored phase, and a process that starts anew does.
-func (ca *Canary) New(session, route string, now time.Time) bool {
-	return ca.NewSingle(route, place(ca.Plan.Version, session), now)
+func (ca *Canary) SelectsSession(session, route string, now time.Time) bool {
+	return ca.SelectsRequest(route, place(ca.Plan.Version, session), now)
 }
 
-// NewSingle reports whether a request on a route that belongs to no session goes to the
+// SelectsRequest reports whether a request on a route that belongs to no session goes to the
 // new version. draw is uniform over [0, 1).
-func (ca *Canary) NewSingle(route string, draw float64, now time.Time) bool {
+func (ca *Canary) SelectsRequest(route string, draw float64, now time.Time) bool {
 	switch ca.Phase() {
 	case Trying:
 		return draw < ca.shareOf(route, now)
@@ -24,13 +24,13 @@
 	return false
 }
 
-// Continues reports whether a request whose first attempt went to a server of the new
+// RetriesOnNew reports whether a request whose first attempt went to a server of the new
 // version, or of another one, is sent to the new version again. What began elsewhere is no
 // subject for a trial, and an answer of which the caller has a part ends on what is proved
 // if only one run is left: a stream that a version on trial broke off could not go on any
 // more. Requests that were not delivered yet stay, so that no session changes its version
 // because one of its requests failed.
-func (ca *Canary) Continues(onNew, lastChance bool) bool {
+func (ca *Canary) RetriesOnNew(onNew, lastChance bool) bool {
 	switch ca.Phase() {
 	case Trying:
 		return onNew && !lastChance
@@ -66,7 +66,7 @@
 func (ca *Canary) concentrated() bool { return ca.burst > 0 }
 
 // inBurst reports whether the burst of the trial has begun.
-func (ca *Canary) inBurst(now time.Time) bool { return now.Sub(ca.Began) >= ca.Plan.burstAfter() }
+func (ca *Canary) inBurst(now time.Time) bool { return now.Sub(ca.OrderedAt) >= ca.Plan.burstAfter() }
 
 // shareOf returns the part of a route's requests that the version gets now while it is
 // tried. The share only grows, so that no session goes back.
--- a/internal/rollout/turn.go
+++ b/internal/rollout/storedelay.go
@@ -26,7 +26,7 @@
 	mostSpread = time.Second
 )
 
-// Turn returns how long after a phase is due a gateway stores it, if it was not
+// StoreDelay returns how long after a phase is due a gateway stores it, if it was not
 // stored meanwhile. All gateways could store it, and the store lets one of them win;
 // at the beginning they take turns so that not all of them call, in a line that
 // differs by order. Later phases wait for nobody: some hear of an order a second later than
@@ -34,7 +34,7 @@
 // waits for a time of its own instead.
 //
 // boxes are those that take turns, gateways is how many there are.
-func Turn(box string, boxes []string, gateways int, order uint64, ph Phase) time.Duration {
+func StoreDelay(box string, boxes []string, gateways int, order uint64, ph Phase) time.Duration {
 	key := "\x00" + strconv.FormatUint(order, 10)
 	if ph != Waiting {
 		return ownTime(box+key+string(ph), gateways)
--- a/internal/rollout/turn_test.go
+++ b/internal/rollout/storedelay_test.go
@@ -21,7 +21,7 @@
 	for order := range uint64(50) {
 		turns := map[time.Duration]int{}
 		for _, box := range all {
-			wait := Turn(box, all, len(all), order, Waiting)
+			wait := StoreDelay(box, all, len(all), order, Waiting)
 			turns[wait]++
 			if wait == 0 {
 				firsts[box] = true
@@ -37,14 +37,14 @@
 func TestLaterPhasesAreStoredAtOnce(t *testing.T) {
 	for _, box := range boxes(5) {
 		for _, ph := range []Phase{Trying, Shifting, Complete, Failed} {
-			require.Zero(t, Turn(box, boxes(5), 5, 7, ph))
+			require.Zero(t, StoreDelay(box, boxes(5), 5, 7, ph))
 		}
 	}
 }
 
 func TestAGatewayThatIsNoMemberStoresLast(t *testing.T) {
-	require.Equal(t, 2*turnPause, Turn("new", boxes(5), 6, 7, Waiting))
-	require.Equal(t, 2*turnPause, Turn("new", nil, 1, 7, Waiting), "nor does it know that there is no other")
+	require.Equal(t, 2*turnPause, StoreDelay("new", boxes(5), 6, 7, Waiting))
+	require.Equal(t, 2*turnPause, StoreDelay("new", nil, 1, 7, Waiting), "nor does it know that there is no other")
 }
 
 // A hundred gateways stored each later phase a hundred times.
@@ -53,7 +53,7 @@
 	for order := range uint64(20) {
 		first, early := mostSpread, 0
 		for _, box := range all {
-			wait := Turn(box, all, len(all), order, Complete)
+			wait := StoreDelay(box, all, len(all), order, Complete)
 			require.LessOrEqual(t, wait, mostSpread)
 			first = min(first, wait)
 			if wait < 100*time.Millisecond {
--- a/internal/rollout/underload_test.go
+++ b/internal/rollout/underload_test.go
@@ -26,14 +26,14 @@
 // version was left before everything moved.
 func (ul underLoad) found(rn *rand.Rand) bool {
 	plan := Plan{Service: "s", Version: "v2", Within: ul.within, MostShare: ul.share, MostExtra: 30, Servers: ul.servers}
-	ca := &Canary{Began: began, Plan: plan}
-	ca.Try(plan.Shares(map[string]float64{"r": ul.perSecond}))
+	ca := &Canary{OrderedAt: began, Plan: plan}
+	ca.SetShares(plan.Shares(map[string]float64{"r": ul.perSecond}))
 	recent := make([][]time.Duration, ul.servers)
 	const step = 10 * time.Millisecond
 	owed := 0.0
 	for at := time.Duration(0); at < ul.within; at += step {
 		now := began.Add(at)
-		if ca.Settle(now) {
+		if ca.FailIfBad(now) {
 			return true
 		}
 		if ph, due := ca.Due(now); due {
@@ -43,8 +43,8 @@
 			ca.Enter(ph)
 		}
 		for owed += ul.perSecond * step.Seconds() * 2 * rn.Float64(); owed >= 1; owed-- {
-			isNew := ca.NewSingle("r", rn.Float64(), now)
-			ca.Sent("r", isNew, now)
+			isNew := ca.SelectsRequest("r", rn.Float64(), now)
+			ca.RecordSent("r", isNew, now)
 			if !isNew {
 				ca.Observe("old", "r", false, false)
 				continue
@@ -104,13 +104,13 @@
 	plan := Plan{Service: "s", Version: "v2", Within: 20 * time.Second, MostShare: 0.15}
 	tried := func(perSecond float64, servers int) (*Canary, float64) {
 		plan.Servers = servers
-		ca := &Canary{Began: began, Plan: plan}
+		ca := &Canary{OrderedAt: began, Plan: plan}
 		shares, burst := plan.Shares(map[string]float64{"r": perSecond})
-		ca.Try(shares, burst)
+		ca.SetShares(shares, burst)
 		require.Zero(t, ca.TrialServers(servers), "nobody gets it yet")
 		ca.Enter(Trying)
 		for range 100 {
-			ca.Sent("r", false, began)
+			ca.RecordSent("r", false, began)
 		}
 		return ca, burst
 	}
@@ -156,14 +156,14 @@
 			ca.burst = 0.1
 		}
 		for i := range 100 {
-			ca.ObservePace(fmt.Sprint(i%fewestTrialServers), true, true, inBurst)
+			ca.ObserveLatency(fmt.Sprint(i%fewestTrialServers), true, true, inBurst)
 		}
 		require.Equal(t, !concentrated, ca.Bad())
 	}
 	ca := canary()
 	ca.burst = 0.1
 	for i := range 100 {
-		ca.ObservePace(fmt.Sprint(i%fewestTrialServers), true, true, began.Add(12*time.Second))
+		ca.ObserveLatency(fmt.Sprint(i%fewestTrialServers), true, true, began.Add(12*time.Second))
 	}
 	require.True(t, ca.Bad(), "before it they do")
 }
--- a/internal/rollout/verdict.go
+++ b/internal/rollout/verdict.go
@@ -93,9 +93,9 @@
 // Outcomes is what one gateway tells the others of the new version.
 type Outcomes struct {
 	Routes map[string]RouteOutcomes `json:"routes"`
-	// Paced counts the answers whose pace says something, Slow the slow ones, and
+	// Timed counts the answers whose pace says something, Slow the slow ones, and
 	// SlowServers are those that gave them.
-	Paced       int      `json:"paced"`
+	Timed       int      `json:"paced"`
 	Slow        int      `json:"slow"`
 	SlowServers []string `json:"slow_servers,omitempty"`
 }
@@ -112,7 +112,7 @@
 // known returns how many outcomes there are.
 func (ou Outcomes) known() int {
 	tried, _ := ou.tried()
-	return tried + ou.Paced
+	return tried + ou.Timed
 }
 
 // Observe takes the outcome of a request that a server of one of the versions
@@ -141,12 +141,12 @@
 	ca.own.Routes[route] = own
 }
 
-// ObservePace takes whether an answer of one of the versions was several times slower
+// ObserveLatency takes whether an answer of one of the versions was several times slower
 // than the old one is at its best. It says something only until the shift, when the new
 // version's servers have less to do than the old one's. In the burst of a concentrated trial
 // they have as much and hold no prompts yet: on a quiet day of a fleet of 32 gateways a good
 // version was taken for slow.
-func (ca *Canary) ObservePace(server string, isNew, slow bool, now time.Time) {
+func (ca *Canary) ObserveLatency(server string, isNew, slow bool, now time.Time) {
 	if ph := ca.Phase(); ph != Trying && ph != Waiting {
 		return
 	}
@@ -164,7 +164,7 @@
 	}
 	ca.slow.servers.mark(server, slow)
 	ca.slow.add(1, count)
-	ca.own.Paced++
+	ca.own.Timed++
 	ca.own.Slow += count
 }
 
@@ -186,8 +186,8 @@
 	return out
 }
 
-// BadKnown returns the bad and slow answers that are known of all gateways.
-func (ca *Canary) BadKnown() int {
+// TotalBad returns the bad and slow answers that are known of all gateways.
+func (ca *Canary) TotalBad() int {
 	_, bad := ca.Counts()
 	for _, out := range ca.peers {
 		_, failed := out.tried()
@@ -196,8 +196,8 @@
 	return bad
 }
 
-// OwnTried returns how many outcomes this gateway has to tell.
-func (ca *Canary) OwnTried() int {
+// OwnCount returns how many outcomes this gateway has to tell.
+func (ca *Canary) OwnCount() int {
 	return ca.own.known()
 }
 
@@ -216,7 +216,7 @@
 		}
 		fa.servers.markAll(ro.Servers)
 	}
-	if paced, slow := out.Paced-old.Paced, out.Slow-old.Slow; ca.Phase() == Trying && paced > 0 && slow >= 0 && slow <= paced {
+	if paced, slow := out.Timed-old.Timed, out.Slow-old.Slow; ca.Phase() == Trying && paced > 0 && slow >= 0 && slow <= paced {
 		ca.slow.add(paced, slow)
 	}
 	ca.slow.servers.markAll(out.SlowServers)
--- a/internal/warmup/warmup.go
+++ b/internal/warmup/warmup.go
@@ -17,7 +17,7 @@
 	// until is when it is warm.
 	until time.Time
 	// use holds the requests sent to it while it was cold.
-	use quota.Use
+	use quota.Usage
 }
 
 // Tracker holds the cold servers and the requests sent to them, by the key of a server's life. The zero
@@ -26,9 +26,9 @@
 	servers map[string]*server
 }
 
-// Cool records that a server is cold for a duration. A time reported before is never shortened, since
+// MarkCold records that a server is cold for a duration. A time reported before is never shortened, since
 // reports may arrive out of order. It reports whether the server was warm.
-func (tr *Tracker) Cool(key string, left time.Duration, now time.Time) (cooled bool) {
+func (tr *Tracker) MarkCold(key string, left time.Duration, now time.Time) (cooled bool) {
 	if left <= 0 {
 		return false
 	}
@@ -47,8 +47,8 @@
 	return cooled
 }
 
-// Left returns how long a server stays cold, zero if it is warm.
-func (tr *Tracker) Left(key string, now time.Time) time.Duration {
+// Remaining returns how long a server stays cold, zero if it is warm.
+func (tr *Tracker) Remaining(key string, now time.Time) time.Duration {
 	if se := tr.servers[key]; se != nil {
 		return max(0, se.until.Sub(now))
 	}
@@ -64,8 +64,8 @@
 	return min(li.Wait(&se.use, gw, key, now), se.until.Sub(now))
 }
 
-// Sent records that a request is sent to a server.
-func (tr *Tracker) Sent(key string, now time.Time) {
+// RecordSent records that a request is sent to a server.
+func (tr *Tracker) RecordSent(key string, now time.Time) {
 	if se := tr.servers[key]; se != nil && now.Before(se.until) {
 		se.use.Add(now)
 	}
--- a/internal/warmup/warmup_test.go
+++ b/internal/warmup/warmup_test.go
@@ -12,19 +12,19 @@
 var t0 = time.Unix(1000, 0)
 
 // usual is what the servers of the users' sites bear.
-var usual = quota.Limit{PerSecond: 14, Most: 26, Window: Window}
+var usual = quota.Limit{PerSecond: 14, MaxInWindow: 26, Window: Window}
 
-var alone = quota.Gateway{Box: "a", Fleet: 1}
+var alone = quota.Gateway{Box: "a", FleetSize: 1}
 
 func TestWhatIsNotColdIsNotBounded(t *testing.T) {
 	var tr Tracker
 	for range 100 {
 		require.Zero(t, tr.Wait("a", usual, alone, t0))
-		tr.Sent("a", t0)
+		tr.RecordSent("a", t0)
 	}
-	require.True(t, tr.Cool("a", time.Second, t0))
-	require.False(t, tr.Wait("a", usual, alone, t0.Add(-1)) == 0 && tr.Cool("a", time.Second, t0))
-	tr.Sent("a", t0)
+	require.True(t, tr.MarkCold("a", time.Second, t0))
+	require.False(t, tr.Wait("a", usual, alone, t0.Add(-1)) == 0 && tr.MarkCold("a", time.Second, t0))
+	tr.RecordSent("a", t0)
 	require.Positive(t, tr.Wait("a", usual, alone, t0.Add(10*time.Millisecond)))
 	require.Zero(t, tr.Wait("a", quota.Limit{}, alone, t0.Add(10*time.Millisecond)), "a service without a bound")
 	require.Zero(t, tr.Wait("a", usual, alone, t0.Add(time.Second)), "it is warm again")
@@ -34,13 +34,13 @@
 
 func TestWhatWasHeardFirstIsNeverShortened(t *testing.T) {
 	var tr Tracker
-	require.True(t, tr.Cool("a", 3*time.Second, t0))
-	require.False(t, tr.Cool("a", time.Second, t0.Add(time.Second)))
-	require.Equal(t, 2*time.Second, tr.Left("a", t0.Add(time.Second)))
-	require.False(t, tr.Cool("a", 0, t0.Add(time.Second)), "an entry that says nothing of it")
-	require.Equal(t, 2*time.Second, tr.Left("a", t0.Add(time.Second)))
-	require.False(t, tr.Cool("a", 3*time.Second, t0.Add(time.Second)))
-	require.Equal(t, 3*time.Second, tr.Left("a", t0.Add(time.Second)))
+	require.True(t, tr.MarkCold("a", 3*time.Second, t0))
+	require.False(t, tr.MarkCold("a", time.Second, t0.Add(time.Second)))
+	require.Equal(t, 2*time.Second, tr.Remaining("a", t0.Add(time.Second)))
+	require.False(t, tr.MarkCold("a", 0, t0.Add(time.Second)), "an entry that says nothing of it")
+	require.Equal(t, 2*time.Second, tr.Remaining("a", t0.Add(time.Second)))
+	require.False(t, tr.MarkCold("a", 3*time.Second, t0.Add(time.Second)))
+	require.Equal(t, 3*time.Second, tr.Remaining("a", t0.Add(time.Second)))
 	tr.Forget("a")
-	require.Zero(t, tr.Left("a", t0.Add(time.Second)))
+	require.Zero(t, tr.Remaining("a", t0.Add(time.Second)))
 }
--- a/standin/trial/versions.go
+++ b/standin/trial/versions.go
@@ -219,7 +219,7 @@
 }
 
 func (le *learner) tried(team, kind, version int, kept bool) {
-	le.table.AddTry(teamName(team), kindSpecs[kind].name, versionNames[version]+"@v1", kept)
+	le.table.AddFirstAttempt(teamName(team), kindSpecs[kind].name, versionNames[version]+"@v1", kept)
 }
 
 // rating is one that is under way.
