--- a/internal/gate/gate.go
+++ b/internal/gate/gate.go
@@ -334,8 +334,8 @@
 		ga.teamTime = map[string]float64{}
 	}
 	ga.running[qu.key] = now
-	ga.limits.Sent(ga.Server, now)
-	ga.pauses.Sent(ga.Server, now)
+	ga.limits.RecordSent(ga.Server, now)
+	ga.pauses.RecordSent(ga.Server, now)
 	ga.charge(qu.attempt.Team)
 	return Action{kind: Start, key: qu.key, attempt: qu.attempt, code: result.OK}
 }
--- a/internal/gate/limit.go
+++ b/internal/gate/limit.go
@@ -28,7 +28,7 @@
 // limitWait returns how long the server's limit or pause still prevents a start, zero if it does not.
 // All requests to the server pass through this agent, which therefore uses the whole limit.
 func (ga *Gate) limitWait(now time.Time) time.Duration {
-	return max(ga.limits.Wait(ga.Server, quota.Gateway{Fleet: 1}, now), ga.pauses.Left(ga.Server, now))
+	return max(ga.limits.Wait(ga.Server, quota.Gateway{FleetSize: 1}, now), ga.pauses.LocalRemaining(ga.Server, now))
 }
 
 // mayStart reports whether a slot is free and the server accepts attempts. After a pause the server is
@@ -41,6 +41,6 @@
 // Accepted records that the server did not reject an attempt.
 func (ga *Gate) Accepted(now time.Time) []Action {
 	ga.observe(now)
-	ga.pauses.Accepted(ga.Server, now)
+	ga.pauses.RecordAccepted(ga.Server, now)
 	return ga.fill(now)
 }
--- a/internal/gate/order.go
+++ b/internal/gate/order.go
@@ -115,7 +115,7 @@
 // server's pause, all slots serve at the smoothed service time, or at the server's rate limit if that
 // is slower.
 func (ga *Gate) wait(position int) time.Duration {
-	wait := ga.pauses.Left(ga.Server, ga.lastEvent) + ga.serviceTime*time.Duration(position)/time.Duration(max(1, ga.slots()))
+	wait := ga.pauses.LocalRemaining(ga.Server, ga.lastEvent) + ga.serviceTime*time.Duration(position)/time.Duration(max(1, ga.slots()))
 	if interval, ok := ga.limits.Interval(ga.Server); ok {
 		wait = max(wait, ga.limitWait(ga.lastEvent)+time.Duration(position-1)*interval)
 	}
