--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -123,15 +123,15 @@
 				}
 			}
 		}
-		ne.recover(entries, agents)
+		ne.deliverAll(entries, agents)
 		for na, re := range ne.replicas {
 			require.Equal(rt, highest, re.Revision(), na)
 		}
 	})
 }
 
-// recover delivers all messages, including the offers that heartbeats repeat.
-func (ne *network) recover(entries, agents []string) {
+// deliverAll delivers all messages, including the offers that heartbeats repeat.
+func (ne *network) deliverAll(entries, agents []string) {
 	for range 12 {
 		ne.now = ne.now.Add(wantTimeout)
 		for _, en := range entries {
