--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -86,10 +86,10 @@
 	}
 	se.offer, se.prompt = ex.offer, ex.prompt(step.Model())
 	ga.pool.Started(se.server.Key(), se.offer.Read(), now)
-	ga.sentTo(se.server, ex.route.Name, now)
+	ga.recordAttempt(se.server, ex.route.Name, now)
 	se.run = ga.runs.Sent(se.server.Key(), ex.print, ex.as.ID, now)
 	ga.waiting[se] = true
-	ga.noteUnwanted(se, now)
+	ga.logUnwantedAttempt(se, now)
 	ga.mu.Unlock()
 	if step.Attempt() > 1 {
 		ex.noteAttempt(se)
@@ -148,7 +148,7 @@
 		return
 	}
 	name := se.ex.modelKey(se.step.Model())
-	if !ga.isNew(se.server) {
+	if !ga.runsTrialVersion(se.server) {
 		ga.pace.Observe(name, took)
 	}
 	if se.err != nil {
@@ -156,9 +156,9 @@
 	}
 	ga.pool.Took(se.offer, se.prompt, took, now)
 	failed := se.answer.Status >= direct.ServerFailed
-	ga.observe(se.server, se.ex.route.Name, failed)
+	ga.observeOutcome(se.server, se.ex.route.Name, failed)
 	if !failed && !se.answer.Stream {
-		ga.observePace(se.server, "whole "+name+se.ex.route.Name, took, slowWhole, now)
+		ga.observeDuration(se.server, "whole "+name+se.ex.route.Name, took, slowAnswerFactor, now)
 	}
 }
 
@@ -225,31 +225,31 @@
 	case errors.As(se.err, &refusal):
 		se.unsent("refused")
 		if refusal.Gone {
-			ex.forgetServer(se)
+			ex.removeReplacedServer(se)
 		}
 		return ex.request.Refused(now)
 	case errors.Is(se.err, ErrUnreachable):
 		se.unsent("unreachable")
-		ex.ga.serverEnded(se.server, "it takes no connection")
-		ex.ga.leaveServer(ctx, se, now)
+		ex.ga.recordServerEnd(se.server, "it takes no connection")
+		ex.ga.ejectUnreachable(ctx, se, now)
 		return ex.request.Unsent(now)
 	case errors.Is(se.err, ErrUnsent):
 		se.unsent("unsent")
-		ex.ga.judge(ctx, se, false, now)
+		ex.ga.recordHealth(ctx, se, false, now)
 		return ex.request.Unsent(now)
 	case se.err != nil:
 		se.end("lost")
 		if !se.left {
-			ex.ga.brokeOff(ctx, se.server)
+			ex.ga.connectionLost(ctx, se.server)
 		}
 		if se.silent.Load() || !se.left {
-			ex.ga.judge(ctx, se, false, now)
+			ex.ga.recordHealth(ctx, se, false, now)
 		}
 		return ex.request.Lost(now)
 	}
 	good := se.answer.Status < direct.ServerFailed
 	if !good || !se.answer.Stream {
-		ex.ga.judge(ctx, se, good, now)
+		ex.ga.recordHealth(ctx, se, good, now)
 	}
 	return ex.request.Answered(se.answer.Status, se.answer.Confidence, now)
 }
--- a/internal/gateway/attemptlog.go
+++ b/internal/gateway/attemptlog.go
@@ -40,5 +40,5 @@
 	if before.answer != nil {
 		le = le.Int("confidence", before.answer.Confidence)
 	}
-	ex.choice.describe(le).Str("why", why).Str("last_event", ex.delivered).Msg(event.Name(id))
+	ex.choice.addLogFields(le).Str("why", why).Str("last_event", ex.delivered).Msg(event.Name(id))
 }
--- a/internal/gateway/common_test.go
+++ b/internal/gateway/common_test.go
@@ -21,15 +21,15 @@
 
 // commonPlay is one play of a harmless request that all callers ask alike beside a deadly one,
 // both ten times a second, at gateways that have just started.
-type commonPlay struct {
+type mixedLoad struct {
 	gateways  int
 	endsAfter time.Duration
 	// replaced is how often a gateway is lost and replaced; zero for never.
-	replaced time.Duration
+	replaceEvery time.Duration
 }
 
 // outcome is what callers got of a play.
-type commonOutcome struct {
+type mixedLoadResult struct {
 	// served is the part of the harmless requests that were answered, blocked the part that was
 	// refused as blocked, tooMany the copies of the deadly one that reached servers too late, ends
 	// the servers that ended.
@@ -37,18 +37,18 @@
 	tooMany, ends   int
 }
 
-func (cp commonPlay) run(t *testing.T, lasts time.Duration) (out commonOutcome) {
+func (cp mixedLoad) run(t *testing.T, lasts time.Duration) (out mixedLoadResult) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		sc := newScene(t, cp.gateways)
 		sc.servers.endsAfter = cp.endsAfter
-		next := time.Now().Add(cp.replaced)
+		next := time.Now().Add(cp.replaceEvery)
 		for n := range int(lasts / (100 * time.Millisecond)) {
 			sc.ask(n%cp.gateways, "/menu/other", fmt.Sprint("other-", n))
 			sc.ask((n+1)%cp.gateways, poisonPath, fmt.Sprint("copy-", n))
 			time.Sleep(100 * time.Millisecond)
-			if cp.replaced > 0 && !time.Now().Before(next) {
-				next = next.Add(cp.replaced)
+			if cp.replaceEvery > 0 && !time.Now().Before(next) {
+				next = next.Add(cp.replaceEvery)
 				sc.replace(n % cp.gateways)
 			}
 		}
@@ -63,14 +63,14 @@
 			}
 		}
 		all := float64(len(sc.others))
-		out = commonOutcome{float64(served) / all, float64(blocked) / all, sc.servers.tooMany(), sc.servers.ends()}
+		out = mixedLoadResult{float64(served) / all, float64(blocked) / all, sc.servers.tooMany(), sc.servers.ends()}
 	})
 	return out
 }
 
 // commonPlays returns the plays of the story, those at many gateways only if all are wanted.
-func commonPlays(all bool) []commonPlay {
-	var list []commonPlay
+func mixedLoads(all bool) []mixedLoad {
+	var list []mixedLoad
 	sizes := []int{2, 8}
 	if all {
 		sizes = []int{2, 4, 8, 23, 60}
@@ -78,7 +78,7 @@
 	for _, gateways := range sizes {
 		for _, endsAfter := range []time.Duration{100 * time.Millisecond, 400 * time.Millisecond} {
 			for _, replaced := range []time.Duration{0, 800 * time.Millisecond, 5 * time.Second} {
-				list = append(list, commonPlay{gateways, endsAfter, replaced})
+				list = append(list, mixedLoad{gateways, endsAfter, replaced})
 			}
 		}
 	}
@@ -95,9 +95,9 @@
 //
 // LINNETRUDDER_ALL_PLAYS=N plays all sizes N times.
 func TestACommonRequestIsServedBesideOneUnderWhichServersEnd(t *testing.T) {
-	plays, times := commonPlays(false), 1
+	plays, times := mixedLoads(false), 1
 	if text := os.Getenv("LINNETRUDDER_ALL_PLAYS"); text != "" {
-		plays = commonPlays(true)
+		plays = mixedLoads(true)
 		_, err := fmt.Sscan(text, &times)
 		require.NoError(t, err)
 	}
@@ -119,7 +119,7 @@
 }
 
 // block lets the key-value service hold a block of what is asked with a path.
-func (sc *scene) block(path string) {
+func (sc *scene) storeBlock(path string) {
 	bl := poison.NewBlock(poison.PrintOf(poison.Request{
 		Method: http.MethodPost, Host: "h", Target: path, Body: []byte(path),
 	}), poison.FirstTerm, clock.Day())
@@ -133,7 +133,7 @@
 		for _, path := range []string{"/menu/other", "/cards/other"} {
 			synctest.Test(t, func(t *testing.T) {
 				sc := newScene(t, gateways)
-				sc.block(path)
+				sc.storeBlock(path)
 				time.Sleep(550 * time.Millisecond)
 				ask := func(lasts time.Duration) {
 					for n := range int(lasts / (50 * time.Millisecond)) {
@@ -157,7 +157,7 @@
 				}
 				require.Zero(t, sc.blocked())
 				require.Empty(t, sc.keptBlocks())
-				time.Sleep(3 * doubtKept)
+				time.Sleep(3 * doubtTTL)
 				for _, ga := range sc.gateways {
 					ga.mu.Lock()
 					doubts := len(ga.doubts)
@@ -175,7 +175,7 @@
 		for _, path := range []string{poisonPath, plainPoison} {
 			synctest.Test(t, func(t *testing.T) {
 				sc := newScene(t, gateways)
-				sc.block(path)
+				sc.storeBlock(path)
 				time.Sleep(550 * time.Millisecond)
 				for n := range 900 {
 					sc.ask(n%gateways, path, fmt.Sprint(path, n))
--- a/internal/gateway/deliver.go
+++ b/internal/gateway/deliver.go
@@ -73,7 +73,7 @@
 		switch {
 		case err == nil:
 			se.end(attemptAnswered)
-			ex.ga.judge(ctx, se, true, now)
+			ex.ga.recordHealth(ctx, se, true, now)
 			ex.ga.streamed(se, events, now.Sub(began), now)
 			ex.answered()
 			return
@@ -85,9 +85,9 @@
 		}
 		se.end("broken")
 		if !se.stalled.Load() {
-			ex.ga.brokeOff(ctx, se.server)
+			ex.ga.connectionLost(ctx, se.server)
 		}
-		ex.ga.judge(ctx, se, false, now)
+		ex.ga.recordHealth(ctx, se, false, now)
 		if se = ex.resume(ctx, err); se == nil {
 			return
 		}
@@ -107,7 +107,7 @@
 	}
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
-	ga.observePace(se.server, "event "+se.ex.modelKey(se.step.Model()), took/time.Duration(events-1), slowEvents, now)
+	ga.observeDuration(se.server, "event "+se.ex.modelKey(se.step.Model()), took/time.Duration(events-1), slowEventFactor, now)
 }
 
 // resume continues a broken stream; it returns nil if the request has ended.
@@ -183,7 +183,7 @@
 	ga, now := ex.ga, clock.Now()
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
-	ask := ga.restrict(pool.Ask{Service: ex.service, Tried: []string{se.server.ID}, Cold: ga.coldLimit(ex.service)}, ex, now)
+	ask := ga.restrictVersion(pool.Ask{Service: ex.service, Tried: []string{se.server.ID}, Cold: ga.coldLimit(ex.service)}, ex, now)
 	_, ok := ga.pool.Pick(ask, 0, now)
 	return ok && ga.window(ex.service).Left(now) >= 1
 }
--- a/internal/gateway/ends.go
+++ b/internal/gateway/ends.go
@@ -20,9 +20,9 @@
 	probeWait = 50 * time.Millisecond
 	// probeAgain is how long one answer is used for others: with a server all its connections
 	// break off within some milliseconds.
-	probeAgain = 100 * time.Millisecond
+	probeReuse = 100 * time.Millisecond
 	// mostSuspects is how many suspects a line of the log names.
-	mostSuspects = 8
+	maxLoggedSuspects = 8
 )
 
 // probe is a question whether a server still listens.
@@ -34,7 +34,7 @@
 
 // brokeOff finds out whether a server has ended that broke a connection off, and waits a
 // moment for it: what is decided next may depend on it.
-func (ga *Gateway) brokeOff(ctx context.Context, se directory.Server) {
+func (ga *Gateway) connectionLost(ctx context.Context, se directory.Server) {
 	if ctx.Err() != nil {
 		return // the caller left or the time is over: this says nothing of the server
 	}
@@ -56,16 +56,16 @@
 // lock is held.
 func (ga *Gateway) probe(ctx context.Context, se directory.Server, now time.Time) *probe {
 	pr := ga.probes[se.Key()]
-	if pr != nil && now.Sub(pr.at) < probeAgain {
+	if pr != nil && now.Sub(pr.at) < probeReuse {
 		return pr
 	}
 	pr = &probe{at: now, done: make(chan struct{})}
 	ga.probes[se.Key()] = pr
-	go ga.reach(context.WithoutCancel(ctx), se, pr)
+	go ga.runProbe(context.WithoutCancel(ctx), se, pr)
 	return pr
 }
 
-func (ga *Gateway) reach(ctx context.Context, se directory.Server, pr *probe) {
+func (ga *Gateway) runProbe(ctx context.Context, se directory.Server, pr *probe) {
 	defer close(pr.done)
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
@@ -75,38 +75,38 @@
 		defer ga.mu.Unlock()
 		ga.runs.Alive(se.Key(), clock.Now())
 	case errors.Is(err, ErrUnreachable):
-		ga.serverEnded(se, "it broke off and takes no connection")
+		ga.recordServerEnd(se, "it broke off and takes no connection")
 	default:
 		ga.Log.Info().Int("event", int(event.ServerUnclear)).Str("server", se.Key()).Err(err).Msg(event.Name(event.ServerUnclear))
 	}
 }
 
 // serverEnded notes that a server's process is gone.
-func (ga *Gateway) serverEnded(se directory.Server, why string) {
+func (ga *Gateway) recordServerEnd(se directory.Server, why string) {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
-	ga.noteEnded(se.Key(), why, clock.Now())
+	ga.applyServerEnd(se.Key(), why, clock.Now())
 }
 
 // noteEnded takes the end of a server's life, the first time that it is noticed. The lock is
 // held.
-func (ga *Gateway) noteEnded(key, why string, now time.Time) {
+func (ga *Gateway) applyServerEnd(key, why string, now time.Time) {
 	if !ga.runs.Has(key) {
 		return
 	}
 	suspects, at := ga.runs.Ended(key, now)
 	serverEnds.Inc()
 	for _, ru := range suspects {
-		ga.accuse(ru.Suspicion(key, at, now), now)
+		ga.applySuspicion(ru.Suspicion(key, at, now), now)
 	}
 	ga.Log.Info().Int("event", int(event.ServerEnded)).Str("server", key).Int("suspects", len(suspects)).
-		Strs("prints", prints(suspects)).Str("detail", why).Msg(event.Name(event.ServerEnded))
+		Strs("prints", suspectNames(suspects)).Str("detail", why).Msg(event.Name(event.ServerEnded))
 }
 
 // prints names suspects for the log, the first of many.
-func prints(suspects []*poison.Run) []string {
-	names := make([]string, 0, mostSuspects)
-	for _, ru := range suspects[:min(mostSuspects, len(suspects))] {
+func suspectNames(suspects []*poison.Run) []string {
+	names := make([]string, 0, maxLoggedSuspects)
+	for _, ru := range suspects[:min(maxLoggedSuspects, len(suspects))] {
 		names = append(names, ru.Request()+" "+ru.Print().String())
 	}
 	return names
@@ -114,11 +114,11 @@
 
 // settleRuns forgets what is over for long, and lifts the blocks of what servers are known to
 // have answered and lived on; it asks those of which that is not known yet.
-func (ga *Gateway) settleRuns(ctx context.Context, now time.Time) {
+func (ga *Gateway) updateRuns(ctx context.Context, now time.Time) {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
 	for _, pr := range ga.cases.Settle(&ga.runs, now) {
-		ga.acquit(pr, now)
+		ga.liftDisprovenBlock(pr, now)
 	}
 	suspected := func(pr poison.Print) bool { return ga.cases.Servers(pr) > 0 || ga.blocks.Left(pr, now) > 0 }
 	for _, key := range ga.runs.Unproven(suspected, now) {
--- a/internal/gateway/held.go
+++ b/internal/gateway/fallback.go
@@ -9,63 +9,63 @@
 
 // rejectionTime is how long an answer is held after an escalation from it: servers reject an attempt
 // within some round trips.
-const rejectionTime = 20 * time.Millisecond
+const rejectionWindow = 20 * time.Millisecond
 
 // heldAnswer is an answer that is dropped after rejectionTime unless the caller needs it after all.
-type heldAnswer struct {
+type fallbackAnswer struct {
 	attempt *sent
-	release *time.Timer
+	timer   *time.Timer
 }
 
 // replace frees the attempt before a step. The answer that an escalation is to improve on is held for
 // a moment: the larger model's server may reject the attempt while no retry is left.
-func (ex *exchange) replace(at *sent, step direct.Step) {
+func (ex *exchange) releasePrevious(at *sent, step direct.Step) {
 	switch {
 	case at == nil:
 	case step.Escalates():
-		ex.dropHeld()
-		ex.held = &heldAnswer{attempt: at, release: time.AfterFunc(rejectionTime, at.drop)}
+		ex.dropFallback()
+		ex.held = &fallbackAnswer{attempt: at, timer: time.AfterFunc(rejectionWindow, at.drop)}
 	default:
 		at.drop()
 		if ex.held != nil {
-			ex.held.release.Reset(rejectionTime)
+			ex.held.timer.Reset(rejectionWindow)
 		}
 	}
 }
 
 // checkHeld tells the request whether the answer before an escalation is still held, once the head of
 // the next answer came or will not come. If it is, it stays so until the next step.
-func (ex *exchange) checkHeld(at *sent) {
+func (ex *exchange) checkFallback(at *sent) {
 	if ex.held == nil {
 		return
 	}
-	if at.answer != nil || !ex.held.release.Stop() {
-		ex.dropHeld()
+	if at.answer != nil || !ex.held.timer.Stop() {
+		ex.dropFallback()
 		ex.request.Released()
 	}
 }
 
 // fallBack frees the attempt that was to improve on the held answer, and returns the latter's.
-func (ex *exchange) fallBack(at *sent) *sent {
+func (ex *exchange) useFallback(at *sent) *sent {
 	at.drop()
-	held := ex.takeHeld()
+	held := ex.takeFallback()
 	ex.ga.Log.Info().Int("event", int(event.RequestFellBack)).Str("request", ex.as.ID).Str("server", held.server.ID).
 		Str("model", held.step.Model()).Str("before", at.server.ID).Err(at.err).Msg(event.Name(event.RequestFellBack))
 	return held
 }
 
 // takeHeld returns the held answer.
-func (ex *exchange) takeHeld() *sent {
+func (ex *exchange) takeFallback() *sent {
 	at := ex.held.attempt
 	ex.held = nil
 	return at
 }
 
 // dropHeld drops the held answer if there is one.
-func (ex *exchange) dropHeld() {
+func (ex *exchange) dropFallback() {
 	if ex.held == nil {
 		return
 	}
-	ex.held.release.Stop()
-	ex.takeHeld().drop()
+	ex.held.timer.Stop()
+	ex.takeFallback().drop()
 }
--- a/internal/gateway/follow.go
+++ b/internal/gateway/follow.go
@@ -213,11 +213,11 @@
 		switch {
 		case ch.Server != nil:
 			listed[ch.Server.ID] = true
-			if restored && ga.revives(*ch.Server, now) {
+			if restored && ga.isRevived(*ch.Server, now) {
 				continue
 			}
 		case ch.Leaving != "":
-			ga.serverLeaves(ch.Leaving, clock.Now(), gossip.MostHops, "announced to a watcher")
+			ga.markLeaving(ch.Leaving, clock.Now(), gossip.MostHops, "announced to a watcher")
 		case ch.Evacuated != "":
 			evacuated[ch.Evacuated] = true
 		case ch.Blocked != nil:
@@ -225,12 +225,12 @@
 		}
 		ga.change(ch)
 	}
-	ga.keepServers(listed, restored, now)
+	ga.reconcileServers(listed, restored, now)
 	if restored {
-		ga.losePhases(st)
+		ga.markPhasesLost(st)
 	}
-	ga.keepEvacuated(evacuated, restored, now)
-	ga.liftOthers(blocked, restored, now)
+	ga.reconcileEvacuations(evacuated, restored, now)
+	ga.reconcileBlocks(blocked, restored, now)
 	ga.history.Reset(st.Revision)
 	ga.replaceMembers(st, restored, now)
 	ga.stateRead = true
@@ -279,27 +279,27 @@
 	case ch.Server != nil:
 		ga.putServer(*ch.Server, clock.Now())
 	case ch.Gone != "":
-		ga.serverGone(ch.Gone, clock.Now())
+		ga.removeServer(ch.Gone, clock.Now())
 	case ch.Unusable != nil:
-		ga.entryUnusable(*ch.Unusable)
+		ga.dropUnusableServer(*ch.Unusable)
 	case ch.Evacuated != "":
 		ga.lostCentres.Release(ch.Evacuated)
 		ga.evacuate(ch.Evacuated)
 	case ch.Restored != "":
 		ga.lostCentres.Release(ch.Restored)
-		ga.restore(ch.Restored, clock.Now())
+		ga.endEvacuation(ch.Restored, clock.Now())
 	case ch.Order != nil:
-		ga.ordered(*ch.Order)
+		ga.applyOrder(*ch.Order)
 	case ch.Phase != nil:
-		ga.stored(*ch.Phase)
+		ga.applyStoredPhase(*ch.Phase)
 	case len(ch.Tallies) > 0:
 		for _, ta := range ch.Tallies {
-			ga.tallied(ta)
+			ga.receiveTally(ta)
 		}
 	case ch.Blocked != nil:
-		ga.takeBlock(*ch.Blocked, true, clock.Now())
+		ga.applyBlock(*ch.Blocked, true, clock.Now())
 	case ch.Unblocked != nil:
-		ga.notKept(*ch.Unblocked)
+		ga.blockRemoved(*ch.Unblocked)
 	case ch.Member != nil:
 		ga.joined(*ch.Member)
 	case ch.MemberGone != "":
--- a/internal/gateway/follow_test.go
+++ b/internal/gateway/follow_test.go
@@ -169,7 +169,7 @@
 }
 
 func TestLogOfChangesIsReadByExplain(t *testing.T) {
-	ga, log := newServing(Change{Evacuated: "dc9"}, orderAt(inEra(1, 3), "v2"), phaseAt(inEra(1, 4), inEra(1, 3), rollout.Trying))
+	ga, log := newServingGateway(Change{Evacuated: "dc9"}, orderAt(inEra(1, 3), "v2"), phaseAt(inEra(1, 4), inEra(1, 3), rollout.Trying))
 	doc := coldDocument()
 	doc.Version += 7
 	ga.change(Change{Document: doc})
--- a/internal/gateway/fuzz_test.go
+++ b/internal/gateway/fuzz_test.go
@@ -131,7 +131,7 @@
 		ga := knowing()
 		answer := ga.Reported(re)
 		require.Equal(t, "a", answer.Box)
-		ga.takeRest(re, clock.Now())
+		ga.applyReportAnswer(re, clock.Now())
 		ga.expireLoads(clock.Now().Add(time.Hour))
 		holds(t, ga)
 	})
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -149,7 +149,7 @@
 	pace pace.Meter
 	// prompts knows the usual size of prompts by route and by service, gains by how much
 	// models rate their answers higher than the smallest.
-	prompts sizes
+	prompts promptSizes
 	gains   cascade.Gains
 	// backlogs follows each service's backlog.
 	backlogs map[string]*pace.Trend
@@ -158,7 +158,7 @@
 	// retries holds the window of each service.
 	retries map[string]*budget.Window
 	// rollouts holds the newest roll-out of each service.
-	rollouts map[string]*timedRollout
+	rollouts map[string]*rolloutState
 	// phases holds the stored phase of each service's roll-out.
 	phases map[string]StoredPhase
 	// demands holds how many attempts are sent to each service, by route.
@@ -193,7 +193,7 @@
 	var wg sync.WaitGroup
 	wg.Go(func() { ga.tick(ctx) })
 	wg.Go(func() { ga.keepMembership(ctx) })
-	wg.Go(func() { ga.shareLoad(ctx) })
+	wg.Go(func() { ga.runLoadExchange(ctx) })
 	ga.follow(ctx)
 	wg.Wait()
 	return ctx.Err()
@@ -208,9 +208,9 @@
 	ga.unusable = map[string]bool{}
 	ga.unreadable = zerolog.BurstSampler{Burst: unreadableBurst, Period: unreadablePeriod}
 	ga.ahead = zerolog.BurstSampler{Burst: aheadBurst, Period: aheadPeriod}
-	ga.countFleet(clock.Now())
+	ga.updateFleet(clock.Now())
 	ga.retries = map[string]*budget.Window{}
-	ga.rollouts = map[string]*timedRollout{}
+	ga.rollouts = map[string]*rolloutState{}
 	ga.phases = map[string]StoredPhase{}
 	ga.demands = map[string]*rate.Meter{}
 	ga.backlogs = map[string]*pace.Trend{}
@@ -288,11 +288,11 @@
 			ga.noteTick(now)
 			ga.noteSuspended()
 			ga.dropMissing(now)
-			ga.dropLost(now)
-			ga.watchServers(now)
+			ga.expireLost(now)
+			ga.tickServers(now)
 			ga.expireLoads(now)
-			ga.settleRuns(ctx, now)
-			ga.keepBlocks(ctx, now)
+			ga.updateRuns(ctx, now)
+			ga.maintainBlocks(ctx, now)
 			ga.advanceRollouts(ctx, now)
 		}
 	}
--- a/internal/gateway/health.go
+++ b/internal/gateway/health.go
@@ -10,7 +10,7 @@
 
 // judge notes what an attempt says of its server. What ended because the
 // caller left, or its time, says nothing.
-func (ga *Gateway) judge(ctx context.Context, se *sent, good bool, now time.Time) {
+func (ga *Gateway) recordHealth(ctx context.Context, se *sent, good bool, now time.Time) {
 	if ctx.Err() != nil && !good {
 		return
 	}
@@ -18,32 +18,32 @@
 	defer ga.mu.Unlock()
 	if good {
 		if ga.pool.Succeeded(se.server.Key()) {
-			ga.noteServer(event.ServerReturned, se.server.ID, "it answered again")
-			ga.cool(&se.server, ga.coldFor(se.server.Service), now)
+			ga.logServer(event.ServerReturned, se.server.ID, "it answered again")
+			ga.markCold(&se.server, ga.coldFor(se.server.Service), now)
 		}
 		return
 	}
 	if ga.pool.Failed(se.server.Key(), now) {
-		ga.noteServer(event.ServerEjected, se.server.ID, "its answers failed")
+		ga.logServer(event.ServerEjected, se.server.ID, "its answers failed")
 	}
 }
 
 // leaveServer takes a server out of use for a while that takes no connection.
-func (ga *Gateway) leaveServer(ctx context.Context, se *sent, now time.Time) {
+func (ga *Gateway) ejectUnreachable(ctx context.Context, se *sent, now time.Time) {
 	if ctx.Err() != nil {
 		return
 	}
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
 	if ga.pool.Unreachable(se.server.Key(), now) {
-		ga.noteServer(event.ServerEjected, se.server.ID, "it takes no connection")
+		ga.logServer(event.ServerEjected, se.server.ID, "it takes no connection")
 	}
 }
 
 // forgetServer takes a server out of use whose address another one has.
-func (ex *exchange) forgetServer(se *sent) {
+func (ex *exchange) removeReplacedServer(se *sent) {
 	ex.ga.mu.Lock()
 	defer ex.ga.mu.Unlock()
 	ex.ga.servers.Remove(se.server.ID, clock.Now())
-	ex.ga.noteServer(event.ServerGone, se.server.ID, "another server has its address")
+	ex.ga.logServer(event.ServerGone, se.server.ID, "another server has its address")
 }
--- a/internal/gateway/limits.go
+++ b/internal/gateway/limits.go
@@ -11,7 +11,7 @@
 // applyLimit records the limit that a server's answer reports, nil for none. The lock is held.
 func (ga *Gateway) applyLimit(server string, limit *float64, now time.Time) {
 	sent, lasts := ga.pool.Limits.Use(server, now)
-	ga.noteLimit(ga.pool.Limits.Report(server, limit, now), server, sent, lasts, "")
+	ga.logLimitChange(ga.pool.Limits.Report(server, limit, now), server, sent, lasts, "")
 }
 
 // receiveLimitNotices applies another gateway's notices of rate limits. The lock is held.
@@ -21,13 +21,13 @@
 			continue
 		}
 		sent, lasts := ga.pool.Limits.Use(no.Server, now)
-		ga.noteLimit(ga.pool.Limits.Receive(no, now), no.Server, sent, lasts, re.Box)
+		ga.logLimitChange(ga.pool.Limits.Receive(no, now), no.Server, sent, lasts, re.Box)
 	}
 }
 
 // noteLimit logs a changed limit and the gateway that propagated it, "" for the server itself. The
 // lock is held.
-func (ga *Gateway) noteLimit(ch backpressure.Change, server string, sent int, lasts time.Duration, by string) {
+func (ga *Gateway) logLimitChange(ch backpressure.Change, server string, sent int, lasts time.Duration, by string) {
 	id, le := event.ServerUnlimited, ga.Log.Info()
 	switch ch {
 	case backpressure.Unchanged:
--- a/internal/gateway/limits_test.go
+++ b/internal/gateway/limits_test.go
@@ -15,18 +15,18 @@
 
 const (
 	// namedLimit is what a server in need takes, in requests a second.
-	namedLimit = 1.6
+	reportedLimit = 1.6
 	// holdWithin is how long gateways may take until all of them hold to it: the users allow
 	// 3 s, and half a second to each that has passed on such an answer.
-	holdWithin = time.Second
+	limitWithin = time.Second
 	// limitSpan is the span in which requests are counted, mostInSpan what may come in it: one
 	// and a half times what the limit allows and five more.
-	limitSpan  = 4 * time.Second
-	mostInSpan = 14
+	limitWindow = 4 * time.Second
+	maxInWindow = 14
 )
 
 // nameLimit lets a server name a limit from now on, or none for zero.
-func (cr *crashing) nameLimit(id string, perSecond float64) {
+func (cr *crashing) setLimit(id string, perSecond float64) {
 	cr.mu.Lock()
 	defer cr.mu.Unlock()
 	if cr.limits == nil {
@@ -47,12 +47,12 @@
 }
 
 // most returns the most requests that a server got in a span, of those after a time.
-func (cr *crashing) most(id string, after time.Time) int {
+func (cr *crashing) mostInWindow(id string, after time.Time) int {
 	list, most := cr.arrivals(id, after), 0
 	for i, at := range list {
 		n := 0
 		for _, before := range list[:i+1] {
-			if at.Sub(before) < limitSpan {
+			if at.Sub(before) < limitWindow {
 				n++
 			}
 		}
@@ -62,7 +62,7 @@
 }
 
 // press sends a hundred requests a second to all gateways in turn; each asks two servers.
-func (sc *scene) press(lasts time.Duration) {
+func (sc *scene) sendLoad(lasts time.Duration) {
 	for n := range int(lasts / (10 * time.Millisecond)) {
 		id := fmt.Sprint("press-", time.Now().UnixNano())
 		sc.ask(n%len(sc.gateways), "/menu/"+id, id)
@@ -84,23 +84,23 @@
 		t.Run(fmt.Sprint(gateways), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				sc := newScene(t, gateways)
-				sc.press(6 * time.Second)
+				sc.sendLoad(6 * time.Second)
 				named := time.Now()
 				needy := []string{"s3", "s9"}
 				for _, id := range needy {
-					sc.servers.nameLimit(id, namedLimit)
+					sc.servers.setLimit(id, reportedLimit)
 				}
-				sc.press(20 * time.Second)
+				sc.sendLoad(20 * time.Second)
 				for _, id := range needy {
-					require.LessOrEqual(t, sc.servers.most(id, named.Add(holdWithin)), mostInSpan, id)
-					require.NotEmpty(t, sc.servers.arrivals(id, named.Add(holdWithin)), "%s is used all the same", id)
+					require.LessOrEqual(t, sc.servers.mostInWindow(id, named.Add(limitWithin)), maxInWindow, id)
+					require.NotEmpty(t, sc.servers.arrivals(id, named.Add(limitWithin)), "%s is used all the same", id)
 				}
 				for _, id := range needy {
-					sc.servers.nameLimit(id, 0)
+					sc.servers.setLimit(id, 0)
 				}
-				sc.press(6 * time.Second)
+				sc.sendLoad(6 * time.Second)
 				ended := time.Now()
-				sc.press(6 * time.Second)
+				sc.sendLoad(6 * time.Second)
 				for _, id := range needy {
 					require.Greater(t, len(sc.servers.arrivals(id, ended)), 12, "%s is used as before", id)
 				}
@@ -120,22 +120,22 @@
 			synctest.Test(t, func(t *testing.T) {
 				sc := newScene(t, gateways)
 				time.Sleep(40 * time.Second) // until all know how many gateways there are
-				sc.press(2 * time.Second)
+				sc.sendLoad(2 * time.Second)
 				named := time.Now()
 				for _, se := range sc.servers.all() {
-					sc.servers.nameLimit(se.listed.ID, namedLimit)
+					sc.servers.setLimit(se.listed.ID, reportedLimit)
 				}
-				sc.press(3 * time.Second)
+				sc.sendLoad(3 * time.Second)
 				sc.callers.Wait()
 				sc.others = nil
-				sc.press(16 * time.Second)
+				sc.sendLoad(16 * time.Second)
 				sc.callers.Wait()
 				used := 0
 				for _, se := range sc.servers.all() {
-					require.LessOrEqual(t, sc.servers.most(se.listed.ID, named.Add(holdWithin)), mostInSpan, se.listed.ID)
+					require.LessOrEqual(t, sc.servers.mostInWindow(se.listed.ID, named.Add(limitWithin)), maxInWindow, se.listed.ID)
 					used += len(sc.servers.arrivals(se.listed.ID, named.Add(5*time.Second)))
 				}
-				require.Greater(t, float64(used), least*namedLimit*poolSize*14)
+				require.Greater(t, float64(used), least*reportedLimit*poolSize*14)
 				refused := 0
 				for _, ca := range sc.others {
 					if ca.answered {
@@ -158,18 +158,18 @@
 // its entry, although its life went on.
 func TestLimitOutlastsTheEntry(t *testing.T) {
 	for name, lapse := range map[string]func(ga *Gateway, now time.Time){
-		"unusable entry": func(ga *Gateway, _ time.Time) { ga.entryUnusable(UnusableServer{ID: "x1"}) },
-		"no entry":       func(ga *Gateway, now time.Time) { ga.serverGone("x1", now) },
+		"unusable entry": func(ga *Gateway, _ time.Time) { ga.dropUnusableServer(UnusableServer{ID: "x1"}) },
+		"no entry":       func(ga *Gateway, now time.Time) { ga.removeServer("x1", now) },
 		"lost in an outage": func(ga *Gateway, now time.Time) {
 			ga.servers.StoreLost()
-			ga.serverGone("x1", now)
+			ga.removeServer("x1", now)
 			ga.servers.StoreBack(now)
 			ga.dropMissing(now.Add(time.Minute))
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			now := clock.Now()
-			ga, _ := newServing()
+			ga, _ := newServingGateway()
 			rate := 1.0
 			ga.applyLimit("x1", &rate, now)
 			ex := newExchange(ga, "")
--- a/internal/gateway/loads.go
+++ b/internal/gateway/loads.go
@@ -15,18 +15,18 @@
 
 const (
 	// loadEvery is the pause between two reports of load, a fraction of a prompt's reading time.
-	loadEvery = 100 * time.Millisecond
+	loadReportInterval = 100 * time.Millisecond
 	// loadServers is how many servers a report names at the most, the busiest: at some
 	// 8 B each 8 KB a second, of the 12 that control may take (letter 1).
-	loadServers = 100
+	maxLoadServers = 100
 	// loadKept is how long a report is used: some may be late.
-	loadKept = 5 * loadEvery
+	loadReportTTL = 5 * loadReportInterval
 	// loadTimeout bounds one exchange, which takes some milliseconds and on a busy box
 	// some tens; loadAgain is the pause after one that failed.
-	loadTimeout = 300 * time.Millisecond
-	loadAgain   = time.Second
+	loadExchangeTimeout = 300 * time.Millisecond
+	loadRetryDelay      = time.Second
 	// peersEvery is how often the choice of whom to report to is made anew.
-	peersEvery = 500 * time.Millisecond
+	loadPeersInterval = 500 * time.Millisecond
 )
 
 // loadPeer is a gateway to report to.
@@ -37,7 +37,7 @@
 }
 
 // shareLoad exchanges loads with the gateways that the plan names.
-func (ga *Gateway) shareLoad(ctx context.Context) {
+func (ga *Gateway) runLoadExchange(ctx context.Context) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	stops := map[loadPeer]context.CancelFunc{}
@@ -56,7 +56,7 @@
 				wg.Go(func() { ga.exchangeLoads(pctx, pe) })
 			}
 		}
-		sleep(ctx, peersEvery)
+		sleep(ctx, loadPeersInterval)
 	}
 }
 
@@ -74,7 +74,7 @@
 
 // exchangeLoads reports to one gateway again and again until the context ends.
 func (ga *Gateway) exchangeLoads(ctx context.Context, to loadPeer) {
-	cl := relay.Client{Address: to.member.Address, Slack: loadTimeout, HTTP: ga.RelayHTTP}
+	cl := relay.Client{Address: to.member.Address, Slack: loadExchangeTimeout, HTTP: ga.RelayHTTP}
 	defer cl.Close()
 	failed, heard := false, uint64(0)
 	for ctx.Err() == nil {
@@ -85,22 +85,22 @@
 		}
 		if failed != (err != nil) {
 			failed = err != nil
-			ga.notePeer(to.member, err)
+			ga.logPeerState(to.member, err)
 		}
 		if err != nil {
-			ga.leavePeer(to.member)
-			sleep(ctx, loadAgain)
+			ga.markPeerFailed(to.member)
+			sleep(ctx, loadRetryDelay)
 			continue
 		}
 		heard = next
-		ga.tookReport(re, clock.Now())
-		ga.takeRest(answer, clock.Now())
-		sleep(ctx, loadEvery)
+		ga.reportAccepted(re, clock.Now())
+		ga.applyReportAnswer(answer, clock.Now())
+		sleep(ctx, loadReportInterval)
 	}
 }
 
 // notePeer logs that a gateway does not take reports, or does again.
-func (ga *Gateway) notePeer(to relay.Member, why error) {
+func (ga *Gateway) logPeerState(to relay.Member, why error) {
 	if why != nil {
 		ga.Log.Warn().Int("event", int(event.LoadPeerLost)).Str("peer", to.Box).Err(why).Msg(event.Name(event.LoadPeerLost))
 		return
@@ -109,7 +109,7 @@
 }
 
 // leavePeer notes that a gateway did not take a report.
-func (ga *Gateway) leavePeer(to relay.Member) {
+func (ga *Gateway) markPeerFailed(to relay.Member) {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
 	ga.loadPlan.Failed(to.Box, clock.Now())
@@ -135,9 +135,9 @@
 		re.Work, re.Gateways = ga.loads.Group(re.Work), ga.loads.GroupSize()
 	}
 	if !collector {
-		re.Tallies = ga.outgoing()
+		re.Tallies = ga.pendingTallies()
 	}
-	re.Work = re.Work.Busiest(loadServers)
+	re.Work = re.Work.Busiest(maxLoadServers)
 	now := clock.Now()
 	re.Ready = ga.isReady(now)
 	to := gossip.ToCollector
@@ -149,36 +149,36 @@
 }
 
 // tookReport notes that a collector has this gateway's report.
-func (ga *Gateway) tookReport(re relay.Report, now time.Time) {
+func (ga *Gateway) reportAccepted(re relay.Report, now time.Time) {
 	if re.Collector {
 		return
 	}
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
 	ga.reported = now
-	ga.handedOver()
+	ga.clearReported()
 }
 
 // takeRest takes the answer to a report.
-func (ga *Gateway) takeRest(answer relay.Report, now time.Time) {
+func (ga *Gateway) applyReportAnswer(answer relay.Report, now time.Time) {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
-	ga.takeGroup(answer, now)
-	ga.heardOf(answer, now)
+	ga.applyGroupReport(answer, now)
+	ga.recordReadiness(answer, now)
 	ga.receiveBlocks(answer, now)
 	ga.receiveNotices(answer, now)
 }
 
 // takeGroup takes the report of several gateways; the lock is held.
-func (ga *Gateway) takeGroup(re relay.Report, now time.Time) {
+func (ga *Gateway) applyGroupReport(re relay.Report, now time.Time) {
 	ga.loads.TakeGroup(re.Box, re.Work, now)
 	ga.loads.CountGroup(re.Box, re.Gateways)
-	ga.resize()
+	ga.updateSize()
 }
 
 // resize takes the number of gateways that are known. While a report is missing, as when a
 // collector has gone, the others are taken to be there still. The lock is held.
-func (ga *Gateway) resize() {
+func (ga *Gateway) updateSize() {
 	known := max(len(ga.members), 1+ga.loads.Others())
 	if known >= ga.size || ga.loads.Known() {
 		ga.size = known
@@ -187,11 +187,11 @@
 }
 
 // heardOf notes whether another gateway is ready; the lock is held.
-func (ga *Gateway) heardOf(re relay.Report, now time.Time) {
+func (ga *Gateway) recordReadiness(re relay.Report, now time.Time) {
 	if !re.Ready {
 		return
 	}
-	if now.Sub(ga.otherReady) >= loadKept {
+	if now.Sub(ga.otherReady) >= loadReportTTL {
 		select {
 		case ga.back <- struct{}{}:
 		default:
@@ -201,10 +201,10 @@
 }
 
 // elsewhere reports whether another gateway has just said that it is ready.
-func (ga *Gateway) elsewhere(now time.Time) bool {
+func (ga *Gateway) otherGatewayReady(now time.Time) bool {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
-	return now.Sub(ga.otherReady) < loadKept
+	return now.Sub(ga.otherReady) < loadReportTTL
 }
 
 // Reported takes another gateway's report.
@@ -212,7 +212,7 @@
 	now := clock.Now()
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
-	ga.heardOf(re, now)
+	ga.recordReadiness(re, now)
 	ga.receiveBlocks(re, now)
 	ga.receiveNotices(re, now)
 	var work load.Work
@@ -220,16 +220,16 @@
 	to := gossip.ToMember
 	if re.Collector {
 		to = gossip.BetweenCollectors
-		ga.takeGroup(re, now)
+		ga.applyGroupReport(re, now)
 		work, gateways = ga.loads.Group(ga.pool.Work()), ga.loads.GroupSize()
 	} else {
 		ga.loads.TakeMember(re.Box, re.Work, now)
-		ga.resize()
-		ga.gather(re.Tallies)
+		ga.updateSize()
+		ga.collectTallies(re.Tallies)
 		work, gateways = ga.loads.Rest(re.Box, ga.pool.Work()), ga.loads.Others()
 	}
 	answer := relay.Report{
-		Box: ga.Box, Collector: true, Work: work.Busiest(loadServers), Ready: ga.isReady(now), Gateways: gateways,
+		Box: ga.Box, Collector: true, Work: work.Busiest(maxLoadServers), Ready: ga.isReady(now), Gateways: gateways,
 	}
 	ga.addNotices(&answer, to, now)
 	return ga.addBlocks(answer, now)
@@ -239,5 +239,5 @@
 func (ga *Gateway) expireLoads(now time.Time) {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
-	ga.loads.Expire(now.Add(-loadKept))
+	ga.loads.Expire(now.Add(-loadReportTTL))
 }
--- a/internal/gateway/loads_test.go
+++ b/internal/gateway/loads_test.go
@@ -14,7 +14,7 @@
 
 // othersWork returns what a gateway knows of the others' attempts at the server s, or
 // false if it gets no reports.
-func (re *relaying) othersWork(box string) (uint32, bool) {
+func (re *relaying) reportedWork(box string) (uint32, bool) {
 	ga := re.gateways[box]
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
@@ -22,7 +22,7 @@
 }
 
 // start notes attempts of a gateway at the server s.
-func (re *relaying) start(box string, attempts int) {
+func (re *relaying) startAttempts(box string, attempts int) {
 	ga := re.gateways[box]
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
@@ -33,12 +33,12 @@
 
 func TestEachGatewayHearsOfTheOthersWork(t *testing.T) {
 	re := newRelaying(t)
-	re.start("a", 1)
-	re.start("b", 2)
-	re.start("c", 4)
+	re.startAttempts("a", 1)
+	re.startAttempts("b", 2)
+	re.startAttempts("c", 4)
 	for box, others := range map[string]uint32{"a": 6, "b": 5, "c": 3} {
 		re.eventually(t, box, func() bool {
-			known, _ := re.othersWork(box)
+			known, _ := re.reportedWork(box)
 			return known == others
 		})
 	}
@@ -48,9 +48,9 @@
 // believing what it heard last.
 func TestOldReportsAreNotBelieved(t *testing.T) {
 	re := newRelaying(t)
-	re.start("a", 1)
+	re.startAttempts("a", 1)
 	re.eventually(t, "c hears of it", func() bool {
-		known, _ := re.othersWork("c")
+		known, _ := re.reportedWork("c")
 		return known == 1
 	})
 	for _, box := range []string{"a", "b"} {
@@ -58,7 +58,7 @@
 	}
 	began := time.Now()
 	re.eventually(t, "c forgets it", func() bool {
-		_, ok := re.othersWork("c")
+		_, ok := re.reportedWork("c")
 		return !ok
 	})
 	require.Less(t, time.Since(began), 3*time.Second)
@@ -74,7 +74,7 @@
 		}
 	}
 	for _, re := range []relay.Report{ga.report(false), ga.report(true), ga.Reported(relay.Report{Box: "b"})} {
-		require.Len(t, re.Work, loadServers)
+		require.Len(t, re.Work, maxLoadServers)
 		data, err := cbor.Marshal(re)
 		require.NoError(t, err)
 		require.Less(t, len(data), 1000)
--- a/internal/gateway/membership.go
+++ b/internal/gateway/membership.go
@@ -107,7 +107,7 @@
 	ga.members[me.Box] = me
 	ga.lostMembers.Release(me.Box)
 	if !known {
-		ga.resize()
+		ga.updateSize()
 		ga.noteMember(event.MemberJoined, me.Box)
 	}
 }
@@ -151,7 +151,7 @@
 	ga.lostMembers.Release(box)
 	if _, known := ga.members[box]; known {
 		delete(ga.members, box)
-		ga.resize()
+		ga.updateSize()
 		ga.noteMember(event.MemberLeft, box)
 	}
 }
--- a/internal/gateway/models.go
+++ b/internal/gateway/models.go
@@ -14,21 +14,21 @@
 const (
 	// largestPrice is the cost of an answer of the largest model as a part of its value. The costs of
 	// the others are in proportion to the operators' figures.
-	largestPrice = 0.15
+	largestModelCost = 0.15
 	// smallestPerToken is how long the smallest model takes for a token until answers
 	// tell: 5 to 8 us on the users' servers. Larger ones are taken to be slower as they
 	// cost more.
-	smallestPerToken = 10 * time.Microsecond
+	defaultTimePerToken = 10 * time.Microsecond
 	// meanStep is the weight of the newest request in the usual size of a prompt.
-	meanStep = 0.02
+	promptSizeSmoothing = 0.02
 	// unreachable is the time to the head of a model that no server can run now.
-	unreachable = time.Hour
+	noServerDelay = time.Hour
 )
 
 // sizes knows the usual size of prompts by name, in tokens. The zero value knows none.
-type sizes struct{ means map[string]float64 }
+type promptSizes struct{ means map[string]float64 }
 
-func (si *sizes) observe(name string, tokens int) {
+func (si *promptSizes) observe(name string, tokens int) {
 	if si.means == nil {
 		si.means = map[string]float64{}
 	}
@@ -36,7 +36,7 @@
 	if !ok {
 		mean = float64(tokens)
 	}
-	si.means[name] = mean + meanStep*(float64(tokens)-mean)
+	si.means[name] = mean + promptSizeSmoothing*(float64(tokens)-mean)
 }
 
 // modelChoice is what a model was last chosen by, for the log.
@@ -46,7 +46,7 @@
 }
 
 // describe adds to a line of the log what a model was chosen by.
-func (mc *modelChoice) describe(le *zerolog.Event) *zerolog.Event {
+func (mc *modelChoice) addLogFields(le *zerolog.Event) *zerolog.Event {
 	if len(mc.options) == 0 {
 		return le
 	}
@@ -65,13 +65,13 @@
 
 // Next returns the model to ask instead of keeping an answer.
 func (ex *exchange) Next(place, confidence int, now time.Time) (int, bool) {
-	ex.learnGain(place, confidence)
-	ex.considerModels(place, now)
+	ex.observeGain(place, confidence)
+	ex.evaluateModels(place, now)
 	return ex.choice.state.Next(place, confidence, ex.choice.options)
 }
 
 // learnGain notes by how much an answer's confidence is above the smallest model's.
-func (ex *exchange) learnGain(place, confidence int) {
+func (ex *exchange) observeGain(place, confidence int) {
 	if place == 0 {
 		ex.smallest = confidence
 		return
@@ -82,7 +82,7 @@
 }
 
 // considerModels takes what a model above the one at a place is chosen by now.
-func (ex *exchange) considerModels(place int, now time.Time) {
+func (ex *exchange) evaluateModels(place int, now time.Time) {
 	ga := ex.ga
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
@@ -90,11 +90,11 @@
 	ex.choice = modelChoice{
 		state: cascade.State{
 			Left: ex.request.Target.Sub(now), Target: ex.route.Target, Priority: ex.priority(),
-			Backlog: backlog, Lasting: ga.backlog(ex.service).Follow(backlog, now),
+			Backlog: backlog, Lasting: ga.backlogTrend(ex.service).Follow(backlog, now),
 		},
 		options: make([]cascade.Option, len(ex.request.Models)),
 	}
-	usual := ex.usualRead()
+	usual := ex.referenceReadTime()
 	for i, model := range ex.request.Models {
 		op := &ex.choice.options[i]
 		if i > 0 {
@@ -103,7 +103,7 @@
 		if i <= place {
 			continue
 		}
-		op.Price, op.Head = ex.price(i), unreachable
+		op.Price, op.Head = ex.relativeCost(i), noServerDelay
 		if of, ok := ga.pool.Pick(ex.askFor(model, nil, now), 0, now); ok {
 			op.Head = of.Head()
 			op.Load = of.Read().Seconds() / usual.Seconds()
@@ -112,7 +112,7 @@
 }
 
 // backlog returns the trend of a service's backlog; the lock is held.
-func (ga *Gateway) backlog(service string) *pace.Trend {
+func (ga *Gateway) backlogTrend(service string) *pace.Trend {
 	tr := ga.backlogs[service]
 	if tr == nil {
 		tr = &pace.Trend{}
@@ -123,12 +123,12 @@
 
 // price returns what an answer of the model at a place costs, as a part of what a good
 // one is worth. Where the operators name no figures, larger models cost evenly more.
-func (ex *exchange) price(place int) float64 {
+func (ex *exchange) relativeCost(place int) float64 {
 	models := ex.request.Models
 	if most := ex.cost(models[len(models)-1]); most > 0 {
-		return largestPrice * ex.cost(models[place]) / most
+		return largestModelCost * ex.cost(models[place]) / most
 	}
-	return largestPrice * float64(place) / float64(max(1, len(models)-1))
+	return largestModelCost * float64(place) / float64(max(1, len(models)-1))
 }
 
 // cost returns the operators' figure for what a model costs, zero if there is none.
@@ -141,15 +141,15 @@
 
 // usualRead returns how long the largest model reads a prompt between this one's size and the mean of
 // its route. Larger prompts have more value, but each kind of request counts alike. The lock is held.
-func (ex *exchange) usualRead() time.Duration {
+func (ex *exchange) referenceReadTime() time.Duration {
 	ga, models := ex.ga, ex.request.Models
-	own := ownPart*float64(ex.as.PromptTokens) + (1-ownPart)*ga.prompts.means[ex.route.Name]
+	own := promptSizeWeight*float64(ex.as.PromptTokens) + (1-promptSizeWeight)*ga.prompts.means[ex.route.Name]
 	tokens := math.Sqrt(max(1, own) * max(1, ga.prompts.means[ex.service]))
 	return max(time.Microsecond, ga.pool.ReadTime(ex.prompt(models[len(models)-1]), tokens))
 }
 
 // ownPart is the part of a prompt's worth that grows with its size, by the users' rules.
-const ownPart = 0.7
+const promptSizeWeight = 0.7
 
 // prompt returns what a model is to read, the zero value for a plain service.
 func (ex *exchange) prompt(model string) pool.Prompt {
@@ -174,11 +174,11 @@
 // perToken returns how long a model takes for a token as long as answers do not tell.
 func (ex *exchange) perToken(model string) time.Duration {
 	if len(ex.route.Models) == 0 {
-		return smallestPerToken
+		return defaultTimePerToken
 	}
 	least, cost := ex.cost(ex.route.Models[0]), ex.cost(model)
 	if least <= 0 || cost <= 0 {
-		return smallestPerToken
+		return defaultTimePerToken
 	}
-	return time.Duration(cost / least * float64(smallestPerToken))
+	return time.Duration(cost / least * float64(defaultTimePerToken))
 }
--- a/internal/gateway/restored.go
+++ b/internal/gateway/restored.go
@@ -30,12 +30,12 @@
 
 // endedReported is how long a whole state names the servers that have ended: for a gateway that comes
 // from an older era, others that are not listed may have been lost.
-const endedReported = 30 * time.Second
+const endedServersTTL = 30 * time.Second
 
 // endedFrom returns the moment from which on ended servers are named to others: what ended before
 // the restore may be listed again. The lock is held.
-func (ga *Gateway) endedFrom(now time.Time) time.Time {
-	if from := now.Add(-endedReported); from.After(ga.eraSince) {
+func (ga *Gateway) endedServersSince(now time.Time) time.Time {
+	if from := now.Add(-endedServersTTL); from.After(ga.eraSince) {
 		return from
 	}
 	return ga.eraSince
@@ -43,7 +43,7 @@
 
 // losePhases notes the phases that a restored service does not hold, so that they are stored
 // again. The lock is held.
-func (ga *Gateway) losePhases(st State) {
+func (ga *Gateway) markPhasesLost(st State) {
 	held := map[string]bool{}
 	for _, ch := range st.Changes {
 		if ch.Phase != nil {
@@ -59,11 +59,11 @@
 }
 
 // dropLost drops what a restored service has lost and nobody has written again.
-func (ga *Gateway) dropLost(now time.Time) {
+func (ga *Gateway) expireLost(now time.Time) {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
 	for _, dataCentre := range ga.lostCentres.Expire(now) {
-		ga.restore(dataCentre, now)
+		ga.endEvacuation(dataCentre, now)
 	}
 	for _, box := range ga.lostMembers.Expire(now) {
 		ga.left(box)
--- a/internal/gateway/restored_history_test.go
+++ b/internal/gateway/restored_history_test.go
@@ -14,33 +14,33 @@
 )
 
 // happening is what happens at one moment of a history.
-type happening string
+type eventKind string
 
 const (
-	serverDrains   happening = "server drains"
-	serverGoes     happening = "server ends"
-	serverStarts   happening = "server starts"
-	centreEmptied  happening = "data centre evacuated"
-	centreReturned happening = "data centre given back"
-	configured     happening = "configuration"
-	copied         happening = "copy"
-	restored       happening = "restore"
-	storeAway      happening = "store away"
-	storeBack      happening = "store back"
-	gatewayLost    happening = "gateway replaced"
+	serverDrains    eventKind = "server drains"
+	serverStops     eventKind = "server ends"
+	serverStarts    eventKind = "server starts"
+	centreEvacuated eventKind = "data centre evacuated"
+	centreRestored  eventKind = "data centre given back"
+	configWritten   eventKind = "configuration"
+	storeCopied     eventKind = "copy"
+	storeRestored   eventKind = "restore"
+	storeLost       eventKind = "store away"
+	storeRegained   eventKind = "store back"
+	gatewayReplaced eventKind = "gateway replaced"
 )
 
 // step is a happening after a pause; which names a server, a data centre or a gateway.
-type step struct {
+type historyStep struct {
 	pause time.Duration
-	what  happening
-	which int
+	what  eventKind
+	index int
 }
 
 // history is what happens to a store that several gateways share.
 type history struct {
 	gateways int
-	steps    []step
+	steps    []historyStep
 	// rewriteAfter is how long after a restore operators and servers write again what was lost.
 	rewriteAfter time.Duration
 	// silent is set if the store does not say that it went back.
@@ -53,123 +53,123 @@
 		rewriteAfter: time.Duration(rapid.IntRange(0, 1500).Draw(rt, "rewrite ms")) * time.Millisecond,
 	}
 	for range rapid.IntRange(3, 14).Draw(rt, "steps") {
-		hi.steps = append(hi.steps, step{
+		hi.steps = append(hi.steps, historyStep{
 			pause: time.Duration(rapid.IntRange(0, 1500).Draw(rt, "pause ms")) * time.Millisecond,
-			what: rapid.SampledFrom([]happening{
-				serverDrains, serverGoes, serverStarts, centreEmptied, centreReturned, configured,
-				copied, copied, restored, restored, storeAway, storeBack, gatewayLost,
+			what: rapid.SampledFrom([]eventKind{
+				serverDrains, serverStops, serverStarts, centreEvacuated, centreRestored, configWritten,
+				storeCopied, storeCopied, storeRestored, storeRestored, storeLost, storeRegained, gatewayReplaced,
 			}).Draw(rt, "what"),
-			which: rapid.IntRange(0, poolSize-1).Draw(rt, "which"),
+			index: rapid.IntRange(0, poolSize-1).Draw(rt, "which"),
 		})
 	}
 	return hi
 }
 
 // truth is what operators and servers have written, whether or not the store holds it.
-type truth struct {
+type expectedState struct {
 	draining, ended map[string]time.Time
 	evacuated       map[string]bool
 	version         uint64
 	// stable is when gateways could last hear of what was written before, back when the store
 	// came back after an outage.
-	stable, back time.Time
+	stable, regained time.Time
 }
 
 // play is a history while it is played.
-type play struct {
+type historyRun struct {
 	*scene
 
-	truth truth
+	expected expectedState
 	// copy is how many changes the store's newest copy holds.
-	copy int
-	away bool
+	copy      int
+	storeDown bool
 	// rewriteAt is when what was lost is written again, zero if nothing was.
 	rewriteAt time.Time
 	// wrong says what was seen that must not be.
-	wrong []string
+	violations []string
 }
 
 // run plays a history and returns what was seen that must not be.
 func (hi history) run(t *testing.T) (wrong []string) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		pl := &play{scene: newScene(t, hi.gateways), truth: truth{
+		pl := &historyRun{scene: newScene(t, hi.gateways), expected: expectedState{
 			draining: map[string]time.Time{}, ended: map[string]time.Time{}, evacuated: map[string]bool{}, version: 1,
 		}}
 		pl.servers.kept.silent = hi.silent
-		pl.copy = pl.servers.kept.position()
+		pl.copy = pl.servers.kept.changeCount()
 		for _, st := range hi.steps {
 			pl.watch(st.pause)
 			pl.do(st, hi.rewriteAfter)
 		}
-		pl.do(step{what: storeBack}, 0)
+		pl.do(historyStep{what: storeRegained}, 0)
 		pl.watch(hi.rewriteAfter + rewriteGrace + 2*restoredWithin)
 		pl.checkEnd()
-		wrong = pl.wrong
+		wrong = pl.violations
 	})
 	return wrong
 }
 
 // watch lets time pass, writes again what was lost, and looks at what gateways do.
-func (pl *play) watch(lasts time.Duration) {
+func (pl *historyRun) watch(lasts time.Duration) {
 	const every = 100 * time.Millisecond
 	for until := time.Now().Add(lasts); time.Now().Before(until); time.Sleep(every) {
-		if !pl.rewriteAt.IsZero() && !time.Now().Before(pl.rewriteAt) && !pl.away {
+		if !pl.rewriteAt.IsZero() && !time.Now().Before(pl.rewriteAt) && !pl.storeDown {
 			pl.rewrite()
 		}
 		pl.check()
 	}
 }
 
-func (pl *play) do(st step, rewriteAfter time.Duration) {
+func (pl *historyRun) do(st historyStep, rewriteAfter time.Duration) {
 	ke, now := pl.servers.kept, time.Now()
-	id, dataCentre := fmt.Sprint("s", st.which+1), fmt.Sprint("dc", st.which%3)
-	_, ended := pl.truth.ended[id]
+	id, dataCentre := fmt.Sprint("s", st.index+1), fmt.Sprint("dc", st.index%3)
+	_, ended := pl.expected.ended[id]
 	switch {
-	case st.what == storeBack:
+	case st.what == storeRegained:
 		pl.cutAll(false)
-		if pl.away {
-			pl.truth.back = now
+		if pl.storeDown {
+			pl.expected.regained = now
 		}
-		pl.away, pl.truth.stable = false, now
-	case pl.away && st.what != gatewayLost && st.what != restored:
-	case st.what == storeAway:
+		pl.storeDown, pl.expected.stable = false, now
+	case pl.storeDown && st.what != gatewayReplaced && st.what != storeRestored:
+	case st.what == storeLost:
 		pl.cutAll(true)
-		pl.away = true
-	case st.what == copied:
-		pl.copy = ke.position()
-	case st.what == restored:
+		pl.storeDown = true
+	case st.what == storeCopied:
+		pl.copy = ke.changeCount()
+	case st.what == storeRestored:
 		ke.restore(pl.copy)
 		pl.rewriteAt = now.Add(rewriteAfter)
-	case st.what == gatewayLost:
-		pl.replace(st.which % len(pl.gateways))
-		pl.truth.stable = now
-	case st.what == configured:
-		pl.truth.version++
+	case st.what == gatewayReplaced:
+		pl.replace(st.index % len(pl.gateways))
+		pl.expected.stable = now
+	case st.what == configWritten:
+		pl.expected.version++
 		pl.writeDocument()
 	case st.what == serverStarts:
 		pl.servers.start()
-	case st.what == centreEmptied && len(pl.truth.evacuated) == 0:
-		pl.truth.evacuated[dataCentre] = true
+	case st.what == centreEvacuated && len(pl.expected.evacuated) == 0:
+		pl.expected.evacuated[dataCentre] = true
 		ke.add(Change{Evacuated: dataCentre})
-	case st.what == centreReturned && pl.truth.evacuated[dataCentre]:
-		delete(pl.truth.evacuated, dataCentre)
+	case st.what == centreRestored && pl.expected.evacuated[dataCentre]:
+		delete(pl.expected.evacuated, dataCentre)
 		ke.add(Change{Restored: dataCentre})
 	case st.what == serverDrains && !ended:
-		pl.servers.drain(id)
-		pl.truth.draining[id] = now
-	case st.what == serverGoes && !ended:
+		pl.servers.drainServer(id)
+		pl.expected.draining[id] = now
+	case st.what == serverStops && !ended:
 		ke.add(Change{Gone: id})
-		pl.truth.ended[id] = now
-		if after := pl.truth.back.Add(tellWithin); after.After(now) {
-			pl.truth.ended[id] = after // it may be a lapse
+		pl.expected.ended[id] = now
+		if after := pl.expected.regained.Add(tellWithin); after.After(now) {
+			pl.expected.ended[id] = after // it may be a lapse
 		}
 	}
 }
 
-func (pl *play) writeDocument() {
+func (pl *historyRun) writeDocument() {
 	doc := pl.servers.document()
-	doc.Version = pl.truth.version
+	doc.Version = pl.expected.version
 	pl.servers.kept.add(Change{Document: &doc})
 }
 
@@ -181,24 +181,24 @@
 }
 
 // rewrite lets operators and servers write again what they had written.
-func (pl *play) rewrite() {
+func (pl *historyRun) rewrite() {
 	ke := pl.servers.kept
-	pl.rewriteAt, pl.truth.stable = time.Time{}, time.Now()
+	pl.rewriteAt, pl.expected.stable = time.Time{}, time.Now()
 	pl.writeDocument()
 	for _, se := range pl.servers.all() {
 		id := se.listed.ID
-		if _, ended := pl.truth.ended[id]; ended {
+		if _, ended := pl.expected.ended[id]; ended {
 			ke.add(Change{Gone: id})
 			continue
 		}
-		if _, draining := pl.truth.draining[id]; draining {
-			pl.servers.drain(id)
+		if _, draining := pl.expected.draining[id]; draining {
+			pl.servers.drainServer(id)
 			continue
 		}
 		ke.add(Change{Server: &se.listed})
 	}
 	for _, dataCentre := range []string{"dc0", "dc1", "dc2"} {
-		if pl.truth.evacuated[dataCentre] {
+		if pl.expected.evacuated[dataCentre] {
 			ke.add(Change{Evacuated: dataCentre})
 		} else {
 			ke.add(Change{Restored: dataCentre})
@@ -207,19 +207,19 @@
 }
 
 // check looks for gateways that send to servers which left or ended long enough ago.
-func (pl *play) check() {
-	if pl.away || !pl.rewriteAt.IsZero() {
+func (pl *historyRun) check() {
+	if pl.storeDown || !pl.rewriteAt.IsZero() {
 		return
 	}
 	bound := time.Now().Add(-tellWithin)
-	if pl.truth.stable.After(bound) {
+	if pl.expected.stable.After(bound) {
 		return
 	}
-	for _, left := range []map[string]time.Time{pl.truth.draining, pl.truth.ended} {
+	for _, left := range []map[string]time.Time{pl.expected.draining, pl.expected.ended} {
 		for id, at := range left {
 			for i, ga := range pl.gateways {
-				if at.Before(bound) && ga.sends(id) {
-					pl.wrong = append(pl.wrong, fmt.Sprintf("gateway %d sends to %s, which left %s ago", i, id, time.Since(at)))
+				if at.Before(bound) && ga.sendsTo(id) {
+					pl.violations = append(pl.violations, fmt.Sprintf("gateway %d sends to %s, which left %s ago", i, id, time.Since(at)))
 				}
 			}
 		}
@@ -227,25 +227,25 @@
 }
 
 // checkEnd compares what each gateway does in the end with what was written.
-func (pl *play) checkEnd() {
+func (pl *historyRun) checkEnd() {
 	for i, ga := range pl.gateways {
-		if got := ga.Table().Version(); got != pl.truth.version {
-			pl.wrong = append(pl.wrong, fmt.Sprintf("gateway %d has version %d in force, not %d", i, got, pl.truth.version))
+		if got := ga.Table().Version(); got != pl.expected.version {
+			pl.violations = append(pl.violations, fmt.Sprintf("gateway %d has version %d in force, not %d", i, got, pl.expected.version))
 		}
 		for _, se := range pl.servers.all() {
 			id := se.listed.ID
-			_, draining := pl.truth.draining[id]
-			_, ended := pl.truth.ended[id]
-			want := !draining && !ended && !pl.truth.evacuated[se.listed.DataCentre]
-			if got := ga.sends(id); got != want {
-				pl.wrong = append(pl.wrong, fmt.Sprintf("gateway %d sends to %s: %t", i, id, got))
+			_, draining := pl.expected.draining[id]
+			_, ended := pl.expected.ended[id]
+			want := !draining && !ended && !pl.expected.evacuated[se.listed.DataCentre]
+			if got := ga.sendsTo(id); got != want {
+				pl.violations = append(pl.violations, fmt.Sprintf("gateway %d sends to %s: %t", i, id, got))
 			}
 		}
 	}
 }
 
 // fewHistories is how many histories are played unless LINNETRUDDER_ALL_PLAYS is set.
-const fewHistories = 15
+const defaultHistories = 15
 
 // Whenever the store goes back, and whatever else happens: no gateway sends to a server that left,
 // and in the end each works from what operators and servers have written.
@@ -253,7 +253,7 @@
 	played, all := 0, os.Getenv("LINNETRUDDER_ALL_PLAYS") != ""
 	rapid.Check(t, func(rt *rapid.T) {
 		hi := drawHistory(rt)
-		if played++; played > fewHistories && !all {
+		if played++; played > defaultHistories && !all {
 			return
 		}
 		if wrong := hi.run(t); len(wrong) > 0 {
@@ -264,25 +264,25 @@
 
 // The naive gateway compares revisions by their number.
 func TestANaiveGatewayMissesWhatIsWrittenAfterARestore(t *testing.T) {
-	hi := history{gateways: 23, steps: []step{{what: copied}}}
+	hi := history{gateways: 23, steps: []historyStep{{what: storeCopied}}}
 	for range 3 * poolSize {
-		hi.steps = append(hi.steps, step{what: configured})
+		hi.steps = append(hi.steps, historyStep{what: configWritten})
 	}
-	hi.steps = append(hi.steps, step{pause: 2 * time.Second, what: restored}, step{what: serverDrains})
+	hi.steps = append(hi.steps, historyStep{pause: 2 * time.Second, what: storeRestored}, historyStep{what: serverDrains})
 	require.Empty(t, hi.run(t))
 	hi.silent = true
 	require.NotEmpty(t, hi.run(t))
 }
 
 func TestServerThatEndsRightAfterARestoreIsDropped(t *testing.T) {
-	hi := history{gateways: 7, rewriteAfter: 3 * time.Millisecond, steps: []step{
-		{pause: 3 * time.Millisecond, what: configured},
-		{pause: 224 * time.Millisecond, what: copied},
-		{pause: 4 * time.Millisecond, what: restored},
-		{what: gatewayLost, which: 8},
-		{pause: 23 * time.Millisecond, what: serverGoes},
-		{what: gatewayLost, which: 2},
-		{what: gatewayLost, which: 9},
+	hi := history{gateways: 7, rewriteAfter: 3 * time.Millisecond, steps: []historyStep{
+		{pause: 3 * time.Millisecond, what: configWritten},
+		{pause: 224 * time.Millisecond, what: storeCopied},
+		{pause: 4 * time.Millisecond, what: storeRestored},
+		{what: gatewayReplaced, index: 8},
+		{pause: 23 * time.Millisecond, what: serverStops},
+		{what: gatewayReplaced, index: 2},
+		{what: gatewayReplaced, index: 9},
 	}}
 	for range 10 {
 		require.Empty(t, hi.run(t))
--- a/internal/gateway/restored_test.go
+++ b/internal/gateway/restored_test.go
@@ -19,21 +19,21 @@
 const restoredWithin = 2 * time.Second
 
 // position returns how many changes the key-value service holds.
-func (ke *keptState) position() int {
+func (ke *keptState) changeCount() int {
 	ke.mu.Lock()
 	defer ke.mu.Unlock()
 	return len(ke.changes)
 }
 
 // drain lets a server write that it leaves.
-func (cr *crashing) drain(id string) {
+func (cr *crashing) drainServer(id string) {
 	se := cr.server(id).listed
 	se.Draining, se.Seq = true, 2
 	cr.kept.add(Change{Server: &se})
 }
 
 // sends reports whether a gateway may send requests to a server.
-func (ga *Gateway) sends(id string) bool {
+func (ga *Gateway) sendsTo(id string) bool {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
 	for _, se := range ga.servers.Servers("llm") {
@@ -49,7 +49,7 @@
 		for _, outage := range []time.Duration{0, 50 * time.Millisecond, 3 * time.Second} {
 			synctest.Test(t, func(t *testing.T) {
 				sc := newScene(t, gateways)
-				copied := sc.servers.kept.position()
+				copied := sc.servers.kept.changeCount()
 				for i := range 20 {
 					sc.servers.kept.add(Change{Server: &directory.Server{ID: fmt.Sprint("lost", i), Service: "other"}})
 				}
@@ -57,12 +57,12 @@
 				sc.cutAll(outage > 0)
 				time.Sleep(outage)
 				sc.servers.kept.restore(copied)
-				sc.servers.drain("s1")
+				sc.servers.drainServer("s1")
 				sc.cutAll(false)
 				time.Sleep(restoredWithin)
 				for i, ga := range sc.gateways {
-					require.False(t, ga.sends("s1"), "gateway %d of %d after %s", i, gateways, outage)
-					require.True(t, ga.sends("s2"))
+					require.False(t, ga.sendsTo("s1"), "gateway %d of %d after %s", i, gateways, outage)
+					require.True(t, ga.sendsTo("s2"))
 				}
 			})
 		}
@@ -70,7 +70,7 @@
 }
 
 // known reports whether a gateway knows a server.
-func (ga *Gateway) known(id string) bool {
+func (ga *Gateway) lists(id string) bool {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
 	return ga.servers.Get(id) != nil
@@ -81,8 +81,8 @@
 		synctest.Test(t, func(t *testing.T) {
 			sc := newScene(t, gateways)
 			ke := sc.servers.kept
-			copied := ke.position()
-			sc.servers.drain("s1")
+			copied := ke.changeCount()
+			sc.servers.drainServer("s1")
 			ke.add(Change{Gone: "s2"})
 			sc.servers.start()
 			rewritten := fmt.Sprint("s", poolSize+1)
@@ -94,21 +94,21 @@
 			all := func(after string, want map[string]bool) {
 				for i, ga := range sc.gateways {
 					for id, sent := range want {
-						require.Equal(t, sent, ga.sends(id), "%s after the restore: %s at gateway %d of %d", after, id, i, gateways)
+						require.Equal(t, sent, ga.sendsTo(id), "%s after the restore: %s at gateway %d of %d", after, id, i, gateways)
 					}
 				}
 			}
 			time.Sleep(200 * time.Millisecond)
 			all("0.2 s", map[string]bool{"s1": false, "s2": false, "s3": true, rewritten: true, lost: true})
 			ke.add(Change{Server: &sc.servers.server(rewritten).listed})
-			sc.servers.drain("s1")
+			sc.servers.drainServer("s1")
 			time.Sleep(restoredWithin)
 			all("2.2 s", map[string]bool{"s1": false, "s2": false, "s3": true, rewritten: true})
 			ke.add(Change{Gone: "s2"})
 			time.Sleep(2 * restoredWithin)
 			all("6.2 s", map[string]bool{"s1": false, "s2": false, "s3": true, rewritten: true, lost: false})
 			for _, ga := range sc.gateways {
-				require.False(t, ga.known(lost), "whose entry is not written again")
+				require.False(t, ga.lists(lost), "whose entry is not written again")
 			}
 		})
 	}
@@ -128,7 +128,7 @@
 }
 
 // inRollout returns a gateway that has read an order of v2 and a phase in the first era.
-func inRollout(t *testing.T, ph rollout.Phase) *Gateway {
+func newGatewayInPhase(t *testing.T, ph rollout.Phase) *Gateway {
 	t.Helper()
 	ga := &Gateway{Log: zerolog.Nop(), Bounds: Bounds{CanaryShare: 0.15}}
 	ga.prepare()
@@ -140,7 +140,7 @@
 }
 
 // restored lets a gateway read everything from a service that went back.
-func (ga *Gateway) restored(t *testing.T, changes ...Change) {
+func (ga *Gateway) readRestored(t *testing.T, changes ...Change) {
 	t.Helper()
 	require.NoError(t, ga.takeRead(State{Revision: inEra(2, 25), Changes: changes}, time.Now()))
 }
@@ -148,13 +148,13 @@
 func TestRolloutGoesOnAfterItsOrderIsRestored(t *testing.T) {
 	for name, order := range map[string]revision.Revision{"in the copy": inEra(2, 20), "written again": inEra(2, 23), "written again later": inEra(2, 90)} {
 		for _, ph := range []rollout.Phase{rollout.Trying, rollout.Shifting, rollout.Complete, rollout.Failed} {
-			ga := inRollout(t, ph)
+			ga := newGatewayInPhase(t, ph)
 			began := ga.rollouts["s"].canary.Began
-			ga.restored(t, phaseAt(inEra(2, 21), inEra(1, 20), rollout.Waiting), orderAt(order, "v2"))
+			ga.readRestored(t, phaseAt(inEra(2, 21), inEra(1, 20), rollout.Waiting), orderAt(order, "v2"))
 			ro := ga.rollouts["s"]
 			require.Equal(t, ph, ro.canary.Phase(), name)
 			require.Equal(t, began, ro.canary.Began, name)
-			next, due := ga.dueFor(ro, time.Now())
+			next, due := ga.phaseToStore(ro, time.Now())
 			require.True(t, due, "what was lost is stored again")
 			require.Equal(t, ph, next.Phase)
 			require.Equal(t, order, next.Order)
@@ -162,21 +162,21 @@
 
 			fresh := &Gateway{Log: zerolog.Nop()}
 			fresh.prepare()
-			fresh.restored(t, phaseAt(inEra(2, 24), inEra(1, 20), ph), orderAt(order, "v2"))
+			fresh.readRestored(t, phaseAt(inEra(2, 24), inEra(1, 20), ph), orderAt(order, "v2"))
 			require.Equal(t, ph, fresh.rollouts["s"].canary.Phase(), "a gateway that starts")
 		}
 	}
 }
 
 func TestLostPhaseIsStoredAgain(t *testing.T) {
-	ga := inRollout(t, rollout.Failed)
-	ga.restored(t)
-	next, due := ga.dueFor(ga.rollouts["s"], time.Now())
+	ga := newGatewayInPhase(t, rollout.Failed)
+	ga.readRestored(t)
+	next, due := ga.phaseToStore(ga.rollouts["s"], time.Now())
 	require.True(t, due)
 	require.Equal(t, rollout.Failed, next.Phase)
 	require.Zero(t, next.Revision.Number, "the key must be absent")
-	ga.stored(StoredPhase{Service: "s", Order: inEra(1, 20), Phase: rollout.Failed, Version: "v2", Revision: inEra(2, 26)})
-	_, due = ga.dueFor(ga.rollouts["s"], time.Now())
+	ga.applyStoredPhase(StoredPhase{Service: "s", Order: inEra(1, 20), Phase: rollout.Failed, Version: "v2", Revision: inEra(2, 26)})
+	_, due = ga.phaseToStore(ga.rollouts["s"], time.Now())
 	require.False(t, due)
 }
 
@@ -186,7 +186,7 @@
 	require.NoError(t, ga.takeRead(State{Revision: inEra(1, 12), Changes: []Change{orderAt(inEra(1, 10), "v1")}}, time.Now()))
 	ga.change(orderAt(inEra(1, 20), "v2"))
 	ga.change(phaseAt(inEra(1, 24), inEra(1, 20), rollout.Failed))
-	ga.restored(t, orderAt(inEra(2, 10), "v1"))
+	ga.readRestored(t, orderAt(inEra(2, 10), "v1"))
 	require.Equal(t, "v2", ga.rollouts["s"].order.Plan.Version)
 	require.Equal(t, rollout.Failed, ga.rollouts["s"].canary.Phase())
 	ga.change(orderAt(inEra(2, 22), "v2"))
@@ -197,28 +197,28 @@
 }
 
 func TestOrderOfARestoredStoreIsCarriedOut(t *testing.T) {
-	ga := inRollout(t, rollout.Trying)
-	ga.restored(t, orderAt(inEra(2, 15), "v3"))
+	ga := newGatewayInPhase(t, rollout.Trying)
+	ga.readRestored(t, orderAt(inEra(2, 15), "v3"))
 	require.Equal(t, "v3", ga.rollouts["s"].order.Plan.Version, "whatever its revision")
 }
 
 func TestOutcomesAreToldAgainAfterARestore(t *testing.T) {
-	ga := inRollout(t, rollout.Trying)
-	ga.observe(directory.Server{ID: "x", Service: "s", Version: "v2"}, "r", true)
+	ga := newGatewayInPhase(t, rollout.Trying)
+	ga.observeOutcome(directory.Server{ID: "x", Service: "s", Version: "v2"}, "r", true)
 	ro := ga.rollouts["s"]
 	tally := *ga.ownTally(ro)
-	ro.toldBad, ro.toldTried, ro.toldAt = 1, 1, time.Now()
-	require.False(t, ga.mayTell(ro, time.Now()))
-	ga.restored(t, orderAt(inEra(2, 20), "v2"))
-	require.True(t, ga.mayTell(ro, time.Now()))
+	ro.publishedBad, ro.publishedTried, ro.publishedAt = 1, 1, time.Now()
+	require.False(t, ga.tallyDue(ro, time.Now()))
+	ga.readRestored(t, orderAt(inEra(2, 20), "v2"))
+	require.True(t, ga.tallyDue(ro, time.Now()))
 
-	other := inRollout(t, rollout.Trying)
-	other.restored(t, orderAt(inEra(2, 21), "v2"))
-	other.tallied(tally)
+	other := newGatewayInPhase(t, rollout.Trying)
+	other.readRestored(t, orderAt(inEra(2, 21), "v2"))
+	other.receiveTally(tally)
 	require.Equal(t, 1, other.rollouts["s"].canary.BadKnown(), "told before the order was written again")
 	tally.Version = "v1"
 	tally.Box = "b"
-	other.tallied(tally)
+	other.receiveTally(tally)
 	require.Equal(t, 1, other.rollouts["s"].canary.BadKnown(), "of an earlier order")
 }
 
@@ -273,8 +273,8 @@
 	for _, gateways := range []int{1, 4, 23} {
 		synctest.Test(t, func(t *testing.T) {
 			sc := newScene(t, gateways)
-			copied := sc.servers.kept.position()
-			sc.block(poisonPath)
+			copied := sc.servers.kept.changeCount()
+			sc.storeBlock(poisonPath)
 			time.Sleep(restoredWithin)
 			blocked := sc.blocked()
 			require.Equal(t, gateways, blocked)
@@ -293,13 +293,13 @@
 			synctest.Test(t, func(t *testing.T) {
 				sc := newScene(t, gateways)
 				ke := sc.servers.kept
-				copied := ke.position()
+				copied := ke.changeCount()
 				ke.add(Change{Evacuated: "dc1"})
 				time.Sleep(restoredWithin)
 				evacuated := func(want bool, when string) {
 					for i, ga := range sc.gateways {
-						require.Equal(t, !want, ga.sends("s1"), "gateway %d of %d %s", i, gateways, when)
-						require.True(t, ga.sends("s2"))
+						require.Equal(t, !want, ga.sendsTo("s1"), "gateway %d of %d %s", i, gateways, when)
+						require.True(t, ga.sendsTo("s2"))
 					}
 				}
 				evacuated(true, "before the restore")
@@ -320,7 +320,7 @@
 }
 
 // calls returns how many whole reads and watches there were.
-func (ke *keptState) calls() (reads, watches int) {
+func (ke *keptState) callCounts() (reads, watches int) {
 	ke.mu.Lock()
 	defer ke.mu.Unlock()
 	for _, n := range ke.watches {
@@ -335,20 +335,20 @@
 			synctest.Test(t, func(t *testing.T) {
 				sc := newScene(t, gateways)
 				ke := sc.servers.kept
-				copied := ke.position()
+				copied := ke.changeCount()
 				ke.add(Change{Server: &directory.Server{ID: "lost", Service: "other"}})
 				time.Sleep(restoredWithin)
 				sc.cutAll(outage > 0)
 				time.Sleep(outage)
-				reads, watches := ke.calls()
+				reads, watches := ke.callCounts()
 				ke.restore(copied)
-				sc.servers.drain("s1")
+				sc.servers.drainServer("s1")
 				sc.cutAll(false)
 				time.Sleep(restoredWithin)
 				for i, ga := range sc.gateways {
-					require.False(t, ga.sends("s1"), "gateway %d of %d", i, gateways)
+					require.False(t, ga.sendsTo("s1"), "gateway %d of %d", i, gateways)
 				}
-				readsAfter, watchesAfter := ke.calls()
+				readsAfter, watchesAfter := ke.callCounts()
 				require.LessOrEqual(t, readsAfter-reads, 6, "%d gateways, %s", gateways, outage)
 				require.LessOrEqual(t, watchesAfter-watches, 30)
 			})
--- a/internal/gateway/rollouts.go
+++ b/internal/gateway/rollouts.go
@@ -15,18 +15,18 @@
 
 const (
 	// writeEvery is the least time between two tries to store a phase.
-	writeEvery = 300 * time.Millisecond
+	phaseWriteInterval = 300 * time.Millisecond
 	// mostWriteEvery is that time after failed tries: a gateway that gets no changes compares with
 	// old revisions.
-	mostWriteEvery = 1200 * time.Millisecond
+	maxPhaseWriteInterval = 1200 * time.Millisecond
 )
 
 // timedRollout is the newest roll-out of a service.
-type timedRollout struct {
+type rolloutState struct {
 	order Order
 	// before is the service's order before this one, nil if it is not known.
-	before *Order
-	canary rollout.Canary
+	previous *Order
+	canary   rollout.Canary
 	// withdrawn holds the versions of earlier orders that get nothing.
 	withdrawn []string
 	// due is the phase that is to be stored, dueSince when it became so.
@@ -34,26 +34,26 @@
 	dueSince time.Time
 	// tried is when the phase was last tried to be stored, pause the least time until the
 	// next try.
-	tried time.Time
-	pause time.Duration
+	lastWrite  time.Time
+	writePause time.Duration
 	// toldBad and toldTried are the bad answers and outcomes that the other
 	// gateways were told of, at toldAt.
-	toldBad, toldTried int
-	toldAt             time.Time
+	publishedBad, publishedTried int
+	publishedAt                  time.Time
 	// outbox is the own tally that the others are still to hear of, handed the one in the
 	// last report.
-	outbox, handed *Tally
+	pending, reported *Tally
 	// gathered holds the tallies of gateways that report to this one, by process; more is
 	// set if some came since they were written last, at wroteAt.
-	gathered map[string]Tally
-	more     bool
-	wroteAt  time.Time
+	collected    map[string]Tally
+	collectedNew bool
+	writtenAt    time.Time
 	// storing is true while a call is in progress.
 	storing bool
 }
 
 // ordered takes an operator's order; the lock is held.
-func (ga *Gateway) ordered(or Order) {
+func (ga *Gateway) applyOrder(or Order) {
 	old := ga.rollouts[or.Plan.Service]
 	if old != nil && !or.Revision.After(old.order.Revision) {
 		return
@@ -63,22 +63,22 @@
 		old.resendOutcomes()
 		return
 	}
-	if old != nil && old.before.rewrittenBy(or) {
+	if old != nil && old.previous.rewrittenBy(or) {
 		return
 	}
-	or.Plan.MostShare, or.Plan.MostExtra = ga.Bounds.CanaryShare, ga.ownExtra()
-	ro := &timedRollout{order: or, before: orderBefore(old), canary: rollout.Canary{Plan: or.Plan, Began: clock.Now().Add(-ga.unseen)}}
-	ro.withdrawn = ga.withdrawnFor(old, or)
+	or.Plan.MostShare, or.Plan.MostExtra = ga.Bounds.CanaryShare, ga.extraPerGateway()
+	ro := &rolloutState{order: or, previous: previousOrder(old), canary: rollout.Canary{Plan: or.Plan, Began: clock.Now().Add(-ga.unseen)}}
+	ro.withdrawn = ga.withdrawnVersions(old, or)
 	ga.rollouts[or.Plan.Service] = ro
 	ga.Log.Info().Int("event", int(event.RolloutOrdered)).Str("service", or.Plan.Service).
 		Str("version", or.Plan.Version).Dur("within_ms", or.Plan.Within).Msg(event.Name(event.RolloutOrdered))
 	if ph, ok := ga.phases[or.Plan.Service]; ok && ph.belongsTo(or) {
-		ga.take(ro, ph)
+		ga.restorePhase(ro, ph)
 	}
 }
 
 // orderBefore returns the order of a roll-out, nil if there is none.
-func orderBefore(ro *timedRollout) *Order {
+func previousOrder(ro *rolloutState) *Order {
 	if ro == nil {
 		return nil
 	}
@@ -87,12 +87,14 @@
 }
 
 // resendOutcomes sends all outcomes to the other gateways once more.
-func (ro *timedRollout) resendOutcomes() { ro.toldBad, ro.toldTried, ro.toldAt = 0, 0, time.Time{} }
+func (ro *rolloutState) resendOutcomes() {
+	ro.publishedBad, ro.publishedTried, ro.publishedAt = 0, 0, time.Time{}
+}
 
 // ownExtra returns this gateway's part of the requests that a bad version may get
 // besides its share; none where it does not know how many gateways there are. The lock
 // is held.
-func (ga *Gateway) ownExtra() float64 {
+func (ga *Gateway) extraPerGateway() float64 {
 	if ga.size == 0 {
 		return 0
 	}
@@ -102,7 +104,7 @@
 // withdrawnFor returns the versions that get nothing while an order is carried out
 // that follows another one. A process that was not there before goes by what is kept.
 // The lock is held.
-func (ga *Gateway) withdrawnFor(old *timedRollout, or Order) []string {
+func (ga *Gateway) withdrawnVersions(old *rolloutState, or Order) []string {
 	kept := ga.phases[or.Plan.Service]
 	if kept.belongsTo(or) {
 		return kept.Withdrawn
@@ -119,30 +121,30 @@
 }
 
 // stored takes a phase that was kept by any gateway; the lock is held.
-func (ga *Gateway) stored(ph StoredPhase) {
+func (ga *Gateway) applyStoredPhase(ph StoredPhase) {
 	if !ph.Revision.After(ga.phases[ph.Service].Revision) {
 		return
 	}
 	ga.phases[ph.Service] = ph
 	if ro := ga.rollouts[ph.Service]; ro != nil && ph.belongsTo(ro.order) {
-		ro.withdrawn, ro.due, ro.pause = ph.Withdrawn, "", writeEvery
-		ga.take(ro, ph)
+		ro.withdrawn, ro.due, ro.writePause = ph.Withdrawn, "", phaseWriteInterval
+		ga.restorePhase(ro, ph)
 	}
 }
 
 // take takes what is kept of a roll-out.
-func (ga *Gateway) take(ro *timedRollout, ph StoredPhase) {
+func (ga *Gateway) restorePhase(ro *rolloutState, ph StoredPhase) {
 	ro.canary.Try(ph.Shares, ph.Burst)
 	ro.canary.BeganBefore(clock.Now().Add(-ph.Elapsed))
 	if ro.canary.Phase() == ph.Phase {
 		return
 	}
 	ro.canary.Enter(ph.Phase)
-	ga.noteEntered(ro)
+	ga.logPhase(ro)
 }
 
 // noteEntered logs the phase that a roll-out has entered here.
-func (ga *Gateway) noteEntered(ro *timedRollout) {
+func (ga *Gateway) logPhase(ro *rolloutState) {
 	ph, id := ro.canary.Phase(), event.RolloutStep
 	if ph == rollout.Failed {
 		id = event.RolloutReversed
@@ -154,13 +156,13 @@
 
 // restrict narrows an attempt to the version that its session belongs to, or for
 // a request without one to the version that it drew. The lock is held.
-func (ga *Gateway) restrict(ask pool.Ask, ex *exchange, now time.Time) pool.Ask {
+func (ga *Gateway) restrictVersion(ask pool.Ask, ex *exchange, now time.Time) pool.Ask {
 	ro := ga.rollouts[ask.Service]
 	if ro == nil {
 		return ask
 	}
 	ask.Version, ask.Without = ro.order.Plan.Version, ro.withdrawn
-	ask.Only = ro.goesToNew(ex, now)
+	ask.Only = ro.useNewVersion(ex, now)
 	ask.Except = !ask.Only
 	if ro.canary.Phase() == rollout.Failed {
 		return ask
@@ -176,7 +178,7 @@
 }
 
 // goesToNew reports whether a request's next attempt goes to the new version.
-func (ro *timedRollout) goesToNew(ex *exchange, now time.Time) bool {
+func (ro *rolloutState) useNewVersion(ex *exchange, now time.Time) bool {
 	switch {
 	case ex.begun != "":
 		return ro.canary.Continues(ex.begun == ro.order.Plan.Version, ex.request.LastChance())
@@ -189,22 +191,22 @@
 
 // isNew reports whether a server runs a version that is being tried. The lock is
 // held.
-func (ga *Gateway) isNew(se directory.Server) bool {
+func (ga *Gateway) runsTrialVersion(se directory.Server) bool {
 	ro := ga.rollouts[se.Service]
 	return ro != nil && ro.canary.Phase() == rollout.Trying && se.Version == ro.order.Plan.Version
 }
 
 // settle leaves a version that counts as bad, whether the store can be reached or
 // not. The lock is held.
-func (ga *Gateway) settle(ro *timedRollout, now time.Time) {
+func (ga *Gateway) applyVerdict(ro *rolloutState, now time.Time) {
 	if ro.canary.Settle(now) {
-		ga.noteEntered(ro)
-		ro.tried = time.Time{}
+		ga.logPhase(ro)
+		ro.lastWrite = time.Time{}
 	}
 }
 
 // over reports whether the roll-out has ended.
-func (ro *timedRollout) over() bool {
+func (ro *rolloutState) ended() bool {
 	return ro.canary.Phase() == rollout.Complete || ro.canary.Phase() == rollout.Failed
 }
 
@@ -213,20 +215,20 @@
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
 	for _, ro := range ga.rollouts {
-		ga.tell(ctx, ro, now)
-		ga.settle(ro, now)
-		ph, due := ga.dueFor(ro, now)
-		if !due || ro.storing || now.Sub(ro.tried) < ro.pause || !ga.inTurn(ro, ph.Phase, now) {
+		ga.publishTallies(ctx, ro, now)
+		ga.applyVerdict(ro, now)
+		ph, due := ga.phaseToStore(ro, now)
+		if !due || ro.storing || now.Sub(ro.lastWrite) < ro.writePause || !ga.isWriteTurn(ro, ph.Phase, now) {
 			continue
 		}
-		ro.tried, ro.storing = now, true
-		go ga.store(ctx, ro, ph)
+		ro.lastWrite, ro.storing = now, true
+		go ga.storePhase(ctx, ro, ph)
 	}
 }
 
 // inTurn reports whether it is this gateway's turn to store a phase that is due; the
 // lock is held.
-func (ga *Gateway) inTurn(ro *timedRollout, ph rollout.Phase, now time.Time) bool {
+func (ga *Gateway) isWriteTurn(ro *rolloutState, ph rollout.Phase, now time.Time) bool {
 	if ro.due != ph {
 		ro.due, ro.dueSince = ph, now
 	}
@@ -240,11 +242,11 @@
 
 // elapsedEvery is how often the elapsed time of a trial is stored. A process that starts in the middle
 // of a roll-out goes on from there.
-const elapsedEvery = 2 * time.Second
+const elapsedWriteInterval = 2 * time.Second
 
 // dueFor returns the phase to store: the next one, one that this gateway is in and that
 // is not kept yet, or the present one with the time that has passed.
-func (ga *Gateway) dueFor(ro *timedRollout, now time.Time) (StoredPhase, bool) {
+func (ga *Gateway) phaseToStore(ro *rolloutState, now time.Time) (StoredPhase, bool) {
 	kept := ga.phases[ro.order.Plan.Service]
 	known := kept.Order == ro.order.Revision && !kept.lost()
 	if known && (kept.Phase == rollout.Complete || kept.Phase == rollout.Failed) {
@@ -263,28 +265,28 @@
 		plan.Servers = ga.pool.Count(pool.Ask{Service: plan.Service, Version: plan.Version, Only: true})
 		next.Shares, next.Burst = plan.Shares(ga.demand(plan.Service).All(now))
 	}
-	return next, due || !known || kept.Phase != next.Phase || ga.isOld(ro, kept, next, now)
+	return next, due || !known || kept.Phase != next.Phase || ga.elapsedIsStale(ro, kept, next, now)
 }
 
 // isOld reports whether what is kept of the time that has passed is to be renewed here. Near
 // a decision it is not: two writes at once, and the decision would have to wait. Of many
 // gateways the watchers renew it, which hear first whether one of them has, and while the
 // service does not answer nobody does.
-func (ga *Gateway) isOld(ro *timedRollout, kept, next StoredPhase, now time.Time) bool {
+func (ga *Gateway) elapsedIsStale(ro *rolloutState, kept, next StoredPhase, now time.Time) bool {
 	tried := next.Phase == rollout.Waiting || next.Phase == rollout.Trying
-	if !tried || next.Elapsed-kept.Elapsed < elapsedEvery || ro.canary.Deciding(now) {
+	if !tried || next.Elapsed-kept.Elapsed < elapsedWriteInterval || ro.canary.Deciding(now) {
 		return false
 	}
 	return !ga.fresh.Failing() && ga.plan.Watches(ga.memberList())
 }
 
-func (ga *Gateway) store(ctx context.Context, ro *timedRollout, ph StoredPhase) {
+func (ga *Gateway) storePhase(ctx context.Context, ro *rolloutState, ph StoredPhase) {
 	kept, err := ga.Source.Store(ctx, ro.order, ph)
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
 	ro.storing = false
 	if !kept {
-		ro.pause = min(mostWriteEvery, 2*max(writeEvery, ro.pause))
+		ro.writePause = min(maxPhaseWriteInterval, 2*max(phaseWriteInterval, ro.writePause))
 	}
 	level := ga.Log.Info()
 	if err != nil {
--- a/internal/gateway/rollouts_test.go
+++ b/internal/gateway/rollouts_test.go
@@ -19,50 +19,50 @@
 )
 
 // rolling returns a gateway with a version that is being tried.
-func rolling(t *testing.T) (*Gateway, *timedRollout) {
+func newTrialGateway(t *testing.T) (*Gateway, *rolloutState) {
 	t.Helper()
-	ga, ro := ordered(t)
+	ga, ro := newOrderedGateway(t)
 	ro.canary.Enter(rollout.Trying)
 	return ga, ro
 }
 
 // ordered returns a gateway that has just heard of an order.
-func ordered(t *testing.T) (*Gateway, *timedRollout) {
+func newOrderedGateway(t *testing.T) (*Gateway, *rolloutState) {
 	t.Helper()
 	ga := &Gateway{Log: zerolog.Nop(), Bounds: Bounds{CanaryShare: 0.15}}
 	ga.prepare()
-	ga.ordered(Order{Revision: rev(7), Plan: rollout.Plan{Service: "s", Version: "v2", Within: 20 * time.Second}})
+	ga.applyOrder(Order{Revision: rev(7), Plan: rollout.Plan{Service: "s", Version: "v2", Within: 20 * time.Second}})
 	return ga, ga.rollouts["s"]
 }
 
 // settle lets the time pass after which a version that counts as bad is left.
-func settle(ga *Gateway, ro *timedRollout) {
+func awaitVerdict(ga *Gateway, ro *rolloutState) {
 	now := time.Now()
-	ga.settle(ro, now)
-	ga.settle(ro, now.Add(5*time.Second))
+	ga.applyVerdict(ro, now)
+	ga.applyVerdict(ro, now.Add(5*time.Second))
 }
 
 func TestANewOrderIsStoredAsWaiting(t *testing.T) {
-	ga, ro := ordered(t)
-	ph, due := ga.dueFor(ro, time.Now())
+	ga, ro := newOrderedGateway(t)
+	ph, due := ga.phaseToStore(ro, time.Now())
 	require.True(t, due)
 	require.Equal(t, StoredPhase{
 		Service: "s", Order: rev(7), Phase: rollout.Waiting, Version: "v2", Elapsed: ph.Elapsed,
 	}, ph)
-	ga.stored(StoredPhase{Service: "s", Order: rev(7), Phase: rollout.Waiting, Revision: rev(9)})
-	_, due = ga.dueFor(ro, time.Now())
+	ga.applyStoredPhase(StoredPhase{Service: "s", Order: rev(7), Phase: rollout.Waiting, Revision: rev(9)})
+	_, due = ga.phaseToStore(ro, time.Now())
 	require.False(t, due)
 }
 
 func TestABadVersionIsLeftAtOnceAndTheVerdictIsStored(t *testing.T) {
-	ga, ro := rolling(t)
-	ga.stored(StoredPhase{Service: "s", Order: rev(7), Phase: rollout.Trying, Revision: rev(9)})
+	ga, ro := newTrialGateway(t)
+	ga.applyStoredPhase(StoredPhase{Service: "s", Order: rev(7), Phase: rollout.Trying, Revision: rev(9)})
 	for i := range 20 {
-		ga.observe(directory.Server{ID: fmt.Sprint(i), Service: "s", Version: "v2"}, "r", true)
+		ga.observeOutcome(directory.Server{ID: fmt.Sprint(i), Service: "s", Version: "v2"}, "r", true)
 	}
-	settle(ga, ro)
+	awaitVerdict(ga, ro)
 	require.Equal(t, rollout.Failed, ro.canary.Phase())
-	ph, due := ga.dueFor(ro, time.Now())
+	ph, due := ga.phaseToStore(ro, time.Now())
 	require.True(t, due)
 	require.Equal(t, StoredPhase{
 		Service: "s", Order: rev(7), Phase: rollout.Failed, Revision: rev(9), Version: "v2", Elapsed: ph.Elapsed,
@@ -72,66 +72,66 @@
 // Once a roll-out is finished its old servers are stopped: a verdict of one
 // gateway that comes later must neither be stored nor acted on.
 func TestAVerdictAfterTheEndIsNotStored(t *testing.T) {
-	ga, ro := rolling(t)
+	ga, ro := newTrialGateway(t)
 	for i := range 20 {
-		ga.observe(directory.Server{ID: fmt.Sprint(i), Service: "s", Version: "v2"}, "r", true)
+		ga.observeOutcome(directory.Server{ID: fmt.Sprint(i), Service: "s", Version: "v2"}, "r", true)
 	}
-	ga.stored(StoredPhase{Service: "s", Order: rev(7), Phase: rollout.Complete, Revision: rev(12)})
+	ga.applyStoredPhase(StoredPhase{Service: "s", Order: rev(7), Phase: rollout.Complete, Revision: rev(12)})
 	require.Equal(t, rollout.Complete, ro.canary.Phase())
-	_, due := ga.dueFor(ro, time.Now().Add(time.Minute))
+	_, due := ga.phaseToStore(ro, time.Now().Add(time.Minute))
 	require.False(t, due)
 }
 
 func TestAPhaseOfAnOlderOrderSaysNothing(t *testing.T) {
-	ga, ro := rolling(t)
-	ga.stored(StoredPhase{Service: "s", Order: rev(3), Phase: rollout.Complete, Revision: rev(5)})
+	ga, ro := newTrialGateway(t)
+	ga.applyStoredPhase(StoredPhase{Service: "s", Order: rev(3), Phase: rollout.Complete, Revision: rev(5)})
 	require.Equal(t, rollout.Trying, ro.canary.Phase())
-	ph, due := ga.dueFor(ro, time.Now())
+	ph, due := ga.phaseToStore(ro, time.Now())
 	require.True(t, due)
 	require.Equal(t, rev(5), ph.Revision, "the older phase is what the write is compared with")
 }
 
 func TestASlowVersionIsBad(t *testing.T) {
-	ga, ro := rolling(t)
+	ga, ro := newTrialGateway(t)
 	for i := range 40 {
-		ga.observePace(directory.Server{ID: fmt.Sprint("o", i%9), Service: "s", Version: "v1"}, "pace", time.Second, slowEvents, time.Now())
+		ga.observeDuration(directory.Server{ID: fmt.Sprint("o", i%9), Service: "s", Version: "v1"}, "pace", time.Second, slowEventFactor, time.Now())
 	}
 	for i := range 20 {
-		ga.observePace(directory.Server{ID: fmt.Sprint("n", i%9), Service: "s", Version: "v2"}, "pace", 8*time.Second, slowEvents, time.Now())
+		ga.observeDuration(directory.Server{ID: fmt.Sprint("n", i%9), Service: "s", Version: "v2"}, "pace", 8*time.Second, slowEventFactor, time.Now())
 	}
-	settle(ga, ro)
+	awaitVerdict(ga, ro)
 	require.Equal(t, rollout.Failed, ro.canary.Phase())
 }
 
 // The time to a head depends on the prompts that a server holds, of which a new
 // one holds none; it is no measure of a version.
 func TestAnAnswerWhoseTimeSaysNothingIsNotSlow(t *testing.T) {
-	ga, ro := rolling(t)
+	ga, ro := newTrialGateway(t)
 	ga.best.Observe("pace", time.Second)
 	for i := range 100 {
-		ga.observe(directory.Server{ID: fmt.Sprint("n", i%9), Service: "s", Version: "v2"}, "r", false)
+		ga.observeOutcome(directory.Server{ID: fmt.Sprint("n", i%9), Service: "s", Version: "v2"}, "r", false)
 	}
 	require.Equal(t, rollout.Trying, ro.canary.Phase())
 }
 
 func TestGatewaysFindABadVersionTogether(t *testing.T) {
-	ga, ro := rolling(t)
+	ga, ro := newTrialGateway(t)
 	ga.Box = "own"
 	bad := Tally{Service: "s", Order: rev(7), Box: "other", Outcomes: rollout.Outcomes{
 		Routes: map[string]rollout.RouteOutcomes{"r": {Tried: 9, Bad: 8, Servers: []string{"a", "b", "c"}}},
 	}}
 	own := bad
 	own.Box, own.Life = "own", ga.life
-	ga.tallied(own)
-	settle(ga, ro)
+	ga.receiveTally(own)
+	awaitVerdict(ga, ro)
 	require.Equal(t, rollout.Trying, ro.canary.Phase(), "what it told itself is not counted twice")
 	older := bad
 	older.Order = rev(3)
-	ga.tallied(older)
-	settle(ga, ro)
+	ga.receiveTally(older)
+	awaitVerdict(ga, ro)
 	require.Equal(t, rollout.Trying, ro.canary.Phase())
-	ga.tallied(bad)
-	settle(ga, ro)
+	ga.receiveTally(bad)
+	awaitVerdict(ga, ro)
 	require.Equal(t, rollout.Failed, ro.canary.Phase())
 }
 
@@ -140,14 +140,14 @@
 	picked := map[string]bool{}
 	for i := range 400 {
 		ex := &exchange{ga: ga, route: &routing.Route{Name: "r"}, service: "s", session: fmt.Sprint("session-", i)}
-		if of, ok := ga.pool.Pick(ga.restrict(pool.Ask{Service: "s"}, ex, time.Now()), uint64(i), time.Now()); ok {
+		if of, ok := ga.pool.Pick(ga.restrictVersion(pool.Ask{Service: "s"}, ex, time.Now()), uint64(i), time.Now()); ok {
 			picked[of.Server().Version] = true
 		}
 	}
 	return picked
 }
 
-func list(ga *Gateway, versions ...string) {
+func putServers(ga *Gateway, versions ...string) {
 	for _, ve := range versions {
 		for i := range 3 {
 			ga.servers.Put(directory.Server{ID: fmt.Sprint(ve, "-", i), Service: "s", Version: ve})
@@ -159,13 +159,13 @@
 // thirds of a second after another one had failed, whose servers were still listed
 // and were taken for the old version's.
 func TestAFailedVersionGetsNothingUnderTheNextOrder(t *testing.T) {
-	ga, ro := rolling(t)
-	list(ga, "v1", "v2", "v3")
-	ga.stored(StoredPhase{Service: "s", Order: rev(7), Phase: rollout.Failed, Revision: rev(9), Version: "v2"})
+	ga, ro := newTrialGateway(t)
+	putServers(ga, "v1", "v2", "v3")
+	ga.applyStoredPhase(StoredPhase{Service: "s", Order: rev(7), Phase: rollout.Failed, Revision: rev(9), Version: "v2"})
 	require.Equal(t, rollout.Failed, ro.canary.Phase())
-	ga.ordered(Order{Revision: rev(10), Plan: rollout.Plan{Service: "s", Version: "v3", Within: 20 * time.Second}})
+	ga.applyOrder(Order{Revision: rev(10), Plan: rollout.Plan{Service: "s", Version: "v3", Within: 20 * time.Second}})
 	require.Equal(t, map[string]bool{"v1": true}, versionsPicked(ga), "none of them is old enough to move")
-	ph, due := ga.dueFor(ga.rollouts["s"], time.Now())
+	ph, due := ga.phaseToStore(ga.rollouts["s"], time.Now())
 	require.True(t, due)
 	require.Equal(t, []string{"v2"}, ph.Withdrawn)
 
@@ -176,25 +176,25 @@
 	} {
 		fresh := &Gateway{Log: zerolog.Nop(), Bounds: ga.Bounds}
 		fresh.prepare()
-		list(fresh, "v1", "v2", "v3")
-		fresh.stored(kept)
-		fresh.ordered(Order{Revision: rev(10), Plan: rollout.Plan{Service: "s", Version: "v3", Within: 20 * time.Second}})
+		putServers(fresh, "v1", "v2", "v3")
+		fresh.applyStoredPhase(kept)
+		fresh.applyOrder(Order{Revision: rev(10), Plan: rollout.Plan{Service: "s", Version: "v3", Within: 20 * time.Second}})
 		require.Equal(t, map[string]bool{"v1": true}, versionsPicked(fresh))
 	}
 
-	ga.ordered(Order{Revision: rev(12), Plan: rollout.Plan{Service: "s", Version: "v2", Within: 20 * time.Second}})
+	ga.applyOrder(Order{Revision: rev(12), Plan: rollout.Plan{Service: "s", Version: "v2", Within: 20 * time.Second}})
 	require.NotContains(t, ga.rollouts["s"].withdrawn, "v2", "it was ordered again")
 }
 
 // Seen as LOST on a day with a hundred gateways: streams that had begun on the old version
 // were continued on one on trial, which failed until no run was left.
 func TestWhatBeganOnTheOldVersionIsNoSubjectForATrial(t *testing.T) {
-	ga, ro := rolling(t)
+	ga, ro := newTrialGateway(t)
 	ro.canary.Try(rollout.Shares{rollout.AnyRoute: 1}, 0)
-	list(ga, "v1", "v2")
+	putServers(ga, "v1", "v2")
 	now := time.Now()
 	version := func(ex *exchange) string {
-		of, ok := ga.pool.Pick(ga.restrict(pool.Ask{Service: "s"}, ex, now), 1, now)
+		of, ok := ga.pool.Pick(ga.restrictVersion(pool.Ask{Service: "s"}, ex, now), 1, now)
 		require.True(t, ok)
 		return of.Server().Version
 	}
@@ -212,22 +212,22 @@
 	require.Equal(t, "v2", version(ex), "nothing else is there")
 
 	ro.canary.Enter(rollout.Shifting)
-	list(ga, "v1")
+	putServers(ga, "v1")
 	require.Equal(t, "v2", version(ex), "everything moves")
 }
 
 // A process that starts in the middle of a roll-out goes on from what is kept: it
 // finishes in time, and sessions that had moved stay where they are.
 func TestARolloutGoesOnAfterARestart(t *testing.T) {
-	ga, ro := ordered(t)
-	ph, due := ga.dueFor(ro, ro.canary.Began.Add(10*time.Second))
+	ga, ro := newOrderedGateway(t)
+	ph, due := ga.phaseToStore(ro, ro.canary.Began.Add(10*time.Second))
 	require.True(t, due)
 	require.Equal(t, rollout.Trying, ph.Phase)
 	ph.Revision = rev(9)
 	again := &Gateway{Log: zerolog.Nop(), Bounds: ga.Bounds}
 	again.prepare()
-	again.stored(ph)
-	again.ordered(ro.order)
+	again.applyStoredPhase(ph)
+	again.applyOrder(ro.order)
 	rest := again.rollouts["s"]
 	require.Equal(t, ph.Shares, rest.canary.Shares())
 	require.InDelta(t, 10, time.Since(rest.canary.Began).Seconds(), 0.5)
@@ -238,65 +238,65 @@
 		}
 	}
 	require.InDelta(t, 10_000*ph.Shares.Of("r"), moved, 150)
-	_, due = again.dueFor(rest, time.Now())
+	_, due = again.phaseToStore(rest, time.Now())
 	require.False(t, due)
-	next, due := again.dueFor(rest, time.Now().Add(elapsedEvery))
+	next, due := again.phaseToStore(rest, time.Now().Add(elapsedWriteInterval))
 	require.True(t, due, "what is kept grows old")
 	require.Greater(t, next.Elapsed, ph.Elapsed)
-	late, due := again.dueFor(rest, rest.canary.Began.Add(17500*time.Millisecond))
+	late, due := again.phaseToStore(rest, rest.canary.Began.Add(17500*time.Millisecond))
 	require.False(t, due, "no write just before the shift: %v", late)
 }
 
 // What gateways tell of a new version is written by their collector, for all of them.
 func TestACollectorWritesTheTalliesOfItsGateways(t *testing.T) {
-	te := &told{}
-	collector, of := rolling(t)
+	te := &tallyRecorder{}
+	collector, of := newTrialGateway(t)
 	collector.Source, collector.Box = te, "a"
-	leaf, ro := rolling(t)
+	leaf, ro := newTrialGateway(t)
 	leaf.Source, leaf.Box = te, "b"
 	now := time.Now()
 	leaf.reported = now
-	leaf.observe(directory.Server{ID: "x", Service: "s", Version: "v2"}, "r", true)
-	leaf.tell(t.Context(), ro, now)
+	leaf.observeOutcome(directory.Server{ID: "x", Service: "s", Version: "v2"}, "r", true)
+	leaf.publishTallies(t.Context(), ro, now)
 	re := leaf.report(false)
 	require.NotEmpty(t, re.Tallies, "it goes with the report")
 	collector.Reported(re)
-	leaf.tookReport(re, now)
+	leaf.reportAccepted(re, now)
 	require.Empty(t, leaf.report(false).Tallies, "once")
 	require.Equal(t, 1, of.canary.BadKnown(), "the collector knows at once")
 
-	collector.tell(t.Context(), of, now.Add(time.Second))
-	require.Eventually(t, func() bool { return len(te.all()) == 2 }, 5*time.Second, time.Millisecond)
-	third, by := rolling(t)
-	for _, ta := range te.all() {
-		third.tallied(ta)
+	collector.publishTallies(t.Context(), of, now.Add(time.Second))
+	require.Eventually(t, func() bool { return len(te.recorded()) == 2 }, 5*time.Second, time.Millisecond)
+	third, by := newTrialGateway(t)
+	for _, ta := range te.recorded() {
+		third.receiveTally(ta)
 	}
 	require.Equal(t, 1, by.canary.BadKnown())
-	third.tallied(Tally{Service: "s", Order: rev(7), Box: "b", Life: leaf.life})
-	third.tallied(te.all()[0])
+	third.receiveTally(Tally{Service: "s", Order: rev(7), Box: "b", Life: leaf.life})
+	third.receiveTally(te.recorded()[0])
 	require.Equal(t, 1, by.canary.BadKnown(), "what is older, or came on another way, is not counted again")
 
 	leaf.reported = now.Add(-time.Minute)
-	leaf.observe(directory.Server{ID: "y", Service: "s", Version: "v2"}, "r", true)
-	leaf.tell(t.Context(), ro, now.Add(time.Minute))
-	require.Eventually(t, func() bool { return len(te.all()) == 3 }, 5*time.Second, time.Millisecond, "without a collector it writes itself")
+	leaf.observeOutcome(directory.Server{ID: "y", Service: "s", Version: "v2"}, "r", true)
+	leaf.publishTallies(t.Context(), ro, now.Add(time.Minute))
+	require.Eventually(t, func() bool { return len(te.recorded()) == 3 }, 5*time.Second, time.Millisecond, "without a collector it writes itself")
 }
 
 // told is a source that remembers what it was told.
-type told struct {
+type tallyRecorder struct {
 	script
 	mu      sync.Mutex
 	tallies []Tally
 }
 
-func (te *told) Tell(_ context.Context, _ string, tallies []Tally) error {
+func (te *tallyRecorder) Tell(_ context.Context, _ string, tallies []Tally) error {
 	te.mu.Lock()
 	defer te.mu.Unlock()
 	te.tallies = append(te.tallies, tallies...)
 	return nil
 }
 
-func (te *told) all() []Tally {
+func (te *tallyRecorder) recorded() []Tally {
 	te.mu.Lock()
 	defer te.mu.Unlock()
 	return slices.Clone(te.tallies)
@@ -305,7 +305,7 @@
 // At 400 gateways that all have something to tell, the store must bear it.
 func TestTalliesOfAllGatewaysStayWithinWhatTheStoreBears(t *testing.T) {
 	for _, n := range []int{3, 30, 400} {
-		ga, ro := rolling(t)
+		ga, ro := newTrialGateway(t)
 		for i := range n {
 			box := fmt.Sprint("box", i)
 			ga.joined(relay.Member{Box: box})
@@ -313,10 +313,10 @@
 		now, told := time.Now(), 0
 		for range 1000 {
 			now = now.Add(10 * time.Millisecond)
-			ga.observe(directory.Server{ID: "a", Service: "s", Version: "v2"}, "r", true)
-			if ga.mayTell(ro, now) {
-				ro.toldAt, ro.toldTried = now, ro.canary.OwnTried()
-				_, ro.toldBad = ro.canary.Counts()
+			ga.observeOutcome(directory.Server{ID: "a", Service: "s", Version: "v2"}, "r", true)
+			if ga.tallyDue(ro, now) {
+				ro.publishedAt, ro.publishedTried = now, ro.canary.OwnTried()
+				_, ro.publishedBad = ro.canary.Counts()
 				told++
 			}
 		}
@@ -328,22 +328,22 @@
 // Seen with a hundred gateways of which a third were cut off: each of them tried to renew
 // the time that had passed three times a second.
 func TestWhatCanNotBeStoredIsTriedLessOften(t *testing.T) {
-	ga, ro := rolling(t)
-	ga.stored(StoredPhase{Service: "s", Order: rev(7), Phase: rollout.Trying, Revision: rev(9)})
-	old := ro.canary.Began.Add(4 * elapsedEvery)
-	_, due := ga.dueFor(ro, old)
+	ga, ro := newTrialGateway(t)
+	ga.applyStoredPhase(StoredPhase{Service: "s", Order: rev(7), Phase: rollout.Trying, Revision: rev(9)})
+	old := ro.canary.Began.Add(4 * elapsedWriteInterval)
+	_, due := ga.phaseToStore(ro, old)
 	require.True(t, due)
 	ga.fresh.Failed()
-	_, due = ga.dueFor(ro, old)
+	_, due = ga.phaseToStore(ro, old)
 	require.False(t, due, "the service does not answer")
 
 	ga.Source = &script{cut: true}
-	for want := 2 * writeEvery; want <= 2*mostWriteEvery; want *= 2 {
-		ga.store(t.Context(), ro, StoredPhase{Service: "s"})
-		require.Equal(t, min(want, mostWriteEvery), ro.pause)
+	for want := 2 * phaseWriteInterval; want <= 2*maxPhaseWriteInterval; want *= 2 {
+		ga.storePhase(t.Context(), ro, StoredPhase{Service: "s"})
+		require.Equal(t, min(want, maxPhaseWriteInterval), ro.writePause)
 	}
-	ga.stored(StoredPhase{Service: "s", Order: rev(7), Phase: rollout.Trying, Revision: rev(10)})
-	require.Equal(t, writeEvery, ro.pause, "news of others")
+	ga.applyStoredPhase(StoredPhase{Service: "s", Order: rev(7), Phase: rollout.Trying, Revision: rev(10)})
+	require.Equal(t, phaseWriteInterval, ro.writePause, "news of others")
 }
 
 // An order that came while watches heard nothing may be a second old when it is read.
--- a/internal/gateway/scene_test.go
+++ b/internal/gateway/scene_test.go
@@ -170,7 +170,7 @@
 		return nil, ErrUnsent
 	}
 	cr.arrive(se)
-	if lasts, ok := cr.reject(at, box); ok {
+	if lasts, ok := cr.rejection(at, box); ok {
 		return nil, &Refusal{Reason: "shed", Report: selfreport.Report{RetryAfter: max(0, lasts), Leaving: cr.isLeaving(se)}}
 	}
 	poison := strings.HasSuffix(at.Ask.Path, "/poison")
--- a/internal/gateway/schedule_test.go
+++ b/internal/gateway/schedule_test.go
@@ -55,12 +55,12 @@
 	ga.prepare()
 	fl.gateways[i], fl.seen[i] = ga, len(fl.store.changes)
 	if !fl.store.kept.Revision.IsZero() {
-		ga.stored(fl.store.kept)
+		ga.applyStoredPhase(fl.store.kept)
 	}
-	ga.ordered(fl.order)
+	ga.applyOrder(fl.order)
 }
 
-func (fl *fleet) rollout(i int) *timedRollout { return fl.gateways[i].rollouts["s"] }
+func (fl *fleet) rollout(i int) *rolloutState { return fl.gateways[i].rollouts["s"] }
 
 func (fl *fleet) deliver(i, most int) {
 	for ; most > 0 && fl.seen[i] < len(fl.store.changes); most-- {
@@ -72,8 +72,8 @@
 // decide lets a gateway store what it thinks is due. The answer may be lost, and
 // the gateway may die between the decision and the write.
 func (fl *fleet) decide(rt *rapid.T, i int, now time.Time) {
-	fl.gateways[i].settle(fl.rollout(i), now)
-	ph, due := fl.gateways[i].dueFor(fl.rollout(i), now)
+	fl.gateways[i].applyVerdict(fl.rollout(i), now)
+	ph, due := fl.gateways[i].phaseToStore(fl.rollout(i), now)
 	if !due {
 		return
 	}
@@ -103,7 +103,7 @@
 			case 4:
 				for n := range 8 {
 					se := directory.Server{ID: fmt.Sprint(n % 3), Service: "s", Version: "v2"}
-					fl.gateways[i].observe(se, "r", true)
+					fl.gateways[i].observeOutcome(se, "r", true)
 				}
 			case 5:
 				fl.start(i)
@@ -163,7 +163,7 @@
 	for step := range int64(60) {
 		i := int(step) % len(fl.gateways)
 		now = now.Add(400 * time.Millisecond)
-		ph, due := fl.gateways[i].dueFor(fl.rollout(i), now)
+		ph, due := fl.gateways[i].phaseToStore(fl.rollout(i), now)
 		if due {
 			kept := fl.store.store(ph)
 			history = append(history, porcupine.Operation{
@@ -184,9 +184,9 @@
 	fl := newFleet(2)
 	fl.store.store(StoredPhase{Service: "s", Order: rev(7), Phase: rollout.Complete})
 	for n := range 20 {
-		fl.gateways[1].observe(directory.Server{ID: fmt.Sprint(n), Service: "s", Version: "v2"}, "r", true)
+		fl.gateways[1].observeOutcome(directory.Server{ID: fmt.Sprint(n), Service: "s", Version: "v2"}, "r", true)
 	}
-	settle(fl.gateways[1], fl.rollout(1))
+	awaitVerdict(fl.gateways[1], fl.rollout(1))
 	naive := StoredPhase{Service: "s", Order: rev(7), Phase: fl.rollout(1).canary.Phase(), Revision: fl.store.kept.Revision}
 	require.True(t, fl.store.store(naive))
 	require.Equal(t, rollout.Failed, fl.store.kept.Phase, "the old servers are stopped, and everything goes back to them")
--- a/internal/gateway/selfreports.go
+++ b/internal/gateway/selfreports.go
@@ -37,7 +37,7 @@
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
 	if re.Err != nil {
-		ga.noteUnreadable(key, re.Err)
+		ga.logUnreadableReport(key, re.Err)
 	}
 	if se.answer != nil && re.Err == nil || re.Limit != nil {
 		// A rejection without a limit does not end one: it may be older than the limit.
@@ -54,7 +54,7 @@
 		ga.pool.Pauses.Accepted(key, now)
 	}
 	if re.Leaving {
-		ga.serverLeaves(key, now, 0, "announced in an answer")
+		ga.markLeaving(key, now, 0, "announced in an answer")
 	}
 }
 
@@ -69,7 +69,7 @@
 }
 
 // noteUnreadable logs a report that could not be read, and counts all of them.
-func (ga *Gateway) noteUnreadable(key string, why error) {
+func (ga *Gateway) logUnreadableReport(key string, why error) {
 	reportsUnreadable.Inc()
 	lo := ga.Log.Sample(&ga.unreadable)
 	lo.Warn().Int("event", int(event.ReportUnreadable)).Str("server", key).Err(why).Msg(event.Name(event.ReportUnreadable))
@@ -77,13 +77,13 @@
 
 // serverLeaves takes a server out of use that announced its shutdown, and propagates that to other
 // gateways. The lock is held.
-func (ga *Gateway) serverLeaves(key string, at time.Time, hops uint8, detail string) {
+func (ga *Gateway) markLeaving(key string, at time.Time, hops uint8, detail string) {
 	if !ga.servers.Leave(key, at) {
 		return
 	}
 	ga.leavingNews.Learn(key, hops, clock.Now())
 	serversLeaving.Inc()
-	ga.noteServer(event.ServerLeaving, key, detail)
+	ga.logServer(event.ServerLeaving, key, detail)
 }
 
 // receiveNotices applies another gateway's notices of what servers reported. The lock is held.
@@ -91,7 +91,7 @@
 	ga.receiveLimitNotices(re, now)
 	for _, no := range re.Leaving {
 		if no.Valid() {
-			ga.serverLeaves(no.Server, now.Add(-no.Age), no.Hops+1, "announced to "+re.Box)
+			ga.markLeaving(no.Server, now.Add(-no.Age), no.Hops+1, "announced to "+re.Box)
 		}
 	}
 	for _, no := range re.Pauses {
@@ -118,7 +118,7 @@
 
 // noteUnwanted logs an attempt that is sent although its server asked for none. The lock is
 // held.
-func (ga *Gateway) noteUnwanted(se *sent, now time.Time) {
+func (ga *Gateway) logUnwantedAttempt(se *sent, now time.Time) {
 	key := se.server.Key()
 	since, leaving := ga.servers.LeavingSince(key)
 	pause := ga.pool.Pauses.Left(key, now)
@@ -135,7 +135,7 @@
 }
 
 // endPauses logs the pauses of servers that are over.
-func (ga *Gateway) endPauses(now time.Time) {
+func (ga *Gateway) expirePauses(now time.Time) {
 	for _, en := range ga.pool.Pauses.Tick(now) {
 		ga.Log.Info().Int("event", int(event.ServerResumed)).Str("server", en.Server).Int("sent", en.Sent).
 			Msg(event.Name(event.ServerResumed))
--- a/internal/gateway/selfreports_test.go
+++ b/internal/gateway/selfreports_test.go
@@ -20,15 +20,15 @@
 
 const (
 	// leaveWithin is how long after a server's announcement requests may still reach it.
-	leaveWithin = 2 * time.Second
+	leavingWithin = 2 * time.Second
 	// pauseSlack is how long after a server asked for a pause requests may still reach it that
 	// were sent before, mostInPause how many may come later.
-	pauseSlack  = 500 * time.Millisecond
-	mostInPause = 2
+	pauseGrace     = 500 * time.Millisecond
+	maxDuringPause = 2
 	// askedPause is the pause that servers ask for.
 	askedPause = 3 * time.Second
 	// silentRejection stands for a rejection that names no time.
-	silentRejection = -1
+	rejectionWithoutPause = -1
 )
 
 // boxServer is one box's view of a server.
@@ -47,11 +47,11 @@
 }
 
 func (bb boxBackend) Call(ctx context.Context, at *Attempt) (*Answer, error) {
-	bb.receive(boxServer{bb.box, at.Server.ID})
+	bb.recordReceived(boxServer{bb.box, at.Server.ID})
 	return bb.call(ctx, at, bb.box)
 }
 
-func (cr *crashing) receive(from boxServer) {
+func (cr *crashing) recordReceived(from boxServer) {
 	cr.mu.Lock()
 	defer cr.mu.Unlock()
 	if cr.received == nil {
@@ -61,7 +61,7 @@
 }
 
 // leave lets a server announce its shutdown from now on.
-func (cr *crashing) leave(id string) {
+func (cr *crashing) announceShutdown(id string) {
 	cr.mu.Lock()
 	defer cr.mu.Unlock()
 	if cr.leaving == nil {
@@ -77,7 +77,7 @@
 }
 
 // shed lets a server reject everything and ask for a pause, zero to end that.
-func (cr *crashing) shed(id string, pause time.Duration) {
+func (cr *crashing) rejectAll(id string, pause time.Duration) {
 	cr.mu.Lock()
 	defer cr.mu.Unlock()
 	if cr.pauses == nil {
@@ -91,7 +91,7 @@
 }
 
 // reject returns the pause that a server asks for which rejects an attempt.
-func (cr *crashing) reject(at *Attempt, box string) (time.Duration, bool) {
+func (cr *crashing) rejection(at *Attempt, box string) (time.Duration, bool) {
 	cr.mu.Lock()
 	defer cr.mu.Unlock()
 	pause, ok := cr.pauses[at.Server.ID]
@@ -103,14 +103,14 @@
 
 // mostInPauses returns the most requests that a box sent to a server during a pause that the
 // server had asked it for, those not counted that were on their way.
-func (cr *crashing) mostInPauses(pause time.Duration) int {
+func (cr *crashing) mostDuringPause(pause time.Duration) int {
 	cr.mu.Lock()
 	defer cr.mu.Unlock()
 	most := 0
 	for _, re := range cr.rejected {
 		n := 0
 		for _, at := range cr.received[re.by] {
-			if at.After(re.at.Add(pauseSlack)) && at.Before(re.at.Add(pause)) {
+			if at.After(re.at.Add(pauseGrace)) && at.Before(re.at.Add(pause)) {
 				n++
 			}
 		}
@@ -134,17 +134,17 @@
 		t.Run(fmt.Sprint(gateways), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				sc := newScene(t, gateways)
-				sc.press(4 * time.Second)
+				sc.sendLoad(4 * time.Second)
 				sc.cutAll(true)
 				leaving, announced := []string{"s3", "s9"}, time.Now()
 				for _, id := range leaving {
-					sc.servers.leave(id)
+					sc.servers.announceShutdown(id)
 				}
-				sc.press(8 * time.Second)
+				sc.sendLoad(8 * time.Second)
 				sc.cutAll(false)
-				sc.press(4 * time.Second)
+				sc.sendLoad(4 * time.Second)
 				for _, id := range leaving {
-					require.Zero(t, len(sc.servers.arrivals(id, announced.Add(leaveWithin))), id)
+					require.Zero(t, len(sc.servers.arrivals(id, announced.Add(leavingWithin))), id)
 				}
 				sc.callers.Wait()
 				for _, ca := range sc.others {
@@ -170,26 +170,26 @@
 		t.Run(fmt.Sprint(gateways), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				sc := newScene(t, gateways)
-				sc.press(2 * time.Second)
+				sc.sendLoad(2 * time.Second)
 				shedding := []string{"s1", "s5", "s8", "s13"}
 				for _, id := range shedding {
-					sc.servers.shed(id, askedPause)
+					sc.servers.rejectAll(id, askedPause)
 				}
-				sc.press(askedPause)
+				sc.sendLoad(askedPause)
 				sc.callers.Wait()
 				for _, ca := range sc.others {
 					// Until a gateway knows of rejections, escalations leave no retries for them.
-					require.True(t, ca.answered || ca.refusedAtOnce(), "%+v", ca)
+					require.True(t, ca.answered || ca.refusedImmediately(), "%+v", ca)
 				}
 				sc.others = nil
-				sc.press(7 * time.Second)
-				require.LessOrEqual(t, sc.servers.mostInPauses(askedPause), mostInPause)
+				sc.sendLoad(7 * time.Second)
+				require.LessOrEqual(t, sc.servers.mostDuringPause(askedPause), maxDuringPause)
 				for _, id := range shedding {
-					sc.servers.shed(id, 0)
+					sc.servers.rejectAll(id, 0)
 				}
-				sc.press(askedPause)
+				sc.sendLoad(askedPause)
 				used := time.Now()
-				sc.press(6 * time.Second)
+				sc.sendLoad(6 * time.Second)
 				for _, id := range shedding {
 					require.Greater(t, len(sc.servers.arrivals(id, used)), 12, "%s is used as before", id)
 				}
@@ -210,19 +210,19 @@
 		t.Run(fmt.Sprint(gateways), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				sc := newScene(t, gateways)
-				sc.press(5 * time.Second)
+				sc.sendLoad(5 * time.Second)
 				sc.callers.Wait()
 				sc.others = nil
 				for i := range poolSize / 2 {
-					sc.servers.shed(fmt.Sprint("s", 2*i+1), silentRejection)
+					sc.servers.rejectAll(fmt.Sprint("s", 2*i+1), rejectionWithoutPause)
 				}
-				sc.press(9 * time.Second)
+				sc.sendLoad(9 * time.Second)
 				sc.callers.Wait()
 				refused := 0
 				for _, ca := range sc.others {
 					if !ca.answered {
 						refused++
-						require.True(t, ca.refusedAtOnce(), "%+v", ca)
+						require.True(t, ca.refusedImmediately(), "%+v", ca)
 					}
 				}
 				require.LessOrEqual(t, refused, len(sc.others)/20, "mostly before the servers are known to reject")
@@ -232,7 +232,7 @@
 }
 
 // refusedAtOnce reports whether a caller was told at once that nothing ran, and when to retry.
-func (ca *caller) refusedAtOnce() bool {
+func (ca *caller) refusedImmediately() bool {
 	return ca.code == result.Overloaded && ca.after > 0 && ca.took < 10*time.Millisecond
 }
 
@@ -242,12 +242,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		sc := newScene(t, 4)
 		for _, se := range sc.servers.all() {
-			sc.servers.shed(se.listed.ID, askedPause)
+			sc.servers.rejectAll(se.listed.ID, askedPause)
 		}
-		sc.press(2 * time.Second)
+		sc.sendLoad(2 * time.Second)
 		sc.callers.Wait()
 		sc.others = nil
-		sc.press(500 * time.Millisecond)
+		sc.sendLoad(500 * time.Millisecond)
 		sc.callers.Wait()
 		require.NotEmpty(t, sc.others)
 		for _, ca := range sc.others {
@@ -257,11 +257,11 @@
 			require.Less(t, ca.took, 10*time.Millisecond, "at once")
 		}
 		for _, se := range sc.servers.all() {
-			sc.servers.shed(se.listed.ID, 0)
+			sc.servers.rejectAll(se.listed.ID, 0)
 		}
 		time.Sleep(askedPause)
 		sc.others = nil
-		sc.press(2 * time.Second)
+		sc.sendLoad(2 * time.Second)
 		sc.callers.Wait()
 		for _, ca := range sc.others {
 			require.True(t, ca.answered, "%+v", ca)
@@ -286,14 +286,14 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			now := clock.Now()
-			ga, log := newServing()
+			ga, log := newServingGateway()
 			se.server = *ga.servers.Get("x1")
 			ga.applySelfReport(se, now)
 			if name == "another server's" || name == "no answer" || name == "answer of no concern" {
-				require.Len(t, servedBy(ga, now), 3)
+				require.Len(t, pickedServers(ga, now), 3)
 				return
 			}
-			require.Equal(t, map[string]bool{"x0": true, "x2": true}, servedBy(ga, now))
+			require.Equal(t, map[string]bool{"x0": true, "x2": true}, pickedServers(ga, now))
 			require.Contains(t, log.String(), "server_leaving")
 		})
 	}
@@ -302,22 +302,22 @@
 // A gateway that starts learns from a watcher which servers leave.
 func TestWholeStateNamesLeavingServers(t *testing.T) {
 	now := clock.Now()
-	wa, _ := newServing(Change{Member: &relay.Member{Box: "a", DataCentre: "dc0", Address: "127.0.0.1:1"}})
-	wa.serverLeaves("x2", now, 0, "")
-	ga, _ := newServing()
+	wa, _ := newServingGateway(Change{Member: &relay.Member{Box: "a", DataCentre: "dc0", Address: "127.0.0.1:1"}})
+	wa.markLeaving("x2", now, 0, "")
+	ga, _ := newServingGateway()
 	_, err := ga.takeWhole(wa.Updates(t.Context(), relay.Request{After: rev(0)}), now)
 	require.NoError(t, err)
-	require.Equal(t, map[string]bool{"x0": true, "x1": true}, servedBy(ga, now))
+	require.Equal(t, map[string]bool{"x0": true, "x1": true}, pickedServers(ga, now))
 }
 
 // Notices from another process may be malformed.
 func TestMalformedNoticesOfLeavingServersAreIgnored(t *testing.T) {
 	now := clock.Now()
-	ga, _ := newServing()
+	ga, _ := newServingGateway()
 	ga.Reported(relay.Report{Box: "b", Leaving: []gossip.Notice{
 		{Server: "x0", Hops: gossip.MostHops}, {Server: "x1", Age: -time.Second}, {}, {Server: "x2", Age: time.Hour},
 	}})
-	require.Equal(t, map[string]bool{"x0": true, "x1": true}, servedBy(ga, now))
+	require.Equal(t, map[string]bool{"x0": true, "x1": true}, pickedServers(ga, now))
 }
 
 // Retries, resumed streams and trials of blocked requests spare leaving and paused servers as first
@@ -331,19 +331,19 @@
 				announced := time.Now()
 				leaving := []string{"s2", "s7"}
 				for _, id := range leaving {
-					sc.servers.leave(id)
+					sc.servers.announceShutdown(id)
 				}
 				for _, id := range []string{"s4", "s11"} {
-					sc.servers.shed(id, askedPause)
+					sc.servers.rejectAll(id, askedPause)
 				}
 				sc.play(0, poisonPath, 6*time.Second)
 				sc.replace(gateways - 1)
 				sc.play(0, poisonPath, 6*time.Second)
 				for _, id := range leaving {
-					late := sc.servers.arrivals(id, announced.Add(leaveWithin))
+					late := sc.servers.arrivals(id, announced.Add(leavingWithin))
 					require.LessOrEqual(t, len(late), 1, "%s: only the gateway that started anew may send one", id)
 				}
-				require.LessOrEqual(t, sc.servers.mostInPauses(askedPause), mostInPause)
+				require.LessOrEqual(t, sc.servers.mostDuringPause(askedPause), maxDuringPause)
 			})
 		})
 	}
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -49,7 +49,7 @@
 	})
 	ctx, cancel := context.WithTimeout(ctx, clock.Until(ex.request.Deadline))
 	defer cancel()
-	ex.awaitVerdict(ctx)
+	ex.awaitTrial(ctx)
 	ex.run(ctx)
 }
 
@@ -61,7 +61,7 @@
 func (ex *exchange) sooner(co result.Code, after time.Duration) time.Duration {
 	switch co {
 	case result.StaleConfiguration, result.NoConfiguration, result.Leaving:
-		if ex.ga.elsewhere(ex.as.Received) {
+		if ex.ga.otherGatewayReady(ex.as.Received) {
 			return atOnce
 		}
 	}
@@ -102,7 +102,7 @@
 	choice   modelChoice
 	smallest int
 	// held is the answer of before an escalation, nil once it is not needed any more.
-	held *heldAnswer
+	held *fallbackAnswer
 	// final is the attempt whose answer the caller gets, nil before there is one.
 	final *sent
 	// delivered is the id of the last event that the caller got.
@@ -213,7 +213,7 @@
 		// Only first attempts probe: a request that was rejected would be again.
 		Probe: len(ex.attempts) == 0,
 	}
-	return ex.ga.restrict(ask, ex, now)
+	return ex.ga.restrictVersion(ask, ex, now)
 }
 
 // Take takes a retry from the service's window.
@@ -269,7 +269,7 @@
 	}
 	ex.ga.mu.Unlock()
 	step := ex.request.Begin(now)
-	defer ex.dropHeld()
+	defer ex.dropFallback()
 	var at *sent
 	for {
 		switch step.Do() {
@@ -277,13 +277,13 @@
 			ex.refuse(step.Code(), "", step.RetryAfter())
 			return
 		case direct.Send:
-			ex.replace(at, step)
+			ex.releasePrevious(at, step)
 			at = ex.open(ctx, step)
-			ex.checkHeld(at)
+			ex.checkFallback(at)
 			step = ex.outcome(ctx, at)
 		case direct.Deliver:
 			if step.Fallback() {
-				at = ex.fallBack(at)
+				at = ex.useFallback(at)
 			}
 			ex.deliver(ctx, at)
 			return
@@ -341,7 +341,7 @@
 		le = last.describe(le)
 	}
 	if len(ex.request.Models) > 0 {
-		le = ex.choice.describe(le.Int("prompt", ex.as.PromptTokens).Dur("target_ms", ex.route.Target))
+		le = ex.choice.addLogFields(le.Int("prompt", ex.as.PromptTokens).Dur("target_ms", ex.route.Target))
 	}
 	le.Str("detail", detail).Msg(event.Name(id))
 }
--- a/internal/gateway/servers_test.go
+++ b/internal/gateway/servers_test.go
@@ -36,7 +36,7 @@
 
 // newServing returns a gateway that knows the configuration and a server in each of three
 // data centres, and its log.
-func newServing(changes ...Change) (*Gateway, *bytes.Buffer) {
+func newServingGateway(changes ...Change) (*Gateway, *bytes.Buffer) {
 	log := &bytes.Buffer{}
 	ga := &Gateway{
 		Log: zerolog.New(log), Box: "a", DataCentre: "dc0",
@@ -59,7 +59,7 @@
 
 // servedBy returns the servers that first attempts, repeated ones and later parts of
 // streams go to.
-func servedBy(ga *Gateway, now time.Time) map[string]bool {
+func pickedServers(ga *Gateway, now time.Time) map[string]bool {
 	servers := map[string]bool{}
 	for i := range 60 {
 		ex := newExchange(ga, fmt.Sprint("session-", i))
@@ -77,7 +77,7 @@
 }
 
 // firstServers returns the servers that first attempts go to.
-func firstServers(ga *Gateway, now time.Time) map[string]bool {
+func firstPicks(ga *Gateway, now time.Time) map[string]bool {
 	servers := map[string]bool{}
 	for i := range 60 {
 		if id, ok := newExchange(ga, fmt.Sprint("session-", i)).Pick("", nil, now); ok {
@@ -89,17 +89,17 @@
 
 func TestNothingGoesToAnEvacuatedDataCentre(t *testing.T) {
 	now := time.Now()
-	ga, log := newServing()
-	require.Len(t, servedBy(ga, now), 3)
+	ga, log := newServingGateway()
+	require.Len(t, pickedServers(ga, now), 3)
 	ga.change(Change{Evacuated: "dc1"})
-	require.Equal(t, map[string]bool{"x0": true, "x2": true}, servedBy(ga, now))
+	require.Equal(t, map[string]bool{"x0": true, "x2": true}, pickedServers(ga, now))
 	ga.change(Change{Evacuated: "dc0"})
 	ga.change(Change{Evacuated: "nobody knows"})
-	require.Equal(t, map[string]bool{"x2": true}, servedBy(ga, now), "the gateway's own as well")
+	require.Equal(t, map[string]bool{"x2": true}, pickedServers(ga, now), "the gateway's own as well")
 	ga.change(Change{Evacuated: "dc2"})
-	require.Empty(t, servedBy(ga, now))
+	require.Empty(t, pickedServers(ga, now))
 	ga.change(Change{Restored: "dc2"})
-	require.Equal(t, map[string]bool{"x2": true}, servedBy(ga, now.Add(time.Minute)))
+	require.Equal(t, map[string]bool{"x2": true}, pickedServers(ga, now.Add(time.Minute)))
 	require.Contains(t, log.String(), "data_centre_evacuated")
 	require.Contains(t, log.String(), "data_centre_restored")
 }
@@ -108,21 +108,21 @@
 // its own read or a watcher's.
 func TestAWholeStateTellsWhatIsEvacuated(t *testing.T) {
 	now := time.Now()
-	wa, _ := newServing(Change{Evacuated: "dc1"}, Change{Member: &relay.Member{Box: "a", DataCentre: "dc0", Address: "127.0.0.1:1"}})
-	require.NotContains(t, servedBy(wa, now), "x1", "a gateway that starts during it")
-	ga, _ := newServing(Change{Evacuated: "dc2"})
+	wa, _ := newServingGateway(Change{Evacuated: "dc1"}, Change{Member: &relay.Member{Box: "a", DataCentre: "dc0", Address: "127.0.0.1:1"}})
+	require.NotContains(t, pickedServers(wa, now), "x1", "a gateway that starts during it")
+	ga, _ := newServingGateway(Change{Evacuated: "dc2"})
 	up := wa.Updates(t.Context(), relay.Request{After: rev(0)})
 	require.NotEmpty(t, up.Whole)
 	_, err := ga.takeWhole(up, now)
 	require.NoError(t, err)
-	require.Equal(t, map[string]bool{"x0": true, "x2": true}, servedBy(ga, now.Add(time.Minute)))
+	require.Equal(t, map[string]bool{"x0": true, "x2": true}, pickedServers(ga, now.Add(time.Minute)))
 }
 
 // What comes back may be cold before it says so.
 func TestADataCentreComesBackSlowly(t *testing.T) {
 	now := time.Now()
-	ga, _ := newServing(Change{Evacuated: "dc0"})
-	ga.restore("dc0", now)
+	ga, _ := newServingGateway(Change{Evacuated: "dc0"})
+	ga.endEvacuation("dc0", now)
 	sent := 0
 	for range 100 {
 		ex := newExchange(ga, "")
@@ -145,8 +145,8 @@
 // A version of which all servers are cold is there all the same: its sessions stay.
 func TestAColdVersionIsNotOneThatIsGone(t *testing.T) {
 	now := time.Now()
-	ga, ro := rolling(t)
-	list(ga, "v1", "v2")
+	ga, ro := newTrialGateway(t)
+	putServers(ga, "v1", "v2")
 	ro.canary.Enter("shifting")
 	for _, se := range ga.servers.Listed() {
 		if se.Version == "v2" {
@@ -161,7 +161,7 @@
 
 func TestANewLifeOfAServerIsKnownByNothing(t *testing.T) {
 	now := time.Now()
-	ga, log := newServing(Change{Gone: "x0"})
+	ga, log := newServingGateway(Change{Gone: "x0"})
 	born := serverChange("y0", "dc0")
 	born.Server.Born = 1000
 	ga.change(born)
@@ -171,16 +171,16 @@
 	}
 	ga.pool.Started(first.Key(), time.Second, now)
 	ga.pool.Responded(first.Key(), now)
-	require.NotContains(t, firstServers(ga, now), "y0", "it was ejected")
+	require.NotContains(t, firstPicks(ga, now), "y0", "it was ejected")
 	again := serverChange("y0", "dc0")
 	again.Server.Born, again.Server.Address = 2000, "127.0.0.1:2"
 	ga.change(again)
 	second := *ga.servers.Get("y0")
-	require.Contains(t, firstServers(ga, now), "y0")
+	require.Contains(t, firstPicks(ga, now), "y0")
 	require.True(t, ga.pool.LastResponse(second.Key()).IsZero())
 	ga.pool.Ended(first.Key())
 	ga.pool.Failed(first.Key(), now)
-	require.Contains(t, firstServers(ga, now), "y0", "late answers of the old life")
+	require.Contains(t, firstPicks(ga, now), "y0", "late answers of the old life")
 	ga.change(born)
 	require.Equal(t, "127.0.0.1:2", ga.servers.Get("y0").Address, "an old entry that comes late")
 	require.Equal(t, 1, strings.Count(log.String(), "server_restarted"))
@@ -188,21 +188,21 @@
 
 func TestAnUnusableEntryTakesItsServerOutOfUse(t *testing.T) {
 	now := time.Now()
-	ga, log := newServing()
+	ga, log := newServingGateway()
 	ga.servers.StoreLost()
 	ga.change(Change{Unusable: &UnusableServer{ID: "x1", Reason: "a field is missing"}})
-	require.Equal(t, map[string]bool{"x0": true, "x2": true}, servedBy(ga, now), "at once, whatever the store does")
+	require.Equal(t, map[string]bool{"x0": true, "x2": true}, pickedServers(ga, now), "at once, whatever the store does")
 	for range 50 {
 		ga.change(Change{Unusable: &UnusableServer{ID: "x1", Reason: "a field is missing"}})
 		ga.change(Change{Unusable: &UnusableServer{ID: "forged", Reason: "a field is missing"}})
 	}
 	require.Equal(t, 2, strings.Count(log.String(), "server_unusable"), "each id is named once")
-	for i := range 2 * mostUnusable {
+	for i := range 2 * maxUnusableIDs {
 		ga.change(Change{Unusable: &UnusableServer{ID: fmt.Sprint("forged-", i), Reason: "a field is missing"}})
 	}
-	require.LessOrEqual(t, strings.Count(log.String(), "server_unusable"), mostUnusable+1)
+	require.LessOrEqual(t, strings.Count(log.String(), "server_unusable"), maxUnusableIDs+1)
 	ga.change(serverChange("x1", "dc1"))
-	require.Len(t, servedBy(ga, now), 3, "the server writes its own again")
+	require.Len(t, pickedServers(ga, now), 3, "the server writes its own again")
 }
 
 // Those that hear through a watcher must know as well that an entry names no server.
@@ -243,7 +243,7 @@
 	fleet := make([]*Gateway, gateways)
 	began := time.Now()
 	for i := range fleet {
-		ga, _ := newServing(Change{Gone: "x0"}, Change{Gone: "x1"}, Change{Gone: "x2"})
+		ga, _ := newServingGateway(Change{Gone: "x0"}, Change{Gone: "x1"}, Change{Gone: "x2"})
 		ga.Log, ga.Box, ga.pool.Box, ga.pool.Fleet = zerolog.Nop(), fmt.Sprint("box-", i), fmt.Sprint("box-", i), gateways
 		for s := range servers {
 			se := serverChange(fmt.Sprint("y", s), fmt.Sprint("dc", s%3))
--- a/internal/gateway/tallies.go
+++ b/internal/gateway/tallies.go
@@ -12,59 +12,59 @@
 )
 
 const (
-	// tellEvery is the least time between two tallies with bad answers: each costs a
+	// badTallyInterval is the least time between two tallies with bad answers: each costs a
 	// write, and a bad version may be used for seconds after its 50th bad answer.
-	tellEvery = 500 * time.Millisecond
+	badTallyInterval = 500 * time.Millisecond
 	// decideEvery is that time for tallies without, while the next decision is near.
-	decideEvery = 1500 * time.Millisecond
+	decisionTallyInterval = 1500 * time.Millisecond
 	// tellSpacing is that time for each member, where that is longer: all gateways may
 	// have something to tell at once, and the service bears 400 writes a second.
-	tellSpacing = 5 * time.Millisecond
+	tallySpacing = 5 * time.Millisecond
 	// answerEvery is the least time between two tallies without: from the third
 	// bad answer known, all gateways tell what they have, so that the good answers
 	// count as well.
-	answerEvery   = 5 * time.Second
-	answerFromBad = 3
+	goodTallyInterval = 5 * time.Second
+	goodTallyMinBad   = 3
 )
 
 // mayTell reports whether the other gateways should hear of outcomes now. The lock is
 // held.
-func (ga *Gateway) mayTell(ro *timedRollout, now time.Time) bool {
+func (ga *Gateway) tallyDue(ro *rolloutState, now time.Time) bool {
 	_, bad := ro.canary.Counts()
-	since := now.Sub(ro.toldAt)
+	since := now.Sub(ro.publishedAt)
 	switch {
-	case ro.over() || ro.canary.OwnTried() == ro.toldTried:
+	case ro.ended() || ro.canary.OwnTried() == ro.publishedTried:
 		return false
-	case bad > ro.toldBad:
-		return since >= max(tellEvery, tellSpacing*time.Duration(ga.size))
+	case bad > ro.publishedBad:
+		return since >= max(badTallyInterval, tallySpacing*time.Duration(ga.size))
 	case ro.canary.Deciding(now):
-		return since >= max(decideEvery, tellSpacing*time.Duration(ga.size))
+		return since >= max(decisionTallyInterval, tallySpacing*time.Duration(ga.size))
 	default:
-		return ro.canary.BadKnown() >= answerFromBad && (ro.toldTried == 0 || since >= answerEvery)
+		return ro.canary.BadKnown() >= goodTallyMinBad && (ro.publishedTried == 0 || since >= goodTallyInterval)
 	}
 }
 
 // tell lets the other gateways know of outcomes. One that reports to a collector leaves it
 // to that, which writes the tallies of all its gateways at once: 103 gateways made 332
 // calls for a roll-out, each for itself. The lock is held.
-func (ga *Gateway) tell(ctx context.Context, ro *timedRollout, now time.Time) {
-	if ro.over() {
-		ro.outbox, ro.more = nil, false
+func (ga *Gateway) publishTallies(ctx context.Context, ro *rolloutState, now time.Time) {
+	if ro.ended() {
+		ro.pending, ro.collectedNew = nil, false
 		return
 	}
-	if ga.mayTell(ro, now) {
+	if ga.tallyDue(ro, now) {
 		_, bad := ro.canary.Counts()
-		ro.toldBad, ro.toldTried, ro.toldAt = bad, ro.canary.OwnTried(), now
-		ro.outbox = ga.ownTally(ro)
+		ro.publishedBad, ro.publishedTried, ro.publishedAt = bad, ro.canary.OwnTried(), now
+		ro.pending = ga.ownTally(ro)
 	}
-	if now.Sub(ga.reported) < loadKept {
+	if now.Sub(ga.reported) < loadReportTTL {
 		return // it goes with the next report
 	}
-	if ro.outbox == nil && (!ro.more || now.Sub(ro.wroteAt) < tellEvery) {
+	if ro.pending == nil && (!ro.collectedNew || now.Sub(ro.writtenAt) < badTallyInterval) {
 		return
 	}
-	tallies := append(slices.Collect(maps.Values(ro.gathered)), *ga.ownTally(ro))
-	ro.outbox, ro.more, ro.wroteAt = nil, false, now
+	tallies := append(slices.Collect(maps.Values(ro.collected)), *ga.ownTally(ro))
+	ro.pending, ro.collectedNew, ro.writtenAt = nil, false, now
 	go func() {
 		if err := ga.Source.Tell(ctx, ga.Box, tallies); err != nil {
 			ga.Log.Warn().Int("event", int(event.StoreCallFailed)).Str("service", ro.order.Plan.Service).Err(err).Msg(event.Name(event.StoreCallFailed))
@@ -73,29 +73,29 @@
 }
 
 // ownTally returns what this gateway tells of a roll-out; the lock is held.
-func (ga *Gateway) ownTally(ro *timedRollout) *Tally {
+func (ga *Gateway) ownTally(ro *rolloutState) *Tally {
 	return &Tally{
 		Service: ro.order.Plan.Service, Order: ro.order.Revision, Version: ro.order.Plan.Version, Box: ga.Box, Life: ga.life, Outcomes: ro.canary.Own(),
 	}
 }
 
 // tallied takes what another gateway tells of a new version; the lock is held.
-func (ga *Gateway) tallied(ta Tally) {
+func (ga *Gateway) receiveTally(ta Tally) {
 	ro := ga.rollouts[ta.Service]
-	if ro == nil || !ta.belongsTo(ro.order) || ta.Box == ga.Box && ta.Life == ga.life || ro.over() {
+	if ro == nil || !ta.belongsTo(ro.order) || ta.Box == ga.Box && ta.Life == ga.life || ro.ended() {
 		return
 	}
 	ro.canary.Merge(ta.teller(), ta.Outcomes)
 }
 
 // outgoing returns the tallies that go with a report; the lock is held.
-func (ga *Gateway) outgoing() []byte {
+func (ga *Gateway) pendingTallies() []byte {
 	var tallies []Tally
 	for _, ro := range ga.rollouts {
-		if ro.outbox != nil {
-			tallies = append(tallies, *ro.outbox)
+		if ro.pending != nil {
+			tallies = append(tallies, *ro.pending)
 		}
-		ro.handed = ro.outbox
+		ro.reported = ro.pending
 	}
 	if len(tallies) == 0 {
 		return nil
@@ -109,16 +109,16 @@
 
 // handedOver notes that a collector has the tallies of the last report; one that came since
 // is kept. The lock is held.
-func (ga *Gateway) handedOver() {
+func (ga *Gateway) clearReported() {
 	for _, ro := range ga.rollouts {
-		if ro.outbox == ro.handed {
-			ro.outbox = nil
+		if ro.pending == ro.reported {
+			ro.pending = nil
 		}
 	}
 }
 
 // gather takes the tallies of a gateway that reports to this one; the lock is held.
-func (ga *Gateway) gather(data []byte) {
+func (ga *Gateway) collectTallies(data []byte) {
 	if len(data) == 0 {
 		return
 	}
@@ -128,15 +128,15 @@
 		return
 	}
 	for _, ta := range tallies {
-		ga.tallied(ta)
+		ga.receiveTally(ta)
 		ro := ga.rollouts[ta.Service]
 		if ro == nil || !ta.belongsTo(ro.order) {
 			continue
 		}
-		if ro.gathered == nil {
-			ro.gathered = map[string]Tally{}
+		if ro.collected == nil {
+			ro.collected = map[string]Tally{}
 		}
-		ro.gathered[ta.teller()] = ta
-		ro.more = true
+		ro.collected[ta.teller()] = ta
+		ro.collectedNew = true
 	}
 }
--- a/internal/gateway/trials.go
+++ b/internal/gateway/trials.go
@@ -13,24 +13,24 @@
 )
 
 // freshWaitPart is the part of the target latency for which a request waits while its block is fresh.
-const freshWaitPart = 0.25
+const freshWaitFraction = 0.25
 
 // awaitVerdict delays a request while its block is fresh. The request becomes a trial if one is due and
 // this gateway's.
-func (ex *exchange) awaitVerdict(ctx context.Context) {
+func (ex *exchange) awaitTrial(ctx context.Context) {
 	ga := ex.ga
-	until := ex.as.Received.Add(time.Duration(freshWaitPart * float64(ex.route.Target)))
+	until := ex.as.Received.Add(time.Duration(freshWaitFraction * float64(ex.route.Target)))
 	for {
 		now := clock.Now()
 		ga.mu.Lock()
 		lifted := ga.lifted
-		ex.trial = ga.takeTrial(ex, now)
+		ex.trial = ga.startTrial(ex, now)
 		wait := min(ga.blocks.Fresh(ex.print, now), until.Sub(now))
 		ga.mu.Unlock()
 		if ex.trial || wait <= 0 {
 			return
 		}
-		ti := time.NewTimer(min(wait, trialCheck))
+		ti := time.NewTimer(min(wait, trialPollInterval))
 		select {
 		case <-lifted:
 		case <-ti.C:
@@ -44,15 +44,15 @@
 }
 
 // trialCheck is how often a waiting request checks whether a trial is due.
-const trialCheck = 50 * time.Millisecond
+const trialPollInterval = 50 * time.Millisecond
 
 // takeTrial reports whether this gateway sends a copy of a blocked request as a trial, and records it.
 // A trial needs a server that runs nothing else, so that its end has one suspect only. The lock is
 // held.
-func (ga *Gateway) takeTrial(ex *exchange, now time.Time) bool {
+func (ga *Gateway) startTrial(ex *exchange, now time.Time) bool {
 	pr := ex.print
 	trial, due := ga.blocks.Trial(pr, now)
-	if trial == 0 || !ga.triesFor(pr, trial, due) || !ga.pool.AnyIdle(ex.askFor("", nil, now), now) {
+	if trial == 0 || !ga.isTrialTurn(pr, trial, due) || !ga.pool.AnyIdle(ex.askFor("", nil, now), now) {
 		return false
 	}
 	ga.blocks.Try(pr, trial, now)
@@ -63,19 +63,19 @@
 
 // trialTurn is the time for which a due trial is reserved for one gateway before the next may make it.
 // It exceeds the time for propagating that it was made.
-const trialTurn = 700 * time.Millisecond
+const trialSlot = 700 * time.Millisecond
 
 // trialsApart is the number of offsets within trialTurn at which trials begin, by fingerprint, so that
 // requests that were blocked together are not tried together.
-const trialsApart = 4
+const trialOffsets = 4
 
 // triesFor reports whether it is this gateway's turn to make a trial. The lock is held.
-func (ga *Gateway) triesFor(pr poison.Print, trial int, due time.Duration) bool {
+func (ga *Gateway) isTrialTurn(pr poison.Print, trial int, due time.Duration) bool {
 	boxes := make([]string, 0, len(ga.members))
 	for box := range ga.members {
 		boxes = append(boxes, box)
 	}
 	place := slices.Index(rendezvous.Rank(pr.String()+strconv.Itoa(trial), boxes), ga.Box)
-	apart := time.Duration(pr[0]%trialsApart) * trialTurn / trialsApart
-	return place >= 0 && due >= apart+time.Duration(place)*trialTurn
+	apart := time.Duration(pr[0]%trialOffsets) * trialSlot / trialOffsets
+	return place >= 0 && due >= apart+time.Duration(place)*trialSlot
 }
--- a/internal/gateway/whole.go
+++ b/internal/gateway/whole.go
@@ -131,7 +131,7 @@
 		listed.ColdFor = ga.pool.Warmup.Left(se.Key(), clock.Now())
 		all = append(all, Change{Server: &listed})
 	}
-	for _, id := range ga.servers.EndedSince(ga.endedFrom(clock.Now())) {
+	for _, id := range ga.servers.EndedSince(ga.endedServersSince(clock.Now())) {
 		all = append(all, Change{Gone: id})
 	}
 	for _, key := range ga.servers.Leaving() {
