--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -18,12 +18,12 @@
 	"github.com/linnetrudder/linnetrudder/internal/result"
 )
 
-// wholeBytes is the longest answer of a plain service that is read whole
+// maxBufferedBytes is the longest answer of a plain service that is read whole
 // before it is delivered, so that a broken one can be repeated elsewhere.
-const wholeBytes = 1 << 20
+const maxBufferedBytes = 1 << 20
 
-// sent is one attempt in progress or ended.
-type sent struct {
+// attemptState is one attempt in progress or ended.
+type attemptState struct {
 	ex     *exchange
 	step   direct.Step
 	server directory.Server
@@ -32,19 +32,19 @@
 	offer  pool.Offer
 	prompt pool.Prompt
 	cancel context.CancelFunc
-	// answer is nil until the head came.
-	answer *Answer
+	// response is nil until the head came.
+	response *Response
 	// body is the whole body of an answer that is not a stream.
 	body []byte
 	// rest is what follows body of one that is longer than wholeBytes.
 	rest io.Reader
 	err  error
-	// over is set once what the attempt holds was freed.
-	over atomic.Bool
-	// run is what is remembered of the attempt in case its server ends; nil if it was never
+	// released is set once what the attempt holds was freed.
+	released atomic.Bool
+	// record is what is remembered of the attempt in case its server ends; nil if it was never
 	// sent. left is set if this gateway ended the attempt without an answer.
-	run  *poison.Run
-	left bool
+	record    *poison.Run
+	abandoned bool
 	// settled is set once by whichever is first: the head of the answer, or the
 	// timer that gives the attempt up. silent is set if the latter was because the
 	// server said nothing to anybody.
@@ -57,62 +57,62 @@
 const attemptAnswered = "answered"
 
 // status returns the status of the answer, zero if there is none.
-func (se *sent) status() int {
-	if se.answer == nil {
+func (se *attemptState) status() int {
+	if se.response == nil {
 		return 0
 	}
-	return se.answer.Status
+	return se.response.Status
 }
 
-// open makes an attempt and waits for the head of its answer, for a plain
+// sendAttempt makes an attempt and waits for the head of its answer, for a plain
 // service for the whole.
-func (ex *exchange) open(ctx context.Context, step direct.Step) *sent {
+func (ex *exchange) sendAttempt(ctx context.Context, step direct.Step) *attemptState {
 	ga := ex.ga
 	now := clock.Now()
-	se := &sent{ex: ex, step: step, began: now}
+	se := &attemptState{ex: ex, step: step, began: now}
 	ex.attempts[step.Attempt()] = se
 	ctx, se.cancel = context.WithCancel(ctx)
 	ga.mu.Lock()
 	listed := ga.servers.Get(step.Server())
 	if listed == nil {
 		ga.mu.Unlock()
-		se.err = ErrUnsent
-		se.over.Store(true)
+		se.err = ErrNotSent
+		se.released.Store(true)
 		return se
 	}
 	se.server = *listed
-	if ex.begun == "" {
-		ex.begun = listed.Version
+	if ex.firstVersion == "" {
+		ex.firstVersion = listed.Version
 	}
 	se.offer, se.prompt = ex.offer, ex.prompt(step.Model())
 	ga.pool.Started(se.server.Key(), se.offer.Read(), now)
 	ga.sentTo(se.server, ex.route.Name, now)
-	se.run = ga.runs.Sent(se.server.Key(), ex.print, ex.as.ID, now)
-	ga.waiting[se] = true
+	se.record = ga.runs.Sent(se.server.Key(), ex.print, ex.rq.ID, now)
+	ga.awaitingHead[se] = true
 	ga.noteUnwanted(se, now)
 	ga.mu.Unlock()
 	if step.Attempt() > 1 {
-		ex.noteAttempt(se)
+		ex.logRetry(se)
 	}
-	patience := time.AfterFunc(step.Patience().Sub(now), se.impatient)
-	se.call(ctx)
+	patience := time.AfterFunc(step.Patience().Sub(now), se.onHeadTimeout)
+	se.callBackend(ctx)
 	patience.Stop()
-	se.left = !se.settled.CompareAndSwap(false, true)
-	if se.left && se.err == nil {
+	se.abandoned = !se.settled.CompareAndSwap(false, true)
+	if se.abandoned && se.err == nil {
 		// Given up just as the head came: the call was cancelled already.
 		se.err = errGivenUp
 	}
-	se.headCame(clock.Now())
+	se.recordHead(clock.Now())
 	return se
 }
 
 // errGivenUp means that an answer came just after its attempt was given up.
 var errGivenUp = eris.New("attempt was given up")
 
-// impatient gives the attempt up if its server has said nothing since, and
+// onHeadTimeout gives the attempt up if its server has said nothing since, and
 // waits on for a last time if it has: such a server is slow and not dead, and to
 // ask another one would be the same work again. It runs on a timer of its own.
-func (se *sent) impatient() {
+func (se *attemptState) onHeadTimeout() {
 	ga, more := se.ex.ga, se.step.Limit().Sub(se.step.Patience())
 	ga.mu.Lock()
 	alive := ga.pool.LastResponse(se.server.Key()).After(se.began)
@@ -125,24 +125,24 @@
 }
 
 // giveUp cancels the call if no head has come.
-func (se *sent) giveUp(silent bool) {
+func (se *attemptState) giveUp(silent bool) {
 	if se.settled.CompareAndSwap(false, true) {
 		se.silent.Store(silent)
 		se.cancel()
 	}
 }
 
-// headCame notes how long the head of an answer took, or that it was not waited
+// recordHead notes how long the head of an answer took, or that it was not waited
 // for any longer.
-func (se *sent) headCame(now time.Time) {
+func (se *attemptState) recordHead(now time.Time) {
 	ga, took := se.ex.ga, now.Sub(se.began)
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
 	ga.pool.Read(se.server.Key(), se.offer.Read())
-	delete(ga.waiting, se)
+	delete(ga.awaitingHead, se)
 	if se.err == nil {
 		ga.pool.Responded(se.server.Key(), now)
-		ga.runs.Answered(se.run, now)
+		ga.runs.Answered(se.record, now)
 	}
 	if se.err != nil && now.Before(se.step.Patience()) {
 		return
@@ -155,26 +155,26 @@
 		return
 	}
 	ga.pool.Took(se.offer, se.prompt, took, now)
-	failed := se.answer.Status >= direct.ServerFailed
+	failed := se.response.Status >= direct.ServerFailed
 	ga.observe(se.server, se.ex.route.Name, failed)
-	if !failed && !se.answer.Stream {
+	if !failed && !se.response.Stream {
 		ga.observePace(se.server, "whole "+name+se.ex.route.Name, took, slowWhole, now)
 	}
 }
 
-func (se *sent) call(ctx context.Context) {
+func (se *attemptState) callBackend(ctx context.Context) {
 	ex := se.ex
-	se.answer, se.err = ex.ga.Backend.Call(ctx, &Attempt{
-		Ask: ex.as, Body: ex.body, Server: se.server, Team: ex.team(), Model: se.step.Model(),
-		Urgency: ex.urgency(se.step), Left: ex.left(clock.Now()), LastEvent: ex.lastEvent(se.step), Fresh: se.step.Last(),
+	se.response, se.err = ex.ga.Backend.Call(ctx, &Attempt{
+		Request: ex.rq, Body: ex.body, Server: se.server, Team: ex.team(), Model: se.step.Model(),
+		QueuePriority: ex.queuePriority(se.step), Timeout: ex.serverTimeout(clock.Now()), LastEventID: ex.lastEventID(se.step), NewConnection: se.step.Last(),
 	})
 	ex.ga.applySelfReport(se, clock.Now())
-	if se.err != nil || se.answer.Stream {
+	if se.err != nil || se.response.Stream {
 		return
 	}
-	se.body, se.err = io.ReadAll(io.LimitReader(se.answer.Body, wholeBytes))
-	if se.err == nil && len(se.body) == wholeBytes {
-		se.rest = se.answer.Body
+	se.body, se.err = io.ReadAll(io.LimitReader(se.response.Body, maxBufferedBytes))
+	if se.err == nil && len(se.body) == maxBufferedBytes {
+		se.rest = se.response.Body
 	}
 }
 
@@ -184,8 +184,8 @@
 // readRank is the reading time of a larger model's prompt that lowers an attempt's rank by one.
 const readRank = 200 * time.Millisecond
 
-// urgency ranks an attempt at a server of models; plain services take no ranks.
-func (ex *exchange) urgency(step direct.Step) int {
+// queuePriority ranks an attempt at a server of models; plain services take no ranks.
+func (ex *exchange) queuePriority(step direct.Step) int {
 	if models := ex.request.Models; len(models) > 0 && step.Model() == models[0] {
 		return mostUrgent
 	}
@@ -193,104 +193,104 @@
 }
 
 func (ex *exchange) priority() int {
-	if te := ex.holder; te != nil && te.Priority != nil {
+	if te := ex.keyTeam; te != nil && te.Priority != nil {
 		return *te.Priority
 	}
 	return ex.route.Priority
 }
 
-// left returns how long a server may work: what is left of the caller's time,
+// serverTimeout returns how long a server may work: what is serverTimeout of the caller's time,
 // not the route's, since a server that stops early fails where a gateway would
 // still have delivered.
-func (ex *exchange) left(now time.Time) time.Duration {
-	if ex.as.Patience > 0 {
-		return max(time.Millisecond, ex.as.Received.Add(ex.as.Patience).Sub(now))
+func (ex *exchange) serverTimeout(now time.Time) time.Duration {
+	if ex.rq.Timeout > 0 {
+		return max(time.Millisecond, ex.rq.Received.Add(ex.rq.Timeout).Sub(now))
 	}
 	return max(time.Millisecond, ex.request.Deadline.Sub(now))
 }
 
-func (ex *exchange) lastEvent(step direct.Step) string {
+func (ex *exchange) lastEventID(step direct.Step) string {
 	if step.Resume() && ex.delivered != "" {
 		return ex.delivered
 	}
-	return ex.as.LastEvent
+	return ex.rq.LastEventID
 }
 
-// outcome tells the request what became of an attempt until the head of its
+// handleOutcome tells the request what became of an attempt until the head of its
 // answer.
-func (ex *exchange) outcome(ctx context.Context, se *sent) direct.Step {
+func (ex *exchange) handleOutcome(ctx context.Context, se *attemptState) direct.Step {
 	now := clock.Now()
-	var refusal *Refusal
+	var refusal *RefusedError
 	switch {
 	case errors.As(se.err, &refusal):
-		se.unsent("refused")
+		se.endNotSent("refused")
 		if refusal.Gone {
 			ex.forgetServer(se)
 		}
 		return ex.request.Refused(now)
 	case errors.Is(se.err, ErrUnreachable):
-		se.unsent("unreachable")
+		se.endNotSent("unreachable")
 		ex.ga.serverEnded(se.server, "it takes no connection")
 		ex.ga.leaveServer(ctx, se, now)
 		return ex.request.Unsent(now)
-	case errors.Is(se.err, ErrUnsent):
-		se.unsent("unsent")
+	case errors.Is(se.err, ErrNotSent):
+		se.endNotSent("unsent")
 		ex.ga.judge(ctx, se, false, now)
 		return ex.request.Unsent(now)
 	case se.err != nil:
 		se.end("lost")
-		if !se.left {
+		if !se.abandoned {
 			ex.ga.brokeOff(ctx, se.server)
 		}
-		if se.silent.Load() || !se.left {
+		if se.silent.Load() || !se.abandoned {
 			ex.ga.judge(ctx, se, false, now)
 		}
 		return ex.request.Lost(now)
 	}
-	good := se.answer.Status < direct.ServerFailed
-	if !good || !se.answer.Stream {
+	good := se.response.Status < direct.ServerFailed
+	if !good || !se.response.Stream {
 		ex.ga.judge(ctx, se, good, now)
 	}
-	return ex.request.Answered(se.answer.Status, se.answer.Confidence, now)
+	return ex.request.Answered(se.response.Status, se.response.Confidence, now)
 }
 
 // end frees what the attempt holds.
-func (se *sent) end(outcome string) {
+func (se *attemptState) end(outcome string) {
 	se.cancel()
-	if !se.over.CompareAndSwap(false, true) {
+	if !se.released.CompareAndSwap(false, true) {
 		return
 	}
-	if se.answer != nil {
-		_ = se.answer.Body.Close()
+	if se.response != nil {
+		_ = se.response.Body.Close()
 	}
 	se.ex.ga.mu.Lock()
 	se.ex.ga.pool.Ended(se.server.Key())
-	se.run.Over(outcome == attemptAnswered, clock.Now())
+	se.record.Over(outcome == attemptAnswered, clock.Now())
 	se.ex.ga.mu.Unlock()
 	countAttempt(se.server.Service, outcome)
 }
 
-// unsent ends an attempt that its server never began.
-func (se *sent) unsent(outcome string) {
-	if se.run != nil {
+// endNotSent ends an attempt that its server never began.
+func (se *attemptState) endNotSent(outcome string) {
+	if se.record != nil {
 		se.ex.ga.mu.Lock()
-		se.run.Unsent()
+		se.record.Unsent()
 		se.ex.ga.mu.Unlock()
 	}
 	se.end(outcome)
 }
 
-// drop ends an attempt whose answer is not wanted any more.
-func (se *sent) drop() { se.end("dropped") }
+// discard ends an attempt whose answer is not wanted any more.
+func (se *attemptState) discard() { se.end("dropped") }
 
 // copyRest gives the caller what follows the part of a long answer that was
 // read before.
-func (se *sent) copyRest(an Responder) error {
+func (se *attemptState) copyRest(an Responder) error {
 	buf := make([]byte, 32<<10)
 	for {
 		n, err := se.rest.Read(buf)
 		if n > 0 {
-			if werr := an.Part(bytes.Clone(buf[:n])); werr != nil {
+			if werr := an.WriteChunk(bytes.Clone(buf[:n])); werr != nil {
 				return werr
 			}
 		}
--- a/internal/gateway/attempt_test.go
+++ b/internal/gateway/attempt_test.go
@@ -15,14 +15,14 @@
 	ga := &Gateway{Log: zerolog.Nop()}
 	ga.prepare()
 	ctx, cancel := context.WithCancel(t.Context())
-	se := &sent{ex: &exchange{ga: ga}, began: time.Now(), cancel: cancel}
+	se := &attemptState{ex: &exchange{ga: ga}, began: time.Now(), cancel: cancel}
 	require.True(t, se.settled.CompareAndSwap(false, true), "the head came")
-	se.impatient()
+	se.onHeadTimeout()
 	se.giveUp(false)
 	require.NoError(t, ctx.Err())
 
-	late := &sent{ex: &exchange{ga: ga}, began: time.Now(), cancel: cancel}
-	late.impatient()
+	late := &attemptState{ex: &exchange{ga: ga}, began: time.Now(), cancel: cancel}
+	late.onHeadTimeout()
 	require.Error(t, ctx.Err(), "one without a head is")
 	require.True(t, late.silent.Load())
 }
--- a/internal/gateway/attemptlog.go
+++ b/internal/gateway/attemptlog.go
@@ -8,21 +8,21 @@
 	"github.com/linnetrudder/linnetrudder/internal/event"
 )
 
-// describe adds to a line of the log what an attempt gave.
-func (se *sent) describe(le *zerolog.Event) *zerolog.Event {
+// addLogFields adds to a line of the log what an attempt gave.
+func (se *attemptState) addLogFields(le *zerolog.Event) *zerolog.Event {
 	le = le.Str("server", se.server.ID).Str("model", se.step.Model()).Int("status", se.status())
-	if se.answer == nil {
+	if se.response == nil {
 		return le
 	}
-	return le.Int("confidence", se.answer.Confidence).Int("place", se.ex.place(se.step.Model())).
-		Dur("head_ms", se.ex.head.Sub(se.ex.as.Received))
+	return le.Int("confidence", se.response.Confidence).Int("place", se.ex.modelIndex(se.step.Model())).
+		Dur("head_ms", se.ex.headAt.Sub(se.ex.rq.Received))
 }
 
-// place returns the place of a model among those that may answer, -1 for none of them.
-func (ex *exchange) place(model string) int { return slices.Index(ex.request.Models, model) }
+// modelIndex returns the modelIndex of a model among those that may answer, -1 for none of them.
+func (ex *exchange) modelIndex(model string) int { return slices.Index(ex.request.Models, model) }
 
-// noteAttempt logs an attempt beyond the first with what led to it.
-func (ex *exchange) noteAttempt(se *sent) {
+// logRetry logs an attempt beyond the first with what led to it.
+func (ex *exchange) logRetry(se *attemptState) {
 	id := event.RequestRetried
 	before := ex.attempts[se.step.Attempt()-1]
 	why := ""
@@ -34,11 +34,11 @@
 	case before.step.Model() != se.step.Model():
 		id = event.RequestEscalated
 	}
-	le := ex.ga.Log.Info().Int("event", int(id)).Str("request", ex.as.ID).Int("attempt", se.step.Attempt()).
+	le := ex.ga.Log.Info().Int("event", int(id)).Str("request", ex.rq.ID).Int("attempt", se.step.Attempt()).
 		Str("server", se.server.ID).Str("model", se.step.Model()).Str("before", before.server.ID).
 		Int("before_status", before.status()).Dur("before_ms", se.began.Sub(before.began))
-	if before.answer != nil {
-		le = le.Int("confidence", before.answer.Confidence)
+	if before.response != nil {
+		le = le.Int("confidence", before.response.Confidence)
 	}
 	ex.choice.describe(le).Str("why", why).Str("last_event", ex.delivered).Msg(event.Name(id))
 }
--- a/internal/gateway/blocks.go
+++ b/internal/gateway/blocks.go
@@ -36,7 +36,7 @@
 	if term == 0 || ga.blocks.Left(su.Print, now) > 0 {
 		return
 	}
-	ga.storing[su.Print] = now.Add(rand.N(storeSpread))
+	ga.storeBlockAt[su.Print] = now.Add(rand.N(storeSpread))
 	ga.takeBlock(poison.NewBlock(su.Print, term, clock.Day()), false, now)
 }
 
@@ -50,13 +50,13 @@
 	if !ga.blocks.Add(bl, bl.Left(clock.Day()), stored, now) {
 		return
 	}
-	if _, own := ga.storing[bl.Print]; !own && !stored {
-		ga.storing[bl.Print] = ga.turn(now.Add(storeWatchers))
+	if _, own := ga.storeBlockAt[bl.Print]; !own && !stored {
+		ga.storeBlockAt[bl.Print] = ga.turn(now.Add(storeWatchers))
 	}
-	blocksBegun.Inc()
+	requestBlocks.Inc()
 	ga.Log.Warn().Int("event", int(event.RequestBlocked)).Str("print", bl.Print.String()).Int("servers", ga.cases.Servers(bl.Print)).
 		Dur("for_ms", ga.blocks.Left(bl.Print, now)).Bool("stored", stored).Msg(event.Name(event.RequestBlocked))
-	for se := range ga.waiting {
+	for se := range ga.awaitingHead {
 		if se.ex.print == bl.Print {
 			se.giveUp(false)
 		}
@@ -67,8 +67,8 @@
 // gateway that has just started may block a common request because it has seen no answer to it yet.
 // The lock is held.
 func (ga *Gateway) object(pr poison.Print, stored bool, now time.Time) {
-	if _, due := ga.objecting[pr]; !due && stored {
-		ga.objecting[pr] = ga.turn(now)
+	if _, due := ga.deleteBlockAt[pr]; !due && stored {
+		ga.deleteBlockAt[pr] = ga.turn(now)
 	}
 	if ga.doubt(pr, now) {
 		ga.Log.Warn().Int("event", int(event.BlockDoubted)).Str("print", pr.String()).Msg(event.Name(event.BlockDoubted))
@@ -85,7 +85,7 @@
 	ga.unblock(pr, "a server answered it and lives on")
 	ga.doubt(pr, now)
 	if stored {
-		ga.objecting[pr] = ga.turn(now)
+		ga.deleteBlockAt[pr] = ga.turn(now)
 	}
 }
 
@@ -101,7 +101,7 @@
 // turn returns when this gateway writes a key that any gateway can write; watchers are first. The
 // lock is held.
 func (ga *Gateway) turn(now time.Time) time.Time {
-	if ga.plan.Watches(ga.memberList()) {
+	if ga.relayPlan.Watches(ga.memberList()) {
 		return now.Add(rand.N(storeSpread))
 	}
 	return othersTurn(now)
@@ -112,18 +112,18 @@
 
 // unblock lifts a block here; the lock is held.
 func (ga *Gateway) unblock(pr poison.Print, why string) {
-	delete(ga.storing, pr)
+	delete(ga.storeBlockAt, pr)
 	ga.cases.Forget(pr)
 	if ga.blocks.Lift(pr) {
-		close(ga.lifted)
-		ga.lifted = make(chan struct{})
+		close(ga.blockLifted)
+		ga.blockLifted = make(chan struct{})
 		ga.noteUnblocked(pr, why)
 	}
 }
 
 // notKept lifts a block that was removed from the key-value service; the lock is held.
 func (ga *Gateway) notKept(pr poison.Print) {
-	delete(ga.objecting, pr)
+	delete(ga.deleteBlockAt, pr)
 	ga.unblock(pr, "it is not kept any more")
 }
 
@@ -140,7 +140,7 @@
 		case named[bl.Print]:
 		case restored:
 			ga.blocks.Lost(bl.Print)
-			ga.storing[bl.Print] = ga.turn(now)
+			ga.storeBlockAt[bl.Print] = ga.turn(now)
 		default:
 			ga.notKept(bl.Print)
 		}
@@ -178,48 +178,48 @@
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
 	for _, bl := range ga.blocks.Unstored() {
-		if !ga.fresh.Failing() && !now.Before(ga.storing[bl.Print]) {
-			ga.storing[bl.Print] = now.Add(storeAgain)
+		if !ga.freshness.Failing() && !now.Before(ga.storeBlockAt[bl.Print]) {
+			ga.storeBlockAt[bl.Print] = now.Add(storeAgain)
 			go ga.storeBlock(ctx, bl)
 		}
 	}
-	for pr, due := range ga.objecting {
-		if !ga.fresh.Failing() && !now.Before(due) {
-			ga.objecting[pr] = now.Add(storeAgain)
+	for pr, due := range ga.deleteBlockAt {
+		if !ga.freshness.Failing() && !now.Before(due) {
+			ga.deleteBlockAt[pr] = now.Add(storeAgain)
 			go ga.removeBlocks(ctx, []poison.Print{pr})
 		}
 	}
 	maps.DeleteFunc(ga.doubts, func(_ poison.Print, since time.Time) bool { return now.Sub(since) >= 2*doubtKept })
 	over := ga.blocks.Expire(now)
 	for _, pr := range over {
-		delete(ga.storing, pr)
+		delete(ga.storeBlockAt, pr)
 		ga.noteUnblocked(pr, "its time is over")
 	}
-	if len(over) > 0 && ga.plan.Watches(ga.memberList()) {
+	if len(over) > 0 && ga.relayPlan.Watches(ga.memberList()) {
 		go ga.removeBlocks(ctx, over)
 	}
 }
 
 func (ga *Gateway) storeBlock(ctx context.Context, bl poison.Block) {
-	err := ga.Source.Block(ctx, bl)
+	err := ga.Store.StoreBlock(ctx, bl)
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
 	if err != nil {
 		ga.noteBlockCall(bl.Print, err)
 		return
 	}
-	delete(ga.storing, bl.Print)
+	delete(ga.storeBlockAt, bl.Print)
 	ga.blocks.Add(bl, bl.Left(clock.Day()), true, clock.Now())
 }
 
 func (ga *Gateway) removeBlocks(ctx context.Context, over []poison.Print) {
 	for _, pr := range over {
-		err := ga.Source.Unblock(ctx, pr)
+		err := ga.Store.DeleteBlock(ctx, pr)
 		ga.mu.Lock()
 		if err != nil {
 			ga.noteBlockCall(pr, err)
 		} else {
-			delete(ga.objecting, pr)
+			delete(ga.deleteBlockAt, pr)
 		}
 		ga.mu.Unlock()
 	}
--- a/internal/gateway/scene_test.go
+++ b/internal/gateway/cluster_test.go
@@ -27,24 +27,24 @@
 	"github.com/linnetrudder/linnetrudder/internal/selfreport"
 )
 
-// crashing is a service's servers, of which each ends that begins to run one request. It
+// crashingBackend is a service's servers, of which each ends that begins to run one request. It
 // calls no network; time is the test's.
-type crashing struct {
-	kept *keptState
+type crashingBackend struct {
+	store *fakeStore
 	// endsAfter is the time from a request's first token to its server's end.
 	endsAfter time.Duration
 	// silent is set if that request's server ends before any of its answer came.
 	silent bool
-	// withMachine is set if servers end with their machines, which then refuse nothing.
-	withMachine bool
+	// machineFails is set if servers end with their machines, which then refuse nothing.
+	machineFails bool
 
 	mu      sync.Mutex
 	servers map[string]*fakeServer
 	started int
 	// sent holds when copies of that request reached servers, ended when servers ended.
 	sent, ended []time.Time
-	// of holds the same by the request's path, the ends being those of servers that began it.
-	of map[string]*deadly
+	// records holds the same by the request's path, the ends being those records servers that began it.
+	records map[string]*poisonRecord
 	// limits holds what servers name in their answers, arrived when requests reached them, by id.
 	limits  map[string]float64
 	arrived map[string][]time.Time
@@ -57,39 +57,39 @@
 	received map[boxServer][]time.Time
 }
 
-// deadly is what became of one request under which servers end.
-type deadly struct{ sent, ended []time.Time }
+// poisonRecord is what became of one request under which servers end.
+type poisonRecord struct{ sent, ended []time.Time }
 
-// tooMany returns how many copies reached servers later than tellWithin after the third end,
+// lateCopies returns how many copies reached servers later than tellWithin after the third end,
 // and later than a time.
-func (de *deadly) tooMany(known time.Time) int {
+func (de *poisonRecord) lateCopies(known time.Time) int {
 	if len(de.ended) < 3 {
 		return 0
 	}
 	many := 0
 	for _, at := range de.sent {
-		if at.After(de.ended[2].Add(tellWithin)) && at.After(known) {
+		if at.After(de.ended[2].Add(propagationTime)) && at.After(known) {
 			many++
 		}
 	}
 	return many
 }
 
-// deadly returns what became of the request of a path; the lock is held.
-func (cr *crashing) deadly(path string) *deadly {
-	if cr.of == nil {
-		cr.of = map[string]*deadly{}
+// recordOf returns what became of the request of a path; the lock is held.
+func (cr *crashingBackend) recordOf(path string) *poisonRecord {
+	if cr.records == nil {
+		cr.records = map[string]*poisonRecord{}
 	}
-	if cr.of[path] == nil {
-		cr.of[path] = &deadly{}
+	if cr.records[path] == nil {
+		cr.records[path] = &poisonRecord{}
 	}
-	return cr.of[path]
+	return cr.records[path]
 }
 
-// endUnder ends the server that began a request.
-func (cr *crashing) endUnder(path string, se *fakeServer) {
+// endByPoison ends the server that began a request.
+func (cr *crashingBackend) endByPoison(path string, se *fakeServer) {
 	cr.mu.Lock()
-	de := cr.deadly(path)
+	de := cr.recordOf(path)
 	de.ended = append(de.ended, time.Now())
 	cr.mu.Unlock()
 	cr.end(se)
@@ -103,19 +103,19 @@
 
 const (
 	// poisonPath and plainPoison are where requests are sent that servers end of.
-	poisonPath  = "/menu/poison"
-	plainPoison = "/cards/poison"
-	// poolSize is how many servers there are.
-	poolSize   = 18
-	readTime   = 30 * time.Millisecond
-	eventPause = 20 * time.Millisecond
-	// tellWithin is how long gateways may take to tell each other.
-	tellWithin = 3 * time.Second
-	restarts   = 2 * time.Second
-	entryLasts = 2500 * time.Millisecond
+	poisonPath      = "/menu/poison"
+	plainPoisonPath = "/cards/poison"
+	// serverCount is how many servers there are.
+	serverCount = 18
+	readTime    = 30 * time.Millisecond
+	eventPause  = 20 * time.Millisecond
+	// propagationTime is how long gateways may take to tell each other.
+	propagationTime = 3 * time.Second
+	restartDelay    = 2 * time.Second
+	entryTTL        = 2500 * time.Millisecond
 )
 
-func (cr *crashing) start() {
+func (cr *crashingBackend) start() {
 	cr.mu.Lock()
 	defer cr.mu.Unlock()
 	cr.started++
@@ -125,11 +125,11 @@
 		gone:   make(chan struct{}),
 	}
 	cr.servers[id] = se
-	cr.kept.add(Change{Server: &se.listed})
+	cr.store.add(Change{Server: &se.listed})
 }
 
 // end ends a server, once.
-func (cr *crashing) end(se *fakeServer) {
+func (cr *crashingBackend) end(se *fakeServer) {
 	cr.mu.Lock()
 	defer cr.mu.Unlock()
 	select {
@@ -139,20 +139,20 @@
 	}
 	close(se.gone)
 	cr.ended = append(cr.ended, time.Now())
-	time.AfterFunc(entryLasts, func() { cr.kept.add(Change{Gone: se.listed.ID}) })
-	time.AfterFunc(restarts, cr.start)
+	time.AfterFunc(entryTTL, func() { cr.store.add(Change{Gone: se.listed.ID}) })
+	time.AfterFunc(restartDelay, cr.start)
 }
 
-func (cr *crashing) server(id string) *fakeServer {
+func (cr *crashingBackend) server(id string) *fakeServer {
 	cr.mu.Lock()
 	defer cr.mu.Unlock()
 	return cr.servers[id]
 }
 
-func (cr *crashing) Reach(_ context.Context, se directory.Server) error {
+func (cr *crashingBackend) CheckReachable(_ context.Context, se directory.Server) error {
 	select {
 	case <-cr.server(se.ID).gone:
-		if cr.withMachine {
+		if cr.machineFails {
 			return errors.New("no answer in time")
 		}
 		return ErrUnreachable
@@ -161,23 +161,23 @@
 	}
 }
 
-func (cr *crashing) call(ctx context.Context, at *Attempt, box string) (*Answer, error) {
+func (cr *crashingBackend) call(ctx context.Context, at *Attempt, box string) (*Response, error) {
 	se := cr.server(at.Server.ID)
-	switch err := cr.Reach(ctx, at.Server); {
+	switch err := cr.CheckReachable(ctx, at.Server); {
 	case errors.Is(err, ErrUnreachable):
 		return nil, err
 	case err != nil:
-		return nil, ErrUnsent
+		return nil, ErrNotSent
 	}
-	cr.arrive(se)
+	cr.recordArrival(se)
 	if lasts, ok := cr.reject(at, box); ok {
-		return nil, &Refusal{Reason: "shed", Report: selfreport.Report{RetryAfter: max(0, lasts), Leaving: cr.isLeaving(se)}}
+		return nil, &RefusedError{Reason: "shed", Report: selfreport.Report{RetryAfter: max(0, lasts), Leaving: cr.isLeaving(se)}}
 	}
-	poison := strings.HasSuffix(at.Ask.Path, "/poison")
+	poison := strings.HasSuffix(at.Request.Path, "/poison")
 	if poison {
 		cr.mu.Lock()
 		cr.sent = append(cr.sent, time.Now())
-		de := cr.deadly(at.Ask.Path)
+		de := cr.recordOf(at.Request.Path)
 		de.sent = append(de.sent, time.Now())
 		cr.mu.Unlock()
 	}
@@ -187,25 +187,25 @@
 	events := 10
 	if poison {
 		events = 0
-		time.AfterFunc(cr.endsAfter, func() { cr.endUnder(at.Ask.Path, se) })
+		time.AfterFunc(cr.endsAfter, func() { cr.endByPoison(at.Request.Path, se) })
 		if cr.silent || at.Model == "" {
 			return nil, se.work(ctx, time.Hour)
 		}
 	}
 	if at.Model == "" {
-		return &Answer{Status: http.StatusOK, Body: io.NopCloser(strings.NewReader("whole")), Report: cr.report(se)}, nil
+		return &Response{Status: http.StatusOK, Body: io.NopCloser(strings.NewReader("whole")), Report: cr.report(se)}, nil
 	}
 	confidence := 90
 	if at.Model == "small" {
 		confidence = 2
 	}
-	return &Answer{
+	return &Response{
 		Status: http.StatusOK, Stream: true, Confidence: confidence, Report: cr.report(se), Body: &fakeStream{ctx: ctx, server: se, left: events},
 	}, nil
 }
 
-// arrive notes that a request has reached a server.
-func (cr *crashing) arrive(se *fakeServer) {
+// recordArrival notes that a request has reached a server.
+func (cr *crashingBackend) recordArrival(se *fakeServer) {
 	cr.mu.Lock()
 	defer cr.mu.Unlock()
 	if cr.arrived == nil {
@@ -215,7 +215,7 @@
 }
 
 // limit returns the limit that a server names, nil for none.
-func (cr *crashing) limit(se *fakeServer) *float64 {
+func (cr *crashingBackend) limit(se *fakeServer) *float64 {
 	cr.mu.Lock()
 	defer cr.mu.Unlock()
 	if perSecond, ok := cr.limits[se.listed.ID]; ok {
@@ -225,7 +225,7 @@
 }
 
 // report returns what a server reports about itself in an answer.
-func (cr *crashing) report(se *fakeServer) selfreport.Report {
+func (cr *crashingBackend) report(se *fakeServer) selfreport.Report {
 	return selfreport.Report{Limit: cr.limit(se), Leaving: cr.isLeaving(se)}
 }
 
@@ -268,36 +268,36 @@
 
 func (*fakeStream) Close() error { return nil }
 
-// caller keeps what one request's caller got.
-type caller struct {
+// recordingResponder keeps what one request's recordingResponder got.
+type recordingResponder struct {
 	code     result.Code
 	after    time.Duration
 	took     time.Duration
 	answered bool
 }
 
-func (*caller) Whole(int, http.Header, []byte) error { return nil }
-func (*caller) Head(int, http.Header) error          { return nil }
-func (*caller) Part([]byte) error                    { return nil }
-func (ca *caller) Abort()                            { ca.code = result.AnswerBroken }
+func (*recordingResponder) WriteResponse(int, http.Header, []byte) error { return nil }
+func (*recordingResponder) WriteHead(int, http.Header) error             { return nil }
+func (*recordingResponder) WriteChunk([]byte) error                      { return nil }
+func (ca *recordingResponder) Abort()                                    { ca.code = result.AnswerBroken }
 
-func (ca *caller) Refuse(co result.Code, _ string, after time.Duration) {
+func (ca *recordingResponder) WriteError(co result.Code, _ string, after time.Duration) {
 	ca.code, ca.after = co, after
 }
 
-// inside is a network without one: connections between gateways are pipes.
-type inside struct {
+// pipeNetwork is a network without one: connections between gateways are pipes.
+type pipeNetwork struct {
 	mu        sync.Mutex
 	listeners map[string]*pipeListener
-	// cut is set while nothing gets through.
-	cut atomic.Bool
+	// partitioned is set while nothing gets through.
+	partitioned atomic.Bool
 }
 
-func (in *inside) dial(ctx context.Context, _, address string) (net.Conn, error) {
+func (in *pipeNetwork) dial(ctx context.Context, _, address string) (net.Conn, error) {
 	in.mu.Lock()
 	li := in.listeners[address]
 	in.mu.Unlock()
-	if in.cut.Load() {
+	if in.partitioned.Load() {
 		return nil, net.ErrClosed
 	}
 	near, far := net.Pipe()
@@ -349,30 +349,30 @@
 
 func (*pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// scene is some gateways before such servers.
-type scene struct {
+// testCluster is some gateways before such servers.
+type testCluster struct {
 	t        *testing.T
-	servers  *crashing
-	network  *inside
+	servers  *crashingBackend
+	network  *pipeNetwork
 	gateways []*Gateway
 	stops    []func()
 	// copies holds what the callers of that request got, others what those of all others did.
-	mu             sync.Mutex
-	copies, others []*caller
-	callers        sync.WaitGroup
+	mu                              sync.Mutex
+	poisonResponses, otherResponses []*recordingResponder
+	callers                         sync.WaitGroup
 	// log takes what gateways log that are added from now on.
 	log io.Writer
 }
 
-func newScene(t *testing.T, gateways int) *scene {
+func newTestCluster(t *testing.T, gateways int) *testCluster {
 	t.Helper()
-	return newSceneWith(t, gateways, func(*scene) {})
+	return newTestClusterWith(t, gateways, func(*testCluster) {})
 }
 
-// newSceneWith changes the scene before its gateways start.
-func newSceneWith(t *testing.T, gateways int, change func(sc *scene)) *scene {
+// newTestClusterWith changes the scene before its gateways start.
+func newTestClusterWith(t *testing.T, gateways int, change func(sc *testCluster)) *testCluster {
 	t.Helper()
-	kept := &keptState{news: make(chan struct{}), watches: map[string]int{}, cut: map[string]bool{}}
+	kept := &fakeStore{changed: make(chan struct{}), watches: map[string]int{}, disconnected: map[string]bool{}}
 	kept.add(Change{Document: &routing.Document{Version: 1, Services: []routing.Service{{Name: "llm"}}, Routes: []routing.Route{{
 		Name: "menu", Host: "h", Prefix: "/menu/", Kind: routing.Streaming, Resumable: true, Public: true,
 		Timeout: 8 * time.Second, Target: 2 * time.Second, Gap: time.Second, Attempts: 3, Models: []string{"small", "large"},
@@ -381,9 +381,9 @@
 		Name: "cards", Host: "h", Prefix: "/cards/", Kind: routing.Unsafe, Public: true, Timeout: time.Second,
 		Target: 150 * time.Millisecond, Attempts: 1, Split: []routing.Share{{Service: "llm", Weight: 1}},
 	}}}})
-	sc := &scene{
-		t: t, servers: &crashing{kept: kept, endsAfter: 100 * time.Millisecond, servers: map[string]*fakeServer{}},
-		network: &inside{listeners: map[string]*pipeListener{}}, log: io.Discard,
+	sc := &testCluster{
+		t: t, servers: &crashingBackend{store: kept, endsAfter: 100 * time.Millisecond, servers: map[string]*fakeServer{}},
+		network: &pipeNetwork{listeners: map[string]*pipeListener{}}, log: io.Discard,
 	}
 	t.Cleanup(func() {
 		sc.callers.Wait()
@@ -391,7 +391,7 @@
 		time.Sleep(time.Minute)
 	})
 	change(sc)
-	for range poolSize {
+	for range serverCount {
 		sc.servers.start()
 	}
 	for range gateways {
@@ -402,20 +402,20 @@
 }
 
 // addGateway starts one more gateway, each third in the same data centre.
-func (sc *scene) addGateway() {
+func (sc *testCluster) addGateway() {
 	sc.mu.Lock()
 	sc.gateways, sc.stops = append(sc.gateways, nil), append(sc.stops, nil)
 	n := len(sc.gateways) - 1
 	sc.mu.Unlock()
-	sc.begin(n)
+	sc.startGateway(n)
 }
 
-// begin starts the gateway of a number.
-func (sc *scene) begin(n int) {
+// startGateway starts the gateway of a number.
+func (sc *testCluster) startGateway(n int) {
 	box := fmt.Sprint("b", n)
 	ga := &Gateway{
-		Log: zerolog.New(sc.log), Box: box, DataCentre: fmt.Sprint("dc", n%3), Source: view{kept: sc.servers.kept, box: box},
-		Backend: boxBackend{crashing: sc.servers, box: box}, Bounds: Bounds{Revoke: 5 * time.Second, RetryRatio: 0.9, RetryWindow: 10 * time.Second},
+		Log: zerolog.New(sc.log), Box: box, DataCentre: fmt.Sprint("dc", n%3), Store: storeView{store: sc.servers.store, box: box},
+		Backend: boxBackend{crashingBackend: sc.servers, box: box}, Bounds: Bounds{MaxConfigAge: 5 * time.Second, RetryRatio: 0.9, RetryWindow: 10 * time.Second},
 		RelayAddress: box + ":1", RelayHTTP: &http.Client{Transport: &http.Transport{DialContext: sc.network.dial}},
 	}
 	router := http.NewServeMux()
@@ -445,14 +445,14 @@
 	})
 }
 
-// ask sends a request to a gateway and keeps what its caller gets.
-func (sc *scene) ask(gateway int, path, id string) {
+// send sends a request to a gateway and keeps what its caller gets.
+func (sc *testCluster) send(gateway int, path, id string) {
 	sc.callers.Go(func() {
 		began := time.Now()
-		ca := &caller{}
-		as := &Ask{
+		ca := &recordingResponder{}
+		as := &Request{
 			ID: id, Host: "h", Path: path, Target: path, Method: http.MethodPost, Received: began,
-			Patience: 8 * time.Second, AnyModel: true, PromptTokens: 1000,
+			Timeout: 8 * time.Second, AnyModel: true, PromptTokens: 1000,
 			ReadBody: func() ([]byte, error) { return []byte(path), nil },
 		}
 		sc.mu.Lock()
@@ -463,48 +463,48 @@
 		sc.mu.Lock()
 		defer sc.mu.Unlock()
 		if strings.HasSuffix(path, "/poison") {
-			sc.copies = append(sc.copies, ca)
+			sc.poisonResponses = append(sc.poisonResponses, ca)
 		} else {
-			sc.others = append(sc.others, ca)
+			sc.otherResponses = append(sc.otherResponses, ca)
 		}
 	})
 }
 
-// play sends copies of the request and others for a while, to all gateways from one on.
-func (sc *scene) play(first int, poison string, lasts time.Duration) {
+// sendTraffic sends copies of the request and others for a while, to all gateways from one on.
+func (sc *testCluster) sendTraffic(first int, poison string, lasts time.Duration) {
 	n := 0
 	for until := time.Now().Add(lasts); time.Now().Before(until); time.Sleep(25 * time.Millisecond) {
 		n++
 		gateway := first + n%(len(sc.gateways)-first)
-		sc.ask(gateway, fmt.Sprint("/menu/", first, "/", n), fmt.Sprint("other", first, "-", n))
+		sc.send(gateway, fmt.Sprint("/menu/", first, "/", n), fmt.Sprint("other", first, "-", n))
 		if n%12 == 0 && poison != "" {
-			sc.ask(first+n/12%(len(sc.gateways)-first), poison, fmt.Sprint("copy", first, "-", n))
+			sc.send(first+n/12%(len(sc.gateways)-first), poison, fmt.Sprint("copy", first, "-", n))
 		}
 	}
 }
 
-func (sc *scene) stop() {
+func (sc *testCluster) stop() {
 	for _, stop := range sc.stops {
 		stop()
 	}
 }
 
-// ends returns how many servers have ended.
-func (cr *crashing) ends() int {
+// endCount returns how many servers have ended.
+func (cr *crashingBackend) endCount() int {
 	cr.mu.Lock()
 	defer cr.mu.Unlock()
 	return len(cr.ended)
 }
 
-// tooMany returns how many copies reached servers later than tellWithin after the third end.
-func (cr *crashing) tooMany() int {
+// lateCopies returns how many copies reached servers later than tellWithin after the third end.
+func (cr *crashingBackend) lateCopies() int {
 	cr.mu.Lock()
 	defer cr.mu.Unlock()
 	if len(cr.ended) < 3 {
 		return 0
 	}
 	slices.SortFunc(cr.ended, time.Time.Compare)
-	bound := cr.ended[2].Add(tellWithin)
+	bound := cr.ended[2].Add(propagationTime)
 	many := 0
 	for _, at := range cr.sent {
 		if at.After(bound) {
@@ -514,16 +514,16 @@
 	return many
 }
 
-// storedAt returns the first block that a gateway knows to be kept.
-func (sc *scene) storedAt(gateway int) poison.Print {
+// firstStoredBlock returns the first block that a gateway knows to be kept.
+func (sc *testCluster) firstStoredBlock(gateway int) poison.Print {
 	ga := sc.gateways[gateway]
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
 	return ga.blocks.Stored()[0].Print
 }
 
-// blocked counts the requests that a scene's gateways have blocked.
-func (sc *scene) blocked() int {
+// blockCount counts the requests that a scene's gateways have blockCount.
+func (sc *testCluster) blockCount() int {
 	all := 0
 	for _, ga := range sc.gateways {
 		ga.mu.Lock()
@@ -533,22 +533,22 @@
 	return all
 }
 
-// cutAll cuts all gateways off from the key-value service, or ends that.
-func (sc *scene) cutAll(cut bool) {
+// disconnectAll cuts all gateways off from the key-value service, or ends that.
+func (sc *testCluster) disconnectAll(cut bool) {
 	for i := range 2 * len(sc.gateways) {
-		sc.servers.kept.setCut(fmt.Sprint("b", i), cut)
+		sc.servers.store.setDisconnected(fmt.Sprint("b", i), cut)
 	}
 }
 
-// replace loses a gateway and starts another one under its name, which knows nothing.
-func (sc *scene) replace(i int) {
+// replaceGateway loses a gateway and starts another one under its name, which knows nothing.
+func (sc *testCluster) replaceGateway(i int) {
 	sc.stops[i]()
-	sc.begin(i)
+	sc.startGateway(i)
 }
 
-// keptBlocks returns the blocks that the key-value service holds.
-func (sc *scene) keptBlocks() []poison.Print {
-	st, _, err := view{kept: sc.servers.kept}.since(rev(0))
+// storedBlocks returns the blocks that the key-value service holds.
+func (sc *testCluster) storedBlocks() []poison.Print {
+	st, _, err := storeView{store: sc.servers.store}.since(rev(0))
 	require.NoError(sc.t, err)
 	var kept []poison.Print
 	for _, ch := range st.Changes {
@@ -563,14 +563,14 @@
 }
 
 // all returns every server that there ever was.
-func (cr *crashing) all() []*fakeServer {
+func (cr *crashingBackend) all() []*fakeServer {
 	cr.mu.Lock()
 	defer cr.mu.Unlock()
 	return slices.Collect(maps.Values(cr.servers))
 }
 
-// hasRun reports whether a gateway has anything at a server.
-func (ga *Gateway) hasRun(server string) bool {
+// hasAttemptsAt reports whether a gateway has anything at a server.
+func (ga *Gateway) hasAttemptsAt(server string) bool {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
 	return ga.runs.Has(server)
--- a/internal/gateway/common_test.go
+++ b/internal/gateway/common_test.go
@@ -40,21 +40,21 @@
 func (cp commonPlay) run(t *testing.T, lasts time.Duration) (out commonOutcome) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		sc := newScene(t, cp.gateways)
+		sc := newTestCluster(t, cp.gateways)
 		sc.servers.endsAfter = cp.endsAfter
 		next := time.Now().Add(cp.replaced)
 		for n := range int(lasts / (100 * time.Millisecond)) {
-			sc.ask(n%cp.gateways, "/menu/other", fmt.Sprint("other-", n))
-			sc.ask((n+1)%cp.gateways, poisonPath, fmt.Sprint("copy-", n))
+			sc.send(n%cp.gateways, "/menu/other", fmt.Sprint("other-", n))
+			sc.send((n+1)%cp.gateways, poisonPath, fmt.Sprint("copy-", n))
 			time.Sleep(100 * time.Millisecond)
 			if cp.replaced > 0 && !time.Now().Before(next) {
 				next = next.Add(cp.replaced)
-				sc.replace(n % cp.gateways)
+				sc.replaceGateway(n % cp.gateways)
 			}
 		}
 		sc.callers.Wait()
 		served, blocked := 0, 0
-		for _, ca := range sc.others {
+		for _, ca := range sc.otherResponses {
 			switch {
 			case ca.answered:
 				served++
@@ -62,8 +62,8 @@
 				blocked++
 			}
 		}
-		all := float64(len(sc.others))
-		out = commonOutcome{float64(served) / all, float64(blocked) / all, sc.servers.tooMany(), sc.servers.ends()}
+		all := float64(len(sc.otherResponses))
+		out = commonOutcome{float64(served) / all, float64(blocked) / all, sc.servers.lateCopies(), sc.servers.endCount()}
 	})
 	return out
 }
@@ -119,11 +119,11 @@
 }
 
 // block lets the key-value service hold a block of what is asked with a path.
-func (sc *scene) block(path string) {
+func (sc *testCluster) block(path string) {
 	bl := poison.NewBlock(poison.PrintOf(poison.Request{
 		Method: http.MethodPost, Host: "h", Target: path, Body: []byte(path),
 	}), poison.FirstTerm, clock.Day())
-	sc.servers.kept.add(Change{Blocked: &bl})
+	sc.servers.store.add(Change{Blocked: &bl})
 }
 
 // A request that was blocked wrongly, before any server has answered it, is tried by one gateway
@@ -132,31 +132,31 @@
 	for _, gateways := range []int{1, 4, 23} {
 		for _, path := range []string{"/menu/other", "/cards/other"} {
 			synctest.Test(t, func(t *testing.T) {
-				sc := newScene(t, gateways)
+				sc := newTestCluster(t, gateways)
 				sc.block(path)
 				time.Sleep(550 * time.Millisecond)
 				ask := func(lasts time.Duration) {
 					for n := range int(lasts / (50 * time.Millisecond)) {
-						sc.ask(n%gateways, path, fmt.Sprint(path, time.Now()))
+						sc.send(n%gateways, path, fmt.Sprint(path, time.Now()))
 						time.Sleep(50 * time.Millisecond)
 					}
 					sc.callers.Wait()
 				}
 				ask(2 * time.Second)
-				for _, ca := range sc.others {
+				for _, ca := range sc.otherResponses {
 					if !ca.answered {
 						require.Equal(t, result.RequestBlocked, ca.code)
 						require.Less(t, ca.after, 3*time.Second, "it is worth coming back soon")
 					}
 				}
 				ask(3 * time.Second)
-				sc.others = nil
+				sc.otherResponses = nil
 				ask(5 * time.Second)
-				for _, ca := range sc.others {
+				for _, ca := range sc.otherResponses {
 					require.True(t, ca.answered, "%d gateways, %s: %+v", gateways, path, ca)
 				}
-				require.Zero(t, sc.blocked())
-				require.Empty(t, sc.keptBlocks())
+				require.Zero(t, sc.blockCount())
+				require.Empty(t, sc.storedBlocks())
 				time.Sleep(3 * doubtKept)
 				for _, ga := range sc.gateways {
 					ga.mu.Lock()
@@ -172,22 +172,22 @@
 // One under which servers do end stays blocked, whoever is lost meanwhile.
 func TestADeadlyRequestIsTriedTwiceAtTheMost(t *testing.T) {
 	for _, gateways := range []int{1, 4, 23} {
-		for _, path := range []string{poisonPath, plainPoison} {
+		for _, path := range []string{poisonPath, plainPoisonPath} {
 			synctest.Test(t, func(t *testing.T) {
-				sc := newScene(t, gateways)
+				sc := newTestCluster(t, gateways)
 				sc.block(path)
 				time.Sleep(550 * time.Millisecond)
 				for n := range 900 {
-					sc.ask(n%gateways, path, fmt.Sprint(path, n))
+					sc.send(n%gateways, path, fmt.Sprint(path, n))
 					time.Sleep(100 * time.Millisecond)
 					if n%60 == 59 {
-						sc.replace(n / 60 % gateways)
+						sc.replaceGateway(n / 60 % gateways)
 					}
 				}
 				sc.callers.Wait()
 				require.LessOrEqual(t, len(sc.servers.sent), 2, "%d gateways, %s", gateways, path)
-				require.LessOrEqual(t, sc.servers.ends(), 2)
-				require.Len(t, sc.keptBlocks(), 1)
+				require.LessOrEqual(t, sc.servers.endCount(), 2)
+				require.Len(t, sc.storedBlocks(), 1)
 			})
 		}
 	}
--- a/internal/gateway/deliver.go
+++ b/internal/gateway/deliver.go
@@ -24,63 +24,63 @@
 )
 
 // deliver gives the caller the answer of an attempt.
-func (ex *exchange) deliver(ctx context.Context, se *sent) {
-	ex.head, ex.final = clock.Now(), se
-	if se.answer.Stream {
+func (ex *exchange) deliver(ctx context.Context, se *attemptState) {
+	ex.headAt, ex.final = clock.Now(), se
+	if se.response.Stream {
 		ex.deliverStream(ctx, se)
 		return
 	}
 	var err error
 	if se.rest == nil {
-		err = ex.an.Whole(se.answer.Status, se.answer.Header, se.body)
+		err = ex.responder.WriteResponse(se.response.Status, se.response.Header, se.body)
 	} else {
 		err = ex.deliverLong(se)
 	}
 	se.end(attemptAnswered)
 	if err != nil {
-		ex.note(event.RequestFailed, codeOf(err), err.Error())
-		ex.an.Abort()
+		ex.logOutcome(event.RequestFailed, codeOf(err), err.Error())
+		ex.responder.Abort()
 		return
 	}
-	ex.answered()
+	ex.logAnswered()
 }
 
-func (ex *exchange) deliverLong(se *sent) error {
-	if err := ex.an.Head(se.answer.Status, se.answer.Header); err != nil {
+func (ex *exchange) deliverLong(se *attemptState) error {
+	if err := ex.responder.WriteHead(se.response.Status, se.response.Header); err != nil {
 		return err
 	}
-	if err := ex.an.Part(se.body); err != nil {
+	if err := ex.responder.WriteChunk(se.body); err != nil {
 		return err
 	}
-	return se.copyRest(ex.an)
+	return se.copyRest(ex.responder)
 }
 
-func (ex *exchange) answered() { ex.note(event.RequestAnswered, result.OK, "") }
+func (ex *exchange) logAnswered() { ex.logOutcome(event.RequestAnswered, result.OK, "") }
 
 // deliverStream gives the caller the events of a stream as they come, and goes
 // on with another server's where it breaks.
-func (ex *exchange) deliverStream(ctx context.Context, se *sent) {
-	if err := ex.an.Head(se.answer.Status, se.answer.Header); err != nil {
-		se.drop()
-		ex.note(event.RequestFailed, result.Stopped, err.Error())
+func (ex *exchange) deliverStream(ctx context.Context, se *attemptState) {
+	if err := ex.responder.WriteHead(se.response.Status, se.response.Header); err != nil {
+		se.discard()
+		ex.logOutcome(event.RequestFailed, result.Stopped, err.Error())
 		return
 	}
 	for {
 		began := clock.Now()
-		events, err := ex.relay(se)
+		events, err := ex.relayEvents(se)
 		now := clock.Now()
 		var er *result.Error
 		switch {
 		case err == nil:
 			se.end(attemptAnswered)
 			ex.ga.judge(ctx, se, true, now)
-			ex.ga.streamed(se, events, now.Sub(began), now)
-			ex.answered()
+			ex.ga.recordStreamPace(se, events, now.Sub(began), now)
+			ex.logAnswered()
 			return
 		case errors.As(err, &er):
-			se.drop()
-			ex.note(event.RequestFailed, er.Code(), er.Detail())
-			ex.an.Abort()
+			se.discard()
+			ex.logOutcome(event.RequestFailed, er.Code(), er.Detail())
+			ex.responder.Abort()
 			return
 		}
 		se.end("broken")
@@ -99,9 +99,9 @@
 // something.
 const fewestEvents = 3
 
-// streamed takes the pace of a whole stream for the roll-out of its service. It
+// recordStreamPace takes the pace of a whole stream for the roll-out of its service. It
 // does not depend on the prompt, unlike the time to the head.
-func (ga *Gateway) streamed(se *sent, events int, took time.Duration, now time.Time) {
+func (ga *Gateway) recordStreamPace(se *attemptState, events int, took time.Duration, now time.Time) {
 	if events < fewestEvents {
 		return
 	}
@@ -111,33 +111,33 @@
 }
 
 // resume continues a broken stream; it returns nil if the request has ended.
-func (ex *exchange) resume(ctx context.Context, why error) *sent {
+func (ex *exchange) resume(ctx context.Context, why error) *attemptState {
 	step := ex.request.Broken(clock.Now())
 	for step.Do() == direct.Send && ctx.Err() == nil {
-		se := ex.open(ctx, step)
-		step = ex.outcome(ctx, se)
-		if step.Do() == direct.Deliver && se.answer.Stream {
+		se := ex.sendAttempt(ctx, step)
+		step = ex.handleOutcome(ctx, se)
+		if step.Do() == direct.Deliver && se.response.Stream {
 			return se
 		}
-		se.drop()
+		se.discard()
 	}
 	co := result.AnswerBroken
 	if ctx.Err() != nil {
 		co = result.Stopped
 	}
-	ex.note(event.RequestFailed, co, why.Error())
-	ex.an.Abort()
+	ex.logOutcome(event.RequestFailed, co, why.Error())
+	ex.responder.Abort()
 	return nil
 }
 
-// relay passes events on until the stream ends and returns how many came. The
+// relayEvents passes events on until the stream ends and returns how many came. The
 // error is nil at the end, has a code if the caller can't be given more, and is
 // any other if the stream broke.
-func (ex *exchange) relay(se *sent) (events int, err error) {
-	stall := ex.stall()
-	watch := time.AfterFunc(stall, func() { ex.stalled(se) })
+func (ex *exchange) relayEvents(se *attemptState) (events int, err error) {
+	stall := ex.stallTimeout()
+	watch := time.AfterFunc(stall, func() { ex.onStall(se) })
 	defer watch.Stop()
-	re := sse.NewReader(se.answer.Body)
+	re := sse.NewReader(se.response.Body)
 	for {
 		ev, err := re.Next()
 		if errors.Is(err, io.EOF) {
@@ -148,10 +148,10 @@
 		}
 		watch.Reset(stall)
 		events++
-		if ex.has(ev) {
+		if ex.alreadyDelivered(ev) {
 			continue
 		}
-		if err := ex.an.Part(ev.Raw()); err != nil {
+		if err := ex.responder.WriteChunk(ev.Raw()); err != nil {
 			return events, result.New(result.Stopped, err.Error())
 		}
 		if ev.ID() != "" {
@@ -160,26 +160,26 @@
 	}
 }
 
-// stall returns after which silence a stream is continued elsewhere.
-func (ex *exchange) stall() time.Duration {
+// stallTimeout returns after which silence a stream is continued elsewhere.
+func (ex *exchange) stallTimeout() time.Duration {
 	if ex.route.Gap > 0 {
 		return time.Duration(stallPart * float64(ex.route.Gap))
 	}
 	return defaultStall
 }
 
-// stalled leaves a stream that is silent if it can go on elsewhere. If it can't,
+// onStall leaves a stream that is silent if it can go on elsewhere. If it can't,
 // silence is no reason to end it. It runs on a timer while relay waits, when
 // nothing of the request changes.
-func (ex *exchange) stalled(se *sent) {
-	if ex.request.MayResume(clock.Now()) && ex.spare(se) {
+func (ex *exchange) onStall(se *attemptState) {
+	if ex.request.MayResume(clock.Now()) && ex.canRetryElsewhere(se) {
 		se.stalled.Store(true)
 		se.cancel()
 	}
 }
 
-// spare reports whether another server and a retry are to be had.
-func (ex *exchange) spare(se *sent) bool {
+// canRetryElsewhere reports whether another server and a retry are to be had.
+func (ex *exchange) canRetryElsewhere(se *attemptState) bool {
 	ga, now := ex.ga, clock.Now()
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
@@ -188,9 +188,9 @@
 	return ok && ga.window(ex.service).Left(now) >= 1
 }
 
-// has reports whether the caller has an event already, as after a server began
+// alreadyDelivered reports whether the caller alreadyDelivered an event already, as after a server began
 // a resumed stream too early.
-func (ex *exchange) has(ev sse.Event) bool {
+func (ex *exchange) alreadyDelivered(ev sse.Event) bool {
 	if ex.delivered == "" {
 		return false
 	}
--- a/internal/gateway/ends.go
+++ b/internal/gateway/ends.go
@@ -69,7 +69,7 @@
 	defer close(pr.done)
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	switch err := ga.Backend.Reach(ctx, se); {
+	switch err := ga.Backend.CheckReachable(ctx, se); {
 	case err == nil:
 		ga.mu.Lock()
 		defer ga.mu.Unlock()
@@ -95,7 +95,7 @@
 		return
 	}
 	suspects, at := ga.runs.Ended(key, now)
-	serverEnds.Inc()
+	serverCrashes.Inc()
 	for _, ru := range suspects {
 		ga.accuse(ru.Suspicion(key, at, now), now)
 	}
--- a/internal/gateway/follow.go
+++ b/internal/gateway/follow.go
@@ -24,11 +24,11 @@
 	watchRoot = time.Second
 	// watchLeast is the shortest wait of a watch.
 	watchLeast = pauseLeast
-	// gather is the pause after changes, so that those that follow come with one call.
-	gather = 300 * time.Millisecond
-	// mostUnseen is how long watches may miss changes: an order that a whole read shows for the
+	// changeBatchPause is the pause after changes, so that those that follow come with one call.
+	changeBatchPause = 300 * time.Millisecond
+	// maxMissedChangeAge is how long watches may miss changes: an order that a whole read shows for the
 	// first time may be as old.
-	mostUnseen = time.Second
+	maxMissedChangeAge = time.Second
 	// pauseLeast and pauseMost bound the pause between two calls to a service that does not
 	// answer; pauseLong bounds it in a longer outage, since other gateways report its return.
 	pauseLeast = 100 * time.Millisecond
@@ -41,14 +41,14 @@
 	watcherPause = pauseLeast
 )
 
-// follow keeps the state up to date: it reads everything, then watches, and
+// syncState keeps the state up to date: it reads everything, then watches, and
 // reads again when the history has gone.
-func (ga *Gateway) follow(ctx context.Context) {
-	defer ga.relayed.Close()
+func (ga *Gateway) syncState(ctx context.Context) {
+	defer ga.relayClient.Close()
 	for ctx.Err() == nil {
 		at, err := ga.readState(ctx)
 		if err != nil {
-			ga.lost(ctx, err)
+			ga.storeFailed(ctx, err)
 			continue
 		}
 		ga.watch(ctx, at)
@@ -58,35 +58,35 @@
 // watch takes changes as they come, until the history has gone.
 func (ga *Gateway) watch(ctx context.Context, after revision.Revision) {
 	for ctx.Err() == nil {
-		next, err := ga.receive(ctx, after)
+		next, err := ga.receiveChanges(ctx, after)
 		switch {
-		case errors.Is(err, ErrHistoryGone):
+		case errors.Is(err, ErrHistoryUnavailable):
 			ga.Log.Warn().Int("event", int(event.HistoryGone)).Stringer("revision", after).Msg(event.Name(event.HistoryGone))
 			return
 		case err != nil:
-			ga.lost(ctx, err)
+			ga.storeFailed(ctx, err)
 		default:
 			after = next
 		}
 	}
 }
 
-// receive waits once for changes after a revision, and returns the revision to go on
+// receiveChanges waits once for changes after a revision, and returns the revision to go on
 // from. A watcher that fails is not asked again for a while; one whose history does not reach back
 // is asked again after a call to the service.
-func (ga *Gateway) receive(ctx context.Context, after revision.Revision) (revision.Revision, error) {
+func (ga *Gateway) receiveChanges(ctx context.Context, after revision.Revision) (revision.Revision, error) {
 	wa, ok := ga.watcher(clock.Now())
 	if !ok {
 		return ga.watchService(ctx, after, ga.watchWait(clock.Now()))
 	}
-	next, err := ga.ask(ctx, after)
+	next, err := ga.requestUpdates(ctx, after)
 	if err == nil || ctx.Err() != nil {
 		return next, nil
 	}
 	if errors.Is(err, errUnknown) && ga.mayCatchUp(clock.Now()) {
 		return ga.watchService(ctx, after, watchLeast)
 	}
-	ga.leaveWatcher(wa, err)
+	ga.watcherFailed(wa, err)
 	sleep(ctx, watcherPause)
 	return next, nil
 }
@@ -94,16 +94,16 @@
 // watchService waits once for changes from the key-value service.
 func (ga *Gateway) watchService(ctx context.Context, after revision.Revision, wait time.Duration) (revision.Revision, error) {
 	sent := clock.Now()
-	st, err := ga.Source.Watch(ctx, after, wait)
+	st, err := ga.Store.Watch(ctx, after, wait)
 	if err != nil {
 		return after, err
 	}
 	if err := ga.continues(st.Revision, after, clock.Now()); err != nil {
 		return after, err
 	}
-	ga.apply(st, sent, wait, clock.Now())
+	ga.applyWatch(st, sent, wait, clock.Now())
 	if len(st.Changes) > 0 {
-		sleep(ctx, gather)
+		sleep(ctx, changeBatchPause)
 	}
 	return st.Revision, nil
 }
@@ -115,10 +115,10 @@
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
 	switch {
-	case !ga.eras.Accept(to.Era, now):
+	case !ga.eraGuard.Accept(to.Era, now):
 		return errOlderEra
 	case to.Era != after.Era:
-		return ErrHistoryGone
+		return ErrHistoryUnavailable
 	}
 	return nil
 }
@@ -129,26 +129,26 @@
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
 	most := watchMost
-	if ga.plan.Root(ga.memberList()) {
+	if ga.relayPlan.Root(ga.memberList()) {
 		most = watchRoot
 	}
-	if ga.Bounds.Revoke == 0 {
+	if ga.Bounds.MaxConfigAge == 0 {
 		return most
 	}
-	left := ga.Bounds.oldest() - ga.fresh.Age(now)
+	left := ga.Bounds.keyAcceptanceAge() - ga.freshness.Age(now)
 	return min(most, max(watchLeast, left/2))
 }
 
-// lost records a failed call and waits for a while.
-func (ga *Gateway) lost(ctx context.Context, why error) {
+// storeFailed records a failed call and waits for a while.
+func (ga *Gateway) storeFailed(ctx context.Context, why error) {
 	if ctx.Err() != nil {
 		return
 	}
 	ga.mu.Lock()
-	was := ga.fresh.Failed()
-	ga.plan.ServiceFailed(clock.Now())
+	was := ga.freshness.Failed()
+	ga.relayPlan.ServiceFailed(clock.Now())
 	ga.servers.StoreLost()
-	age, began := ga.fresh.Age(clock.Now()), !ga.fresh.Known()
+	age, began := ga.freshness.Age(clock.Now()), !ga.freshness.Known()
 	ga.mu.Unlock()
 	storeFailures.Inc()
 	if was {
@@ -169,7 +169,7 @@
 	select {
 	case <-ctx.Done():
 	case <-ti.C:
-	case <-ga.back:
+	case <-ga.storeAvailable:
 	}
 }
 
@@ -182,30 +182,30 @@
 	}
 }
 
-// regained records that the service answers again. The lock is held.
-func (ga *Gateway) regained() {
+// storeRecovered records that the service answers again. The lock is held.
+func (ga *Gateway) storeRecovered() {
 	ga.servers.StoreBack(clock.Now())
 	ga.Log.Info().Int("event", int(event.StoreRegained)).Msg(event.Name(event.StoreRegained))
 }
 
-// takeRead applies a whole state that was read from the service.
-func (ga *Gateway) takeRead(st State, sent time.Time) error {
+// applyReadState applies a whole state that was read from the service.
+func (ga *Gateway) applyReadState(st State, sent time.Time) error {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
-	if !ga.eras.Accept(st.Revision.Era, clock.Now()) {
+	if !ga.eraGuard.Accept(st.Revision.Era, clock.Now()) {
 		return errOlderEra
 	}
-	ga.unseen = min(mostUnseen, ga.fresh.Age(clock.Now()))
-	if ga.fresh.Read(sent) {
-		ga.regained()
+	ga.maxChangeAge = min(maxMissedChangeAge, ga.freshness.Age(clock.Now()))
+	if ga.freshness.Read(sent) {
+		ga.storeRecovered()
 	}
-	ga.replace(st)
-	ga.unseen = 0
+	ga.replaceState(st)
+	ga.maxChangeAge = 0
 	return nil
 }
 
-// replace applies a whole state; the lock is held.
-func (ga *Gateway) replace(st State) {
+// replaceState applies a whole state; the lock is held.
+func (ga *Gateway) replaceState(st State) {
 	now := clock.Now()
 	restored := ga.restoredSince(st.Revision, now)
 	listed, evacuated, blocked := map[string]bool{}, map[string]bool{}, map[poison.Print]bool{}
@@ -223,7 +223,7 @@
 		case ch.Blocked != nil:
 			blocked[ch.Blocked.Print] = true
 		}
-		ga.change(ch)
+		ga.applyChange(ch)
 	}
 	ga.keepServers(listed, restored, now)
 	if restored {
@@ -238,29 +238,29 @@
 		Int("servers", len(listed)).Msg(event.Name(event.StateRead))
 }
 
-// apply applies the answer to a watch that was sent at a time.
-func (ga *Gateway) apply(st State, sent time.Time, wait time.Duration, now time.Time) {
+// applyWatch applies the answer to a watch that was sent at a time.
+func (ga *Gateway) applyWatch(st State, sent time.Time, wait time.Duration, now time.Time) {
 	ba := relay.Batch{To: st.Revision}
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
-	if ga.serves(now) {
+	if ga.servesUpdates(now) {
 		ba = ga.encode(st)
 	}
-	if ga.fresh.Watched(sent, wait, len(st.Changes) == 0, now) {
-		ga.regained()
+	if ga.freshness.Watched(sent, wait, len(st.Changes) == 0, now) {
+		ga.storeRecovered()
 	}
-	ga.takeBatch(st.Changes, ba)
+	ga.applyBatch(st.Changes, ba)
 	ga.noteConfirmed()
 }
 
-// takeBatch applies changes, and keeps them as encoded if other gateways may ask this one. A batch
+// applyBatch applies changes, and keeps them as encoded if other gateways may ask this one. A batch
 // that was not encoded is not kept, nor is the history before it. The lock is held.
-func (ga *Gateway) takeBatch(changes []Change, ba relay.Batch) {
+func (ga *Gateway) applyBatch(changes []Change, ba relay.Batch) {
 	for _, ch := range changes {
-		ga.change(ch)
+		ga.applyChange(ch)
 	}
 	encoded := len(changes) == 0 || len(ba.Data) > 0
-	if encoded && ga.serves(clock.Now()) {
+	if encoded && ga.servesUpdates(clock.Now()) {
 		ga.history.Add(ba)
 	} else {
 		ga.history.Reset(ba.To)
@@ -271,11 +271,11 @@
 	}
 }
 
-// change applies one change; the lock is held.
-func (ga *Gateway) change(ch Change) {
+// applyChange applies one applyChange; the lock is held.
+func (ga *Gateway) applyChange(ch Change) {
 	switch {
 	case ch.Document != nil:
-		ga.adopt(ch.Document)
+		ga.applyConfig(ch.Document)
 	case ch.Server != nil:
 		ga.putServer(*ch.Server, clock.Now())
 	case ch.Gone != "":
@@ -283,10 +283,10 @@
 	case ch.Unusable != nil:
 		ga.entryUnusable(*ch.Unusable)
 	case ch.Evacuated != "":
-		ga.lostCentres.Release(ch.Evacuated)
+		ga.missingDataCentres.Release(ch.Evacuated)
 		ga.evacuate(ch.Evacuated)
 	case ch.Restored != "":
-		ga.lostCentres.Release(ch.Restored)
+		ga.missingDataCentres.Release(ch.Restored)
 		ga.restore(ch.Restored, clock.Now())
 	case ch.Order != nil:
 		ga.ordered(*ch.Order)
@@ -301,16 +301,16 @@
 	case ch.Unblocked != nil:
 		ga.notKept(*ch.Unblocked)
 	case ch.Member != nil:
-		ga.joined(*ch.Member)
+		ga.memberJoined(*ch.Member)
 	case ch.MemberGone != "":
-		ga.left(ch.MemberGone)
+		ga.memberLeft(ch.MemberGone)
 	case ch.Unreadable != nil:
 		ga.Log.Error().Int("event", int(event.ConfigRefused)).Err(ch.Unreadable).Msg(event.Name(event.ConfigRefused))
 	}
 }
 
-// adopt puts a configuration into force if its version is higher. The lock is held.
-func (ga *Gateway) adopt(doc *routing.Document) {
+// applyConfig puts a configuration into force if its version is higher. The lock is held.
+func (ga *Gateway) applyConfig(doc *routing.Document) {
 	held := ga.table.Load().Version()
 	if doc.Version <= held {
 		return
--- a/internal/gateway/fuzz_test.go
+++ b/internal/gateway/fuzz_test.go
@@ -17,12 +17,12 @@
 	"github.com/linnetrudder/linnetrudder/internal/routing"
 )
 
-// knowing returns a gateway that knows one server and a configuration.
-func knowing() *Gateway {
-	ga := &Gateway{Log: zerolog.Nop(), Box: "a", DataCentre: "dc", Bounds: Bounds{Revoke: 5 * time.Second, RetryWindow: time.Second}}
+// newGatewayWithState returns a gateway that knows one server and a configuration.
+func newGatewayWithState() *Gateway {
+	ga := &Gateway{Log: zerolog.Nop(), Box: "a", DataCentre: "dc", Bounds: Bounds{MaxConfigAge: 5 * time.Second, RetryWindow: time.Second}}
 	ga.prepare()
 	good := directory.Server{ID: "good", Service: "svc", Address: "1.2.3.4:5", DataCentre: "dc", Version: "v1"}
-	if err := ga.takeRead(State{Revision: rev(5), Changes: []Change{
+	if err := ga.applyReadState(State{Revision: rev(5), Changes: []Change{
 		{Document: &routing.Document{Version: 3, Services: []routing.Service{{Name: "svc"}}}}, {Server: &good},
 	}}, clock.Now()); err != nil {
 		panic(err)
@@ -30,8 +30,8 @@
 	return ga
 }
 
-// changesOf returns one change of each kind, as a watcher passes them on.
-func changesOf(f *testing.F) []byte {
+// encodedChanges returns one change of each kind, as a watcher passes them on.
+func encodedChanges(f *testing.F) []byte {
 	f.Helper()
 	pr := poison.PrintOf(poison.Request{Target: "x"})
 	bl := poison.NewBlock(pr, time.Minute, clock.Day())
@@ -55,8 +55,8 @@
 	return data
 }
 
-// holds checks what must hold whatever another process sends.
-func holds(t *testing.T, ga *Gateway) {
+// checkInvariants checks what must hold whatever another process sends.
+func checkInvariants(t *testing.T, ga *Gateway) {
 	t.Helper()
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
@@ -68,28 +68,28 @@
 // Changes that a watcher passes on: torn ones, ones that were passed on before, and ones out of
 // order.
 func FuzzBatches(f *testing.F) {
-	f.Add(changesOf(f), changesOf(f))
+	f.Add(encodedChanges(f), encodedChanges(f))
 	f.Add([]byte{0x80}, []byte{0xff})
 	f.Fuzz(func(t *testing.T, first, second []byte) {
-		ga := knowing()
+		ga := newGatewayWithState()
 		for _, order := range [][][]byte{{first, second}, {second, first}, {first, first}} {
 			for i, data := range order {
 				ba := relay.Batch{To: rev(uint64(6 + i)), Data: data}
 				batches, err := decodeBatches([]relay.Batch{ba})
-				if err != nil || names(batches[0], "good") {
+				if err != nil || mentionServer(batches[0], "good") {
 					continue
 				}
 				ga.mu.Lock()
-				ga.takeBatch(batches[0], ba)
+				ga.applyBatch(batches[0], ba)
 				ga.mu.Unlock()
 			}
 		}
-		holds(t, ga)
+		checkInvariants(t, ga)
 	})
 }
 
-// names reports whether changes say anything of a server.
-func names(changes []Change, server string) bool {
+// mentionServer reports whether changes say anything of a server.
+func mentionServer(changes []Change, server string) bool {
 	for _, ch := range changes {
 		if ch.Gone == server || ch.Server != nil && ch.Server.ID == server || ch.Unusable != nil && ch.Unusable.ID == server {
 			return true
@@ -100,13 +100,13 @@
 
 // A whole state that can't be decoded changes nothing.
 func FuzzWhole(f *testing.F) {
-	f.Add(changesOf(f))
+	f.Add(encodedChanges(f))
 	f.Add([]byte("torn"))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		ga := knowing()
-		_, err := ga.takeWhole(relay.Update{Revision: rev(9), Whole: data}, clock.Now())
+		ga := newGatewayWithState()
+		_, err := ga.applySnapshot(relay.Update{Revision: rev(9), Whole: data}, clock.Now())
 		if err != nil {
-			holds(t, ga)
+			checkInvariants(t, ga)
 		}
 		require.GreaterOrEqual(t, ga.Table().Version(), uint64(3))
 	})
@@ -116,7 +116,7 @@
 func FuzzReports(f *testing.F) {
 	pr := poison.PrintOf(poison.Request{Target: "x"})
 	data, err := cbor.Marshal(relay.Report{
-		Box: "b", Work: load.Work{1: 2}, Ready: true, Gateways: 3, Tallies: changesOf(f),
+		Box: "b", Work: load.Work{1: 2}, Ready: true, Gateways: 3, Tallies: encodedChanges(f),
 		Suspicions: []poison.Suspicion{{Print: pr, Server: "s", Ago: time.Second}},
 		Blocks:     []poison.Block{poison.NewBlock(pr, time.Hour, clock.Day())}, Doubts: []poison.Print{pr},
 	})
@@ -128,11 +128,11 @@
 		if cbor.Unmarshal(data, &re) != nil {
 			return
 		}
-		ga := knowing()
+		ga := newGatewayWithState()
 		answer := ga.Reported(re)
 		require.Equal(t, "a", answer.Box)
 		ga.takeRest(re, clock.Now())
 		ga.expireLoads(clock.Now().Add(time.Hour))
-		holds(t, ga)
+		checkInvariants(t, ga)
 	})
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -63,7 +63,7 @@
 	Box, DataCentre string
 	// Bounds may be changed later by SetBounds.
 	Bounds  Bounds
-	Source  Source
+	Store   Store
 	Backend Backend
 	// RelayAddress is where other gateways ask this one for changes; empty if it
 	// answers none. LinkMbps is the capacity of the box's link in Mbit/s.
@@ -72,10 +72,10 @@
 	// RelayHTTP opens connections to other gateways, for changes and for reports of load.
 	RelayHTTP *http.Client
 
-	// suspended is the suspended time that was logged; only the goroutine that ticks uses it.
-	suspended time.Duration
-	// relayed asks the watcher; only the goroutine that follows uses it.
-	relayed relay.Client
+	// loggedSuspended is the loggedSuspended time that was logged; only the goroutine that ticks uses it.
+	loggedSuspended time.Duration
+	// relayClient asks the watcher; only the goroutine that follows uses it.
+	relayClient relay.Client
 	// table is the configuration in force, nil before the first.
 	table atomic.Pointer[routing.Table]
 	// stop is set once a planned stop has begun.
@@ -85,24 +85,24 @@
 
 	// mu guards what follows.
 	mu sync.Mutex
-	// fresh knows how old the configuration may be.
-	fresh freshness.Record
+	// freshness knows how old the configuration may be.
+	freshness freshness.Record
 	// members holds the gateways that may watch for others, by box; size is how many
 	// gateways there are.
-	members map[string]relay.Member
-	size    int
-	// whole is the state as it was passed on last.
-	whole encodedState
-	// unseen is how old changes that are being applied for the first time may be.
-	unseen time.Duration
+	members      map[string]relay.Member
+	gatewayCount int
+	// snapshot is the state as it was passed on last.
+	snapshot encodedState
+	// maxChangeAge is how old changes that are being applied for the first time may be.
+	maxChangeAge time.Duration
 	// stateRead is set once the whole state was read.
 	stateRead bool
-	// plan says which of them to ask for changes.
-	plan relay.Plan
+	// relayPlan says which of them to ask for changes.
+	relayPlan relay.Plan
 	// document is the configuration in force as it came.
 	document *routing.Document
-	// asked is when another gateway last asked this one for changes.
-	asked time.Time
+	// lastUpdateRequest is when another gateway last lastUpdateRequest this one for changes.
+	lastUpdateRequest time.Time
 	// history holds the newest changes for others; changed is closed when there are
 	// more, confirmed when it is known again that there are none that are not known.
 	history   relay.History
@@ -117,44 +117,44 @@
 	// said to be unusable.
 	fleet    quota.Fleet
 	unusable map[string]bool
-	// unreadable bounds the log lines of reports that could not be read, ahead those of
+	// unreadableLog bounds the log lines of reports that could not be read, aheadLog those of
 	// gateways that ask for changes after a later revision.
-	unreadable, ahead zerolog.BurstSampler
-	// eras knows the era of the key-value service, eraSince is when a state of it was first read.
-	eras     revision.Guard
+	unreadableLog, aheadLog zerolog.BurstSampler
+	// eraGuard knows the era of the key-value service, eraSince is when a state of it was first read.
+	eraGuard revision.Guard
 	eraSince time.Time
-	// lostCentres and lostMembers hold the evacuated data centres and the members that a restored
+	// missingDataCentres and missingMembers hold the evacuated data centres and the members that a restored
 	// service does not name.
-	lostCentres, lostMembers grace.Set
+	missingDataCentres, missingMembers grace.Set
 	// isMember is set once this gateway has joined; rejoin gets a value when a restored service
 	// has lost its membership.
 	isMember bool
 	rejoin   chan struct{}
-	// leavingNews and pauseNews hold the servers whose shutdown or pause is propagated to other
+	// leavingGossip and pauseGossip hold the servers whose shutdown or pause is propagated to other
 	// gateways.
-	leavingNews, pauseNews gossip.Spread
+	leavingGossip, pauseGossip gossip.Spread
 	// loads holds what other gateways report of servers' work, loadPlan says to which
 	// of them this one reports.
 	loads    load.Table
 	loadPlan relay.Plan
-	// reported is when a collector last took this gateway's report, life tells its process
+	// lastReportCollected is when a collector last took this gateway's report, life tells its process
 	// from those before it on its box.
-	reported time.Time
-	life     uint64
-	// otherReady is when another gateway last said that it is ready.
-	otherReady time.Time
-	// back gets a value when the first one says so after none did.
-	back chan struct{}
+	lastReportCollected time.Time
+	instanceID          uint64
+	// otherReadyAt is when another gateway last said that it is ready.
+	otherReadyAt time.Time
+	// storeAvailable gets a value when the first one says so after none did.
+	storeAvailable chan struct{}
 	// pace knows how long heads take, by service and model.
 	pace pace.Meter
-	// prompts knows the usual size of prompts by route and by service, gains by how much
+	// promptSizes knows the usual size of promptSizes by route and by service, gains by how much
 	// models rate their answers higher than the smallest.
-	prompts sizes
-	gains   cascade.Gains
-	// backlogs follows each service's backlog.
-	backlogs map[string]*pace.Trend
-	// best knows how long answers take at their best, by service and model.
-	best pace.Floor
+	promptSizes sizes
+	modelGains  cascade.Gains
+	// backlogTrends follows each service's backlog.
+	backlogTrends map[string]*pace.Trend
+	// latencyFloors knows how long answers take at their latencyFloors, by service and model.
+	latencyFloors pace.Floor
 	// retries holds the window of each service.
 	retries map[string]*budget.Window
 	// rollouts holds the newest roll-out of each service.
@@ -170,15 +170,15 @@
 	// cases holds what is suspected of requests, blocks those that are not to be sent.
 	cases  poison.Cases
 	blocks poison.Blocks
-	// lifted is closed when a block has been lifted, and made anew.
-	lifted chan struct{}
-	// waiting holds the attempts whose servers have answered nothing yet, storing when the
+	// blockLifted is closed when a block has been blockLifted, and made anew.
+	blockLifted chan struct{}
+	// awaitingHead holds the attempts whose servers have answered nothing yet, storing when the
 	// blocks are to be stored that the key-value service does not hold yet.
-	waiting map[*sent]bool
-	storing map[poison.Print]time.Time
-	// objecting holds when the blocks are to be ended that others made of requests which
+	awaitingHead map[*attemptState]bool
+	storeBlockAt map[poison.Print]time.Time
+	// deleteBlockAt holds when the blocks are to be ended that others made of requests which
 	// servers answer here and live on.
-	objecting map[poison.Print]time.Time
+	deleteBlockAt map[poison.Print]time.Time
 	// doubts holds the blocks that this gateway or another one doubts, and since when it was
 	// heard of.
 	doubts map[poison.Print]time.Time
@@ -194,7 +194,7 @@
 	wg.Go(func() { ga.tick(ctx) })
 	wg.Go(func() { ga.keepMembership(ctx) })
 	wg.Go(func() { ga.shareLoad(ctx) })
-	ga.follow(ctx)
+	ga.syncState(ctx)
 	wg.Wait()
 	return ctx.Err()
 }
@@ -206,29 +206,29 @@
 		Box: ga.Box, DataCentre: ga.DataCentre, Directory: &ga.servers, Loads: &ga.loads,
 	}
 	ga.unusable = map[string]bool{}
-	ga.unreadable = zerolog.BurstSampler{Burst: unreadableBurst, Period: unreadablePeriod}
-	ga.ahead = zerolog.BurstSampler{Burst: aheadBurst, Period: aheadPeriod}
+	ga.unreadableLog = zerolog.BurstSampler{Burst: unreadableBurst, Period: unreadablePeriod}
+	ga.aheadLog = zerolog.BurstSampler{Burst: aheadBurst, Period: aheadPeriod}
 	ga.countFleet(clock.Now())
 	ga.retries = map[string]*budget.Window{}
 	ga.rollouts = map[string]*timedRollout{}
 	ga.phases = map[string]StoredPhase{}
 	ga.demands = map[string]*rate.Meter{}
-	ga.backlogs = map[string]*pace.Trend{}
+	ga.backlogTrends = map[string]*pace.Trend{}
 	ga.probes = map[string]*probe{}
 	ga.cases = poison.Cases{Ends: poison.FewestEnds}
-	ga.waiting = map[*sent]bool{}
-	ga.storing = map[poison.Print]time.Time{}
-	ga.objecting = map[poison.Print]time.Time{}
+	ga.awaitingHead = map[*attemptState]bool{}
+	ga.storeBlockAt = map[poison.Print]time.Time{}
+	ga.deleteBlockAt = map[poison.Print]time.Time{}
 	ga.doubts = map[poison.Print]time.Time{}
 	ga.members = map[string]relay.Member{}
-	ga.plan = relay.Plan{Box: ga.Box, DataCentre: ga.DataCentre}
-	ga.loadPlan = ga.plan
+	ga.relayPlan = relay.Plan{Box: ga.Box, DataCentre: ga.DataCentre}
+	ga.loadPlan = ga.relayPlan
 	ga.changed = make(chan struct{})
-	ga.lifted = make(chan struct{})
+	ga.blockLifted = make(chan struct{})
 	ga.confirmed = make(chan struct{})
-	ga.back = make(chan struct{}, 1)
+	ga.storeAvailable = make(chan struct{}, 1)
 	ga.rejoin = make(chan struct{}, 1)
-	ga.life = rand.Uint64()
+	ga.instanceID = rand.Uint64()
 }
 
 // InProgress returns how many requests are being served.
@@ -241,31 +241,31 @@
 func (ga *Gateway) Ready(now time.Time) bool {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
-	return ga.isReady(now)
+	return ga.readyLocked(now)
 }
 
-// isReady is Ready with the lock held.
-func (ga *Gateway) isReady(now time.Time) bool {
-	return !ga.Stopping() && ga.table.Load() != nil && ga.keysHold(now)
+// readyLocked is Ready with the lock held.
+func (ga *Gateway) readyLocked(now time.Time) bool {
+	return !ga.Stopping() && ga.table.Load() != nil && ga.acceptsKeysLocked(now)
 }
 
-// age returns how old the configuration may be at the most.
-func (ga *Gateway) age(now time.Time) time.Duration {
+// configAge returns how old the configuration may be at the most.
+func (ga *Gateway) configAge(now time.Time) time.Duration {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
-	return ga.fresh.Age(now)
+	return ga.freshness.Age(now)
 }
 
-// isFresh reports whether keys may be accepted.
-func (ga *Gateway) isFresh(now time.Time) bool {
+// acceptsKeys reports whether keys may be accepted.
+func (ga *Gateway) acceptsKeys(now time.Time) bool {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
-	return ga.keysHold(now)
+	return ga.acceptsKeysLocked(now)
 }
 
-// keysHold is isFresh with the lock held.
-func (ga *Gateway) keysHold(now time.Time) bool {
-	return ga.Bounds.Revoke == 0 || ga.fresh.Age(now) < ga.Bounds.oldest()
+// acceptsKeysLocked is isFresh with the lock held.
+func (ga *Gateway) acceptsKeysLocked(now time.Time) bool {
+	return ga.Bounds.MaxConfigAge == 0 || ga.freshness.Age(now) < ga.Bounds.keyAcceptanceAge()
 }
 
 // SetBounds takes changed bounds.
@@ -301,17 +301,17 @@
 func (ga *Gateway) noteTick(now time.Time) {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
-	ga.fresh.Tick(now)
+	ga.freshness.Tick(now)
 }
 
 // noteSuspended logs that the machine was suspended since the last tick.
 func (ga *Gateway) noteSuspended() {
 	total := clock.Suspended()
-	if total == ga.suspended {
+	if total == ga.loggedSuspended {
 		return
 	}
-	ga.Log.Warn().Int("event", int(event.MachineSuspended)).Dur("for_ms", total-ga.suspended).Msg(event.Name(event.MachineSuspended))
-	ga.suspended = total
+	ga.Log.Warn().Int("event", int(event.MachineSuspended)).Dur("for_ms", total-ga.loggedSuspended).Msg(event.Name(event.MachineSuspended))
+	ga.loggedSuspended = total
 }
 
 // window returns the retry window of a service; the lock is held.
--- a/internal/gateway/health.go
+++ b/internal/gateway/health.go
@@ -10,7 +10,7 @@
 
 // judge notes what an attempt says of its server. What ended because the
 // caller left, or its time, says nothing.
-func (ga *Gateway) judge(ctx context.Context, se *sent, good bool, now time.Time) {
+func (ga *Gateway) judge(ctx context.Context, se *attemptState, good bool, now time.Time) {
 	if ctx.Err() != nil && !good {
 		return
 	}
@@ -29,7 +29,7 @@
 }
 
 // leaveServer takes a server out of use for a while that takes no connection.
-func (ga *Gateway) leaveServer(ctx context.Context, se *sent, now time.Time) {
+func (ga *Gateway) leaveServer(ctx context.Context, se *attemptState, now time.Time) {
 	if ctx.Err() != nil {
 		return
 	}
@@ -41,7 +41,7 @@
 }
 
 // forgetServer takes a server out of use whose address another one has.
-func (ex *exchange) forgetServer(se *sent) {
+func (ex *exchange) forgetServer(se *attemptState) {
 	ex.ga.mu.Lock()
 	defer ex.ga.mu.Unlock()
 	ex.ga.servers.Remove(se.server.ID, clock.Now())
--- a/internal/gateway/held.go
+++ b/internal/gateway/held.go
@@ -13,20 +13,20 @@
 
 // heldAnswer is an answer that is dropped after rejectionTime unless the caller needs it after all.
 type heldAnswer struct {
-	attempt *sent
+	attempt *attemptState
 	release *time.Timer
 }
 
 // replace frees the attempt before a step. The answer that an escalation is to improve on is held for
 // a moment: the larger model's server may reject the attempt while no retry is left.
-func (ex *exchange) replace(at *sent, step direct.Step) {
+func (ex *exchange) replace(at *attemptState, step direct.Step) {
 	switch {
 	case at == nil:
 	case step.Escalates():
 		ex.dropHeld()
-		ex.held = &heldAnswer{attempt: at, release: time.AfterFunc(rejectionTime, at.drop)}
+		ex.held = &heldAnswer{attempt: at, release: time.AfterFunc(rejectionTime, at.discard)}
 	default:
-		at.drop()
+		at.discard()
 		if ex.held != nil {
 			ex.held.release.Reset(rejectionTime)
 		}
@@ -35,27 +35,27 @@
 
 // checkHeld tells the request whether the answer before an escalation is still held, once the head of
 // the next answer came or will not come. If it is, it stays so until the next step.
-func (ex *exchange) checkHeld(at *sent) {
+func (ex *exchange) checkHeld(at *attemptState) {
 	if ex.held == nil {
 		return
 	}
-	if at.answer != nil || !ex.held.release.Stop() {
+	if at.response != nil || !ex.held.release.Stop() {
 		ex.dropHeld()
 		ex.request.Released()
 	}
 }
 
 // fallBack frees the attempt that was to improve on the held answer, and returns the latter's.
-func (ex *exchange) fallBack(at *sent) *sent {
-	at.drop()
+func (ex *exchange) fallBack(at *attemptState) *attemptState {
+	at.discard()
 	held := ex.takeHeld()
-	ex.ga.Log.Info().Int("event", int(event.RequestFellBack)).Str("request", ex.as.ID).Str("server", held.server.ID).
+	ex.ga.Log.Info().Int("event", int(event.RequestFellBack)).Str("request", ex.rq.ID).Str("server", held.server.ID).
 		Str("model", held.step.Model()).Str("before", at.server.ID).Err(at.err).Msg(event.Name(event.RequestFellBack))
 	return held
 }
 
 // takeHeld returns the held answer.
-func (ex *exchange) takeHeld() *sent {
+func (ex *exchange) takeHeld() *attemptState {
 	at := ex.held.attempt
 	ex.held = nil
 	return at
@@ -67,5 +67,5 @@
 		return
 	}
 	ex.held.release.Stop()
-	ex.takeHeld().drop()
+	ex.takeHeld().discard()
 }
--- a/internal/gateway/limits.go
+++ b/internal/gateway/limits.go
@@ -33,7 +33,7 @@
 	case backpressure.Unchanged:
 		return
 	case backpressure.Limited:
-		limitsNamed.Inc()
+		serverLimits.Inc()
 		perSecond, _ := ga.pool.Limits.PerSecond(server)
 		id, le = event.ServerLimited, ga.Log.Warn().Float64("per_second", perSecond)
 	}
--- a/internal/gateway/limits_test.go
+++ b/internal/gateway/limits_test.go
@@ -26,7 +26,7 @@
 )
 
 // nameLimit lets a server name a limit from now on, or none for zero.
-func (cr *crashing) nameLimit(id string, perSecond float64) {
+func (cr *crashingBackend) nameLimit(id string, perSecond float64) {
 	cr.mu.Lock()
 	defer cr.mu.Unlock()
 	if cr.limits == nil {
@@ -40,14 +40,14 @@
 }
 
 // arrivals returns when requests reached a server after a time.
-func (cr *crashing) arrivals(id string, after time.Time) []time.Time {
+func (cr *crashingBackend) arrivals(id string, after time.Time) []time.Time {
 	cr.mu.Lock()
 	defer cr.mu.Unlock()
 	return slices.DeleteFunc(slices.Clone(cr.arrived[id]), func(at time.Time) bool { return !at.After(after) })
 }
 
 // most returns the most requests that a server got in a span, of those after a time.
-func (cr *crashing) most(id string, after time.Time) int {
+func (cr *crashingBackend) most(id string, after time.Time) int {
 	list, most := cr.arrivals(id, after), 0
 	for i, at := range list {
 		n := 0
@@ -62,10 +62,10 @@
 }
 
 // press sends a hundred requests a second to all gateways in turn; each asks two servers.
-func (sc *scene) press(lasts time.Duration) {
+func (sc *testCluster) press(lasts time.Duration) {
 	for n := range int(lasts / (10 * time.Millisecond)) {
 		id := fmt.Sprint("press-", time.Now().UnixNano())
-		sc.ask(n%len(sc.gateways), "/menu/"+id, id)
+		sc.send(n%len(sc.gateways), "/menu/"+id, id)
 		time.Sleep(10 * time.Millisecond)
 	}
 }
@@ -83,7 +83,7 @@
 	for _, gateways := range []int{1, 4, 23} {
 		t.Run(fmt.Sprint(gateways), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				sc := newScene(t, gateways)
+				sc := newTestCluster(t, gateways)
 				sc.press(6 * time.Second)
 				named := time.Now()
 				needy := []string{"s3", "s9"}
@@ -105,7 +105,7 @@
 					require.Greater(t, len(sc.servers.arrivals(id, ended)), 12, "%s is used as before", id)
 				}
 				sc.callers.Wait()
-				for _, ca := range sc.others {
+				for _, ca := range sc.otherResponses {
 					require.True(t, ca.answered, "%+v", ca)
 				}
 			})
@@ -118,7 +118,7 @@
 	for gateways, least := range map[int]float64{1: 0.9, 4: 0.9, 12: 0.8} {
 		t.Run(fmt.Sprint(gateways), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				sc := newScene(t, gateways)
+				sc := newTestCluster(t, gateways)
 				time.Sleep(40 * time.Second) // until all know how many gateways there are
 				sc.press(2 * time.Second)
 				named := time.Now()
@@ -127,7 +127,7 @@
 				}
 				sc.press(3 * time.Second)
 				sc.callers.Wait()
-				sc.others = nil
+				sc.otherResponses = nil
 				sc.press(16 * time.Second)
 				sc.callers.Wait()
 				used := 0
@@ -135,9 +135,9 @@
 					require.LessOrEqual(t, sc.servers.most(se.listed.ID, named.Add(holdWithin)), mostInSpan, se.listed.ID)
 					used += len(sc.servers.arrivals(se.listed.ID, named.Add(5*time.Second)))
 				}
-				require.Greater(t, float64(used), least*namedLimit*poolSize*14)
+				require.Greater(t, float64(used), least*namedLimit*serverCount*14)
 				refused := 0
-				for _, ca := range sc.others {
+				for _, ca := range sc.otherResponses {
 					if ca.answered {
 						continue
 					}
@@ -178,7 +178,7 @@
 			require.Equal(t, "x1", id)
 			lapse(ga, now)
 			require.Nil(t, ga.servers.Get("x1"))
-			ga.change(serverChange("x1", "dc1"))
+			ga.applyChange(serverChange("x1", "dc1"))
 			_, ok = ex.Pick("", []string{"x0", "x2"}, now)
 			require.False(t, ok, "it has had what it takes for now")
 			_, ok = ex.Pick("", []string{"x0", "x2"}, now.Add(time.Second))
--- a/internal/gateway/loads.go
+++ b/internal/gateway/loads.go
@@ -139,7 +139,7 @@
 	}
 	re.Work = re.Work.Busiest(loadServers)
 	now := clock.Now()
-	re.Ready = ga.isReady(now)
+	re.Ready = ga.readyLocked(now)
 	to := gossip.ToCollector
 	if collector {
 		to = gossip.BetweenCollectors
@@ -155,7 +155,7 @@
 	}
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
-	ga.reported = now
+	ga.lastReportCollected = now
 	ga.handedOver()
 }
 
@@ -180,8 +180,8 @@
 // collector has gone, the others are taken to be there still. The lock is held.
 func (ga *Gateway) resize() {
 	known := max(len(ga.members), 1+ga.loads.Others())
-	if known >= ga.size || ga.loads.Known() {
-		ga.size = known
+	if known >= ga.gatewayCount || ga.loads.Known() {
+		ga.gatewayCount = known
 		ga.pool.Members = known
 	}
 }
@@ -191,20 +191,20 @@
 	if !re.Ready {
 		return
 	}
-	if now.Sub(ga.otherReady) >= loadKept {
+	if now.Sub(ga.otherReadyAt) >= loadKept {
 		select {
-		case ga.back <- struct{}{}:
+		case ga.storeAvailable <- struct{}{}:
 		default:
 		}
 	}
-	ga.otherReady = now
+	ga.otherReadyAt = now
 }
 
 // elsewhere reports whether another gateway has just said that it is ready.
 func (ga *Gateway) elsewhere(now time.Time) bool {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
-	return now.Sub(ga.otherReady) < loadKept
+	return now.Sub(ga.otherReadyAt) < loadKept
 }
 
 // Reported takes another gateway's report.
@@ -229,7 +229,7 @@
 		work, gateways = ga.loads.Rest(re.Box, ga.pool.Work()), ga.loads.Others()
 	}
 	answer := relay.Report{
-		Box: ga.Box, Collector: true, Work: work.Busiest(loadServers), Ready: ga.isReady(now), Gateways: gateways,
+		Box: ga.Box, Collector: true, Work: work.Busiest(loadServers), Ready: ga.readyLocked(now), Gateways: gateways,
 	}
 	ga.addNotices(&answer, to, now)
 	return ga.addBlocks(answer, now)
--- a/internal/gateway/loads_test.go
+++ b/internal/gateway/loads_test.go
@@ -14,7 +14,7 @@
 
 // othersWork returns what a gateway knows of the others' attempts at the server s, or
 // false if it gets no reports.
-func (re *relaying) othersWork(box string) (uint32, bool) {
+func (re *relayCluster) othersWork(box string) (uint32, bool) {
 	ga := re.gateways[box]
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
@@ -22,7 +22,7 @@
 }
 
 // start notes attempts of a gateway at the server s.
-func (re *relaying) start(box string, attempts int) {
+func (re *relayCluster) start(box string, attempts int) {
 	ga := re.gateways[box]
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
@@ -32,7 +32,7 @@
 }
 
 func TestEachGatewayHearsOfTheOthersWork(t *testing.T) {
-	re := newRelaying(t)
+	re := newRelayCluster(t)
 	re.start("a", 1)
 	re.start("b", 2)
 	re.start("c", 4)
@@ -47,14 +47,14 @@
 // A gateway that nobody reports to estimates the others' work again instead of
 // believing what it heard last.
 func TestOldReportsAreNotBelieved(t *testing.T) {
-	re := newRelaying(t)
+	re := newRelayCluster(t)
 	re.start("a", 1)
 	re.eventually(t, "c hears of it", func() bool {
 		known, _ := re.othersWork("c")
 		return known == 1
 	})
 	for _, box := range []string{"a", "b"} {
-		re.deafen(box)
+		re.disableRelay(box)
 	}
 	began := time.Now()
 	re.eventually(t, "c forgets it", func() bool {
@@ -93,11 +93,11 @@
 		return relay.Member{Box: box, DataCentre: "dc", Address: "127.0.0.1:1", LinkMbps: link}
 	}
 	for box, link := range map[string]int{"a": 1, "b": 2, "c": 2} {
-		ga.joined(member(box, link))
+		ga.memberJoined(member(box, link))
 	}
 	before := ga.loadPeers(time.Now())
 	require.Len(t, before, 1)
 	require.False(t, before[0].asCollector)
-	ga.left("b")
+	ga.memberLeft("b")
 	require.Equal(t, []loadPeer{{member("c", 2), true}}, ga.loadPeers(time.Now()))
 }
--- a/internal/gateway/membership.go
+++ b/internal/gateway/membership.go
@@ -33,7 +33,7 @@
 	ga.awaitNeed(ctx)
 	for ctx.Err() == nil {
 		pause := renewEvery
-		if err := ga.renew(ctx, &le); err != nil && ctx.Err() == nil {
+		if err := ga.renewMembership(ctx, &le); err != nil && ctx.Err() == nil {
 			ga.Log.Warn().Int("event", int(event.StoreCallFailed)).Err(err).Msg(event.Name(event.StoreCallFailed))
 			pause = joinAgain
 		}
@@ -73,19 +73,19 @@
 func (ga *Gateway) needed() bool {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
-	return ga.stateRead && ga.plan.Needed(ga.memberList(), ga.LinkMbps)
+	return ga.stateRead && ga.relayPlan.Needed(ga.memberList(), ga.LinkMbps)
 }
 
-// renew renews the lease, or joins anew if there is none.
-func (ga *Gateway) renew(ctx context.Context, le *Lease) error {
+// renewMembership renews the lease, or joins anew if there is none.
+func (ga *Gateway) renewMembership(ctx context.Context, le *Lease) error {
 	if *le != 0 {
-		err := ga.Source.Renew(ctx, *le)
-		if !errors.Is(err, ErrLeaseOver) {
+		err := ga.Store.RenewLease(ctx, *le)
+		if !errors.Is(err, ErrLeaseExpired) {
 			return err
 		}
 		*le = 0
 	}
-	joined, err := ga.Source.Join(ctx, ga.self(), memberTTL)
+	joined, err := ga.Store.Join(ctx, ga.self(), memberTTL)
 	if err != nil {
 		return err
 	}
@@ -101,11 +101,11 @@
 	return relay.Member{Box: ga.Box, DataCentre: ga.DataCentre, Address: ga.RelayAddress, LinkMbps: ga.LinkMbps}
 }
 
-// joined records a member; the lock is held.
-func (ga *Gateway) joined(me relay.Member) {
+// memberJoined records a member; the lock is held.
+func (ga *Gateway) memberJoined(me relay.Member) {
 	_, known := ga.members[me.Box]
 	ga.members[me.Box] = me
-	ga.lostMembers.Release(me.Box)
+	ga.missingMembers.Release(me.Box)
 	if !known {
 		ga.resize()
 		ga.noteMember(event.MemberJoined, me.Box)
@@ -128,9 +128,9 @@
 		switch {
 		case listed[box]:
 		case restored:
-			ga.lostMembers.Hold(box, now.Add(rewriteGrace))
-		case !ga.lostMembers.Has(box):
-			ga.left(box)
+			ga.missingMembers.Hold(box, now.Add(rewriteGrace))
+		case !ga.missingMembers.Has(box):
+			ga.memberLeft(box)
 		}
 	}
 	if restored && ga.isMember && !listed[ga.Box] {
@@ -146,9 +146,9 @@
 	}
 }
 
-// left records that a member is gone; the lock is held.
-func (ga *Gateway) left(box string) {
-	ga.lostMembers.Release(box)
+// memberLeft records that a member is gone; the lock is held.
+func (ga *Gateway) memberLeft(box string) {
+	ga.missingMembers.Release(box)
 	if _, known := ga.members[box]; known {
 		delete(ga.members, box)
 		ga.resize()
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -11,9 +11,9 @@
 var (
 	storeFailures     = metrics.NewCounter(`linnetrudder_store_failures_total`)
 	storeEra          = metrics.NewGauge(`linnetrudder_store_era`, nil)
-	serverEnds        = metrics.NewCounter(`linnetrudder_server_ends_total`)
-	blocksBegun       = metrics.NewCounter(`linnetrudder_request_blocks_total`)
-	limitsNamed       = metrics.NewCounter(`linnetrudder_server_limits_total`)
+	serverCrashes     = metrics.NewCounter(`linnetrudder_server_ends_total`)
+	requestBlocks     = metrics.NewCounter(`linnetrudder_request_blocks_total`)
+	serverLimits      = metrics.NewCounter(`linnetrudder_server_limits_total`)
 	serverPauses      = metrics.NewCounter(`linnetrudder_server_pauses_total`)
 	serversLeaving    = metrics.NewCounter(`linnetrudder_servers_leaving_total`)
 	reportsUnreadable = metrics.NewCounter(`linnetrudder_reports_unreadable_total`)
--- a/internal/gateway/models.go
+++ b/internal/gateway/models.go
@@ -57,7 +57,7 @@
 // First returns the model to ask first. A caller that resumes a stream may have
 // a part of it from the largest model.
 func (ex *exchange) First(time.Time) int {
-	if ex.as.LastEvent != "" {
+	if ex.rq.LastEventID != "" {
 		return len(ex.request.Models) - 1
 	}
 	return 0
@@ -78,7 +78,7 @@
 	}
 	ex.ga.mu.Lock()
 	defer ex.ga.mu.Unlock()
-	ex.ga.gains.Observe(ex.modelKey(ex.request.Models[place]), ex.smallest, confidence)
+	ex.ga.modelGains.Observe(ex.modelKey(ex.request.Models[place]), ex.smallest, confidence)
 }
 
 // considerModels takes what a model above the one at a place is chosen by now.
@@ -98,13 +98,13 @@
 	for i, model := range ex.request.Models {
 		op := &ex.choice.options[i]
 		if i > 0 {
-			op.Gain = ga.gains.Of(ex.modelKey(model))
+			op.Gain = ga.modelGains.Of(ex.modelKey(model))
 		}
 		if i <= place {
 			continue
 		}
 		op.Price, op.Head = ex.price(i), unreachable
-		if of, ok := ga.pool.Pick(ex.askFor(model, nil, now), 0, now); ok {
+		if of, ok := ga.pool.Pick(ex.poolRequest(model, nil, now), 0, now); ok {
 			op.Head = of.Head()
 			op.Load = of.Read().Seconds() / usual.Seconds()
 		}
@@ -113,10 +113,10 @@
 
 // backlog returns the trend of a service's backlog; the lock is held.
 func (ga *Gateway) backlog(service string) *pace.Trend {
-	tr := ga.backlogs[service]
+	tr := ga.backlogTrends[service]
 	if tr == nil {
 		tr = &pace.Trend{}
-		ga.backlogs[service] = tr
+		ga.backlogTrends[service] = tr
 	}
 	return tr
 }
@@ -143,8 +143,8 @@
 // its route. Larger prompts have more value, but each kind of request counts alike. The lock is held.
 func (ex *exchange) usualRead() time.Duration {
 	ga, models := ex.ga, ex.request.Models
-	own := ownPart*float64(ex.as.PromptTokens) + (1-ownPart)*ga.prompts.means[ex.route.Name]
-	tokens := math.Sqrt(max(1, own) * max(1, ga.prompts.means[ex.service]))
+	own := ownPart*float64(ex.rq.PromptTokens) + (1-ownPart)*ga.promptSizes.means[ex.route.Name]
+	tokens := math.Sqrt(max(1, own) * max(1, ga.promptSizes.means[ex.service]))
 	return max(time.Microsecond, ga.pool.ReadTime(ex.prompt(models[len(models)-1]), tokens))
 }
 
@@ -153,8 +153,8 @@
 
 // prompt returns what a model is to read, the zero value for a plain service.
 func (ex *exchange) prompt(model string) pool.Prompt {
-	as := ex.as
-	start, shared := as.shared()
+	as := ex.rq
+	start, shared := as.sharedPrefix()
 	if start == "" {
 		return pool.Prompt{}
 	}
--- a/internal/gateway/outcomes.go
+++ b/internal/gateway/outcomes.go
@@ -58,9 +58,9 @@
 	ro := ga.rollouts[se.Service]
 	isNew := ro != nil && se.Version == ro.order.Plan.Version
 	if !isNew {
-		ga.best.Observe(name, took)
+		ga.latencyFloors.Observe(name, took)
 	}
-	if best := ga.best.Floor(name); ro != nil && !ro.over() && best > 0 {
+	if best := ga.latencyFloors.Floor(name); ro != nil && !ro.over() && best > 0 {
 		ro.canary.ObservePace(se.Key(), isNew, float64(took) > times*float64(best), now)
 	}
 }
--- a/internal/gateway/poison_test.go
+++ b/internal/gateway/poison_test.go
@@ -29,12 +29,12 @@
 func TestARequestUnderWhichServersEndIsNotSentToMore(t *testing.T) {
 	for _, silent := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
-			sc := newScene(t, 4)
+			sc := newTestCluster(t, 4)
 			sc.servers.silent = silent
-			sc.play(0, poisonPath, 20*time.Second)
+			sc.sendTraffic(0, poisonPath, 20*time.Second)
 			sc.callers.Wait()
-			require.LessOrEqual(t, sc.servers.tooMany(), 3, "%d ends", sc.servers.ends())
-			ends := sc.servers.ends()
+			require.LessOrEqual(t, sc.servers.lateCopies(), 3, "%d ends", sc.servers.endCount())
+			ends := sc.servers.endCount()
 			require.Less(t, ends, 10)
 
 			// All gateways are lost at once, and others begin.
@@ -42,23 +42,23 @@
 			sc.addGateway()
 			sc.addGateway()
 			time.Sleep(3 * time.Second)
-			sc.copies = nil
-			sc.play(4, poisonPath, 5*time.Second)
+			sc.poisonResponses = nil
+			sc.sendTraffic(4, poisonPath, 5*time.Second)
 			sc.callers.Wait()
-			require.Equal(t, ends, sc.servers.ends(), "what was known is kept")
-			require.NotEmpty(t, sc.copies)
-			for _, ca := range sc.copies {
+			require.Equal(t, ends, sc.servers.endCount(), "what was known is kept")
+			require.NotEmpty(t, sc.poisonResponses)
+			for _, ca := range sc.poisonResponses {
 				require.Equal(t, result.DidNotRun, result.Of(ca.code).Run())
 				require.Positive(t, ca.after)
 				require.Less(t, ca.took, 10*time.Millisecond, "at once")
 			}
 			served := 0
-			for _, ca := range sc.others {
+			for _, ca := range sc.otherResponses {
 				if ca.answered {
 					served++
 				}
 			}
-			require.Greater(t, served, 98*len(sc.others)/100, "of %d others", len(sc.others))
+			require.Greater(t, served, 98*len(sc.otherResponses)/100, "of %d others", len(sc.otherResponses))
 		})
 	}
 }
@@ -66,18 +66,18 @@
 // A request that may run once only meets one server a copy, and each gateway sees one end.
 func TestAPlainRequestUnderWhichServersEndIsFoundTogether(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		sc := newScene(t, 12)
-		sc.play(0, plainPoison, 20*time.Second)
+		sc := newTestCluster(t, 12)
+		sc.sendTraffic(0, plainPoisonPath, 20*time.Second)
 		sc.callers.Wait()
-		require.LessOrEqual(t, sc.servers.ends(), 6+2, "six, and one a trial")
-		require.LessOrEqual(t, sc.servers.tooMany(), 1, "the second trial, of three sends that the users bear")
+		require.LessOrEqual(t, sc.servers.endCount(), 6+2, "six, and one a trial")
+		require.LessOrEqual(t, sc.servers.lateCopies(), 1, "the second trial, of three sends that the users bear")
 		refused := 0
-		for _, ca := range sc.copies {
+		for _, ca := range sc.poisonResponses {
 			if result.Of(ca.code).Run() == result.DidNotRun {
 				refused++
 			}
 		}
-		require.Greater(t, refused, 9*len(sc.copies)/10)
+		require.Greater(t, refused, 9*len(sc.poisonResponses)/10)
 	})
 }
 
@@ -85,12 +85,12 @@
 // server's entry runs out some seconds later.
 func TestARequestUnderWhichMachinesEndIsFoundAsWell(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		sc := newSceneWith(t, 4, func(sc *scene) { sc.servers.withMachine = true })
-		sc.play(0, poisonPath, 20*time.Second)
+		sc := newTestClusterWith(t, 4, func(sc *testCluster) { sc.servers.machineFails = true })
+		sc.sendTraffic(0, poisonPath, 20*time.Second)
 		sc.callers.Wait()
-		require.Equal(t, 4, sc.blocked())
-		require.LessOrEqual(t, sc.servers.ends(), 30)
-		require.LessOrEqual(t, sc.servers.tooMany(), 3)
+		require.Equal(t, 4, sc.blockCount())
+		require.LessOrEqual(t, sc.servers.endCount(), 30)
+		require.LessOrEqual(t, sc.servers.lateCopies(), 3)
 	})
 }
 
@@ -98,9 +98,9 @@
 // that is in progress there.
 func TestServersThatEndTogetherBlockNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		sc := newScene(t, 4)
+		sc := newTestCluster(t, 4)
 		for range 6 {
-			sc.play(0, "", 1500*time.Millisecond)
+			sc.sendTraffic(0, "", 1500*time.Millisecond)
 			sc.servers.mu.Lock()
 			var rack []*fakeServer
 			for _, se := range sc.servers.servers {
@@ -114,11 +114,11 @@
 			for _, se := range rack[:6] {
 				sc.servers.end(se)
 			}
-			sc.play(0, "", 1500*time.Millisecond)
+			sc.sendTraffic(0, "", 1500*time.Millisecond)
 		}
 		sc.callers.Wait()
-		require.Equal(t, 36, sc.servers.ends())
-		require.Zero(t, sc.blocked())
+		require.Equal(t, 36, sc.servers.endCount())
+		require.Zero(t, sc.blockCount())
 	})
 }
 
@@ -126,36 +126,36 @@
 // four seconds and half of the gateways are lost and replaced in the middle of it.
 func TestSeveralSuchRequestsBesideOtherTrouble(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		sc := newScene(t, 8)
+		sc := newTestCluster(t, 8)
 		paths := []string{"/menu/a/poison", "/menu/b/poison", "/cards/a/poison", "/cards/b/poison"}
 		var callers sync.WaitGroup
-		callers.Go(func() { sc.play(0, "", 20*time.Second) })
+		callers.Go(func() { sc.sendTraffic(0, "", 20*time.Second) })
 		for _, path := range paths {
 			callers.Go(func() {
 				for n := range 50 {
-					sc.ask(n%8, path, fmt.Sprint("copy", path, n))
+					sc.send(n%8, path, fmt.Sprint("copy", path, n))
 					time.Sleep(400 * time.Millisecond)
 				}
 			})
 		}
 		time.Sleep(500 * time.Millisecond)
-		sc.cutAll(true)
+		sc.disconnectAll(true)
 		time.Sleep(2 * time.Second)
 		for i := range 4 {
-			sc.replace(2 * i)
+			sc.replaceGateway(2 * i)
 		}
 		time.Sleep(2 * time.Second)
-		sc.cutAll(false)
+		sc.disconnectAll(false)
 		back := time.Now()
 		callers.Wait()
 		sc.callers.Wait()
 		// Nobody can be told anything while both the service and a gateway's memory are gone.
-		known := back.Add(tellWithin)
+		known := back.Add(propagationTime)
 		sc.servers.mu.Lock()
 		defer sc.servers.mu.Unlock()
 		for _, path := range paths {
-			de := sc.servers.of[path]
-			require.LessOrEqual(t, de.tooMany(known), 3, "%s: %d ends", path, len(de.ended))
+			de := sc.servers.records[path]
+			require.LessOrEqual(t, de.lateCopies(known), 3, "%s: %d ends", path, len(de.ended))
 			require.LessOrEqual(t, len(de.ended), 20, path)
 		}
 	})
@@ -165,10 +165,10 @@
 // knows of no whole answer to it and blocks it; the others know better.
 func TestABlockOfWhatOthersAnswerIsEnded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		sc := newScene(t, 4)
+		sc := newTestCluster(t, 4)
 		common := func(gateways int) {
 			for i := range 40 {
-				sc.ask(i%gateways, "/menu/common", fmt.Sprint("common", gateways, "-", i))
+				sc.send(i%gateways, "/menu/common", fmt.Sprint("common", gateways, "-", i))
 				time.Sleep(25 * time.Millisecond)
 			}
 		}
@@ -180,22 +180,22 @@
 		time.Sleep(3 * time.Second)
 		newest := sc.gateways[4]
 		for i := range 3 {
-			sc.ask(4, "/menu/common", fmt.Sprint("new", i))
+			sc.send(4, "/menu/common", fmt.Sprint("new", i))
 			time.Sleep(100 * time.Millisecond)
 			for _, se := range sc.servers.all() {
-				if newest.hasRun(se.listed.ID) {
+				if newest.hasAttemptsAt(se.listed.ID) {
 					sc.servers.end(se)
 				}
 			}
 			time.Sleep(150 * time.Millisecond)
 		}
 		sc.callers.Wait()
-		require.LessOrEqual(t, sc.blocked(), 1, "the new one alone")
+		require.LessOrEqual(t, sc.blockCount(), 1, "the new one alone")
 		time.Sleep(3 * time.Second)
-		require.Zero(t, sc.blocked())
+		require.Zero(t, sc.blockCount())
 		require.Contains(t, newestLog.String(), event.Name(event.RequestBlocked))
 		require.Contains(t, newestLog.String(), event.Name(event.RequestUnblocked))
-		require.Empty(t, sc.keptBlocks())
+		require.Empty(t, sc.storedBlocks())
 	})
 }
 
@@ -220,26 +220,26 @@
 // Without the key-value service blocks go with the reports, and are kept once it is back.
 func TestBlocksAreToldWhileTheKeyValueServiceIsAway(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		sc := newScene(t, 8)
+		sc := newTestCluster(t, 8)
 		cut := func(cut bool) {
 			for i := range 16 {
-				sc.servers.kept.setCut(fmt.Sprint("b", i), cut)
+				sc.servers.store.setDisconnected(fmt.Sprint("b", i), cut)
 			}
 		}
 		cut(true)
-		sc.play(0, poisonPath, 6*time.Second)
+		sc.sendTraffic(0, poisonPath, 6*time.Second)
 		sc.callers.Wait()
-		require.Less(t, sc.servers.ends(), 10)
-		require.Equal(t, 8, sc.blocked(), "each gateway")
-		ends := sc.servers.ends()
+		require.Less(t, sc.servers.endCount(), 10)
+		require.Equal(t, 8, sc.blockCount(), "each gateway")
+		ends := sc.servers.endCount()
 		cut(false)
 		time.Sleep(8 * time.Second)
 		sc.stop()
 		sc.addGateway()
 		time.Sleep(3 * time.Second)
-		sc.play(8, poisonPath, 2*time.Second)
+		sc.sendTraffic(8, poisonPath, 2*time.Second)
 		sc.callers.Wait()
-		require.Equal(t, ends, sc.servers.ends())
+		require.Equal(t, ends, sc.servers.endCount())
 	})
 }
 
@@ -247,23 +247,23 @@
 // is taken off.
 func TestABlockEndsEverywhere(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		sc := newScene(t, 4)
-		sc.play(0, poisonPath, 5*time.Second)
+		sc := newTestCluster(t, 4)
+		sc.sendTraffic(0, poisonPath, 5*time.Second)
 		sc.callers.Wait()
-		require.Equal(t, 4, sc.blocked())
+		require.Equal(t, 4, sc.blockCount())
 		time.Sleep(5 * time.Second)
-		pr := sc.storedAt(0)
-		sc.servers.kept.add(Change{Unblocked: &pr})
+		pr := sc.firstStoredBlock(0)
+		sc.servers.store.add(Change{Unblocked: &pr})
 		time.Sleep(3 * time.Second)
-		require.Zero(t, sc.blocked())
+		require.Zero(t, sc.blockCount())
 
 		again := poison.NewBlock(pr, 10*time.Second, clock.Day())
-		sc.servers.kept.add(Change{Blocked: &again})
+		sc.servers.store.add(Change{Blocked: &again})
 		time.Sleep(3 * time.Second)
-		require.Equal(t, 4, sc.blocked())
+		require.Equal(t, 4, sc.blockCount())
 		time.Sleep(10 * time.Second)
-		require.Zero(t, sc.blocked())
-		st, _, err := view{kept: sc.servers.kept}.since(rev(0))
+		require.Zero(t, sc.blockCount())
+		st, _, err := storeView{store: sc.servers.store}.since(rev(0))
 		require.NoError(t, err)
 		require.NotNil(t, st.Changes[len(st.Changes)-1].Unblocked, "taken off by a watcher")
 	})
@@ -289,27 +289,27 @@
 			{"suspicions and blocks with reports", true, true, 4},
 		} {
 			synctest.Test(t, func(t *testing.T) {
-				sc := newSceneWith(t, gateways, func(sc *scene) {
-					sc.network.cut.Store(!wa.told)
-					sc.servers.kept.noBlocks = !wa.stored
+				sc := newTestClusterWith(t, gateways, func(sc *testCluster) {
+					sc.network.partitioned.Store(!wa.told)
+					sc.servers.store.rejectsBlocks = !wa.stored
 				})
 				for _, ga := range sc.gateways {
 					ga.mu.Lock()
 					ga.cases.Ends = wa.ends
 					ga.mu.Unlock()
 				}
-				sc.play(0, poisonPath, 20*time.Second)
+				sc.sendTraffic(0, poisonPath, 20*time.Second)
 				sc.callers.Wait()
 				served := 0
-				for _, ca := range sc.others {
+				for _, ca := range sc.otherResponses {
 					if ca.answered {
 						served++
 					}
 				}
 				name := fmt.Sprint(wa.name, ", from ", wa.ends, " ends")
-				ended[fmt.Sprint(gateways, name)] = sc.servers.ends()
+				ended[fmt.Sprint(gateways, name)] = sc.servers.endCount()
 				t.Logf("%d gateways, %s: %d servers ended, %d copies too many, %.3f of the others served",
-					gateways, name, sc.servers.ends(), sc.servers.tooMany(), float64(served)/float64(len(sc.others)))
+					gateways, name, sc.servers.endCount(), sc.servers.lateCopies(), float64(served)/float64(len(sc.otherResponses)))
 			})
 		}
 		taken := ended[fmt.Sprint(gateways, "suspicions and blocks with reports, from 3 ends")]
--- a/internal/gateway/relayed.go
+++ b/internal/gateway/relay.go
@@ -42,12 +42,12 @@
 	defer ga.mu.Unlock()
 	var wa relay.Member
 	ok := false
-	if ga.Bounds.Revoke == 0 || ga.Bounds.oldest() >= relayLeast {
-		wa, ok = ga.plan.Watcher(ga.memberList(), now)
+	if ga.Bounds.MaxConfigAge == 0 || ga.Bounds.keyAcceptanceAge() >= relayLeast {
+		wa, ok = ga.relayPlan.Watcher(ga.memberList(), now)
 	}
-	if wa.Address != ga.relayed.Address {
-		ga.relayed.Close()
-		ga.relayed = relay.Client{Address: wa.Address, Slack: relaySlack, HTTP: ga.RelayHTTP}
+	if wa.Address != ga.relayClient.Address {
+		ga.relayClient.Close()
+		ga.relayClient = relay.Client{Address: wa.Address, Slack: relaySlack, HTTP: ga.RelayHTTP}
 		ga.noteWatcher(wa, ok)
 	}
 	return wa, ok
@@ -62,18 +62,18 @@
 	ga.Log.Info().Int("event", int(id)).Str("watcher", wa.Box).Int("members", len(ga.members)).Msg(event.Name(id))
 }
 
-// ask asks the watcher once for changes after a revision, and returns the revision
+// requestUpdates asks the watcher once for changes after a revision, and returns the revision
 // to go on from.
-func (ga *Gateway) ask(ctx context.Context, after revision.Revision) (revision.Revision, error) {
+func (ga *Gateway) requestUpdates(ctx context.Context, after revision.Revision) (revision.Revision, error) {
 	sent := clock.Now()
-	up, err := ga.relayed.Ask(ctx, relay.Request{After: after, Wait: ga.askWait()})
+	up, err := ga.relayClient.Ask(ctx, relay.Request{After: after, Wait: ga.askWait()})
 	switch {
 	case err != nil:
 		return after, err
 	case up.Age > relayAge:
 		return after, errOld
 	case up.Whole != nil:
-		next, err := ga.takeWhole(up, sent)
+		next, err := ga.applySnapshot(up, sent)
 		if err != nil {
 			return after, err
 		}
@@ -88,10 +88,10 @@
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
 	for i, changes := range batches {
-		ga.takeBatch(changes, up.Batches[i])
+		ga.applyBatch(changes, up.Batches[i])
 	}
-	if ga.fresh.Relayed(sent, up.Age) {
-		ga.regained()
+	if ga.freshness.Relayed(sent, up.Age) {
+		ga.storeRecovered()
 	}
 	ga.noteConfirmed()
 	return up.Revision, nil
@@ -104,7 +104,7 @@
 // noteConfirmed answers requests for changes early once this gateway's state was confirmed, so that
 // the askers' states get fresher too. The lock is held.
 func (ga *Gateway) noteConfirmed() {
-	at := ga.fresh.Confirmed()
+	at := ga.freshness.Confirmed()
 	if at.Sub(ga.announcedConfirmed) < confirmStep {
 		return
 	}
@@ -117,7 +117,7 @@
 func (ga *Gateway) askWait() time.Duration {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
-	if ga.serves(clock.Now()) {
+	if ga.servesUpdates(clock.Now()) {
 		return relayWait / 2
 	}
 	return relayWait
@@ -127,29 +127,29 @@
 func (ga *Gateway) mayCatchUp(now time.Time) bool {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
-	return ga.plan.CatchUp(now)
+	return ga.relayPlan.CatchUp(now)
 }
 
-// leaveWatcher records that a watcher failed.
-func (ga *Gateway) leaveWatcher(wa relay.Member, why error) {
+// watcherFailed records that a watcher failed.
+func (ga *Gateway) watcherFailed(wa relay.Member, why error) {
 	now := clock.Now()
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
 	if errors.Is(why, errOld) {
-		ga.plan.Old(wa.Box, now)
+		ga.relayPlan.Old(wa.Box, now)
 	} else {
-		ga.plan.Failed(wa.Box, now)
+		ga.relayPlan.Failed(wa.Box, now)
 	}
-	ga.Log.Warn().Int("event", int(event.WatcherFailed)).Str("watcher", wa.Box).Dur("age_ms", ga.fresh.Age(now)).
+	ga.Log.Warn().Int("event", int(event.WatcherFailed)).Str("watcher", wa.Box).Dur("age_ms", ga.freshness.Age(now)).
 		Err(why).Msg(event.Name(event.WatcherFailed))
 }
 
 // askedFor is how long a gateway keeps changes for others after the last request for them.
 const askedFor = 10 * relayWait
 
-// serves reports whether this gateway keeps changes for others. The lock is held.
-func (ga *Gateway) serves(now time.Time) bool {
-	return ga.plan.Serves(ga.memberList()) || now.Sub(ga.asked) < askedFor
+// servesUpdates reports whether this gateway keeps changes for others. The lock is held.
+func (ga *Gateway) servesUpdates(now time.Time) bool {
+	return ga.relayPlan.Serves(ga.memberList()) || now.Sub(ga.lastUpdateRequest) < askedFor
 }
 
 // Updates answers another gateway that asks for changes.
@@ -158,10 +158,10 @@
 	defer over.Stop()
 	for waiting := true; ; {
 		ga.mu.Lock()
-		ga.asked = clock.Now()
+		ga.lastUpdateRequest = clock.Now()
 		ga.noteAhead(rq.After)
 		batches, to, ok := ga.history.Since(rq.After)
-		age, changed, confirmed := ga.fresh.Age(ga.asked), ga.changed, ga.confirmed
+		age, changed, confirmed := ga.freshness.Age(ga.lastUpdateRequest), ga.changed, ga.confirmed
 		if !ok {
 			defer ga.mu.Unlock()
 			return ga.unknown(age)
@@ -186,7 +186,7 @@
 // here. The lock is held.
 func (ga *Gateway) noteAhead(after revision.Revision) {
 	if own := ga.history.Revision(); after.After(own) {
-		lo := ga.Log.Sample(&ga.ahead)
+		lo := ga.Log.Sample(&ga.aheadLog)
 		lo.Info().Int("event", int(event.AskerAhead)).Stringer("after", after).Stringer("revision", own).Msg(event.Name(event.AskerAhead))
 	}
 }
--- a/internal/gateway/relayed_test.go
+++ b/internal/gateway/relay_test.go
@@ -25,89 +25,89 @@
 	"github.com/linnetrudder/linnetrudder/internal/routing"
 )
 
-// keptState is a source of a few lines that several gateways share.
-type keptState struct {
+// fakeStore is a source of a few lines that several gateways share.
+type fakeStore struct {
 	mu      sync.Mutex
 	changes []Change
-	news    chan struct{}
+	changed chan struct{}
 	// era counts how often it went back, if it says so.
-	era    uint64
-	silent bool
+	era      uint64
+	hidesEra bool
 	// watches counts the watches of each box, cut names those that get no answers.
-	watches map[string]int
-	cut     map[string]bool
+	watches      map[string]int
+	disconnected map[string]bool
 	// reads counts the whole reads.
 	reads int
-	// noBlocks is set where it keeps none.
-	noBlocks bool
+	// rejectsBlocks is set where it keeps none.
+	rejectsBlocks bool
 }
 
-// view is the source as one box sees it.
-type view struct {
-	kept *keptState
-	box  string
-	// pageOf is how many changes a page of a read holds; all if it is zero. wholeReads counts
+// storeView is the source as one box sees it.
+type storeView struct {
+	store *fakeStore
+	box   string
+	// pageSize is how many changes a page of a read holds; all if it is zero. wholeReads counts
 	// the reads of more than the first page.
-	pageOf     int
+	pageSize   int
 	wholeReads *atomic.Int64
 }
 
-func (ke *keptState) add(ch Change) {
+func (ke *fakeStore) add(ch Change) {
 	ke.mu.Lock()
 	defer ke.mu.Unlock()
 	ke.changes = append(ke.changes, ch)
-	close(ke.news)
-	ke.news = make(chan struct{})
+	close(ke.changed)
+	ke.changed = make(chan struct{})
 }
 
 // restore goes back to the first changes that there were.
-func (ke *keptState) restore(changes int) {
+func (ke *fakeStore) restore(changes int) {
 	ke.mu.Lock()
 	defer ke.mu.Unlock()
 	ke.changes = slices.Clone(ke.changes[:changes])
-	if !ke.silent {
+	if !ke.hidesEra {
 		ke.era++
 	}
-	close(ke.news)
-	ke.news = make(chan struct{})
+	close(ke.changed)
+	ke.changed = make(chan struct{})
 }
 
-func (ke *keptState) setCut(box string, cut bool) {
+func (ke *fakeStore) setDisconnected(box string, cut bool) {
 	ke.mu.Lock()
 	defer ke.mu.Unlock()
-	ke.cut[box] = cut
+	ke.disconnected[box] = cut
 }
 
 // watchesOfC counts the watches of the gateway that others watch for.
-func (ke *keptState) watchesOfC() int {
+func (ke *fakeStore) watchesOfC() int {
 	ke.mu.Lock()
 	defer ke.mu.Unlock()
 	return ke.watches["c"]
 }
 
-func (vi view) since(after revision.Revision) (State, chan struct{}, error) {
-	ke := vi.kept
+func (vi storeView) since(after revision.Revision) (State, chan struct{}, error) {
+	ke := vi.store
 	ke.mu.Lock()
 	defer ke.mu.Unlock()
-	if ke.cut[vi.box] {
+	if ke.disconnected[vi.box] {
 		return State{}, nil, result.New(result.StoreDown, "cut")
 	}
 	to := revision.Revision{Era: ke.era, Number: uint64(len(ke.changes))}
 	if after.Number > to.Number {
-		return State{}, nil, ErrHistoryGone
+		return State{}, nil, ErrHistoryUnavailable
 	}
-	return State{Revision: to, Changes: ke.changes[after.Number:]}, ke.news, nil
+	return State{Revision: to, Changes: ke.changes[after.Number:]}, ke.changed, nil
 }
 
-func (vi view) Read(_ context.Context, _ uint64, goOn func(State) bool) (State, bool, error) {
-	vi.kept.mu.Lock()
-	vi.kept.reads++
-	vi.kept.mu.Unlock()
+func (vi storeView) Read(_ context.Context, _ uint64, goOn func(State) bool) (State, bool, error) {
+	vi.store.mu.Lock()
+	vi.store.reads++
+	vi.store.mu.Unlock()
 	st, _, err := vi.since(revision.Revision{})
-	if err != nil || vi.pageOf == 0 || len(st.Changes) <= vi.pageOf {
+	if err != nil || vi.pageSize == 0 || len(st.Changes) <= vi.pageSize {
 		return st, true, err
 	}
-	first := State{Revision: st.Revision, Changes: st.Changes[:vi.pageOf]}
+	first := State{Revision: st.Revision, Changes: st.Changes[:vi.pageSize]}
 	if goOn(first) {
 		vi.wholeReads.Add(1)
 		return st, true, nil
@@ -115,10 +115,10 @@
 	return first, false, nil
 }
 
-func (vi view) Watch(ctx context.Context, after revision.Revision, wait time.Duration) (State, error) {
-	vi.kept.mu.Lock()
-	vi.kept.watches[vi.box]++
-	vi.kept.mu.Unlock()
+func (vi storeView) Watch(ctx context.Context, after revision.Revision, wait time.Duration) (State, error) {
+	vi.store.mu.Lock()
+	vi.store.watches[vi.box]++
+	vi.store.mu.Unlock()
 	st, news, err := vi.since(after)
 	if err == nil && len(st.Changes) == 0 {
 		select {
@@ -131,37 +131,37 @@
 	return st, err
 }
 
-func (vi view) Join(_ context.Context, me relay.Member, _ time.Duration) (Lease, error) {
-	vi.kept.add(Change{Member: &me})
+func (vi storeView) Join(_ context.Context, me relay.Member, _ time.Duration) (Lease, error) {
+	vi.store.add(Change{Member: &me})
 	return 1, nil
 }
 
-func (view) Renew(context.Context, Lease) error { return nil }
+func (storeView) RenewLease(context.Context, Lease) error { return nil }
 
-func (view) Store(context.Context, Order, StoredPhase) (bool, error) { return true, nil }
+func (storeView) StorePhase(context.Context, Order, StoredPhase) (bool, error) { return true, nil }
 
-func (view) Tell(context.Context, string, []Tally) error { return nil }
+func (storeView) StoreTallies(context.Context, string, []Tally) error { return nil }
 
-func (vi view) Block(_ context.Context, bl poison.Block) error {
+func (vi storeView) StoreBlock(_ context.Context, bl poison.Block) error {
 	_, _, err := vi.since(revision.Revision{})
 	if err != nil {
 		return err
 	}
-	if vi.kept.noBlocks {
+	if vi.store.rejectsBlocks {
 		return result.New(result.StoreDown, "keeps no blocks")
 	}
-	vi.kept.add(Change{Blocked: &bl})
+	vi.store.add(Change{Blocked: &bl})
 	return nil
 }
 
-func (vi view) Unblock(_ context.Context, pr poison.Print) error {
-	vi.kept.add(Change{Unblocked: &pr})
+func (vi storeView) DeleteBlock(_ context.Context, pr poison.Print) error {
+	vi.store.add(Change{Unblocked: &pr})
 	return nil
 }
 
-// relaying is three gateways of one data centre, of which a and b watch for c.
-type relaying struct {
-	kept      *keptState
+// relayCluster is three gateways of one data centre, of which a and b watch for c.
+type relayCluster struct {
+	store     *fakeStore
 	gateways  map[string]*Gateway
 	listeners map[string]*recordingListener
 }
@@ -172,8 +172,8 @@
 	net.Listener
 	mu    sync.Mutex
 	conns []net.Conn
-	// deaf is set when the server is to refuse everything.
-	deaf atomic.Bool
+	// disabled is set when the server is to refuse everything.
+	disabled atomic.Bool
 }
 
 func (rl *recordingListener) Accept() (net.Conn, error) {
@@ -195,31 +195,31 @@
 	rl.conns = nil
 }
 
-// deafen makes a gateway refuse the others' requests and ends their connections.
-func (re *relaying) deafen(box string) {
-	re.listeners[box].deaf.Store(true)
+// disableRelay makes a gateway refuse the others' requests and ends their connections.
+func (re *relayCluster) disableRelay(box string) {
+	re.listeners[box].disabled.Store(true)
 	re.listeners[box].closeAll()
 }
 
-func newRelaying(t *testing.T) *relaying {
+func newRelayCluster(t *testing.T) *relayCluster {
 	t.Helper()
-	re := &relaying{
-		kept:      &keptState{news: make(chan struct{}), watches: map[string]int{}, cut: map[string]bool{}},
+	re := &relayCluster{
+		store:     &fakeStore{changed: make(chan struct{}), watches: map[string]int{}, disconnected: map[string]bool{}},
 		gateways:  map[string]*Gateway{},
 		listeners: map[string]*recordingListener{},
 	}
-	re.configure(1)
+	re.storeConfig(1)
 	for _, box := range []string{"a", "b", "c"} {
 		ga := &Gateway{
-			Log: zerolog.Nop(), Box: box, DataCentre: "dc", Source: view{kept: re.kept, box: box},
-			Bounds: Bounds{Revoke: 5 * time.Second}, RelayHTTP: http.DefaultClient,
+			Log: zerolog.Nop(), Box: box, DataCentre: "dc", Store: storeView{store: re.store, box: box},
+			Bounds: Bounds{MaxConfigAge: 5 * time.Second}, RelayHTTP: http.DefaultClient,
 		}
 		router := http.NewServeMux()
 		router.Handle(relay.Path, &relay.Server{Feed: ga})
 		router.Handle(relay.LoadPath, &relay.LoadServer{Loads: ga})
 		li := &recordingListener{}
 		hs := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			if li.deaf.Load() {
+			if li.disabled.Load() {
 				http.NotFound(w, r)
 				return
 			}
@@ -250,20 +250,20 @@
 	})
 	require.False(t, re.hasMember("a", "c"), "two that watch are enough")
 	re.eventually(t, "c asks a watcher", func() bool {
-		before := re.kept.watchesOfC()
+		before := re.store.watchesOfC()
 		time.Sleep(2 * watchMost)
-		return re.kept.watchesOfC() == before
+		return re.store.watchesOfC() == before
 	})
-	require.LessOrEqual(t, re.kept.watchesOfC(), 3, "watchers that begin to serve with c are not left for that")
+	require.LessOrEqual(t, re.store.watchesOfC(), 3, "watchers that begin to serve with c are not left for that")
 	return re
 }
 
-func (re *relaying) eventually(t *testing.T, what string, holds func() bool) {
+func (re *relayCluster) eventually(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	require.Eventually(t, holds, 20*time.Second, 5*time.Millisecond, what)
 }
 
-func (re *relaying) hasMember(at, box string) bool {
+func (re *relayCluster) hasMember(at, box string) bool {
 	ga := re.gateways[at]
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
@@ -272,31 +272,31 @@
 }
 
 // size returns how many gateways one of them counts.
-func (re *relaying) size(box string) int {
+func (re *relayCluster) size(box string) int {
 	ga := re.gateways[box]
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
-	return ga.size
+	return ga.gatewayCount
 }
 
-func (re *relaying) configure(version uint64) {
-	re.kept.add(Change{Document: &routing.Document{Version: version, Teams: []routing.Team{{Name: "t", Keys: []string{"k"}}}}})
+func (re *relayCluster) storeConfig(version uint64) {
+	re.store.add(Change{Document: &routing.Document{Version: version, Teams: []routing.Team{{Name: "t", Keys: []string{"k"}}}}})
 }
 
-func (re *relaying) inForce(t *testing.T, box string, version uint64) {
+func (re *relayCluster) awaitConfig(t *testing.T, box string, version uint64) {
 	t.Helper()
 	re.eventually(t, box, func() bool { return re.gateways[box].Table().Version() == version })
 }
 
 func TestChangesComeThroughAWatcher(t *testing.T) {
-	re := newRelaying(t)
-	before := re.kept.watchesOfC()
+	re := newRelayCluster(t)
+	before := re.store.watchesOfC()
 	for version := uint64(2); version < 5; version++ {
-		re.configure(version)
-		re.inForce(t, "c", version)
+		re.storeConfig(version)
+		re.awaitConfig(t, "c", version)
 	}
-	require.True(t, re.gateways["c"].isFresh(time.Now()))
-	require.Equal(t, before, re.kept.watchesOfC(), "the service is not asked")
+	require.True(t, re.gateways["c"].acceptsKeys(time.Now()))
+	require.Equal(t, before, re.store.watchesOfC(), "the service is not asked")
 	require.Equal(t, "t", re.gateways["c"].Table().TeamByKey("k").Name, "all of the configuration came")
 	kept := re.gateways["c"].Updates(t.Context(), relay.Request{After: rev(1)})
 	require.True(t, kept.Unknown, "a gateway that nobody asks keeps no changes")
@@ -305,40 +305,40 @@
 // A watcher that is gone, and one that is cut off from the service: who asked it
 // hears of the next change all the same, and stays fresh.
 func TestAGatewayGoesOnWithoutItsWatchers(t *testing.T) {
-	re := newRelaying(t)
+	re := newRelayCluster(t)
 	for _, box := range []string{"a", "b"} {
-		re.deafen(box)
+		re.disableRelay(box)
 	}
-	re.configure(2)
+	re.storeConfig(2)
 	began := time.Now()
-	re.inForce(t, "c", 2)
+	re.awaitConfig(t, "c", 2)
 	require.Less(t, time.Since(began), 2*time.Second)
-	require.True(t, re.gateways["c"].isFresh(time.Now()))
+	require.True(t, re.gateways["c"].acceptsKeys(time.Now()))
 }
 
 func TestAWatcherThatIsCutOffIsLeft(t *testing.T) {
-	re := newRelaying(t)
-	re.kept.setCut("a", true)
-	re.kept.setCut("b", true)
+	re := newRelayCluster(t)
+	re.store.setDisconnected("a", true)
+	re.store.setDisconnected("b", true)
 	for range 60 {
 		time.Sleep(100 * time.Millisecond)
-		require.True(t, re.gateways["c"].isFresh(time.Now()))
+		require.True(t, re.gateways["c"].acceptsKeys(time.Now()))
 	}
-	require.False(t, re.gateways["a"].isFresh(time.Now()))
-	re.configure(2)
-	re.inForce(t, "c", 2)
-	re.kept.setCut("a", false)
-	re.inForce(t, "a", 2)
+	require.False(t, re.gateways["a"].acceptsKeys(time.Now()))
+	re.storeConfig(2)
+	re.awaitConfig(t, "c", 2)
+	re.store.setDisconnected("a", false)
+	re.awaitConfig(t, "a", 2)
 }
 
 // Seen in the soak with a bound of 2 s on keys: what came through a watcher was too
 // old to accept any in a third of the time.
 func TestUnderATightBoundEachGatewayWatchesItself(t *testing.T) {
 	for revoke, relayed := range map[time.Duration]bool{2 * time.Second: false, 3 * time.Second: false, 5 * time.Second: true, 0: true} {
-		ga := &Gateway{Log: zerolog.Nop(), Box: "c", DataCentre: "dc", Bounds: Bounds{Revoke: revoke}}
+		ga := &Gateway{Log: zerolog.Nop(), Box: "c", DataCentre: "dc", Bounds: Bounds{MaxConfigAge: revoke}}
 		ga.prepare()
 		for _, box := range []string{"a", "b"} {
-			ga.joined(relay.Member{Box: box, DataCentre: "dc", Address: "127.0.0.1:1"})
+			ga.memberJoined(relay.Member{Box: box, DataCentre: "dc", Address: "127.0.0.1:1"})
 		}
 		_, ok := ga.watcher(time.Now())
 		require.Equal(t, relayed, ok, revoke)
@@ -354,11 +354,11 @@
 		return Change{Member: &relay.Member{Box: box, DataCentre: "dc", Address: "127.0.0.1:1"}}
 	}
 	now := time.Now()
-	require.NoError(t, ga.takeRead(State{Revision: rev(5), Changes: []Change{member("a"), member("b")}}, now))
-	ga.apply(State{Revision: rev(7), Changes: []Change{member("c")}}, now, time.Second, now)
+	require.NoError(t, ga.applyReadState(State{Revision: rev(5), Changes: []Change{member("a"), member("b")}}, now))
+	ga.applyWatch(State{Revision: rev(7), Changes: []Change{member("c")}}, now, time.Second, now)
 	up := ga.Updates(t.Context(), relay.Request{After: rev(5)})
 	require.True(t, up.Unknown || len(up.Batches) > 0, "revision 7 brought a member")
-	ga.apply(State{Revision: rev(8), Changes: []Change{member("d")}}, now, time.Second, now)
+	ga.applyWatch(State{Revision: rev(8), Changes: []Change{member("d")}}, now, time.Second, now)
 	up = ga.Updates(t.Context(), relay.Request{After: rev(7)})
 	require.False(t, up.Unknown)
 	require.Len(t, up.Batches, 1)
@@ -367,12 +367,12 @@
 // A watcher that is gone for good is replaced by one of those that asked it, once its
 // membership has run out.
 func TestAWatcherThatIsGoneIsReplaced(t *testing.T) {
-	re := newRelaying(t)
-	re.deafen("b")
-	re.kept.add(Change{MemberGone: "b"})
+	re := newRelayCluster(t)
+	re.disableRelay("b")
+	re.store.add(Change{MemberGone: "b"})
 	re.eventually(t, "c joins", func() bool { return re.hasMember("a", "c") })
-	re.configure(2)
-	re.inForce(t, "c", 2)
+	re.storeConfig(2)
+	re.awaitConfig(t, "c", 2)
 }
 
 // A gateway whose revision a watcher's history does not reach gets the whole state from it
@@ -382,7 +382,7 @@
 	wa.prepare()
 	now := time.Now()
 	phase := StoredPhase{Service: "s", Order: rev(4), Phase: rollout.Trying, Revision: rev(5), Version: "v2"}
-	require.NoError(t, wa.takeRead(State{Revision: rev(9), Changes: []Change{
+	require.NoError(t, wa.applyReadState(State{Revision: rev(9), Changes: []Change{
 		{Document: &routing.Document{Version: 3, Teams: []routing.Team{{Name: "t", Keys: []string{"k"}}}}},
 		{Server: &directory.Server{ID: "x", Service: "s", Version: "v2"}},
 		{Order: &Order{Revision: rev(4), Plan: rollout.Plan{Service: "s", Version: "v2", Within: time.Minute}}},
@@ -394,8 +394,8 @@
 
 	ga := &Gateway{Log: zerolog.Nop(), Box: "b", DataCentre: "dc"}
 	ga.prepare()
-	require.NoError(t, ga.takeRead(State{Revision: rev(2), Changes: []Change{{Server: &directory.Server{ID: "gone", Service: "s"}}}}, now))
-	at, err := ga.takeWhole(up, now)
+	require.NoError(t, ga.applyReadState(State{Revision: rev(2), Changes: []Change{{Server: &directory.Server{ID: "gone", Service: "s"}}}}, now))
+	at, err := ga.applySnapshot(up, now)
 	require.NoError(t, err)
 	require.Equal(t, rev(9), at)
 	require.Equal(t, uint64(3), ga.Table().Version())
@@ -404,18 +404,18 @@
 	require.Equal(t, rollout.Trying, ga.rollouts["s"].canary.Phase())
 	require.Contains(t, ga.members, "a")
 
-	_, err = ga.takeWhole(relay.Update{Whole: []byte{1, 2}}, now)
+	_, err = ga.applySnapshot(relay.Update{Whole: []byte{1, 2}}, now)
 	require.Error(t, err)
 	require.Equal(t, uint64(3), ga.Table().Version(), "what can't be read changes nothing")
 }
 
-// starting returns a gateway of the same data centre that is not a member, whose reads come
+// newStartingGateway returns a gateway of the same data centre that is not a member, whose reads come
 // in pages, and how many whole reads it has made.
-func (re *relaying) starting(box string) (*Gateway, *atomic.Int64) {
+func (re *relayCluster) newStartingGateway(box string) (*Gateway, *atomic.Int64) {
 	var wholeReads atomic.Int64
 	ga := &Gateway{
-		Log: zerolog.Nop(), Box: box, DataCentre: "dc", Bounds: Bounds{Revoke: 5 * time.Second},
-		Source:    view{kept: re.kept, box: box, pageOf: 8, wholeReads: &wholeReads},
+		Log: zerolog.Nop(), Box: box, DataCentre: "dc", Bounds: Bounds{MaxConfigAge: 5 * time.Second},
+		Store:     storeView{store: re.store, box: box, pageSize: 8, wholeReads: &wholeReads},
 		RelayHTTP: http.DefaultClient,
 	}
 	ga.prepare()
@@ -425,9 +425,9 @@
 // Of a state that takes several calls to read a gateway that starts reads the first part,
 // which holds the members, and has the rest from a watcher.
 func TestOfALargeStateAWatcherTellsTheRest(t *testing.T) {
-	re := newRelaying(t)
+	re := newRelayCluster(t)
 	for i := range 40 {
-		re.kept.add(serverChange(fmt.Sprint("x", i), "dc"))
+		re.store.add(serverChange(fmt.Sprint("x", i), "dc"))
 	}
 	for _, box := range []string{"a", "b"} {
 		re.eventually(t, box+", which may be asked, knows all", func() bool {
@@ -437,19 +437,19 @@
 			return ga.servers.Len() == 40
 		})
 	}
-	ga, wholeReads := re.starting("d")
+	ga, wholeReads := re.newStartingGateway("d")
 	revision, err := ga.readState(t.Context())
 	require.NoError(t, err)
 	require.Zero(t, wholeReads.Load())
 	require.Equal(t, 40, ga.servers.Len())
 	require.Equal(t, uint64(1), ga.Table().Version())
-	require.True(t, ga.isFresh(time.Now()))
+	require.True(t, ga.acceptsKeys(time.Now()))
 	require.NotZero(t, revision)
 
 	for _, box := range []string{"a", "b"} {
-		re.deafen(box)
+		re.disableRelay(box)
 	}
-	alone, wholeReads := re.starting("e")
+	alone, wholeReads := re.newStartingGateway("e")
 	began := time.Now()
 	_, err = alone.readState(t.Context())
 	require.NoError(t, err)
--- a/internal/gateway/restored.go
+++ b/internal/gateway/restored.go
@@ -62,10 +62,10 @@
 func (ga *Gateway) dropLost(now time.Time) {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
-	for _, dataCentre := range ga.lostCentres.Expire(now) {
+	for _, dataCentre := range ga.missingDataCentres.Expire(now) {
 		ga.restore(dataCentre, now)
 	}
-	for _, box := range ga.lostMembers.Expire(now) {
-		ga.left(box)
+	for _, box := range ga.missingMembers.Expire(now) {
+		ga.memberLeft(box)
 	}
 }
--- a/internal/gateway/restored_history_test.go
+++ b/internal/gateway/restored_history_test.go
@@ -59,7 +59,7 @@
 				serverDrains, serverGoes, serverStarts, centreEmptied, centreReturned, configured,
 				copied, copied, restored, restored, storeAway, storeBack, gatewayLost,
 			}).Draw(rt, "what"),
-			which: rapid.IntRange(0, poolSize-1).Draw(rt, "which"),
+			which: rapid.IntRange(0, serverCount-1).Draw(rt, "which"),
 		})
 	}
 	return hi
@@ -77,7 +77,7 @@
 
 // play is a history while it is played.
 type play struct {
-	*scene
+	*testCluster
 
 	truth truth
 	// copy is how many changes the store's newest copy holds.
@@ -93,11 +93,11 @@
 func (hi history) run(t *testing.T) (wrong []string) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		pl := &play{scene: newScene(t, hi.gateways), truth: truth{
+		pl := &play{testCluster: newTestCluster(t, hi.gateways), truth: truth{
 			draining: map[string]time.Time{}, ended: map[string]time.Time{}, evacuated: map[string]bool{}, version: 1,
 		}}
-		pl.servers.kept.silent = hi.silent
-		pl.copy = pl.servers.kept.position()
+		pl.servers.store.hidesEra = hi.silent
+		pl.copy = pl.servers.store.position()
 		for _, st := range hi.steps {
 			pl.watch(st.pause)
 			pl.do(st, hi.rewriteAfter)
@@ -122,19 +122,19 @@
 }
 
 func (pl *play) do(st step, rewriteAfter time.Duration) {
-	ke, now := pl.servers.kept, time.Now()
+	ke, now := pl.servers.store, time.Now()
 	id, dataCentre := fmt.Sprint("s", st.which+1), fmt.Sprint("dc", st.which%3)
 	_, ended := pl.truth.ended[id]
 	switch {
 	case st.what == storeBack:
-		pl.cutAll(false)
+		pl.disconnectAll(false)
 		if pl.away {
 			pl.truth.back = now
 		}
 		pl.away, pl.truth.stable = false, now
 	case pl.away && st.what != gatewayLost && st.what != restored:
 	case st.what == storeAway:
-		pl.cutAll(true)
+		pl.disconnectAll(true)
 		pl.away = true
 	case st.what == copied:
 		pl.copy = ke.position()
@@ -142,7 +142,7 @@
 		ke.restore(pl.copy)
 		pl.rewriteAt = now.Add(rewriteAfter)
 	case st.what == gatewayLost:
-		pl.replace(st.which % len(pl.gateways))
+		pl.replaceGateway(st.which % len(pl.gateways))
 		pl.truth.stable = now
 	case st.what == configured:
 		pl.truth.version++
@@ -161,7 +161,7 @@
 	case st.what == serverGoes && !ended:
 		ke.add(Change{Gone: id})
 		pl.truth.ended[id] = now
-		if after := pl.truth.back.Add(tellWithin); after.After(now) {
+		if after := pl.truth.back.Add(propagationTime); after.After(now) {
 			pl.truth.ended[id] = after // it may be a lapse
 		}
 	}
@@ -170,19 +170,19 @@
 func (pl *play) writeDocument() {
 	doc := pl.servers.document()
 	doc.Version = pl.truth.version
-	pl.servers.kept.add(Change{Document: &doc})
+	pl.servers.store.add(Change{Document: &doc})
 }
 
 // document returns the newest configuration that was ever written.
-func (cr *crashing) document() routing.Document {
-	cr.kept.mu.Lock()
-	defer cr.kept.mu.Unlock()
-	return *cr.kept.changes[0].Document
+func (cr *crashingBackend) document() routing.Document {
+	cr.store.mu.Lock()
+	defer cr.store.mu.Unlock()
+	return *cr.store.changes[0].Document
 }
 
 // rewrite lets operators and servers write again what they had written.
 func (pl *play) rewrite() {
-	ke := pl.servers.kept
+	ke := pl.servers.store
 	pl.rewriteAt, pl.truth.stable = time.Time{}, time.Now()
 	pl.writeDocument()
 	for _, se := range pl.servers.all() {
@@ -211,7 +211,7 @@
 	if pl.away || !pl.rewriteAt.IsZero() {
 		return
 	}
-	bound := time.Now().Add(-tellWithin)
+	bound := time.Now().Add(-propagationTime)
 	if pl.truth.stable.After(bound) {
 		return
 	}
@@ -265,7 +265,7 @@
 // The naive gateway compares revisions by their number.
 func TestANaiveGatewayMissesWhatIsWrittenAfterARestore(t *testing.T) {
 	hi := history{gateways: 23, steps: []step{{what: copied}}}
-	for range 3 * poolSize {
+	for range 3 * serverCount {
 		hi.steps = append(hi.steps, step{what: configured})
 	}
 	hi.steps = append(hi.steps, step{pause: 2 * time.Second, what: restored}, step{what: serverDrains})
--- a/internal/gateway/restored_test.go
+++ b/internal/gateway/restored_test.go
@@ -19,17 +19,17 @@
 const restoredWithin = 2 * time.Second
 
 // position returns how many changes the key-value service holds.
-func (ke *keptState) position() int {
+func (ke *fakeStore) position() int {
 	ke.mu.Lock()
 	defer ke.mu.Unlock()
 	return len(ke.changes)
 }
 
 // drain lets a server write that it leaves.
-func (cr *crashing) drain(id string) {
+func (cr *crashingBackend) drain(id string) {
 	se := cr.server(id).listed
 	se.Draining, se.Seq = true, 2
-	cr.kept.add(Change{Server: &se})
+	cr.store.add(Change{Server: &se})
 }
 
 // sends reports whether a gateway may send requests to a server.
@@ -48,17 +48,17 @@
 	for _, gateways := range []int{1, 4, 23, 60} {
 		for _, outage := range []time.Duration{0, 50 * time.Millisecond, 3 * time.Second} {
 			synctest.Test(t, func(t *testing.T) {
-				sc := newScene(t, gateways)
-				copied := sc.servers.kept.position()
+				sc := newTestCluster(t, gateways)
+				copied := sc.servers.store.position()
 				for i := range 20 {
-					sc.servers.kept.add(Change{Server: &directory.Server{ID: fmt.Sprint("lost", i), Service: "other"}})
+					sc.servers.store.add(Change{Server: &directory.Server{ID: fmt.Sprint("lost", i), Service: "other"}})
 				}
 				time.Sleep(restoredWithin)
-				sc.cutAll(outage > 0)
+				sc.disconnectAll(outage > 0)
 				time.Sleep(outage)
-				sc.servers.kept.restore(copied)
+				sc.servers.store.restore(copied)
 				sc.servers.drain("s1")
-				sc.cutAll(false)
+				sc.disconnectAll(false)
 				time.Sleep(restoredWithin)
 				for i, ga := range sc.gateways {
 					require.False(t, ga.sends("s1"), "gateway %d of %d after %s", i, gateways, outage)
@@ -79,15 +79,15 @@
 func TestServersOutlastARestoredStore(t *testing.T) {
 	for _, gateways := range []int{1, 4, 23} {
 		synctest.Test(t, func(t *testing.T) {
-			sc := newScene(t, gateways)
-			ke := sc.servers.kept
+			sc := newTestCluster(t, gateways)
+			ke := sc.servers.store
 			copied := ke.position()
 			sc.servers.drain("s1")
 			ke.add(Change{Gone: "s2"})
 			sc.servers.start()
-			rewritten := fmt.Sprint("s", poolSize+1)
+			rewritten := fmt.Sprint("s", serverCount+1)
 			sc.servers.start()
-			lost := fmt.Sprint("s", poolSize+2)
+			lost := fmt.Sprint("s", serverCount+2)
 			time.Sleep(restoredWithin)
 
 			ke.restore(copied)
@@ -132,7 +132,7 @@
 	t.Helper()
 	ga := &Gateway{Log: zerolog.Nop(), Bounds: Bounds{CanaryShare: 0.15}}
 	ga.prepare()
-	require.NoError(t, ga.takeRead(State{Revision: inEra(1, 30), Changes: []Change{
+	require.NoError(t, ga.applyReadState(State{Revision: inEra(1, 30), Changes: []Change{
 		orderAt(inEra(1, 20), "v2"), phaseAt(inEra(1, 30), inEra(1, 20), ph),
 	}}, time.Now()))
 	require.Equal(t, ph, ga.rollouts["s"].canary.Phase())
@@ -142,7 +142,7 @@
 // restored lets a gateway read everything from a service that went back.
 func (ga *Gateway) restored(t *testing.T, changes ...Change) {
 	t.Helper()
-	require.NoError(t, ga.takeRead(State{Revision: inEra(2, 25), Changes: changes}, time.Now()))
+	require.NoError(t, ga.applyReadState(State{Revision: inEra(2, 25), Changes: changes}, time.Now()))
 }
 
 func TestRolloutGoesOnAfterItsOrderIsRestored(t *testing.T) {
@@ -183,16 +183,16 @@
 func TestOrderBeforeTheLostOneIsNotCarriedOutAgain(t *testing.T) {
 	ga := &Gateway{Log: zerolog.Nop()}
 	ga.prepare()
-	require.NoError(t, ga.takeRead(State{Revision: inEra(1, 12), Changes: []Change{orderAt(inEra(1, 10), "v1")}}, time.Now()))
-	ga.change(orderAt(inEra(1, 20), "v2"))
-	ga.change(phaseAt(inEra(1, 24), inEra(1, 20), rollout.Failed))
+	require.NoError(t, ga.applyReadState(State{Revision: inEra(1, 12), Changes: []Change{orderAt(inEra(1, 10), "v1")}}, time.Now()))
+	ga.applyChange(orderAt(inEra(1, 20), "v2"))
+	ga.applyChange(phaseAt(inEra(1, 24), inEra(1, 20), rollout.Failed))
 	ga.restored(t, orderAt(inEra(2, 10), "v1"))
 	require.Equal(t, "v2", ga.rollouts["s"].order.Plan.Version)
 	require.Equal(t, rollout.Failed, ga.rollouts["s"].canary.Phase())
-	ga.change(orderAt(inEra(2, 22), "v2"))
+	ga.applyChange(orderAt(inEra(2, 22), "v2"))
 	require.Equal(t, rollout.Failed, ga.rollouts["s"].canary.Phase(), "it is written again")
-	ga.change(phaseAt(inEra(2, 30), inEra(2, 22), rollout.Failed))
-	ga.change(orderAt(inEra(2, 40), "v2"))
+	ga.applyChange(phaseAt(inEra(2, 30), inEra(2, 22), rollout.Failed))
+	ga.applyChange(orderAt(inEra(2, 40), "v2"))
 	require.Equal(t, rollout.Waiting, ga.rollouts["s"].canary.Phase(), "it is ordered again")
 }
 
@@ -223,14 +223,14 @@
 }
 
 // firstJoin returns how many changes there were before the first gateway joined.
-func (ke *keptState) firstJoin() int {
+func (ke *fakeStore) firstJoin() int {
 	ke.mu.Lock()
 	defer ke.mu.Unlock()
 	return slices.IndexFunc(ke.changes, func(ch Change) bool { return ch.Member != nil })
 }
 
 // joinedSince returns the boxes that have joined since a number of changes.
-func (ke *keptState) joinedSince(changes int) []string {
+func (ke *fakeStore) joinedSince(changes int) []string {
 	ke.mu.Lock()
 	defer ke.mu.Unlock()
 	var boxes []string
@@ -246,8 +246,8 @@
 func TestMembersJoinAgainAfterAStoreLostTheirKeys(t *testing.T) {
 	for _, gateways := range []int{1, 4, 23, 60} {
 		synctest.Test(t, func(t *testing.T) {
-			sc := newScene(t, gateways)
-			ke := sc.servers.kept
+			sc := newTestCluster(t, gateways)
+			ke := sc.servers.store
 			time.Sleep(restoredWithin)
 			copied := ke.firstJoin()
 			before := ke.joinedSince(copied)
@@ -272,17 +272,17 @@
 func TestLostBlockIsStoredAgain(t *testing.T) {
 	for _, gateways := range []int{1, 4, 23} {
 		synctest.Test(t, func(t *testing.T) {
-			sc := newScene(t, gateways)
-			copied := sc.servers.kept.position()
+			sc := newTestCluster(t, gateways)
+			copied := sc.servers.store.position()
 			sc.block(poisonPath)
 			time.Sleep(restoredWithin)
-			blocked := sc.blocked()
+			blocked := sc.blockCount()
 			require.Equal(t, gateways, blocked)
-			sc.servers.kept.restore(copied)
-			require.Empty(t, sc.keptBlocks())
+			sc.servers.store.restore(copied)
+			require.Empty(t, sc.storedBlocks())
 			time.Sleep(2 * restoredWithin)
-			require.Len(t, sc.keptBlocks(), 1, "%d gateways", gateways)
-			require.Equal(t, blocked, sc.blocked())
+			require.Len(t, sc.storedBlocks(), 1, "%d gateways", gateways)
+			require.Equal(t, blocked, sc.blockCount())
 		})
 	}
 }
@@ -291,8 +291,8 @@
 	for _, rewritten := range []bool{true, false} {
 		for _, gateways := range []int{1, 4, 23} {
 			synctest.Test(t, func(t *testing.T) {
-				sc := newScene(t, gateways)
-				ke := sc.servers.kept
+				sc := newTestCluster(t, gateways)
+				ke := sc.servers.store
 				copied := ke.position()
 				ke.add(Change{Evacuated: "dc1"})
 				time.Sleep(restoredWithin)
@@ -320,7 +320,7 @@
 }
 
 // calls returns how many whole reads and watches there were.
-func (ke *keptState) calls() (reads, watches int) {
+func (ke *fakeStore) calls() (reads, watches int) {
 	ke.mu.Lock()
 	defer ke.mu.Unlock()
 	for _, n := range ke.watches {
@@ -333,17 +333,17 @@
 	for gateways, outages := range map[int][]time.Duration{23: {0, 500 * time.Millisecond, 8 * time.Second}, 300: {500 * time.Millisecond}} {
 		for _, outage := range outages {
 			synctest.Test(t, func(t *testing.T) {
-				sc := newScene(t, gateways)
-				ke := sc.servers.kept
+				sc := newTestCluster(t, gateways)
+				ke := sc.servers.store
 				copied := ke.position()
 				ke.add(Change{Server: &directory.Server{ID: "lost", Service: "other"}})
 				time.Sleep(restoredWithin)
-				sc.cutAll(outage > 0)
+				sc.disconnectAll(outage > 0)
 				time.Sleep(outage)
 				reads, watches := ke.calls()
 				ke.restore(copied)
 				sc.servers.drain("s1")
-				sc.cutAll(false)
+				sc.disconnectAll(false)
 				time.Sleep(restoredWithin)
 				for i, ga := range sc.gateways {
 					require.False(t, ga.sends("s1"), "gateway %d of %d", i, gateways)
--- a/internal/gateway/rollouts.go
+++ b/internal/gateway/rollouts.go
@@ -58,16 +58,16 @@
 	if old != nil && !or.Revision.After(old.order.Revision) {
 		return
 	}
-	if old != nil && or.rewrites(old.order) {
+	if old != nil && or.isRewriteOf(old.order) {
 		old.order.Revision = or.Revision
 		old.resendOutcomes()
 		return
 	}
-	if old != nil && old.before.rewrittenBy(or) {
+	if old != nil && old.before.isRewrittenBy(or) {
 		return
 	}
 	or.Plan.MostShare, or.Plan.MostExtra = ga.Bounds.CanaryShare, ga.ownExtra()
-	ro := &timedRollout{order: or, before: orderBefore(old), canary: rollout.Canary{Plan: or.Plan, Began: clock.Now().Add(-ga.unseen)}}
+	ro := &timedRollout{order: or, before: orderBefore(old), canary: rollout.Canary{Plan: or.Plan, Began: clock.Now().Add(-ga.maxChangeAge)}}
 	ro.withdrawn = ga.withdrawnFor(old, or)
 	ga.rollouts[or.Plan.Service] = ro
 	ga.Log.Info().Int("event", int(event.RolloutOrdered)).Str("service", or.Plan.Service).
@@ -93,10 +93,10 @@
 // besides its share; none where it does not know how many gateways there are. The lock
 // is held.
 func (ga *Gateway) ownExtra() float64 {
-	if ga.size == 0 {
+	if ga.gatewayCount == 0 {
 		return 0
 	}
-	return ga.Bounds.CanaryExtra / float64(ga.size)
+	return ga.Bounds.CanaryExtra / float64(ga.gatewayCount)
 }
 
 // withdrawnFor returns the versions that get nothing while an order is carried out
@@ -178,9 +178,9 @@
 // goesToNew reports whether a request's next attempt goes to the new version.
 func (ro *timedRollout) goesToNew(ex *exchange, now time.Time) bool {
 	switch {
-	case ex.begun != "":
-		return ro.canary.Continues(ex.begun == ro.order.Plan.Version, ex.request.LastChance())
-	case ex.single:
+	case ex.firstVersion != "":
+		return ro.canary.Continues(ex.firstVersion == ro.order.Plan.Version, ex.request.LastChance())
+	case ex.sessionless:
 		return ro.canary.NewSingle(ex.route.Name, ex.draw, now)
 	default:
 		return ro.canary.New(ex.session, ex.route.Name, now)
@@ -235,7 +235,7 @@
 		ph = rollout.Waiting
 	}
 	boxes := slices.Collect(maps.Keys(ga.members))
-	return now.Sub(ro.dueSince) >= rollout.Turn(ga.Box, boxes, ga.size, ro.order.Revision.Number, ph)
+	return now.Sub(ro.dueSince) >= rollout.Turn(ga.Box, boxes, ga.gatewayCount, ro.order.Revision.Number, ph)
 }
 
 // elapsedEvery is how often the elapsed time of a trial is stored. A process that starts in the middle
@@ -246,7 +246,7 @@
 // is not kept yet, or the present one with the time that has passed.
 func (ga *Gateway) dueFor(ro *timedRollout, now time.Time) (StoredPhase, bool) {
 	kept := ga.phases[ro.order.Plan.Service]
-	known := kept.Order == ro.order.Revision && !kept.lost()
+	known := kept.Order == ro.order.Revision && !kept.isMissing()
 	if known && (kept.Phase == rollout.Complete || kept.Phase == rollout.Failed) {
 		return StoredPhase{}, false
 	}
@@ -275,11 +275,11 @@
 	if !tried || next.Elapsed-kept.Elapsed < elapsedEvery || ro.canary.Deciding(now) {
 		return false
 	}
-	return !ga.fresh.Failing() && ga.plan.Watches(ga.memberList())
+	return !ga.freshness.Failing() && ga.relayPlan.Watches(ga.memberList())
 }
 
 func (ga *Gateway) store(ctx context.Context, ro *timedRollout, ph StoredPhase) {
-	kept, err := ga.Source.Store(ctx, ro.order, ph)
+	kept, err := ga.Store.StorePhase(ctx, ro.order, ph)
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
 	ro.storing = false
--- a/internal/gateway/rollouts_test.go
+++ b/internal/gateway/rollouts_test.go
@@ -107,7 +107,7 @@
 // one holds none; it is no measure of a version.
 func TestAnAnswerWhoseTimeSaysNothingIsNotSlow(t *testing.T) {
 	ga, ro := rolling(t)
-	ga.best.Observe("pace", time.Second)
+	ga.latencyFloors.Observe("pace", time.Second)
 	for i := range 100 {
 		ga.observe(directory.Server{ID: fmt.Sprint("n", i%9), Service: "s", Version: "v2"}, "r", false)
 	}
@@ -121,7 +121,7 @@
 		Routes: map[string]rollout.RouteOutcomes{"r": {Tried: 9, Bad: 8, Servers: []string{"a", "b", "c"}}},
 	}}
 	own := bad
-	own.Box, own.Life = "own", ga.life
+	own.Box, own.Life = "own", ga.instanceID
 	ga.tallied(own)
 	settle(ga, ro)
 	require.Equal(t, rollout.Trying, ro.canary.Phase(), "what it told itself is not counted twice")
@@ -200,15 +200,15 @@
 	}
 	ex := &exchange{ga: ga, route: &routing.Route{Name: "r"}, service: "s", session: "a"}
 	require.Equal(t, "v2", version(ex), "all sessions are tried")
-	ex.begun = "v1"
+	ex.firstVersion = "v1"
 	require.Equal(t, "v1", version(ex), "a retry stays where the request began")
-	ex.begun = "v2"
+	ex.firstVersion = "v2"
 	require.Equal(t, "v2", version(ex), "also on the version on trial, so that its session stays")
 
 	for _, id := range []string{"v1-0", "v1-1", "v1-2"} {
 		ga.servers.Remove(id, now)
 	}
-	ex.begun = "v1"
+	ex.firstVersion = "v1"
 	require.Equal(t, "v2", version(ex), "nothing else is there")
 
 	ro.canary.Enter(rollout.Shifting)
@@ -251,11 +251,11 @@
 func TestACollectorWritesTheTalliesOfItsGateways(t *testing.T) {
 	te := &told{}
 	collector, of := rolling(t)
-	collector.Source, collector.Box = te, "a"
+	collector.Store, collector.Box = te, "a"
 	leaf, ro := rolling(t)
-	leaf.Source, leaf.Box = te, "b"
+	leaf.Store, leaf.Box = te, "b"
 	now := time.Now()
-	leaf.reported = now
+	leaf.lastReportCollected = now
 	leaf.observe(directory.Server{ID: "x", Service: "s", Version: "v2"}, "r", true)
 	leaf.tell(t.Context(), ro, now)
 	re := leaf.report(false)
@@ -272,11 +272,11 @@
 		third.tallied(ta)
 	}
 	require.Equal(t, 1, by.canary.BadKnown())
-	third.tallied(Tally{Service: "s", Order: rev(7), Box: "b", Life: leaf.life})
+	third.tallied(Tally{Service: "s", Order: rev(7), Box: "b", Life: leaf.instanceID})
 	third.tallied(te.all()[0])
 	require.Equal(t, 1, by.canary.BadKnown(), "what is older, or came on another way, is not counted again")
 
-	leaf.reported = now.Add(-time.Minute)
+	leaf.lastReportCollected = now.Add(-time.Minute)
 	leaf.observe(directory.Server{ID: "y", Service: "s", Version: "v2"}, "r", true)
 	leaf.tell(t.Context(), ro, now.Add(time.Minute))
 	require.Eventually(t, func() bool { return len(te.all()) == 3 }, 5*time.Second, time.Millisecond, "without a collector it writes itself")
@@ -284,12 +284,12 @@
 
 // told is a source that remembers what it was told.
 type told struct {
-	script
+	scriptedStore
 	mu      sync.Mutex
 	tallies []Tally
 }
 
-func (te *told) Tell(_ context.Context, _ string, tallies []Tally) error {
+func (te *told) StoreTallies(_ context.Context, _ string, tallies []Tally) error {
 	te.mu.Lock()
 	defer te.mu.Unlock()
 	te.tallies = append(te.tallies, tallies...)
@@ -308,7 +308,7 @@
 		ga, ro := rolling(t)
 		for i := range n {
 			box := fmt.Sprint("box", i)
-			ga.joined(relay.Member{Box: box})
+			ga.memberJoined(relay.Member{Box: box})
 		}
 		now, told := time.Now(), 0
 		for range 1000 {
@@ -333,11 +333,11 @@
 	old := ro.canary.Began.Add(4 * elapsedEvery)
 	_, due := ga.dueFor(ro, old)
 	require.True(t, due)
-	ga.fresh.Failed()
+	ga.freshness.Failed()
 	_, due = ga.dueFor(ro, old)
 	require.False(t, due, "the service does not answer")
 
-	ga.Source = &script{cut: true}
+	ga.Store = &scriptedStore{disconnected: true}
 	for want := 2 * writeEvery; want <= 2*mostWriteEvery; want *= 2 {
 		ga.store(t.Context(), ro, StoredPhase{Service: "s"})
 		require.Equal(t, min(want, mostWriteEvery), ro.pause)
@@ -351,18 +351,18 @@
 	order := Change{Order: &Order{Revision: rev(4), Plan: rollout.Plan{Service: "s", Version: "v2", Within: 24 * time.Second}}}
 	for _, tc := range []struct {
 		silent, older time.Duration
-	}{{300 * time.Millisecond, 300 * time.Millisecond}, {5 * time.Second, mostUnseen}} {
+	}{{300 * time.Millisecond, 300 * time.Millisecond}, {5 * time.Second, maxMissedChangeAge}} {
 		ga := &Gateway{Log: zerolog.Nop()}
 		ga.prepare()
 		now := time.Now()
-		require.NoError(t, ga.takeRead(State{Revision: rev(2)}, now.Add(-tc.silent)))
-		require.NoError(t, ga.takeRead(State{Revision: rev(9), Changes: []Change{order}}, now))
+		require.NoError(t, ga.applyReadState(State{Revision: rev(2)}, now.Add(-tc.silent)))
+		require.NoError(t, ga.applyReadState(State{Revision: rev(9), Changes: []Change{order}}, now))
 		require.InDelta(t, float64(tc.older), float64(now.Sub(ga.rollouts["s"].canary.Began)), float64(50*time.Millisecond))
 	}
 	ga := &Gateway{Log: zerolog.Nop()}
 	ga.prepare()
 	now := time.Now()
-	require.NoError(t, ga.takeRead(State{Revision: rev(2)}, now.Add(-time.Second)))
-	ga.apply(State{Revision: rev(9), Changes: []Change{order}}, now, time.Second, now)
+	require.NoError(t, ga.applyReadState(State{Revision: rev(2)}, now.Add(-time.Second)))
+	ga.applyWatch(State{Revision: rev(9), Changes: []Change{order}}, now, time.Second, now)
 	require.False(t, ga.rollouts["s"].canary.Began.Before(now), "a watch tells at once")
 }
--- a/internal/gateway/schedule_test.go
+++ b/internal/gateway/schedule_test.go
@@ -14,34 +14,34 @@
 	"github.com/linnetrudder/linnetrudder/internal/rollout"
 )
 
-// sharedStore keeps one phase by compare-and-swap, and its history.
-type sharedStore struct {
-	kept    StoredPhase
+// casStore keeps one phase by compare-and-swap, and its history.
+type casStore struct {
+	stored  StoredPhase
 	changes []Change
 	history []rollout.Phase
 }
 
-func (ss *sharedStore) store(ph StoredPhase) bool {
-	if ph.Revision != ss.kept.Revision {
+func (ss *casStore) store(ph StoredPhase) bool {
+	if ph.Revision != ss.stored.Revision {
 		return false
 	}
 	ph.Revision = rev(uint64(len(ss.changes) + 1))
-	ss.kept = ph
+	ss.stored = ph
 	ss.changes = append(ss.changes, Change{Phase: &ph})
 	ss.history = append(ss.history, ph.Phase)
 	return true
 }
 
-// fleet is several gateways with what each has seen of the store.
-type fleet struct {
-	store    sharedStore
+// rolloutFleet is several gateways with what each has seen of the store.
+type rolloutFleet struct {
+	store    casStore
 	gateways []*Gateway
 	seen     []int
 	order    Order
 }
 
-func newFleet(n int) *fleet {
-	fl := &fleet{order: Order{Revision: rev(7), Plan: rollout.Plan{Service: "s", Version: "v2", Within: 20 * time.Second}}}
+func newRolloutFleet(n int) *rolloutFleet {
+	fl := &rolloutFleet{order: Order{Revision: rev(7), Plan: rollout.Plan{Service: "s", Version: "v2", Within: 20 * time.Second}}}
 	fl.gateways, fl.seen = make([]*Gateway, n), make([]int, n)
 	for i := range n {
 		fl.start(i)
@@ -50,28 +50,28 @@
 }
 
 // start begins a gateway's life anew: it reads what is kept.
-func (fl *fleet) start(i int) {
+func (fl *rolloutFleet) start(i int) {
 	ga := &Gateway{Log: zerolog.Nop(), Box: fmt.Sprint(i), Bounds: Bounds{CanaryShare: 0.15}}
 	ga.prepare()
 	fl.gateways[i], fl.seen[i] = ga, len(fl.store.changes)
-	if !fl.store.kept.Revision.IsZero() {
-		ga.stored(fl.store.kept)
+	if !fl.store.stored.Revision.IsZero() {
+		ga.stored(fl.store.stored)
 	}
 	ga.ordered(fl.order)
 }
 
-func (fl *fleet) rollout(i int) *timedRollout { return fl.gateways[i].rollouts["s"] }
+func (fl *rolloutFleet) rollout(i int) *timedRollout { return fl.gateways[i].rollouts["s"] }
 
-func (fl *fleet) deliver(i, most int) {
+func (fl *rolloutFleet) deliver(i, most int) {
 	for ; most > 0 && fl.seen[i] < len(fl.store.changes); most-- {
-		fl.gateways[i].change(fl.store.changes[fl.seen[i]])
+		fl.gateways[i].applyChange(fl.store.changes[fl.seen[i]])
 		fl.seen[i]++
 	}
 }
 
 // decide lets a gateway store what it thinks is due. The answer may be lost, and
 // the gateway may die between the decision and the write.
-func (fl *fleet) decide(rt *rapid.T, i int, now time.Time) {
+func (fl *rolloutFleet) decide(rt *rapid.T, i int, now time.Time) {
 	fl.gateways[i].settle(fl.rollout(i), now)
 	ph, due := fl.gateways[i].dueFor(fl.rollout(i), now)
 	if !due {
@@ -89,7 +89,7 @@
 // stored only goes forward, ends once, and all gateways come to it.
 func TestARolloutEndsOnceUnderAnySchedule(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		fl := newFleet(rapid.IntRange(1, 4).Draw(rt, "gateways"))
+		fl := newRolloutFleet(rapid.IntRange(1, 4).Draw(rt, "gateways"))
 		now := time.Now()
 		for range rapid.IntRange(1, 120).Draw(rt, "steps") {
 			i := rapid.IntRange(0, len(fl.gateways)-1).Draw(rt, "gateway")
@@ -113,7 +113,7 @@
 		for i := range fl.gateways {
 			fl.deliver(i, len(fl.store.changes))
 		}
-		if kept := fl.store.kept.Phase; kept == rollout.Complete || kept == rollout.Failed {
+		if kept := fl.store.stored.Phase; kept == rollout.Complete || kept == rollout.Failed {
 			for i := range fl.gateways {
 				if fl.rollout(i).canary.Phase() != kept {
 					rt.Fatalf("gateway %d is in %s, %s is kept", i, fl.rollout(i).canary.Phase(), kept)
@@ -157,7 +157,7 @@
 // Concurrent writers see a linearizable register, so that no two of them both
 // believe that they ended a roll-out.
 func TestPhaseWritesAreLinearizable(t *testing.T) {
-	fl := newFleet(4)
+	fl := newRolloutFleet(4)
 	now := time.Now()
 	var history []porcupine.Operation
 	for step := range int64(60) {
@@ -176,18 +176,18 @@
 	}
 	require.NotEmpty(t, history)
 	require.True(t, porcupine.CheckOperations(phaseModel, history))
-	require.Equal(t, rollout.Complete, fl.store.kept.Phase)
+	require.Equal(t, rollout.Complete, fl.store.stored.Phase)
 }
 
 // The naive writer stores its view whatever is kept.
 func TestANaiveWriterUndoesAFinishedRollout(t *testing.T) {
-	fl := newFleet(2)
+	fl := newRolloutFleet(2)
 	fl.store.store(StoredPhase{Service: "s", Order: rev(7), Phase: rollout.Complete})
 	for n := range 20 {
 		fl.gateways[1].observe(directory.Server{ID: fmt.Sprint(n), Service: "s", Version: "v2"}, "r", true)
 	}
 	settle(fl.gateways[1], fl.rollout(1))
-	naive := StoredPhase{Service: "s", Order: rev(7), Phase: fl.rollout(1).canary.Phase(), Revision: fl.store.kept.Revision}
+	naive := StoredPhase{Service: "s", Order: rev(7), Phase: fl.rollout(1).canary.Phase(), Revision: fl.store.stored.Revision}
 	require.True(t, fl.store.store(naive))
-	require.Equal(t, rollout.Failed, fl.store.kept.Phase, "the old servers are stopped, and everything goes back to them")
+	require.Equal(t, rollout.Failed, fl.store.stored.Phase, "the old servers are stopped, and everything goes back to them")
 }
--- a/internal/gateway/selfreports.go
+++ b/internal/gateway/selfreports.go
@@ -13,12 +13,12 @@
 
 // selfReport returns what the attempt's server reported about itself. ok is false if the
 // server did not answer.
-func (se *sent) selfReport() (re selfreport.Report, ok bool) {
-	var refusal *Refusal
-	var doubt *Doubt
+func (se *attemptState) selfReport() (re selfreport.Report, ok bool) {
+	var refusal *RefusedError
+	var doubt *AmbiguousError
 	switch {
-	case se.answer != nil:
-		return se.answer.Report, true
+	case se.response != nil:
+		return se.response.Report, true
 	case errors.As(se.err, &refusal):
 		return refusal.Report, !refusal.Gone
 	case errors.As(se.err, &doubt):
@@ -28,7 +28,7 @@
 }
 
 // applySelfReport records what an attempt's server reported about itself.
-func (ga *Gateway) applySelfReport(se *sent, now time.Time) {
+func (ga *Gateway) applySelfReport(se *attemptState, now time.Time) {
 	re, ok := se.selfReport()
 	if !ok {
 		return
@@ -39,16 +39,16 @@
 	if re.Err != nil {
 		ga.noteUnreadable(key, re.Err)
 	}
-	if se.answer != nil && re.Err == nil || re.Limit != nil {
+	if se.response != nil && re.Err == nil || re.Limit != nil {
 		// A rejection without a limit does not end one: it may be older than the limit.
 		ga.applyLimit(key, re.Limit, now)
 	}
 	switch {
 	case re.RetryAfter > 0:
 		ga.pauseServer(key, re.RetryAfter, now)
-	case se.answer == nil:
+	case se.response == nil:
 		if ga.pool.Pauses.Rejected(key, now) {
-			ga.pauseNews.Learn(key, 0, now)
+			ga.pauseGossip.Learn(key, 0, now)
 		}
 	default:
 		ga.pool.Pauses.Accepted(key, now)
@@ -63,7 +63,7 @@
 	if !ga.pool.Pauses.Begin(key, lasts, now) {
 		return
 	}
-	ga.pauseNews.Learn(key, 0, now)
+	ga.pauseGossip.Learn(key, 0, now)
 	serverPauses.Inc()
 	ga.Log.Info().Int("event", int(event.ServerPaused)).Str("server", key).Dur("for_ms", lasts).Msg(event.Name(event.ServerPaused))
 }
@@ -71,7 +71,7 @@
 // noteUnreadable logs a report that could not be read, and counts all of them.
 func (ga *Gateway) noteUnreadable(key string, why error) {
 	reportsUnreadable.Inc()
-	lo := ga.Log.Sample(&ga.unreadable)
+	lo := ga.Log.Sample(&ga.unreadableLog)
 	lo.Warn().Int("event", int(event.ReportUnreadable)).Str("server", key).Err(why).Msg(event.Name(event.ReportUnreadable))
 }
 
@@ -81,7 +81,7 @@
 	if !ga.servers.Leave(key, at) {
 		return
 	}
-	ga.leavingNews.Learn(key, hops, clock.Now())
+	ga.leavingGossip.Learn(key, hops, clock.Now())
 	serversLeaving.Inc()
 	ga.noteServer(event.ServerLeaving, key, detail)
 }
@@ -96,7 +96,7 @@
 	}
 	for _, no := range re.Pauses {
 		if no.Valid() && ga.servers.Life(no.Server) != nil && ga.pool.Pauses.Told(no.Server, no.Lasts-no.Age, now) {
-			ga.pauseNews.Learn(no.Server, no.Hops+1, now)
+			ga.pauseGossip.Learn(no.Server, no.Hops+1, now)
 		}
 	}
 }
@@ -104,12 +104,12 @@
 // addNotices adds notices of what servers reported to a report for another gateway. The lock is held.
 func (ga *Gateway) addNotices(re *relay.Report, to gossip.Peer, now time.Time) {
 	re.Limits = ga.pool.Limits.Notices(to, now)
-	for _, fa := range ga.leavingNews.Due(to, now) {
+	for _, fa := range ga.leavingGossip.Due(to, now) {
 		if at, ok := ga.servers.LeavingSince(fa.Key()); ok {
 			re.Leaving = append(re.Leaving, gossip.Notice{Server: fa.Key(), Age: max(0, now.Sub(at)), Hops: fa.Hops()})
 		}
 	}
-	for _, fa := range ga.pauseNews.Due(to, now) {
+	for _, fa := range ga.pauseGossip.Due(to, now) {
 		if left := ga.pool.Pauses.Remaining(fa.Key(), now); left > 0 {
 			re.Pauses = append(re.Pauses, gossip.Notice{Server: fa.Key(), Hops: fa.Hops(), Lasts: left})
 		}
@@ -118,7 +118,7 @@
 
 // noteUnwanted logs an attempt that is sent although its server asked for none. The lock is
 // held.
-func (ga *Gateway) noteUnwanted(se *sent, now time.Time) {
+func (ga *Gateway) noteUnwanted(se *attemptState, now time.Time) {
 	key := se.server.Key()
 	since, leaving := ga.servers.LeavingSince(key)
 	pause := ga.pool.Pauses.Left(key, now)
@@ -126,7 +126,7 @@
 		return
 	}
 	attemptsUnwanted.Inc()
-	le := ga.Log.Warn().Int("event", int(event.AttemptUnwanted)).Str("request", se.ex.as.ID).Int("attempt", se.step.Attempt()).
+	le := ga.Log.Warn().Int("event", int(event.AttemptUnwanted)).Str("request", se.ex.rq.ID).Int("attempt", se.step.Attempt()).
 		Str("server", key).Dur("pause_left_ms", pause)
 	if leaving {
 		le = le.Dur("leaving_for_ms", now.Sub(since))
--- a/internal/gateway/selfreports_test.go
+++ b/internal/gateway/selfreports_test.go
@@ -42,16 +42,16 @@
 
 // boxBackend calls the servers of a scene for one box.
 type boxBackend struct {
-	*crashing
+	*crashingBackend
 	box string
 }
 
-func (bb boxBackend) Call(ctx context.Context, at *Attempt) (*Answer, error) {
+func (bb boxBackend) Call(ctx context.Context, at *Attempt) (*Response, error) {
 	bb.receive(boxServer{bb.box, at.Server.ID})
 	return bb.call(ctx, at, bb.box)
 }
 
-func (cr *crashing) receive(from boxServer) {
+func (cr *crashingBackend) receive(from boxServer) {
 	cr.mu.Lock()
 	defer cr.mu.Unlock()
 	if cr.received == nil {
@@ -61,7 +61,7 @@
 }
 
 // leave lets a server announce its shutdown from now on.
-func (cr *crashing) leave(id string) {
+func (cr *crashingBackend) leave(id string) {
 	cr.mu.Lock()
 	defer cr.mu.Unlock()
 	if cr.leaving == nil {
@@ -70,14 +70,14 @@
 	cr.leaving[id] = true
 }
 
-func (cr *crashing) isLeaving(se *fakeServer) bool {
+func (cr *crashingBackend) isLeaving(se *fakeServer) bool {
 	cr.mu.Lock()
 	defer cr.mu.Unlock()
 	return cr.leaving[se.listed.ID]
 }
 
 // shed lets a server reject everything and ask for a pause, zero to end that.
-func (cr *crashing) shed(id string, pause time.Duration) {
+func (cr *crashingBackend) shed(id string, pause time.Duration) {
 	cr.mu.Lock()
 	defer cr.mu.Unlock()
 	if cr.pauses == nil {
@@ -91,7 +91,7 @@
 }
 
 // reject returns the pause that a server asks for which rejects an attempt.
-func (cr *crashing) reject(at *Attempt, box string) (time.Duration, bool) {
+func (cr *crashingBackend) reject(at *Attempt, box string) (time.Duration, bool) {
 	cr.mu.Lock()
 	defer cr.mu.Unlock()
 	pause, ok := cr.pauses[at.Server.ID]
@@ -103,7 +103,7 @@
 
 // mostInPauses returns the most requests that a box sent to a server during a pause that the
 // server had asked it for, those not counted that were on their way.
-func (cr *crashing) mostInPauses(pause time.Duration) int {
+func (cr *crashingBackend) mostInPauses(pause time.Duration) int {
 	cr.mu.Lock()
 	defer cr.mu.Unlock()
 	most := 0
@@ -133,21 +133,21 @@
 	for _, gateways := range []int{1, 4, 23} {
 		t.Run(fmt.Sprint(gateways), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				sc := newScene(t, gateways)
+				sc := newTestCluster(t, gateways)
 				sc.press(4 * time.Second)
-				sc.cutAll(true)
+				sc.disconnectAll(true)
 				leaving, announced := []string{"s3", "s9"}, time.Now()
 				for _, id := range leaving {
 					sc.servers.leave(id)
 				}
 				sc.press(8 * time.Second)
-				sc.cutAll(false)
+				sc.disconnectAll(false)
 				sc.press(4 * time.Second)
 				for _, id := range leaving {
 					require.Zero(t, len(sc.servers.arrivals(id, announced.Add(leaveWithin))), id)
 				}
 				sc.callers.Wait()
-				for _, ca := range sc.others {
+				for _, ca := range sc.otherResponses {
 					require.True(t, ca.answered, "%+v", ca)
 				}
 			})
@@ -169,7 +169,7 @@
 	for _, gateways := range []int{1, 4, 23} {
 		t.Run(fmt.Sprint(gateways), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				sc := newScene(t, gateways)
+				sc := newTestCluster(t, gateways)
 				sc.press(2 * time.Second)
 				shedding := []string{"s1", "s5", "s8", "s13"}
 				for _, id := range shedding {
@@ -177,11 +177,11 @@
 				}
 				sc.press(askedPause)
 				sc.callers.Wait()
-				for _, ca := range sc.others {
+				for _, ca := range sc.otherResponses {
 					// Until a gateway knows of rejections, escalations leave no retries for them.
 					require.True(t, ca.answered || ca.refusedAtOnce(), "%+v", ca)
 				}
-				sc.others = nil
+				sc.otherResponses = nil
 				sc.press(7 * time.Second)
 				require.LessOrEqual(t, sc.servers.mostInPauses(askedPause), mostInPause)
 				for _, id := range shedding {
@@ -194,7 +194,7 @@
 					require.Greater(t, len(sc.servers.arrivals(id, used)), 12, "%s is used as before", id)
 				}
 				sc.callers.Wait()
-				for _, ca := range sc.others {
+				for _, ca := range sc.otherResponses {
 					require.True(t, ca.answered, "%+v", ca)
 				}
 			})
@@ -209,30 +209,30 @@
 	for _, gateways := range []int{1, 4, 23} {
 		t.Run(fmt.Sprint(gateways), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				sc := newScene(t, gateways)
+				sc := newTestCluster(t, gateways)
 				sc.press(5 * time.Second)
 				sc.callers.Wait()
-				sc.others = nil
-				for i := range poolSize / 2 {
+				sc.otherResponses = nil
+				for i := range serverCount / 2 {
 					sc.servers.shed(fmt.Sprint("s", 2*i+1), silentRejection)
 				}
 				sc.press(9 * time.Second)
 				sc.callers.Wait()
 				refused := 0
-				for _, ca := range sc.others {
+				for _, ca := range sc.otherResponses {
 					if !ca.answered {
 						refused++
 						require.True(t, ca.refusedAtOnce(), "%+v", ca)
 					}
 				}
-				require.LessOrEqual(t, refused, len(sc.others)/20, "mostly before the servers are known to reject")
+				require.LessOrEqual(t, refused, len(sc.otherResponses)/20, "mostly before the servers are known to reject")
 			})
 		})
 	}
 }
 
 // refusedAtOnce reports whether a caller was told at once that nothing ran, and when to retry.
-func (ca *caller) refusedAtOnce() bool {
+func (ca *recordingResponder) refusedAtOnce() bool {
 	return ca.code == result.Overloaded && ca.after > 0 && ca.took < 10*time.Millisecond
 }
 
@@ -240,17 +240,17 @@
 // which one of them accepts requests.
 func TestCallersOfAPausedPoolAreRefusedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		sc := newScene(t, 4)
+		sc := newTestCluster(t, 4)
 		for _, se := range sc.servers.all() {
 			sc.servers.shed(se.listed.ID, askedPause)
 		}
 		sc.press(2 * time.Second)
 		sc.callers.Wait()
-		sc.others = nil
+		sc.otherResponses = nil
 		sc.press(500 * time.Millisecond)
 		sc.callers.Wait()
-		require.NotEmpty(t, sc.others)
-		for _, ca := range sc.others {
+		require.NotEmpty(t, sc.otherResponses)
+		for _, ca := range sc.otherResponses {
 			require.Equal(t, result.Overloaded, ca.code)
 			require.Positive(t, ca.after)
 			require.LessOrEqual(t, ca.after, askedPause)
@@ -260,10 +260,10 @@
 			sc.servers.shed(se.listed.ID, 0)
 		}
 		time.Sleep(askedPause)
-		sc.others = nil
+		sc.otherResponses = nil
 		sc.press(2 * time.Second)
 		sc.callers.Wait()
-		for _, ca := range sc.others {
+		for _, ca := range sc.otherResponses {
 			require.True(t, ca.answered, "%+v", ca)
 		}
 	})
@@ -272,17 +272,17 @@
 // An announcement counts in every kind of answer, also in those that no caller gets.
 func TestSelfReportIsTakenFromEveryKindOfAnswer(t *testing.T) {
 	leaving := selfreport.Report{Leaving: true}
-	for name, se := range map[string]*sent{
-		"answer":               {answer: &Answer{Report: leaving}},
-		"answer of a failure":  {answer: &Answer{Status: 500, Report: leaving}},
-		"answer given up":      {answer: &Answer{Report: leaving}, err: errGivenUp},
-		"answer that broke":    {answer: &Answer{Report: leaving}, err: io.ErrUnexpectedEOF},
-		"rejection":            {err: &Refusal{Report: leaving}},
-		"doubtful answer":      {err: &Doubt{Report: leaving}},
-		"wrapped rejection":    {err: eris.Wrap(&Refusal{Report: leaving}, "call")},
-		"another server's":     {err: &Refusal{Gone: true, Report: leaving}},
-		"no answer":            {err: ErrUnsent},
-		"answer of no concern": {answer: &Answer{}},
+	for name, se := range map[string]*attemptState{
+		"answer":               {response: &Response{Report: leaving}},
+		"answer of a failure":  {response: &Response{Status: 500, Report: leaving}},
+		"answer given up":      {response: &Response{Report: leaving}, err: errGivenUp},
+		"answer that broke":    {response: &Response{Report: leaving}, err: io.ErrUnexpectedEOF},
+		"rejection":            {err: &RefusedError{Report: leaving}},
+		"doubtful answer":      {err: &AmbiguousError{Report: leaving}},
+		"wrapped rejection":    {err: eris.Wrap(&RefusedError{Report: leaving}, "call")},
+		"another server's":     {err: &RefusedError{Gone: true, Report: leaving}},
+		"no answer":            {err: ErrNotSent},
+		"answer of no concern": {response: &Response{}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			now := clock.Now()
@@ -305,7 +305,7 @@
 	wa, _ := newServing(Change{Member: &relay.Member{Box: "a", DataCentre: "dc0", Address: "127.0.0.1:1"}})
 	wa.serverLeaves("x2", now, 0, "")
 	ga, _ := newServing()
-	_, err := ga.takeWhole(wa.Updates(t.Context(), relay.Request{After: rev(0)}), now)
+	_, err := ga.applySnapshot(wa.Updates(t.Context(), relay.Request{After: rev(0)}), now)
 	require.NoError(t, err)
 	require.Equal(t, map[string]bool{"x0": true, "x1": true}, servedBy(ga, now))
 }
@@ -326,8 +326,8 @@
 	for _, gateways := range []int{2, 4, 8} {
 		t.Run(fmt.Sprint(gateways), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				sc := newScene(t, gateways)
-				sc.play(0, "", 2*time.Second)
+				sc := newTestCluster(t, gateways)
+				sc.sendTraffic(0, "", 2*time.Second)
 				announced := time.Now()
 				leaving := []string{"s2", "s7"}
 				for _, id := range leaving {
@@ -336,9 +336,9 @@
 				for _, id := range []string{"s4", "s11"} {
 					sc.servers.shed(id, askedPause)
 				}
-				sc.play(0, poisonPath, 6*time.Second)
-				sc.replace(gateways - 1)
-				sc.play(0, poisonPath, 6*time.Second)
+				sc.sendTraffic(0, poisonPath, 6*time.Second)
+				sc.replaceGateway(gateways - 1)
+				sc.sendTraffic(0, poisonPath, 6*time.Second)
 				for _, id := range leaving {
 					late := sc.servers.arrivals(id, announced.Add(leaveWithin))
 					require.LessOrEqual(t, len(late), 1, "%s: only the gateway that started anew may send one", id)
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -26,21 +26,21 @@
 const plainAttempts = 1
 
 // Serve answers one request.
-func (ga *Gateway) Serve(ctx context.Context, as *Ask, an Responder) {
+func (ga *Gateway) Serve(ctx context.Context, as *Request, an Responder) {
 	ga.inProgress.Add(1)
 	defer ga.inProgress.Add(-1)
-	ex := &exchange{ga: ga, as: as, an: an, attempts: map[int]*sent{}}
+	ex := &exchange{ga: ga, rq: as, responder: an, attempts: map[int]*attemptState{}}
 	if co := ex.admit(as.Received); co != result.OK {
-		ex.refuse(co, "", ex.sooner(co, 0))
+		ex.writeError(co, "", ex.retryAfter(co, 0))
 		return
 	}
-	if stop := ga.stop.Load(); !stop.takes(ex.route, as.Received) {
-		ex.refuse(result.Leaving, "", ex.sooner(result.Leaving, stop.back(as.Received)))
+	if stop := ga.stop.Load(); !stop.accepts(ex.route, as.Received) {
+		ex.writeError(result.Leaving, "", ex.retryAfter(result.Leaving, stop.retryAfter(as.Received)))
 		return
 	}
 	body, err := as.ReadBody()
 	if err != nil {
-		ex.refuse(codeOf(err), err.Error(), 0)
+		ex.writeError(codeOf(err), err.Error(), 0)
 		return
 	}
 	ex.body = body
@@ -56,12 +56,12 @@
 // atOnce is the Retry-After of a caller whom another gateway can serve.
 const atOnce = 50 * time.Millisecond
 
-// sooner returns the Retry-After of a refusal: at once if only this gateway can't serve the caller and
+// retryAfter returns the Retry-After of a refusal: at once if only this gateway can't serve the caller and
 // another one reports that it is ready.
-func (ex *exchange) sooner(co result.Code, after time.Duration) time.Duration {
+func (ex *exchange) retryAfter(co result.Code, after time.Duration) time.Duration {
 	switch co {
 	case result.StaleConfiguration, result.NoConfiguration, result.Leaving:
-		if ex.ga.elsewhere(ex.as.Received) {
+		if ex.ga.elsewhere(ex.rq.Received) {
 			return atOnce
 		}
 	}
@@ -70,31 +70,31 @@
 
 // exchange is one request in progress; one goroutine uses it.
 type exchange struct {
-	ga *Gateway
-	as *Ask
-	an Responder
+	ga        *Gateway
+	rq        *Request
+	responder Responder
 
 	table *routing.Table
 	route *routing.Route
-	// holder is the team that holds the caller's key, nil on a public route.
-	holder  *routing.Team
+	// keyTeam is the team that holds the caller's key, nil on a public route.
+	keyTeam *routing.Team
 	service string
 	// session groups requests; single is set for one that belongs to none, which
 	// draw then places in a roll-out.
-	session string
-	single  bool
-	draw    float64
-	body    []byte
+	session     string
+	sessionless bool
+	draw        float64
+	body        []byte
 	// print is the same for all copies of the request, known once the body is. trial is set if
 	// the request is sent once although it is blocked.
 	print   poison.Print
 	trial   bool
 	request direct.Request
 	// attempts holds what was sent, by number.
-	attempts map[int]*sent
-	// begun is the version of the server that the first attempt was sent to, known once
+	attempts map[int]*attemptState
+	// firstVersion is the version of the server that the first attempt was sent to, known once
 	// there was one.
-	begun string
+	firstVersion string
 	// offer is the server chosen last.
 	offer pool.Offer
 	// choice is what a model was last chosen by, smallest the confidence of the smallest
@@ -104,74 +104,74 @@
 	// held is the answer of before an escalation, nil once it is not needed any more.
 	held *heldAnswer
 	// final is the attempt whose answer the caller gets, nil before there is one.
-	final *sent
+	final *attemptState
 	// delivered is the id of the last event that the caller got.
 	delivered string
-	// head is when the head came of the answer that the caller gets first.
-	head time.Time
-	// age is the age of the configuration by which the request was admitted.
-	age time.Duration
+	// headAt is when the headAt came of the answer that the caller gets first.
+	headAt time.Time
+	// configAge is the configAge of the configuration by which the request was admitted.
+	configAge time.Duration
 }
 
 // admit checks what can be checked by the head of the request.
 func (ex *exchange) admit(now time.Time) result.Code {
 	ga := ex.ga
 	ex.table = ga.table.Load()
-	ex.age = ga.age(now)
+	ex.configAge = ga.configAge(now)
 	if ex.table == nil {
 		return result.NoConfiguration
 	}
-	ex.route = ex.table.Route(ex.as.Host, ex.as.Path)
+	ex.route = ex.table.Route(ex.rq.Host, ex.rq.Path)
 	if ex.route == nil {
-		return ex.denied(result.UnknownPath)
+		return ex.notFound(result.UnknownPath)
 	}
 	if ex.table.Protected() && !ex.route.Public {
-		if !ga.isFresh(now) {
+		if !ga.acceptsKeys(now) {
 			return result.StaleConfiguration
 		}
-		te := ex.table.TeamByKey(ex.as.Key)
+		te := ex.table.TeamByKey(ex.rq.Key)
 		if te == nil {
-			return ex.denied(result.UnknownKey)
+			return ex.notFound(result.UnknownKey)
 		}
-		ex.holder = te
+		ex.keyTeam = te
 	}
-	ex.prepare()
+	ex.prepareRequest()
 	return result.OK
 }
 
 // team returns the name of the caller's team, "" on a public route.
 func (ex *exchange) team() string {
-	if ex.holder == nil {
+	if ex.keyTeam == nil {
 		return ""
 	}
-	return ex.holder.Name
+	return ex.keyTeam.Name
 }
 
-// denied returns the code for what the configuration does not hold: with an
+// notFound returns the code for what the configuration does not hold: with an
 // old configuration that says nothing.
-func (ex *exchange) denied(co result.Code) result.Code {
-	if ex.age > denyAge {
+func (ex *exchange) notFound(co result.Code) result.Code {
+	if ex.configAge > denyAge {
 		return result.StaleConfiguration
 	}
 	return co
 }
 
-// prepare fills the request from the route.
-func (ex *exchange) prepare() {
-	as, ro := ex.as, ex.route
+// prepareRequest fills the request from the route.
+func (ex *exchange) prepareRequest() {
+	as, ro := ex.rq, ex.route
 	ex.service = ro.Pick(rand.Float64())
 	ex.draw = rand.Float64()
 	ex.session = as.Session
 	if ex.session == "" && len(as.Prompt) > 0 {
 		ex.session = as.Prompt[len(as.Prompt)-1].ID
 	}
-	ex.single = ex.session == ""
+	ex.sessionless = ex.session == ""
 	limit := ro.Timeout
 	if limit == 0 {
 		limit = defaultPatience
 	}
-	if as.Patience > 0 {
-		limit = min(limit, as.Patience)
+	if as.Timeout > 0 {
+		limit = min(limit, as.Timeout)
 	}
 	ex.request = direct.Request{
 		Idempotent: ro.Idempotent(), Resumable: ro.Kind == routing.Streaming && ro.Resumable,
@@ -189,7 +189,7 @@
 	ga := ex.ga
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
-	of, ok := ga.pool.Pick(ex.askFor(model, tried, now), rand.Uint64(), now)
+	of, ok := ga.pool.Pick(ex.poolRequest(model, tried, now), rand.Uint64(), now)
 	if !ok {
 		return "", false
 	}
@@ -203,11 +203,11 @@
 func (ex *exchange) Wait(model string, tried []string, now time.Time) time.Duration {
 	ex.ga.mu.Lock()
 	defer ex.ga.mu.Unlock()
-	return ex.ga.pool.Wait(ex.askFor(model, tried, now), now)
+	return ex.ga.pool.Wait(ex.poolRequest(model, tried, now), now)
 }
 
-// askFor returns what an attempt needs; the lock is held.
-func (ex *exchange) askFor(model string, tried []string, now time.Time) pool.Ask {
+// poolRequest returns what an attempt needs; the lock is held.
+func (ex *exchange) poolRequest(model string, tried []string, now time.Time) pool.Ask {
 	ask := pool.Ask{
 		Service: ex.service, Tried: tried, Prompt: ex.prompt(model), Cold: ex.ga.coldLimit(ex.service), Alone: ex.trial,
 		// Only first attempts probe: a request that was rejected would be again.
@@ -264,23 +264,23 @@
 	ex.ga.mu.Lock()
 	ex.ga.window(ex.service).Request(now)
 	if len(ex.request.Models) > 0 {
-		ex.ga.prompts.observe(ex.route.Name, ex.as.PromptTokens)
-		ex.ga.prompts.observe(ex.service, ex.as.PromptTokens)
+		ex.ga.promptSizes.observe(ex.route.Name, ex.rq.PromptTokens)
+		ex.ga.promptSizes.observe(ex.service, ex.rq.PromptTokens)
 	}
 	ex.ga.mu.Unlock()
 	step := ex.request.Begin(now)
 	defer ex.dropHeld()
-	var at *sent
+	var at *attemptState
 	for {
 		switch step.Do() {
 		case direct.Refuse:
-			ex.refuse(step.Code(), "", step.RetryAfter())
+			ex.writeError(step.Code(), "", step.RetryAfter())
 			return
 		case direct.Send:
 			ex.replace(at, step)
-			at = ex.open(ctx, step)
+			at = ex.sendAttempt(ctx, step)
 			ex.checkHeld(at)
-			step = ex.outcome(ctx, at)
+			step = ex.handleOutcome(ctx, at)
 		case direct.Deliver:
 			if step.Fallback() {
 				at = ex.fallBack(at)
@@ -291,63 +291,63 @@
 			return
 		}
 		if ctx.Err() != nil && step.Do() != direct.Deliver {
-			ex.gone(ctx, at)
+			ex.callerGone(ctx, at)
 			return
 		}
 	}
 }
 
-// gone ends a request whose caller went away or whose time is over.
-func (ex *exchange) gone(ctx context.Context, at *sent) {
+// callerGone ends a request whose caller went away or whose time is over.
+func (ex *exchange) callerGone(ctx context.Context, at *attemptState) {
 	if at != nil {
-		at.drop()
+		at.discard()
 	}
 	if context.Cause(ctx) != context.DeadlineExceeded { //nolint:errorlint // a context's own error
-		ex.note(event.RequestFailed, result.Stopped, "the caller went away")
+		ex.logOutcome(event.RequestFailed, result.Stopped, "the caller went away")
 		return
 	}
 	if ex.request.Runs() > 0 {
-		ex.refuse(result.LinkLost, "the time was over", 0)
+		ex.writeError(result.LinkLost, "the time was over", 0)
 		return
 	}
-	ex.refuse(result.DeadlinePassed, "the time was over", 0)
+	ex.writeError(result.DeadlinePassed, "the time was over", 0)
 }
 
-func (ex *exchange) refuse(co result.Code, detail string, after time.Duration) {
+func (ex *exchange) writeError(co result.Code, detail string, after time.Duration) {
 	if after == 0 {
 		after = result.Of(co).RetryAfter()
 	}
-	ex.an.Refuse(co, detail, after)
+	ex.responder.WriteError(co, detail, after)
 	id := event.RequestRefused
 	if result.Of(co).Run() != result.DidNotRun {
 		id = event.RequestFailed
 	}
-	ex.note(id, co, detail)
+	ex.logOutcome(id, co, detail)
 }
 
-// note logs the final outcome and counts it.
-func (ex *exchange) note(id event.ID, co result.Code, detail string) {
-	took := clock.Since(ex.as.Received)
+// logOutcome logs the final outcome and counts it.
+func (ex *exchange) logOutcome(id event.ID, co result.Code, detail string) {
+	took := clock.Since(ex.rq.Received)
 	kind, route := "none", ""
 	if ex.route != nil {
 		kind, route = string(ex.route.Kind), ex.route.Name
 	}
 	countRequest(kind, co, took.Seconds())
-	le := ex.ga.Log.Info().Int("event", int(id)).Str("request", ex.as.ID).Str("route", route).Str("team", ex.team()).
-		Str("session", ex.session).Int("code", int(co)).Uint64("version", ex.table.Version()).Dur("age_ms", ex.age).Dur("ms", took).
+	le := ex.ga.Log.Info().Int("event", int(id)).Str("request", ex.rq.ID).Str("route", route).Str("team", ex.team()).
+		Str("session", ex.session).Int("code", int(co)).Uint64("version", ex.table.Version()).Dur("age_ms", ex.configAge).Dur("ms", took).
 		Int("sends", len(ex.attempts)).Int("runs", ex.request.Runs()).
 		Str("print", ex.print.String())
-	if last := ex.last(); last != nil {
-		le = last.describe(le)
+	if last := ex.lastAttempt(); last != nil {
+		le = last.addLogFields(le)
 	}
 	if len(ex.request.Models) > 0 {
-		le = ex.choice.describe(le.Int("prompt", ex.as.PromptTokens).Dur("target_ms", ex.route.Target))
+		le = ex.choice.describe(le.Int("prompt", ex.rq.PromptTokens).Dur("target_ms", ex.route.Target))
 	}
 	le.Str("detail", detail).Msg(event.Name(id))
 }
 
-// last returns the attempt that a request ended with, nil if there was none.
-func (ex *exchange) last() *sent {
+// lastAttempt returns the attempt that a request ended with, nil if there was none.
+func (ex *exchange) lastAttempt() *attemptState {
 	if ex.final != nil {
 		return ex.final
 	}
--- a/internal/gateway/servers.go
+++ b/internal/gateway/servers.go
@@ -120,8 +120,8 @@
 		switch {
 		case evacuated[dataCentre]:
 		case restored:
-			ga.lostCentres.Hold(dataCentre, now.Add(rewriteGrace))
-		case !ga.lostCentres.Has(dataCentre):
+			ga.missingDataCentres.Hold(dataCentre, now.Add(rewriteGrace))
+		case !ga.missingDataCentres.Has(dataCentre):
 			ga.restore(dataCentre, now)
 		}
 	}
@@ -172,14 +172,14 @@
 	}
 	ga.pool.Tick(now)
 	ga.endPauses(now)
-	ga.leavingNews.Tick(now)
-	ga.pauseNews.Tick(now)
+	ga.leavingGossip.Tick(now)
+	ga.pauseGossip.Tick(now)
 	ga.countFleet(now)
 }
 
 // countFleet takes how many gateways there may be; the lock is held.
 func (ga *Gateway) countFleet(now time.Time) {
-	ga.fleet.Observe(ga.size, now)
+	ga.fleet.Observe(ga.gatewayCount, now)
 	ga.pool.Fleet = ga.fleet.Most(now)
 }
 
--- a/internal/gateway/servers_test.go
+++ b/internal/gateway/servers_test.go
@@ -45,7 +45,7 @@
 	ga.prepare()
 	ga.pool.Fleet = 1
 	all := append([]Change{{Document: coldDocument()}, serverChange("x0", "dc0"), serverChange("x1", "dc1"), serverChange("x2", "dc2")}, changes...)
-	if err := ga.takeRead(State{Revision: rev(1), Changes: all}, time.Now()); err != nil {
+	if err := ga.applyReadState(State{Revision: rev(1), Changes: all}, time.Now()); err != nil {
 		panic(err)
 	}
 	return ga, log
@@ -54,7 +54,7 @@
 // newExchange returns a request of the only route.
 func newExchange(ga *Gateway, session string) *exchange {
 	ta := ga.Table()
-	return &exchange{ga: ga, as: &Ask{}, table: ta, route: ta.Route("h", "/r/"), service: "s", session: session}
+	return &exchange{ga: ga, rq: &Request{}, table: ta, route: ta.Route("h", "/r/"), service: "s", session: session}
 }
 
 // servedBy returns the servers that first attempts, repeated ones and later parts of
@@ -91,14 +91,14 @@
 	now := time.Now()
 	ga, log := newServing()
 	require.Len(t, servedBy(ga, now), 3)
-	ga.change(Change{Evacuated: "dc1"})
+	ga.applyChange(Change{Evacuated: "dc1"})
 	require.Equal(t, map[string]bool{"x0": true, "x2": true}, servedBy(ga, now))
-	ga.change(Change{Evacuated: "dc0"})
-	ga.change(Change{Evacuated: "nobody knows"})
+	ga.applyChange(Change{Evacuated: "dc0"})
+	ga.applyChange(Change{Evacuated: "nobody knows"})
 	require.Equal(t, map[string]bool{"x2": true}, servedBy(ga, now), "the gateway's own as well")
-	ga.change(Change{Evacuated: "dc2"})
+	ga.applyChange(Change{Evacuated: "dc2"})
 	require.Empty(t, servedBy(ga, now))
-	ga.change(Change{Restored: "dc2"})
+	ga.applyChange(Change{Restored: "dc2"})
 	require.Equal(t, map[string]bool{"x2": true}, servedBy(ga, now.Add(time.Minute)))
 	require.Contains(t, log.String(), "data_centre_evacuated")
 	require.Contains(t, log.String(), "data_centre_restored")
@@ -113,7 +113,7 @@
 	ga, _ := newServing(Change{Evacuated: "dc2"})
 	up := wa.Updates(t.Context(), relay.Request{After: rev(0)})
 	require.NotEmpty(t, up.Whole)
-	_, err := ga.takeWhole(up, now)
+	_, err := ga.applySnapshot(up, now)
 	require.NoError(t, err)
 	require.Equal(t, map[string]bool{"x0": true, "x2": true}, servedBy(ga, now.Add(time.Minute)))
 }
@@ -153,8 +153,8 @@
 			ga.pool.Warmup.Cool(se.Key(), time.Minute, now)
 		}
 	}
-	ex := &exchange{ga: ga, as: &Ask{}, route: &routing.Route{Name: "r"}, service: "s", session: "any"}
-	ask := ex.askFor("", nil, now)
+	ex := &exchange{ga: ga, rq: &Request{}, route: &routing.Route{Name: "r"}, service: "s", session: "any"}
+	ask := ex.poolRequest("", nil, now)
 	require.True(t, ask.Only)
 	require.Equal(t, "v2", ask.Version)
 }
@@ -164,7 +164,7 @@
 	ga, log := newServing(Change{Gone: "x0"})
 	born := serverChange("y0", "dc0")
 	born.Server.Born = 1000
-	ga.change(born)
+	ga.applyChange(born)
 	first := *ga.servers.Get("y0")
 	for range 5 {
 		ga.pool.Failed(first.Key(), now)
@@ -174,14 +174,14 @@
 	require.NotContains(t, firstServers(ga, now), "y0", "it was ejected")
 	again := serverChange("y0", "dc0")
 	again.Server.Born, again.Server.Address = 2000, "127.0.0.1:2"
-	ga.change(again)
+	ga.applyChange(again)
 	second := *ga.servers.Get("y0")
 	require.Contains(t, firstServers(ga, now), "y0")
 	require.True(t, ga.pool.LastResponse(second.Key()).IsZero())
 	ga.pool.Ended(first.Key())
 	ga.pool.Failed(first.Key(), now)
 	require.Contains(t, firstServers(ga, now), "y0", "late answers of the old life")
-	ga.change(born)
+	ga.applyChange(born)
 	require.Equal(t, "127.0.0.1:2", ga.servers.Get("y0").Address, "an old entry that comes late")
 	require.Equal(t, 1, strings.Count(log.String(), "server_restarted"))
 }
@@ -190,25 +190,25 @@
 	now := time.Now()
 	ga, log := newServing()
 	ga.servers.StoreLost()
-	ga.change(Change{Unusable: &UnusableServer{ID: "x1", Reason: "a field is missing"}})
+	ga.applyChange(Change{Unusable: &UnusableServer{ID: "x1", Reason: "a field is missing"}})
 	require.Equal(t, map[string]bool{"x0": true, "x2": true}, servedBy(ga, now), "at once, whatever the store does")
 	for range 50 {
-		ga.change(Change{Unusable: &UnusableServer{ID: "x1", Reason: "a field is missing"}})
-		ga.change(Change{Unusable: &UnusableServer{ID: "forged", Reason: "a field is missing"}})
+		ga.applyChange(Change{Unusable: &UnusableServer{ID: "x1", Reason: "a field is missing"}})
+		ga.applyChange(Change{Unusable: &UnusableServer{ID: "forged", Reason: "a field is missing"}})
 	}
 	require.Equal(t, 2, strings.Count(log.String(), "server_unusable"), "each id is named once")
 	for i := range 2 * mostUnusable {
-		ga.change(Change{Unusable: &UnusableServer{ID: fmt.Sprint("forged-", i), Reason: "a field is missing"}})
+		ga.applyChange(Change{Unusable: &UnusableServer{ID: fmt.Sprint("forged-", i), Reason: "a field is missing"}})
 	}
 	require.LessOrEqual(t, strings.Count(log.String(), "server_unusable"), mostUnusable+1)
-	ga.change(serverChange("x1", "dc1"))
+	ga.applyChange(serverChange("x1", "dc1"))
 	require.Len(t, servedBy(ga, now), 3, "the server writes its own again")
 }
 
 // Those that hear through a watcher must know as well that an entry names no server.
 func TestAnUnusableEntryIsPassedOn(t *testing.T) {
-	re := newRelaying(t)
-	re.kept.add(serverChange("x", "dc"))
+	re := newRelayCluster(t)
+	re.store.add(serverChange("x", "dc"))
 	listed := func(box string) func() bool {
 		return func() bool {
 			ga := re.gateways[box]
@@ -220,11 +220,11 @@
 	for _, box := range []string{"a", "b", "c"} {
 		re.eventually(t, box+" lists it", listed(box))
 	}
-	re.kept.add(Change{Unusable: &UnusableServer{ID: "x", Reason: "a field is missing"}})
+	re.store.add(Change{Unusable: &UnusableServer{ID: "x", Reason: "a field is missing"}})
 	for _, box := range []string{"a", "b", "c"} {
 		re.eventually(t, box+" does not use it", func() bool { return !listed(box)() })
 	}
-	re.kept.add(Change{Evacuated: "dc"})
+	re.store.add(Change{Evacuated: "dc"})
 	for _, box := range []string{"a", "b", "c"} {
 		re.eventually(t, box+" knows of the evacuation", func() bool {
 			ga := re.gateways[box]
--- a/internal/gateway/whole.go
+++ b/internal/gateway/snapshot.go
@@ -28,7 +28,7 @@
 	sent := clock.Now()
 	var from relay.Member
 	era := ga.era()
-	st, whole, err := ga.Source.Read(ctx, era, func(first State) bool {
+	st, whole, err := ga.Store.Read(ctx, era, func(first State) bool {
 		var ok bool
 		from, ok = ga.watcherAmong(first)
 		return !ok
@@ -39,35 +39,35 @@
 			return at, nil
 		}
 		sent = clock.Now()
-		st, _, err = ga.Source.Read(ctx, era, func(State) bool { return true })
+		st, _, err = ga.Store.Read(ctx, era, func(State) bool { return true })
 	}
 	if err != nil {
 		return revision.Revision{}, err
 	}
-	return st.Revision, ga.takeRead(st, sent)
+	return st.Revision, ga.applyReadState(st, sent)
 }
 
 // era returns the era of the key-value service, zero if it has named none.
 func (ga *Gateway) era() uint64 {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
-	return ga.eras.Era()
+	return ga.eraGuard.Era()
 }
 
-// takeWhole applies a whole state that a watcher sent.
-func (ga *Gateway) takeWhole(up relay.Update, sent time.Time) (revision.Revision, error) {
+// applySnapshot applies a whole state that a watcher sent.
+func (ga *Gateway) applySnapshot(up relay.Update, sent time.Time) (revision.Revision, error) {
 	st := State{Revision: up.Revision}
 	if err := cbor.Unmarshal(up.Whole, &st.Changes); err != nil {
 		return revision.Revision{}, eris.Wrap(err, "decode state")
 	}
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
-	if !ga.eras.Accept(st.Revision.Era, clock.Now()) {
+	if !ga.eraGuard.Accept(st.Revision.Era, clock.Now()) {
 		return revision.Revision{}, errOlderEra
 	}
-	ga.replace(st)
-	if ga.fresh.Relayed(sent, up.Age) {
-		ga.regained()
+	ga.replaceState(st)
+	if ga.freshness.Relayed(sent, up.Age) {
+		ga.storeRecovered()
 	}
 	return up.Revision, nil
 }
@@ -84,10 +84,10 @@
 	}
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
-	if ga.Bounds.Revoke != 0 && ga.Bounds.oldest() < relayLeast {
+	if ga.Bounds.MaxConfigAge != 0 && ga.Bounds.keyAcceptanceAge() < relayLeast {
 		return relay.Member{}, false
 	}
-	return ga.plan.Watcher(members, clock.Now())
+	return ga.relayPlan.Watcher(members, clock.Now())
 }
 
 // readFrom gets the whole state from a watcher, which may have to read it first. It reports
@@ -107,14 +107,14 @@
 		case up.Whole == nil:
 			failed = errUnknown
 		default:
-			at, err := ga.takeWhole(up, sent)
+			at, err := ga.applySnapshot(up, sent)
 			if err == nil {
 				return at, true
 			}
 			failed = err
 		}
 	}
-	ga.leaveWatcher(wa, failed)
+	ga.watcherFailed(wa, failed)
 	return revision.Revision{}, false
 }
 
@@ -138,7 +138,7 @@
 		all = append(all, Change{Leaving: key})
 	}
 	for _, dataCentre := range ga.servers.Evacuated() {
-		if !ga.lostCentres.Has(dataCentre) {
+		if !ga.missingDataCentres.Has(dataCentre) {
 			all = append(all, Change{Evacuated: dataCentre})
 		}
 	}
@@ -152,7 +152,7 @@
 		all = append(all, Change{Blocked: &bl})
 	}
 	for _, me := range ga.members {
-		if !ga.lostMembers.Has(me.Box) {
+		if !ga.missingMembers.Has(me.Box) {
 			all = append(all, Change{Member: &me})
 		}
 	}
@@ -163,19 +163,19 @@
 // The lock is held.
 func (ga *Gateway) unknown(age time.Duration) relay.Update {
 	up := relay.Update{Revision: ga.history.Revision(), Age: age, Unknown: true}
-	if !ga.stateRead || !ga.plan.Watches(ga.memberList()) {
+	if !ga.stateRead || !ga.relayPlan.Watches(ga.memberList()) {
 		return up
 	}
 	now := clock.Now()
-	if ga.whole.revision != up.Revision || now.Sub(ga.whole.at) > wholeKept {
+	if ga.snapshot.revision != up.Revision || now.Sub(ga.snapshot.at) > wholeKept {
 		data, err := cbor.Marshal(ga.wholeState())
 		if err != nil {
 			ga.Log.Error().Int("event", int(event.RelayFailed)).Err(err).Msg(event.Name(event.RelayFailed))
 			return up
 		}
-		ga.whole = encodedState{data: data, revision: up.Revision, at: now}
+		ga.snapshot = encodedState{data: data, revision: up.Revision, at: now}
 	}
-	up.Whole = ga.whole.data
+	up.Whole = ga.snapshot.data
 	return up
 }
 
--- a/internal/gateway/stopping_test.go
+++ b/internal/gateway/stopping_test.go
@@ -19,19 +19,19 @@
 	stream := &routing.Route{Kind: routing.Streaming, Timeout: time.Second}
 	unbounded := &routing.Route{Kind: routing.Safe}
 	var none *stopPlan
-	require.True(t, none.takes(stream, now))
-	stop := &stopPlan{leave: now.Add(3 * time.Second), end: now.Add(7 * time.Second)}
+	require.True(t, none.accepts(stream, now))
+	stop := &stopPlan{drainAt: now.Add(3 * time.Second), end: now.Add(7 * time.Second)}
 	for _, ro := range []*routing.Route{plain, stream, unbounded} {
-		require.True(t, stop.takes(ro, now.Add(2*time.Second)), "new callers may still come")
+		require.True(t, stop.accepts(ro, now.Add(2*time.Second)), "new callers may still come")
 	}
 	late := now.Add(5 * time.Second)
-	require.True(t, stop.takes(plain, late))
-	require.False(t, stop.takes(stream, late))
-	require.False(t, stop.takes(unbounded, late))
-	require.False(t, stop.takes(plain, now.Add(6500*time.Millisecond)))
-	require.Equal(t, 2*time.Second+restartTime, stop.back(late))
-	require.Equal(t, longestReturn, stop.back(now))
-	require.Equal(t, restartTime, stop.back(now.Add(time.Minute)))
+	require.True(t, stop.accepts(plain, late))
+	require.False(t, stop.accepts(stream, late))
+	require.False(t, stop.accepts(unbounded, late))
+	require.False(t, stop.accepts(plain, now.Add(6500*time.Millisecond)))
+	require.Equal(t, 2*time.Second+restartTime, stop.retryAfter(late))
+	require.Equal(t, longestReturn, stop.retryAfter(now))
+	require.Equal(t, restartTime, stop.retryAfter(now.Add(time.Minute)))
 }
 
 func TestAGatewayThatStopsIsNotReadyAndStaysSo(t *testing.T) {
@@ -43,32 +43,32 @@
 	ga.Stop(now.Add(time.Hour), now.Add(2*time.Hour))
 	require.True(t, ga.Stopping())
 	require.False(t, ga.Ready(now))
-	require.Equal(t, now, ga.stop.Load().leave, "the first one holds")
+	require.Equal(t, now, ga.stop.Load().drainAt, "the first one holds")
 }
 
-// refusals keeps when refused callers may come back.
-type refusals struct{ after []time.Duration }
+// retryRecorder keeps when refused callers may come back.
+type retryRecorder struct{ after []time.Duration }
 
-func (*refusals) Whole(int, http.Header, []byte) error { return nil }
-func (*refusals) Head(int, http.Header) error          { return nil }
-func (*refusals) Part([]byte) error                    { return nil }
-func (*refusals) Abort()                               {}
+func (*retryRecorder) WriteResponse(int, http.Header, []byte) error { return nil }
+func (*retryRecorder) WriteHead(int, http.Header) error             { return nil }
+func (*retryRecorder) WriteChunk([]byte) error                      { return nil }
+func (*retryRecorder) Abort()                                       {}
 
-func (re *refusals) Refuse(_ result.Code, _ string, after time.Duration) {
+func (re *retryRecorder) WriteError(_ result.Code, _ string, after time.Duration) {
 	re.after = append(re.after, after)
 }
 
 func TestACallerWhomAnotherGatewayServesMayComeBackAtOnce(t *testing.T) {
 	ga := &Gateway{Log: zerolog.Nop()}
 	ga.prepare()
-	re := &refusals{}
-	ask := func() { ga.Serve(t.Context(), &Ask{Received: time.Now()}, re) }
+	re := &retryRecorder{}
+	ask := func() { ga.Serve(t.Context(), &Request{Received: time.Now()}, re) }
 	ask()
 	ga.Reported(relay.Report{Box: "other"})
 	ask()
 	ga.Reported(relay.Report{Box: "other", Ready: true})
 	ask()
-	ga.otherReady = time.Now().Add(-2 * loadKept)
+	ga.otherReadyAt = time.Now().Add(-2 * loadKept)
 	ask()
 	usual := result.Of(result.NoConfiguration).RetryAfter()
 	require.Equal(t, []time.Duration{usual, usual, atOnce, usual}, re.after)
