--- a/internal/gateway/tallies.go
+++ b/internal/gateway/tallies.go
@@ -36,9 +36,9 @@
 	case ro.over() || ro.canary.OwnTried() == ro.toldTried:
 		return false
 	case bad > ro.toldBad:
-		return since >= max(tellEvery, tellSpacing*time.Duration(ga.size))
+		return since >= max(tellEvery, tellSpacing*time.Duration(ga.gatewayCount))
 	case ro.canary.Deciding(now):
-		return since >= max(decideEvery, tellSpacing*time.Duration(ga.size))
+		return since >= max(decideEvery, tellSpacing*time.Duration(ga.gatewayCount))
 	default:
 		return ro.canary.BadKnown() >= answerFromBad && (ro.toldTried == 0 || since >= answerEvery)
 	}
@@ -57,7 +57,7 @@
 		ro.toldBad, ro.toldTried, ro.toldAt = bad, ro.canary.OwnTried(), now
 		ro.outbox = ga.ownTally(ro)
 	}
-	if now.Sub(ga.reported) < loadKept {
+	if now.Sub(ga.lastReportCollected) < loadKept {
 		return // it goes with the next report
 	}
 	if ro.outbox == nil && (!ro.more || now.Sub(ro.wroteAt) < tellEvery) {
@@ -66,7 +66,7 @@
 	tallies := append(slices.Collect(maps.Values(ro.gathered)), *ga.ownTally(ro))
 	ro.outbox, ro.more, ro.wroteAt = nil, false, now
 	go func() {
-		if err := ga.Source.Tell(ctx, ga.Box, tallies); err != nil {
+		if err := ga.Store.StoreTallies(ctx, ga.Box, tallies); err != nil {
 			ga.Log.Warn().Int("event", int(event.StoreCallFailed)).Str("service", ro.order.Plan.Service).Err(err).Msg(event.Name(event.StoreCallFailed))
 		}
 	}()
@@ -75,17 +75,17 @@
 // ownTally returns what this gateway tells of a roll-out; the lock is held.
 func (ga *Gateway) ownTally(ro *timedRollout) *Tally {
 	return &Tally{
-		Service: ro.order.Plan.Service, Order: ro.order.Revision, Version: ro.order.Plan.Version, Box: ga.Box, Life: ga.life, Outcomes: ro.canary.Own(),
+		Service: ro.order.Plan.Service, Order: ro.order.Revision, Version: ro.order.Plan.Version, Box: ga.Box, Life: ga.instanceID, Outcomes: ro.canary.Own(),
 	}
 }
 
 // tallied takes what another gateway tells of a new version; the lock is held.
 func (ga *Gateway) tallied(ta Tally) {
 	ro := ga.rollouts[ta.Service]
-	if ro == nil || !ta.belongsTo(ro.order) || ta.Box == ga.Box && ta.Life == ga.life || ro.over() {
+	if ro == nil || !ta.belongsTo(ro.order) || ta.Box == ga.Box && ta.Life == ga.instanceID || ro.over() {
 		return
 	}
-	ro.canary.Merge(ta.teller(), ta.Outcomes)
+	ro.canary.Merge(ta.processID(), ta.Outcomes)
 }
 
 // outgoing returns the tallies that go with a report; the lock is held.
@@ -136,7 +136,7 @@
 		if ro.gathered == nil {
 			ro.gathered = map[string]Tally{}
 		}
-		ro.gathered[ta.teller()] = ta
+		ro.gathered[ta.processID()] = ta
 		ro.more = true
 	}
 }
--- a/internal/gateway/trials.go
+++ b/internal/gateway/trials.go
@@ -19,11 +19,11 @@
 // this gateway's.
 func (ex *exchange) awaitVerdict(ctx context.Context) {
 	ga := ex.ga
-	until := ex.as.Received.Add(time.Duration(freshWaitPart * float64(ex.route.Target)))
+	until := ex.rq.Received.Add(time.Duration(freshWaitPart * float64(ex.route.Target)))
 	for {
 		now := clock.Now()
 		ga.mu.Lock()
-		lifted := ga.lifted
+		lifted := ga.blockLifted
 		ex.trial = ga.takeTrial(ex, now)
 		wait := min(ga.blocks.Fresh(ex.print, now), until.Sub(now))
 		ga.mu.Unlock()
@@ -52,11 +52,11 @@
 func (ga *Gateway) takeTrial(ex *exchange, now time.Time) bool {
 	pr := ex.print
 	trial, due := ga.blocks.Trial(pr, now)
-	if trial == 0 || !ga.triesFor(pr, trial, due) || !ga.pool.AnyIdle(ex.askFor("", nil, now), now) {
+	if trial == 0 || !ga.triesFor(pr, trial, due) || !ga.pool.AnyIdle(ex.poolRequest("", nil, now), now) {
 		return false
 	}
 	ga.blocks.Try(pr, trial, now)
-	ga.storing[pr] = now
+	ga.storeBlockAt[pr] = now
 	ga.Log.Info().Int("event", int(event.BlockTried)).Str("print", pr.String()).Int("trial", trial).Msg(event.Name(event.BlockTried))
 	return true
 }
--- a/internal/gateway/types.go
+++ b/internal/gateway/types.go
@@ -22,9 +22,9 @@
 	"github.com/linnetrudder/linnetrudder/internal/selfreport"
 )
 
-// Ask is a caller's request as an adapter decodes it. Its fields are exported
+// Request is a caller's request as an adapter decodes it. Its fields are exported
 // because it is data without behaviour.
-type Ask struct {
+type Request struct {
 	// ID is the caller's name for this attempt of its own.
 	ID string
 	// Host and Path select the route.
@@ -35,8 +35,8 @@
 	Key string
 	// Received is when the head of the request had been read.
 	Received time.Time
-	// Patience is how long the caller will wait; zero if it did not say.
-	Patience time.Duration
+	// Timeout is how long the caller will wait; zero if it did not say.
+	Timeout time.Duration
 	// AnyModel is set where the choice of the model is left to the system.
 	AnyModel bool
 	// Session groups requests of one conversation; empty if there is none.
@@ -46,18 +46,18 @@
 	// PromptTokens and OutputTokens are the size of a generation, the second a
 	// bound; zero if they are not known.
 	PromptTokens, OutputTokens int
-	// LastEvent is the last event that the caller has of a stream it resumes.
-	LastEvent string
+	// LastEventID is the last event that the caller has of a stream it resumes.
+	LastEventID string
 	// ReadBody reads the whole body. Its error carries a result code.
 	ReadBody func() ([]byte, error)
-	// Wire is what the adapter needs to make the call; it is not read here.
-	Wire any
+	// AdapterData is what the adapter needs to make the call; it is not read here.
+	AdapterData any
 }
 
-// shared returns the id and the length in tokens of the longest start of the
+// sharedPrefix returns the id and the length in tokens of the longest start of the
 // prompt that a server may hold from other requests: the last part is the
 // request's own.
-func (as *Ask) shared() (id string, tokens int) {
+func (as *Request) sharedPrefix() (id string, tokens int) {
 	for i, pa := range as.Prompt {
 		if i > 0 && i == len(as.Prompt)-1 {
 			break
@@ -76,26 +76,26 @@
 
 // Attempt is one call to a backend server.
 type Attempt struct {
-	Ask    *Ask
-	Body   []byte
-	Server directory.Server
+	Request *Request
+	Body    []byte
+	Server  directory.Server
 	// Team is the name of the caller's team; empty on a public route.
 	Team string
 	// Model is the model to name; empty to leave what the caller named.
 	Model string
-	// Urgency ranks the attempt at its server; 0 is served first.
-	Urgency int
-	// Left is how long the server may work.
-	Left time.Duration
-	// LastEvent is the event after which a stream goes on; empty for the start.
-	LastEvent string
-	// Fresh attempts are made on a new connection: one that was kept may lead to a server
+	// QueuePriority ranks the attempt at its server; 0 is served first.
+	QueuePriority int
+	// Timeout is how long the server may work.
+	Timeout time.Duration
+	// LastEventID is the event after which a stream goes on; empty for the start.
+	LastEventID string
+	// NewConnection attempts are made on a new connection: one that was kept may lead to a server
 	// that has just gone, and what was sent on it may have run.
-	Fresh bool
+	NewConnection bool
 }
 
-// Answer is the head of a backend server's answer and its body.
-type Answer struct {
+// Response is the head of a backend server's answer and its body.
+type Response struct {
 	Status int
 	Header http.Header
 	// Body must be closed. A read error other than io.EOF means that the answer
@@ -113,14 +113,14 @@
 // Backend calls backend servers. Errors are *Refusal, *Doubt, ErrUnsent, ErrUnreachable or
 // others; after a *Doubt and the last kind the attempt may have run.
 type Backend interface {
-	Call(ctx context.Context, at *Attempt) (*Answer, error)
-	// Reach opens a connection to a server and closes it. It returns ErrUnreachable if
+	Call(ctx context.Context, at *Attempt) (*Response, error)
+	// CheckReachable opens a connection to a server and closes it. It returns ErrUnreachable if
 	// nobody listens at the server's address.
-	Reach(ctx context.Context, se directory.Server) error
+	CheckReachable(ctx context.Context, se directory.Server) error
 }
 
-// Refusal is a server's confirmation that it did not execute the attempt and never will.
-type Refusal struct {
+// RefusedError is a server's confirmation that it did not execute the attempt and never will.
+type RefusedError struct {
 	// Reason is the reason that the server gave.
 	Reason string
 	// Gone is set if another server now has the address.
@@ -130,10 +130,10 @@
 }
 
 // Error returns the reason.
-func (re *Refusal) Error() string { return "refused: " + re.Reason }
+func (re *RefusedError) Error() string { return "refused: " + re.Reason }
 
-// Doubt is an answer that leaves open whether the attempt has run.
-type Doubt struct {
+// AmbiguousError is an answer that leaves open whether the attempt has run.
+type AmbiguousError struct {
 	// Status is the answer's status line.
 	Status string
 	// Report is what the server reports about itself.
@@ -141,13 +141,13 @@
 }
 
 // Error returns the status.
-func (do *Doubt) Error() string {
+func (do *AmbiguousError) Error() string {
 	return "server answered " + do.Status + " and may have run the call"
 }
 
 var (
-	// ErrUnsent means that an attempt never reached its server.
-	ErrUnsent = eris.New("attempt was not sent")
+	// ErrNotSent means that an attempt never reached its server.
+	ErrNotSent = eris.New("attempt was not sent")
 	// ErrUnreachable means that it did not since nobody listens at its address. A server
 	// that only takes long to accept a connection is no such: after a restart of all
 	// gateways all servers do.
@@ -157,14 +157,14 @@
 // Responder answers one caller. Its methods are called in the order of a valid
 // answer.
 type Responder interface {
-	// Whole gives a whole answer.
-	Whole(status int, header http.Header, body []byte) error
-	// Head begins a stream.
-	Head(status int, header http.Header) error
-	// Part gives the next part of a stream.
-	Part(part []byte) error
-	// Refuse gives a final code and when to come back, zero for not at all.
-	Refuse(co result.Code, detail string, after time.Duration)
+	// WriteResponse gives a whole answer.
+	WriteResponse(status int, header http.Header, body []byte) error
+	// WriteHead begins a stream.
+	WriteHead(status int, header http.Header) error
+	// WriteChunk gives the next part of a stream.
+	WriteChunk(part []byte) error
+	// WriteError gives a final code and when to come back, zero for not at all.
+	WriteError(co result.Code, detail string, after time.Duration)
 	// Abort breaks the connection, so that a part is not taken for the whole. It
 	// may not return.
 	Abort()
@@ -228,16 +228,16 @@
 	return or.Plan.Service == other.Plan.Service && or.Plan.Version == other.Plan.Version && or.Plan.Within == other.Plan.Within
 }
 
-// rewrites reports whether an order is another one that was written again after the key-value
+// isRewriteOf reports whether an order is another one that was written again after the key-value
 // service was restored.
-func (or *Order) rewrites(other Order) bool {
+func (or *Order) isRewriteOf(other Order) bool {
 	return or.Revision.Era != other.Revision.Era && or.sameAs(other)
 }
 
-// rewrittenBy reports whether an order is the one that another one, read from a restored service,
+// isRewrittenBy reports whether an order is the one that another one, read from a restored service,
 // shows: a copy holds the order before if the newest one was lost.
-func (or *Order) rewrittenBy(other Order) bool {
-	return or != nil && or.Revision.Number == other.Revision.Number && other.rewrites(*or)
+func (or *Order) isRewrittenBy(other Order) bool {
+	return or != nil && or.Revision.Number == other.Revision.Number && other.isRewriteOf(*or)
 }
 
 // StoredPhase is the phase of a roll-out as it is kept.
@@ -265,8 +265,8 @@
 	return ph.Order == or.Revision || ph.Order.Era != or.Revision.Era && ph.Version == or.Plan.Version
 }
 
-// lost reports whether a restored service does not hold the phase.
-func (ph *StoredPhase) lost() bool { return ph.Revision.Number == 0 }
+// isMissing reports whether a restored service does not hold the phase.
+func (ph *StoredPhase) isMissing() bool { return ph.Revision.Number == 0 }
 
 // Tally is what one gateway tells the others of the version being rolled out, from its
 // start on.
@@ -286,20 +286,20 @@
 	return ta.Order == or.Revision || ta.Order.Era != or.Revision.Era && ta.Version == or.Plan.Version
 }
 
-// teller names the process that a tally is of.
-func (ta *Tally) teller() string { return ta.Box + "/" + strconv.FormatUint(ta.Life, 36) }
+// processID names the process that a tally is of.
+func (ta *Tally) processID() string { return ta.Box + "/" + strconv.FormatUint(ta.Life, 36) }
 
-// ErrHistoryGone means that a watch cannot go on from its revision.
-var ErrHistoryGone = eris.New("the history of the key-value service does not reach back")
+// ErrHistoryUnavailable means that a watch cannot go on from its revision.
+var ErrHistoryUnavailable = eris.New("the history of the key-value service does not reach back")
 
 // Lease names a lease of the key-value service.
 type Lease int64
 
-// ErrLeaseOver means that a lease ran out before it was renewed.
-var ErrLeaseOver = eris.New("the lease is over")
+// ErrLeaseExpired means that a lease ran out before it was renewed.
+var ErrLeaseExpired = eris.New("the lease is over")
 
-// Source is the platform's key-value service.
-type Source interface {
+// Store is the platform's key-value service.
+type Store interface {
 	// Read reads everything. Where that takes several calls it goes on after the first one
 	// only if goOn says so, given a first part that holds the members; it reports whether the
 	// state is whole. Answers that name no era are taken to be of the given one.
@@ -308,26 +308,26 @@
 	// over, and the revision to go on from. If that is of another era, the changes are not all.
 	// An answer that names no era is taken to be of that of the revision.
 	Watch(ctx context.Context, after revision.Revision, wait time.Duration) (State, error)
-	// Store keeps a phase if the stored one still has the revision that it
+	// StorePhase keeps a phase if the stored one still has the revision that it
 	// names. It reports whether it does.
-	Store(ctx context.Context, or Order, ph StoredPhase) (bool, error)
-	// Tell keeps tallies of one roll-out, the own one and those of gateways that report to
+	StorePhase(ctx context.Context, or Order, ph StoredPhase) (bool, error)
+	// StoreTallies keeps tallies of one roll-out, the own one and those of gateways that report to
 	// this one, in place of the box's last ones.
-	Tell(ctx context.Context, box string, tallies []Tally) error
-	// Block keeps a block, Unblock ends it.
-	Block(ctx context.Context, bl poison.Block) error
-	Unblock(ctx context.Context, pr poison.Print) error
+	StoreTallies(ctx context.Context, box string, tallies []Tally) error
+	// StoreBlock keeps a block, Unblock ends it.
+	StoreBlock(ctx context.Context, bl poison.Block) error
+	DeleteBlock(ctx context.Context, pr poison.Print) error
 	// Join makes a gateway a member for as long as the lease is renewed.
 	Join(ctx context.Context, me relay.Member, ttl time.Duration) (Lease, error)
-	// Renew renews a lease; it returns ErrLeaseOver if there is none any more.
-	Renew(ctx context.Context, le Lease) error
+	// RenewLease renews a lease; it returns ErrLeaseOver if there is none any more.
+	RenewLease(ctx context.Context, le Lease) error
 }
 
 // Bounds are the platform's figures that the gateway holds to.
 type Bounds struct {
-	// Revoke is how old the configuration may be at which a key is accepted;
+	// MaxConfigAge is how old the configuration may be at which a key is accepted;
 	// zero for no bound.
-	Revoke time.Duration
+	MaxConfigAge time.Duration
 	// RetryRatio and RetryWindow bound attempts beyond the first over all
 	// gateways.
 	RetryRatio  float64
@@ -343,7 +343,7 @@
 	ColdExtra float64
 }
 
-// oldest returns the age of the configuration up to which keys are accepted.
-func (bo Bounds) oldest() time.Duration {
-	return bo.Revoke - min(staleMargin, bo.Revoke/staleShare)
+// keyAcceptanceAge returns the age of the configuration up to which keys are accepted.
+func (bo Bounds) keyAcceptanceAge() time.Duration {
+	return bo.MaxConfigAge - min(staleMargin, bo.MaxConfigAge/staleShare)
 }
