--- a/internal/gateway/rollouts.go
+++ b/internal/gateway/rollouts.go
@@ -63,7 +63,7 @@
 		old.resendOutcomes()
 		return
 	}
-	if old != nil && old.before.isRewrittenBy(or) {
+	if old != nil && old.before.isRestoredAs(or) {
 		return
 	}
 	or.Plan.MostShare, or.Plan.MostExtra = ga.Bounds.CanaryShare, ga.ownExtra()
