--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -45,10 +45,10 @@
 	// sent. left is set if this gateway ended the attempt without an answer.
 	record    *poison.Run
 	abandoned bool
-	// settled is set once by whichever is first: the head of the answer, or the
-	// timer that gives the attempt up. silent is set if the latter was because the
+	// headDecided is set once by whichever is first: the head of the answer, or the
+	// timer that gives the attempt up. serverSilent is set if the latter was because the
 	// server said nothing to anybody.
-	settled, silent atomic.Bool
+	headDecided, serverSilent atomic.Bool
 	// stalled is set if the stream was left because it was silent.
 	stalled atomic.Bool
 }
@@ -87,7 +87,7 @@
 	se.offer, se.prompt = ex.offer, ex.prompt(step.Model())
 	ga.pool.Started(se.server.Key(), se.offer.Read(), now)
 	ga.sentTo(se.server, ex.route.Name, now)
-	se.record = ga.runs.Sent(se.server.Key(), ex.print, ex.rq.ID, now)
+	se.record = ga.runs.Sent(se.server.Key(), ex.fingerprint, ex.rq.ID, now)
 	ga.awaitingHead[se] = true
 	ga.noteUnwanted(se, now)
 	ga.mu.Unlock()
@@ -97,17 +97,17 @@
 	patience := time.AfterFunc(step.Patience().Sub(now), se.onHeadTimeout)
 	se.callBackend(ctx)
 	patience.Stop()
-	se.abandoned = !se.settled.CompareAndSwap(false, true)
+	se.abandoned = !se.headDecided.CompareAndSwap(false, true)
 	if se.abandoned && se.err == nil {
 		// Given up just as the head came: the call was cancelled already.
-		se.err = errGivenUp
+		se.err = errAbandoned
 	}
 	se.recordHead(clock.Now())
 	return se
 }
 
-// errGivenUp means that an answer came just after its attempt was given up.
-var errGivenUp = eris.New("attempt was given up")
+// errAbandoned means that an answer came just after its attempt was given up.
+var errAbandoned = eris.New("attempt was given up")
 
 // onHeadTimeout gives the attempt up if its server has said nothing since, and
 // waits on for a last time if it has: such a server is slow and not dead, and to
@@ -118,16 +118,16 @@
 	alive := ga.pool.LastResponse(se.server.Key()).After(se.began)
 	ga.mu.Unlock()
 	if !alive || more <= 0 {
-		se.giveUp(true)
+		se.abandon(true)
 		return
 	}
-	time.AfterFunc(more, func() { se.giveUp(false) })
+	time.AfterFunc(more, func() { se.abandon(false) })
 }
 
-// giveUp cancels the call if no head has come.
-func (se *attemptState) giveUp(silent bool) {
-	if se.settled.CompareAndSwap(false, true) {
-		se.silent.Store(silent)
+// abandon cancels the call if no head has come.
+func (se *attemptState) abandon(silent bool) {
+	if se.headDecided.CompareAndSwap(false, true) {
+		se.serverSilent.Store(silent)
 		se.cancel()
 	}
 }
@@ -178,18 +178,18 @@
 	}
 }
 
-// mostUrgent is the rank of the smallest model's attempts, whose prompts are read quickly.
-const mostUrgent = 0
+// highestPriority is the rank of the smallest model's attempts, whose prompts are read quickly.
+const highestPriority = 0
 
-// readRank is the reading time of a larger model's prompt that lowers an attempt's rank by one.
-const readRank = 200 * time.Millisecond
+// readTimePerRank is the reading time of a larger model's prompt that lowers an attempt's rank by one.
+const readTimePerRank = 200 * time.Millisecond
 
 // queuePriority ranks an attempt at a server of models; plain services take no ranks.
 func (ex *exchange) queuePriority(step direct.Step) int {
 	if models := ex.request.Models; len(models) > 0 && step.Model() == models[0] {
-		return mostUrgent
+		return highestPriority
 	}
-	return mostUrgent + 1 + ex.priority() + int(ex.offer.Read()/readRank)
+	return highestPriority + 1 + ex.priority() + int(ex.offer.Read()/readTimePerRank)
 }
 
 func (ex *exchange) priority() int {
@@ -210,8 +210,8 @@
 }
 
 func (ex *exchange) lastEventID(step direct.Step) string {
-	if step.Resume() && ex.delivered != "" {
-		return ex.delivered
+	if step.Resume() && ex.deliveredID != "" {
+		return ex.deliveredID
 	}
 	return ex.rq.LastEventID
 }
@@ -242,7 +242,7 @@
 		if !se.abandoned {
 			ex.ga.brokeOff(ctx, se.server)
 		}
-		if se.silent.Load() || !se.abandoned {
+		if se.serverSilent.Load() || !se.abandoned {
 			ex.ga.judge(ctx, se, false, now)
 		}
 		return ex.request.Lost(now)
--- a/internal/gateway/attempt_test.go
+++ b/internal/gateway/attempt_test.go
@@ -16,13 +16,13 @@
 	ga.prepare()
 	ctx, cancel := context.WithCancel(t.Context())
 	se := &attemptState{ex: &exchange{ga: ga}, began: time.Now(), cancel: cancel}
-	require.True(t, se.settled.CompareAndSwap(false, true), "the head came")
+	require.True(t, se.headDecided.CompareAndSwap(false, true), "the head came")
 	se.onHeadTimeout()
-	se.giveUp(false)
+	se.abandon(false)
 	require.NoError(t, ctx.Err())
 
 	late := &attemptState{ex: &exchange{ga: ga}, began: time.Now(), cancel: cancel}
 	late.onHeadTimeout()
 	require.Error(t, ctx.Err(), "one without a head is")
-	require.True(t, late.silent.Load())
+	require.True(t, late.serverSilent.Load())
 }
--- a/internal/gateway/attemptlog.go
+++ b/internal/gateway/attemptlog.go
@@ -40,5 +40,5 @@
 	if before.response != nil {
 		le = le.Int("confidence", before.response.Confidence)
 	}
-	ex.choice.describe(le).Str("why", why).Str("last_event", ex.delivered).Msg(event.Name(id))
+	ex.choice.describe(le).Str("why", why).Str("last_event", ex.deliveredID).Msg(event.Name(id))
 }
--- a/internal/gateway/blocks.go
+++ b/internal/gateway/blocks.go
@@ -57,8 +57,8 @@
 	ga.Log.Warn().Int("event", int(event.RequestBlocked)).Str("print", bl.Print.String()).Int("servers", ga.cases.Servers(bl.Print)).
 		Dur("for_ms", ga.blocks.Left(bl.Print, now)).Bool("stored", stored).Msg(event.Name(event.RequestBlocked))
 	for se := range ga.awaitingHead {
-		if se.ex.print == bl.Print {
-			se.giveUp(false)
+		if se.ex.fingerprint == bl.Print {
+			se.abandon(false)
 		}
 	}
 }
--- a/internal/gateway/deliver.go
+++ b/internal/gateway/deliver.go
@@ -15,17 +15,17 @@
 )
 
 const (
-	// stallPart is how many of the route's longest pauses a stream may be silent before it
+	// stallFactor is how many of the route's longest pauses a stream may be silent before it
 	// is continued elsewhere. A server that reads a long prompt beside a stream pauses it for a second
 	// and more, and goes on.
-	stallPart = 2
+	stallFactor = 2
 	// defaultStall is used where a route names no pause.
 	defaultStall = 2 * time.Second
 )
 
 // deliver gives the caller the answer of an attempt.
 func (ex *exchange) deliver(ctx context.Context, se *attemptState) {
-	ex.headAt, ex.final = clock.Now(), se
+	ex.headAt, ex.finalAttempt = clock.Now(), se
 	if se.response.Stream {
 		ex.deliverStream(ctx, se)
 		return
@@ -91,18 +91,18 @@
 		if se = ex.resume(ctx, err); se == nil {
 			return
 		}
-		ex.final = se
+		ex.finalAttempt = se
 	}
 }
 
-// fewestEvents is how many events a stream must have for its pace to say
+// minStreamEvents is how many events a stream must have for its pace to say
 // something.
-const fewestEvents = 3
+const minStreamEvents = 3
 
 // recordStreamPace takes the pace of a whole stream for the roll-out of its service. It
 // does not depend on the prompt, unlike the time to the head.
 func (ga *Gateway) recordStreamPace(se *attemptState, events int, took time.Duration, now time.Time) {
-	if events < fewestEvents {
+	if events < minStreamEvents {
 		return
 	}
 	ga.mu.Lock()
@@ -155,7 +155,7 @@
 			return events, result.New(result.Stopped, err.Error())
 		}
 		if ev.ID() != "" {
-			ex.delivered = ev.ID()
+			ex.deliveredID = ev.ID()
 		}
 	}
 }
@@ -163,7 +163,7 @@
 // stallTimeout returns after which silence a stream is continued elsewhere.
 func (ex *exchange) stallTimeout() time.Duration {
 	if ex.route.Gap > 0 {
-		return time.Duration(stallPart * float64(ex.route.Gap))
+		return time.Duration(stallFactor * float64(ex.route.Gap))
 	}
 	return defaultStall
 }
@@ -191,11 +191,11 @@
 // alreadyDelivered reports whether the caller alreadyDelivered an event already, as after a server began
 // a resumed stream too early.
 func (ex *exchange) alreadyDelivered(ev sse.Event) bool {
-	if ex.delivered == "" {
+	if ex.deliveredID == "" {
 		return false
 	}
 	n, ok := ev.Number()
-	last, had := sse.Number(ex.delivered)
+	last, had := sse.Number(ex.deliveredID)
 	return ok && had && n <= last
 }
 
--- a/internal/gateway/follow.go
+++ b/internal/gateway/follow.go
@@ -16,29 +16,29 @@
 )
 
 const (
-	// watchMost is the longest wait of a watch. Each answer confirms the configuration, and each
+	// maxWatchWait is the longest wait of a watch. Each answer confirms the configuration, and each
 	// call has a price.
-	watchMost = 1500 * time.Millisecond
-	// watchRoot is that of a root: its state reaches others over two hops, and beyond denyAge they
+	maxWatchWait = 1500 * time.Millisecond
+	// rootWatchWait is that of a root: its state reaches others over two hops, and beyond denyAge they
 	// can't reject unknown keys any more.
-	watchRoot = time.Second
-	// watchLeast is the shortest wait of a watch.
-	watchLeast = pauseLeast
+	rootWatchWait = time.Second
+	// minWatchWait is the shortest wait of a watch.
+	minWatchWait = minRetryPause
 	// changeBatchPause is the pause after changes, so that those that follow come with one call.
 	changeBatchPause = 300 * time.Millisecond
 	// maxMissedChangeAge is how long watches may miss changes: an order that a whole read shows for the
 	// first time may be as old.
 	maxMissedChangeAge = time.Second
-	// pauseLeast and pauseMost bound the pause between two calls to a service that does not
+	// minRetryPause and pauseMost bound the pause between two calls to a service that does not
 	// answer; pauseLong bounds it in a longer outage, since other gateways report its return.
-	pauseLeast = 100 * time.Millisecond
-	pauseMost  = 400 * time.Millisecond
-	pauseLong  = time.Second
-	// pausePart is the longest pause in a longer outage, as a part of its length.
-	pausePart = 0.2
-	// watcherPause is the pause after a watcher failed. In an outage of the service watchers answer
+	minRetryPause  = 100 * time.Millisecond
+	maxRetryPause  = 400 * time.Millisecond
+	maxOutagePause = time.Second
+	// outagePauseRatio is the longest pause in a longer outage, as a part of its length.
+	outagePauseRatio = 0.2
+	// watcherRetryPause is the pause after a watcher failed. In an outage of the service watchers answer
 	// at once that their state is out of date.
-	watcherPause = pauseLeast
+	watcherRetryPause = minRetryPause
 )
 
 // syncState keeps the state up to date: it reads everything, then watches, and
@@ -83,11 +83,11 @@
 	if err == nil || ctx.Err() != nil {
 		return next, nil
 	}
-	if errors.Is(err, errUnknown) && ga.mayCatchUp(clock.Now()) {
-		return ga.watchService(ctx, after, watchLeast)
+	if errors.Is(err, errWatcherHistory) && ga.mayCatchUp(clock.Now()) {
+		return ga.watchService(ctx, after, minWatchWait)
 	}
 	ga.watcherFailed(wa, err)
-	sleep(ctx, watcherPause)
+	sleep(ctx, watcherRetryPause)
 	return next, nil
 }
 
@@ -98,7 +98,7 @@
 	if err != nil {
 		return after, err
 	}
-	if err := ga.continues(st.Revision, after, clock.Now()); err != nil {
+	if err := ga.checkContinuity(st.Revision, after, clock.Now()); err != nil {
 		return after, err
 	}
 	ga.applyWatch(st, sent, wait, clock.Now())
@@ -108,10 +108,10 @@
 	return st.Revision, nil
 }
 
-// continues returns nil if changes up to a revision are all that followed another one, and
+// checkContinuity returns nil if changes up to a revision are all that followed another one, and
 // ErrHistoryGone if the service was restored in between: what was written since then may have
 // revisions that have been seen before.
-func (ga *Gateway) continues(to, after revision.Revision, now time.Time) error {
+func (ga *Gateway) checkContinuity(to, after revision.Revision, now time.Time) error {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
 	switch {
@@ -128,15 +128,15 @@
 func (ga *Gateway) watchWait(now time.Time) time.Duration {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
-	most := watchMost
+	most := maxWatchWait
 	if ga.relayPlan.Root(ga.memberList()) {
-		most = watchRoot
+		most = rootWatchWait
 	}
 	if ga.Bounds.MaxConfigAge == 0 {
 		return most
 	}
 	left := ga.Bounds.keyAcceptanceAge() - ga.freshness.Age(now)
-	return min(most, max(watchLeast, left/2))
+	return min(most, max(minWatchWait, left/2))
 }
 
 // storeFailed records a failed call and waits for a while.
@@ -154,16 +154,16 @@
 	if was {
 		ga.Log.Warn().Int("event", int(event.StoreLost)).Dur("age_ms", age).Err(why).Msg(event.Name(event.StoreLost))
 	}
-	most := min(pauseLong, max(pauseMost, time.Duration(pausePart*float64(age))))
+	most := min(maxOutagePause, max(maxRetryPause, time.Duration(outagePauseRatio*float64(age))))
 	if began {
-		most = pauseMost // no other gateway knows this one and could report the service's return
+		most = maxRetryPause // no other gateway knows this one and could report the service's return
 	}
-	ga.sleepUntilBack(ctx, pauseLeast+rand.N(most-pauseLeast))
+	ga.awaitStore(ctx, minRetryPause+rand.N(most-minRetryPause))
 }
 
-// sleepUntilBack waits for a pause, or until another gateway reports that the service answers
+// awaitStore waits for a pause, or until another gateway reports that the service answers
 // again.
-func (ga *Gateway) sleepUntilBack(ctx context.Context, pause time.Duration) {
+func (ga *Gateway) awaitStore(ctx context.Context, pause time.Duration) {
 	ti := time.NewTimer(pause)
 	defer ti.Stop()
 	select {
@@ -244,13 +244,13 @@
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
 	if ga.servesUpdates(now) {
-		ba = ga.encode(st)
+		ba = ga.encodeBatch(st)
 	}
 	if ga.freshness.Watched(sent, wait, len(st.Changes) == 0, now) {
 		ga.storeRecovered()
 	}
 	ga.applyBatch(st.Changes, ba)
-	ga.noteConfirmed()
+	ga.announceConfirmation()
 }
 
 // applyBatch applies changes, and keeps them as encoded if other gateways may ask this one. A batch
--- a/internal/gateway/follow_test.go
+++ b/internal/gateway/follow_test.go
@@ -127,7 +127,7 @@
 		go func() { _ = ga.Run(ctx) }()
 		time.Sleep(3 * time.Second)
 		sc.setDisconnected(false)
-		time.Sleep(pauseMost + joinEvery + joinSpread)
+		time.Sleep(maxRetryPause + joinCheckInterval + maxJoinDelay)
 		joined := func() int {
 			sc.mu.Lock()
 			defer sc.mu.Unlock()
@@ -137,9 +137,9 @@
 		sc.mu.Lock()
 		sc.leaseExpired = true
 		sc.mu.Unlock()
-		time.Sleep(renewEvery + time.Second)
+		time.Sleep(renewInterval + time.Second)
 		require.Equal(t, 2, joined())
-		time.Sleep(3 * renewEvery)
+		time.Sleep(3 * renewInterval)
 		require.Equal(t, 2, joined(), "renewed since")
 		cancel()
 		synctest.Wait()
@@ -159,12 +159,12 @@
 			time.Sleep(100 * time.Millisecond)
 			ga.Reported(relay.Report{Box: "b", Ready: true})
 		}()
-		ga.sleepUntilBack(t.Context(), pauseLong)
+		ga.awaitStore(t.Context(), maxOutagePause)
 		require.Equal(t, 300*time.Millisecond, time.Since(began))
 		ga.Reported(relay.Report{Box: "b", Ready: true})
 		began = time.Now()
-		ga.sleepUntilBack(t.Context(), pauseLong)
-		require.Equal(t, pauseLong, time.Since(began), "once")
+		ga.awaitStore(t.Context(), maxOutagePause)
+		require.Equal(t, maxOutagePause, time.Since(began), "once")
 	})
 }
 
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -30,161 +30,162 @@
 )
 
 const (
-	// ownRatio is the part of the retry ratio that is used, since requests at
-	// the edge of a window are counted by another clock.
+	// ownRatio is the part of the retry ratio that a gateway uses, since requests near the edge of a
+	// window are counted by another clock.
 	ownRatio = 0.94
-	// ownSlack is the retries that one gateway allows itself besides; the
-	// platform's slack is for all together, and how many there are is not known.
+	// ownSlack is the number of retries that each gateway allows itself in addition. The platform's slack
+	// applies to all gateways together, whose number is not known.
 	ownSlack = 2
-	// retryReserve is how many retries of a service escalations leave to requests that have no
-	// answer yet, while servers are known to reject attempts.
+	// retryReserve is how many retries of a service escalations leave to requests that have no response
+	// yet, while some servers are known to reject attempts.
 	retryReserve = 4
 	// unreadableBurst is how many unreadable reports are logged in each unreadablePeriod.
 	unreadableBurst  = 5
 	unreadablePeriod = 10 * time.Second
-	// aheadBurst is how many gateways that ask for changes after a later revision are logged in
-	// each aheadPeriod.
+	// aheadBurst is how many requests for changes after an unknown later revision are logged in each
+	// aheadPeriod.
 	aheadBurst  = 5
 	aheadPeriod = time.Second
-	// staleMargin is what is taken off the bound on the configuration's age, but
-	// not more than staleShare of it: a watch may hear nothing for a second
-	// although changes are made, and a clock may run a little slow.
+	// staleMargin is subtracted from the maximum age of the configuration, but at most 1/staleShare of
+	// that: a watch may return nothing for a second although there are changes, and a clock may run
+	// slightly slow.
 	staleMargin = 1300 * time.Millisecond
 	staleShare  = 3
-	// denyAge is the age of the configuration up to which "no such route" and
-	// "no such key" are said; with an older one they might be there by now.
+	// denyAge is the age of the configuration up to which requests are rejected for an unknown route or
+	// key. An older configuration may lack routes and keys that have been added since.
 	denyAge = 2500 * time.Millisecond
 )
 
-// Gateway serves callers. Its exported fields are set before Run and Serve.
+// Gateway serves requests. Its exported fields must be set before Run and Serve.
 type Gateway struct {
 	Log zerolog.Logger
-	// Box is the name of the own box, DataCentre that of its data centre.
+	// Box is the name of this gateway's box, DataCentre the name of its data centre.
 	Box, DataCentre string
-	// Bounds may be changed later by SetBounds.
+	// Bounds can be changed later with SetBounds.
 	Bounds  Bounds
 	Store   Store
 	Backend Backend
-	// RelayAddress is where other gateways ask this one for changes; empty if it
-	// answers none. LinkMbps is the capacity of the box's link in Mbit/s.
+	// RelayAddress is where other gateways request changes from this one. It is empty if this gateway
+	// does not answer such requests. LinkMbps is the capacity of the box's link in Mbit/s.
 	RelayAddress string
 	LinkMbps     int
-	// RelayHTTP opens connections to other gateways, for changes and for reports of load.
+	// RelayHTTP opens connections to other gateways for changes and load reports.
 	RelayHTTP *http.Client
 
-	// loggedSuspended is the loggedSuspended time that was logged; only the goroutine that ticks uses it.
+	// loggedSuspended is the total time of suspension at the last log entry. Only the goroutine of tick
+	// uses it.
 	loggedSuspended time.Duration
-	// relayClient asks the watcher; only the goroutine that follows uses it.
+	// relayClient requests changes from the watcher. Only the goroutine of syncState uses it.
 	relayClient relay.Client
-	// table is the configuration in force, nil before the first.
+	// table is the configuration in force, nil before the first one.
 	table atomic.Pointer[routing.Table]
-	// stop is set once a planned stop has begun.
+	// stop is set when a planned stop begins.
 	stop atomic.Pointer[stopPlan]
-	// inProgress counts the requests that are being served.
+	// inProgress is the number of requests being served.
 	inProgress atomic.Int64
 
-	// mu guards what follows.
+	// mu guards the fields below.
 	mu sync.Mutex
-	// freshness knows how old the configuration may be.
+	// freshness tracks the maximum age of the configuration.
 	freshness freshness.Record
-	// members holds the gateways that may watch for others, by box; size is how many
-	// gateways there are.
+	// members holds the gateways that may watch the key-value service for others, by box. gatewayCount
+	// is the number of gateways.
 	members      map[string]relay.Member
 	gatewayCount int
-	// snapshot is the state as it was passed on last.
-	snapshot encodedState
-	// maxChangeAge is how old changes that are being applied for the first time may be.
+	// snapshot is the complete state as it was last sent to other gateways.
+	snapshot encodedSnapshot
+	// maxChangeAge is the maximum age of changes that are being applied for the first time.
 	maxChangeAge time.Duration
-	// stateRead is set once the whole state was read.
+	// stateRead is set after the first complete read of the state.
 	stateRead bool
-	// relayPlan says which of them to ask for changes.
+	// relayPlan selects the member to request changes from.
 	relayPlan relay.Plan
-	// document is the configuration in force as it came.
+	// document is the configuration in force before compilation.
 	document *routing.Document
-	// lastUpdateRequest is when another gateway last lastUpdateRequest this one for changes.
+	// lastUpdateRequest is when another gateway last requested changes from this one.
 	lastUpdateRequest time.Time
-	// history holds the newest changes for others; changed is closed when there are
-	// more, confirmed when it is known again that there are none that are not known.
+	// history holds the most recent changes for other gateways. changed is closed when changes are added
+	// to it, confirmed when this gateway's state is known to be complete up to a later time.
 	history   relay.History
 	changed   chan struct{}
 	confirmed chan struct{}
-	// announcedConfirmed is the moment up to which the state was complete when confirmed was closed
-	// last.
+	// announcedConfirmed is the time up to which the state was complete when confirmed was last closed.
 	announcedConfirmed time.Time
 	servers            directory.Directory
 	pool               pool.Pool
-	// fleet knows how many gateways there may be, unusable which entries of servers were
-	// said to be unusable.
+	// fleet estimates the maximum number of gateways. unusable holds the ids of the server entries that
+	// were logged as unusable.
 	fleet    quota.Fleet
 	unusable map[string]bool
-	// unreadableLog bounds the log lines of reports that could not be read, aheadLog those of
-	// gateways that ask for changes after a later revision.
+	// unreadableLog limits the log entries for unreadable reports, aheadLog those for gateways that
+	// request changes after an unknown later revision.
 	unreadableLog, aheadLog zerolog.BurstSampler
-	// eraGuard knows the era of the key-value service, eraSince is when a state of it was first read.
+	// eraGuard tracks the era of the key-value service. eraSince is when a state of that era was first
+	// read.
 	eraGuard revision.Guard
 	eraSince time.Time
-	// missingDataCentres and missingMembers hold the evacuated data centres and the members that a restored
-	// service does not name.
+	// missingDataCentres and missingMembers hold the evacuated data centres and the members that a
+	// restored service does not list.
 	missingDataCentres, missingMembers grace.Set
-	// isMember is set once this gateway has joined; rejoin gets a value when a restored service
-	// has lost its membership.
+	// isMember is set once this gateway has joined. rejoin receives a value if a restored service does
+	// not have its membership.
 	isMember bool
 	rejoin   chan struct{}
 	// leavingGossip and pauseGossip hold the servers whose shutdown or pause is propagated to other
 	// gateways.
 	leavingGossip, pauseGossip gossip.Spread
-	// loads holds what other gateways report of servers' work, loadPlan says to which
-	// of them this one reports.
+	// loads holds the load of servers that other gateways report. loadPlan selects the gateway that this
+	// one reports to.
 	loads    load.Table
 	loadPlan relay.Plan
-	// lastReportCollected is when a collector last took this gateway's report, life tells its process
-	// from those before it on its box.
+	// lastReportCollected is when a collector last took this gateway's report. instanceID distinguishes
+	// this process from earlier ones on the same box.
 	lastReportCollected time.Time
 	instanceID          uint64
-	// otherReadyAt is when another gateway last said that it is ready.
+	// otherReadyAt is when another gateway last reported that it is ready.
 	otherReadyAt time.Time
-	// storeAvailable gets a value when the first one says so after none did.
+	// storeAvailable receives a value when another gateway reports that it is ready after none did.
 	storeAvailable chan struct{}
-	// pace knows how long heads take, by service and model.
+	// pace tracks the usual time to the response head by service and model.
 	pace pace.Meter
-	// promptSizes knows the usual size of promptSizes by route and by service, gains by how much
-	// models rate their answers higher than the smallest.
+	// promptSizes tracks the usual size of prompts by route and by service, modelGains by how much more
+	// confident each model is than the smallest one.
 	promptSizes sizes
 	modelGains  cascade.Gains
-	// backlogTrends follows each service's backlog.
+	// backlogTrends tracks the backlog of each service.
 	backlogTrends map[string]*pace.Trend
-	// latencyFloors knows how long answers take at their latencyFloors, by service and model.
+	// latencyFloors tracks the time that only the fastest responses or stream events stay below, by
+	// service and model.
 	latencyFloors pace.Floor
-	// retries holds the window of each service.
+	// retries holds the retry window of each service.
 	retries map[string]*budget.Window
-	// rollouts holds the newest roll-out of each service.
+	// rollouts holds the most recent roll-out of each service.
 	rollouts map[string]*timedRollout
 	// phases holds the stored phase of each service's roll-out.
 	phases map[string]StoredPhase
-	// demands holds how many attempts are sent to each service, by route.
+	// demands measures the rate of attempts to each service by route.
 	demands map[string]*rate.Meter
-	// runs knows which requests are with which server, probes which servers were just asked
-	// whether they have ended, by life.
+	// runs tracks which requests each server has been sent. probes holds the most recent check of
+	// each server instance whether it still accepts connections.
 	runs   poison.Runs
 	probes map[string]*probe
-	// cases holds what is suspected of requests, blocks those that are not to be sent.
+	// cases holds the suspicions against requests, blocks the requests that must not be sent.
 	cases  poison.Cases
 	blocks poison.Blocks
-	// blockLifted is closed when a block has been blockLifted, and made anew.
+	// blockLifted is closed and replaced when a block is lifted.
 	blockLifted chan struct{}
-	// awaitingHead holds the attempts whose servers have answered nothing yet, storing when the
-	// blocks are to be stored that the key-value service does not hold yet.
+	// awaitingHead holds the attempts whose response head has not arrived. storeBlockAt holds when to
+	// store the blocks that the key-value service does not have yet.
 	awaitingHead map[*attemptState]bool
 	storeBlockAt map[poison.Print]time.Time
-	// deleteBlockAt holds when the blocks are to be ended that others made of requests which
-	// servers answer here and live on.
+	// deleteBlockAt holds when to delete stored blocks of requests that servers here answer without
+	// ending.
 	deleteBlockAt map[poison.Print]time.Time
-	// doubts holds the blocks that this gateway or another one doubts, and since when it was
-	// heard of.
+	// doubts holds the blocks that this gateway or another one disputes, with the time since when.
 	doubts map[poison.Print]time.Time
 }
 
-// Run follows the key-value service until the context ends.
+// Run keeps the state in step with the key-value service until the context ends.
 func (ga *Gateway) Run(ctx context.Context) error {
 	ga.prepare()
 	if err := clock.Err(); err != nil {
@@ -192,7 +193,7 @@
 	}
 	var wg sync.WaitGroup
 	wg.Go(func() { ga.tick(ctx) })
-	wg.Go(func() { ga.keepMembership(ctx) })
+	wg.Go(func() { ga.maintainMembership(ctx) })
 	wg.Go(func() { ga.shareLoad(ctx) })
 	ga.syncState(ctx)
 	wg.Wait()
@@ -231,44 +232,44 @@
 	ga.instanceID = rand.Uint64()
 }
 
-// InProgress returns how many requests are being served.
+// InProgress returns the number of requests being served.
 func (ga *Gateway) InProgress() int { return int(ga.inProgress.Load()) }
 
-// Table returns the configuration in force, nil before the first.
+// Table returns the configuration in force, nil before the first one.
 func (ga *Gateway) Table() *routing.Table { return ga.table.Load() }
 
-// Ready reports whether new callers may be sent here.
+// Ready reports whether this gateway accepts new callers.
 func (ga *Gateway) Ready(now time.Time) bool {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
 	return ga.readyLocked(now)
 }
 
-// readyLocked is Ready with the lock held.
+// readyLocked is Ready for callers that hold the lock.
 func (ga *Gateway) readyLocked(now time.Time) bool {
 	return !ga.Stopping() && ga.table.Load() != nil && ga.acceptsKeysLocked(now)
 }
 
-// configAge returns how old the configuration may be at the most.
+// configAge returns the maximum age of the configuration.
 func (ga *Gateway) configAge(now time.Time) time.Duration {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
 	return ga.freshness.Age(now)
 }
 
-// acceptsKeys reports whether keys may be accepted.
+// acceptsKeys reports whether the configuration is recent enough to accept keys.
 func (ga *Gateway) acceptsKeys(now time.Time) bool {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
 	return ga.acceptsKeysLocked(now)
 }
 
-// acceptsKeysLocked is isFresh with the lock held.
+// acceptsKeysLocked is acceptsKeys for callers that hold the lock.
 func (ga *Gateway) acceptsKeysLocked(now time.Time) bool {
 	return ga.Bounds.MaxConfigAge == 0 || ga.freshness.Age(now) < ga.Bounds.keyAcceptanceAge()
 }
 
-// SetBounds takes changed bounds.
+// SetBounds replaces the bounds and resets the retry windows.
 func (ga *Gateway) SetBounds(bo Bounds) {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
@@ -285,8 +286,8 @@
 			return
 		case <-ti.C:
 			now := clock.Now()
-			ga.noteTick(now)
-			ga.noteSuspended()
+			ga.recordTick(now)
+			ga.logSuspension()
 			ga.dropMissing(now)
 			ga.dropLost(now)
 			ga.watchServers(now)
@@ -298,14 +299,14 @@
 	}
 }
 
-func (ga *Gateway) noteTick(now time.Time) {
+func (ga *Gateway) recordTick(now time.Time) {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
 	ga.freshness.Tick(now)
 }
 
-// noteSuspended logs that the machine was suspended since the last tick.
-func (ga *Gateway) noteSuspended() {
+// logSuspension logs that the box was suspended since the last tick.
+func (ga *Gateway) logSuspension() {
 	total := clock.Suspended()
 	if total == ga.loggedSuspended {
 		return
@@ -314,7 +315,7 @@
 	ga.loggedSuspended = total
 }
 
-// window returns the retry window of a service; the lock is held.
+// window returns the retry window of a service. The lock is held.
 func (ga *Gateway) window(service string) *budget.Window {
 	wi := ga.retries[service]
 	if wi == nil {
--- a/internal/gateway/membership.go
+++ b/internal/gateway/membership.go
@@ -13,29 +13,29 @@
 )
 
 const (
-	// renewEvery is the pause between two renewals of the membership's lease, memberTTL its length.
+	// renewInterval is the pause between two renewals of the membership's lease, memberTTL its length.
 	// A watcher that fails is noticed by those that ask it, so that the lease may be long.
-	renewEvery = 10 * time.Second
-	memberTTL  = 25 * time.Second
-	// joinAgain is the pause after a call that failed.
-	joinAgain = time.Second
-	// joinEvery is how often a gateway checks whether it is needed as a member, joinSpread the
+	renewInterval = 10 * time.Second
+	memberTTL     = 25 * time.Second
+	// joinRetryPause is the pause after a call that failed.
+	joinRetryPause = time.Second
+	// joinCheckInterval is how often a gateway checks whether it is needed as a member, joinSpread the
 	// longest delay before it joins: of many that start together a few join, and the others see
 	// them. Boxes with links of more than smallLinkMbps wait less, since they become the watchers.
-	joinEvery     = 500 * time.Millisecond
-	joinSpread    = 1500 * time.Millisecond
-	smallLinkMbps = 20
+	joinCheckInterval = 500 * time.Millisecond
+	maxJoinDelay      = 1500 * time.Millisecond
+	smallLinkMbps     = 20
 )
 
-// keepMembership keeps this gateway among the members once it is needed there.
-func (ga *Gateway) keepMembership(ctx context.Context) {
+// maintainMembership keeps this gateway among the members once it is needed there.
+func (ga *Gateway) maintainMembership(ctx context.Context) {
 	var le Lease
-	ga.awaitNeed(ctx)
+	ga.awaitMembershipNeed(ctx)
 	for ctx.Err() == nil {
-		pause := renewEvery
+		pause := renewInterval
 		if err := ga.renewMembership(ctx, &le); err != nil && ctx.Err() == nil {
 			ga.Log.Warn().Int("event", int(event.StoreCallFailed)).Err(err).Msg(event.Name(event.StoreCallFailed))
-			pause = joinAgain
+			pause = joinRetryPause
 		}
 		if ga.awaitRenewal(ctx, pause) {
 			le = 0
@@ -57,20 +57,20 @@
 	}
 }
 
-// awaitNeed waits until this gateway is needed as a member.
-func (ga *Gateway) awaitNeed(ctx context.Context) {
-	wait := time.Duration(rand.Float64() * float64(joinSpread) * min(1, smallLinkMbps/float64(max(1, ga.LinkMbps))))
+// awaitMembershipNeed waits until this gateway is needed as a member.
+func (ga *Gateway) awaitMembershipNeed(ctx context.Context) {
+	wait := time.Duration(rand.Float64() * float64(maxJoinDelay) * min(1, smallLinkMbps/float64(max(1, ga.LinkMbps))))
 	for ctx.Err() == nil {
 		sleep(ctx, wait)
-		if ga.needed() {
+		if ga.neededAsMember() {
 			return
 		}
-		wait = joinEvery + rand.N(joinSpread)
+		wait = joinCheckInterval + rand.N(maxJoinDelay)
 	}
 }
 
-// needed reports whether this gateway is needed as a member, which takes the members to be known.
-func (ga *Gateway) needed() bool {
+// neededAsMember reports whether this gateway is neededAsMember as a member, which takes the members to be known.
+func (ga *Gateway) neededAsMember() bool {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
 	return ga.stateRead && ga.relayPlan.Needed(ga.memberList(), ga.LinkMbps)
@@ -108,7 +108,7 @@
 	ga.missingMembers.Release(me.Box)
 	if !known {
 		ga.resize()
-		ga.noteMember(event.MemberJoined, me.Box)
+		ga.logMember(event.MemberJoined, me.Box)
 	}
 }
 
@@ -134,12 +134,12 @@
 		}
 	}
 	if restored && ga.isMember && !listed[ga.Box] {
-		ga.requestJoin()
+		ga.requestRejoin()
 	}
 }
 
-// requestJoin lets this gateway join anew at once; the lock is held.
-func (ga *Gateway) requestJoin() {
+// requestRejoin lets this gateway join anew at once; the lock is held.
+func (ga *Gateway) requestRejoin() {
 	select {
 	case ga.rejoin <- struct{}{}:
 	default:
@@ -152,10 +152,10 @@
 	if _, known := ga.members[box]; known {
 		delete(ga.members, box)
 		ga.resize()
-		ga.noteMember(event.MemberLeft, box)
+		ga.logMember(event.MemberLeft, box)
 	}
 }
 
-func (ga *Gateway) noteMember(id event.ID, box string) {
+func (ga *Gateway) logMember(id event.ID, box string) {
 	ga.Log.Info().Int("event", int(id)).Str("member", box).Int("members", len(ga.members)).Msg(event.Name(id))
 }
--- a/internal/gateway/models.go
+++ b/internal/gateway/models.go
@@ -73,12 +73,12 @@
 // learnGain notes by how much an answer's confidence is above the smallest model's.
 func (ex *exchange) learnGain(place, confidence int) {
 	if place == 0 {
-		ex.smallest = confidence
+		ex.smallestConfidence = confidence
 		return
 	}
 	ex.ga.mu.Lock()
 	defer ex.ga.mu.Unlock()
-	ex.ga.modelGains.Observe(ex.modelKey(ex.request.Models[place]), ex.smallest, confidence)
+	ex.ga.modelGains.Observe(ex.modelKey(ex.request.Models[place]), ex.smallestConfidence, confidence)
 }
 
 // considerModels takes what a model above the one at a place is chosen by now.
--- a/internal/gateway/relay.go
+++ b/internal/gateway/relay.go
@@ -20,17 +20,17 @@
 	// they pass the changes on.
 	relayWait  = 500 * time.Millisecond
 	relaySlack = 400 * time.Millisecond
-	// relayAge is the age beyond which a watcher's state is not used: more than a whole wait for
+	// maxRelayAge is the age beyond which a watcher's state is not used: more than a whole wait for
 	// changes, a pause to gather them and two slow calls.
-	relayAge = 2200 * time.Millisecond
-	// relayLeast is the least bound on the age of the configuration with which gateways ask
+	maxRelayAge = 2200 * time.Millisecond
+	// minRelayBound is the least bound on the age of the configuration with which gateways ask
 	// watchers, whose answers may be older by a wait.
-	relayLeast = relayAge + relayWait
+	minRelayBound = maxRelayAge + relayWait
 )
 
 var (
-	errOld     = eris.New("the watcher's state is too old")
-	errUnknown = eris.New("the watcher's history does not reach back")
+	errWatcherStale   = eris.New("the watcher's state is too old")
+	errWatcherHistory = eris.New("the watcher's history does not reach back")
 	// errOlderEra means that an answer is from before the service was restored.
 	errOlderEra = eris.New("the answer is of an older era")
 )
@@ -42,19 +42,19 @@
 	defer ga.mu.Unlock()
 	var wa relay.Member
 	ok := false
-	if ga.Bounds.MaxConfigAge == 0 || ga.Bounds.keyAcceptanceAge() >= relayLeast {
+	if ga.Bounds.MaxConfigAge == 0 || ga.Bounds.keyAcceptanceAge() >= minRelayBound {
 		wa, ok = ga.relayPlan.Watcher(ga.memberList(), now)
 	}
 	if wa.Address != ga.relayClient.Address {
 		ga.relayClient.Close()
 		ga.relayClient = relay.Client{Address: wa.Address, Slack: relaySlack, HTTP: ga.RelayHTTP}
-		ga.noteWatcher(wa, ok)
+		ga.logWatcher(wa, ok)
 	}
 	return wa, ok
 }
 
-// noteWatcher logs where changes come from now on.
-func (ga *Gateway) noteWatcher(wa relay.Member, ok bool) {
+// logWatcher logs where changes come from now on.
+func (ga *Gateway) logWatcher(wa relay.Member, ok bool) {
 	id := event.WatchStarted
 	if ok {
 		id = event.WatchStopped
@@ -66,12 +66,12 @@
 // to go on from.
 func (ga *Gateway) requestUpdates(ctx context.Context, after revision.Revision) (revision.Revision, error) {
 	sent := clock.Now()
-	up, err := ga.relayClient.Ask(ctx, relay.Request{After: after, Wait: ga.askWait()})
+	up, err := ga.relayClient.Ask(ctx, relay.Request{After: after, Wait: ga.updateWait()})
 	switch {
 	case err != nil:
 		return after, err
-	case up.Age > relayAge:
-		return after, errOld
+	case up.Age > maxRelayAge:
+		return after, errWatcherStale
 	case up.Whole != nil:
 		next, err := ga.applySnapshot(up, sent)
 		if err != nil {
@@ -79,7 +79,7 @@
 		}
 		return next, nil
 	case up.Unknown, up.Revision.Era != after.Era:
-		return after, errUnknown
+		return after, errWatcherHistory
 	}
 	batches, err := decodeBatches(up.Batches)
 	if err != nil {
@@ -93,7 +93,7 @@
 	if ga.freshness.Relayed(sent, up.Age) {
 		ga.storeRecovered()
 	}
-	ga.noteConfirmed()
+	ga.announceConfirmation()
 	return up.Revision, nil
 }
 
@@ -101,9 +101,9 @@
 // changes early.
 const confirmStep = 200 * time.Millisecond
 
-// noteConfirmed answers requests for changes early once this gateway's state was confirmed, so that
+// announceConfirmation answers requests for changes early once this gateway's state was confirmed, so that
 // the askers' states get fresher too. The lock is held.
-func (ga *Gateway) noteConfirmed() {
+func (ga *Gateway) announceConfirmation() {
 	at := ga.freshness.Confirmed()
 	if at.Sub(ga.announcedConfirmed) < confirmStep {
 		return
@@ -113,8 +113,8 @@
 	ga.confirmed = make(chan struct{})
 }
 
-// askWait returns how long a watcher may hold its answer.
-func (ga *Gateway) askWait() time.Duration {
+// updateWait returns how long a watcher may hold its answer.
+func (ga *Gateway) updateWait() time.Duration {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
 	if ga.servesUpdates(clock.Now()) {
@@ -135,7 +135,7 @@
 	now := clock.Now()
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
-	if errors.Is(why, errOld) {
+	if errors.Is(why, errWatcherStale) {
 		ga.relayPlan.Old(wa.Box, now)
 	} else {
 		ga.relayPlan.Failed(wa.Box, now)
@@ -144,12 +144,12 @@
 		Err(why).Msg(event.Name(event.WatcherFailed))
 }
 
-// askedFor is how long a gateway keeps changes for others after the last request for them.
-const askedFor = 10 * relayWait
+// historyRetention is how long a gateway keeps changes for others after the last request for them.
+const historyRetention = 10 * relayWait
 
 // servesUpdates reports whether this gateway keeps changes for others. The lock is held.
 func (ga *Gateway) servesUpdates(now time.Time) bool {
-	return ga.relayPlan.Serves(ga.memberList()) || now.Sub(ga.lastUpdateRequest) < askedFor
+	return ga.relayPlan.Serves(ga.memberList()) || now.Sub(ga.lastUpdateRequest) < historyRetention
 }
 
 // Updates answers another gateway that asks for changes.
@@ -159,15 +159,15 @@
 	for waiting := true; ; {
 		ga.mu.Lock()
 		ga.lastUpdateRequest = clock.Now()
-		ga.noteAhead(rq.After)
+		ga.logAhead(rq.After)
 		batches, to, ok := ga.history.Since(rq.After)
 		age, changed, confirmed := ga.freshness.Age(ga.lastUpdateRequest), ga.changed, ga.confirmed
 		if !ok {
 			defer ga.mu.Unlock()
-			return ga.unknown(age)
+			return ga.answerUnknownRevision(age)
 		}
 		ga.mu.Unlock()
-		if len(batches) > 0 || age > relayAge || !waiting {
+		if len(batches) > 0 || age > maxRelayAge || !waiting {
 			return relay.Update{Revision: to, Age: age, Batches: batches}
 		}
 		select {
@@ -182,17 +182,17 @@
 	}
 }
 
-// noteAhead logs that a gateway asks for changes after a revision that is later than any known
+// logAhead logs that a gateway asks for changes after a revision that is later than any known
 // here. The lock is held.
-func (ga *Gateway) noteAhead(after revision.Revision) {
+func (ga *Gateway) logAhead(after revision.Revision) {
 	if own := ga.history.Revision(); after.After(own) {
 		lo := ga.Log.Sample(&ga.aheadLog)
 		lo.Info().Int("event", int(event.AskerAhead)).Stringer("after", after).Stringer("revision", own).Msg(event.Name(event.AskerAhead))
 	}
 }
 
-// encode returns changes as they are passed on, without data if they can't be encoded.
-func (ga *Gateway) encode(st State) relay.Batch {
+// encodeBatch returns changes as they are passed on, without data if they can't be encoded.
+func (ga *Gateway) encodeBatch(st State) relay.Batch {
 	ba := relay.Batch{To: st.Revision}
 	if len(st.Changes) == 0 {
 		return ba
--- a/internal/gateway/relay_test.go
+++ b/internal/gateway/relay_test.go
@@ -251,7 +251,7 @@
 	require.False(t, re.hasMember("a", "c"), "two that watch are enough")
 	re.eventually(t, "c asks a watcher", func() bool {
 		before := re.store.watchesOfC()
-		time.Sleep(2 * watchMost)
+		time.Sleep(2 * maxWatchWait)
 		return re.store.watchesOfC() == before
 	})
 	require.LessOrEqual(t, re.store.watchesOfC(), 3, "watchers that begin to serve with c are not left for that")
@@ -455,5 +455,5 @@
 	require.NoError(t, err)
 	require.Equal(t, int64(1), wholeReads.Load(), "no watcher answers")
 	require.Equal(t, 40, alone.servers.Len())
-	require.Less(t, time.Since(began), startWait+time.Second)
+	require.Less(t, time.Since(began), snapshotWait+time.Second)
 }
--- a/internal/gateway/selfreports_test.go
+++ b/internal/gateway/selfreports_test.go
@@ -275,7 +275,7 @@
 	for name, se := range map[string]*attemptState{
 		"answer":               {response: &Response{Report: leaving}},
 		"answer of a failure":  {response: &Response{Status: 500, Report: leaving}},
-		"answer given up":      {response: &Response{Report: leaving}, err: errGivenUp},
+		"answer given up":      {response: &Response{Report: leaving}, err: errAbandoned},
 		"answer that broke":    {response: &Response{Report: leaving}, err: io.ErrUnexpectedEOF},
 		"rejection":            {err: &RefusedError{Report: leaving}},
 		"doubtful answer":      {err: &AmbiguousError{Report: leaving}},
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -14,16 +14,16 @@
 	"github.com/linnetrudder/linnetrudder/internal/routing"
 )
 
-// defaultPatience is how long a caller is served that names no time, where the
+// defaultTimeout is how long a caller is served that names no time, where the
 // route sets none either.
-const defaultPatience = 30 * time.Second
+const defaultTimeout = 30 * time.Second
 
 // expectedTimes is how many times the expected time to a head is taken as usual when attempts are given
 // up.
 const expectedTimes = 2
 
-// plainAttempts bounds the runs where a route names no bound.
-const plainAttempts = 1
+// defaultMaxRuns bounds the runs where a route names no bound.
+const defaultMaxRuns = 1
 
 // Serve answers one request.
 func (ga *Gateway) Serve(ctx context.Context, as *Request, an Responder) {
@@ -44,7 +44,7 @@
 		return
 	}
 	ex.body = body
-	ex.print = poison.PrintOf(poison.Request{
+	ex.fingerprint = poison.PrintOf(poison.Request{
 		Team: ex.team(), Method: as.Method, Host: as.Host, Target: as.Target, Body: body,
 	})
 	ctx, cancel := context.WithTimeout(ctx, clock.Until(ex.request.Deadline))
@@ -53,8 +53,8 @@
 	ex.run(ctx)
 }
 
-// atOnce is the Retry-After of a caller whom another gateway can serve.
-const atOnce = 50 * time.Millisecond
+// immediateRetry is the Retry-After of a caller whom another gateway can serve.
+const immediateRetry = 50 * time.Millisecond
 
 // retryAfter returns the Retry-After of a refusal: at once if only this gateway can't serve the caller and
 // another one reports that it is ready.
@@ -62,7 +62,7 @@
 	switch co {
 	case result.StaleConfiguration, result.NoConfiguration, result.Leaving:
 		if ex.ga.elsewhere(ex.rq.Received) {
-			return atOnce
+			return immediateRetry
 		}
 	}
 	return after
@@ -85,11 +85,11 @@
 	sessionless bool
 	draw        float64
 	body        []byte
-	// print is the same for all copies of the request, known once the body is. trial is set if
+	// fingerprint is the same for all copies of the request, known once the body is. trial is set if
 	// the request is sent once although it is blocked.
-	print   poison.Print
-	trial   bool
-	request direct.Request
+	fingerprint poison.Print
+	trial       bool
+	request     direct.Request
 	// attempts holds what was sent, by number.
 	attempts map[int]*attemptState
 	// firstVersion is the version of the server that the first attempt was sent to, known once
@@ -99,14 +99,14 @@
 	offer pool.Offer
 	// choice is what a model was last chosen by, smallest the confidence of the smallest
 	// model's answer.
-	choice   modelChoice
-	smallest int
+	choice             modelChoice
+	smallestConfidence int
 	// held is the answer of before an escalation, nil once it is not needed any more.
 	held *heldAnswer
-	// final is the attempt whose answer the caller gets, nil before there is one.
-	final *attemptState
-	// delivered is the id of the last event that the caller got.
-	delivered string
+	// finalAttempt is the attempt whose answer the caller gets, nil before there is one.
+	finalAttempt *attemptState
+	// deliveredID is the id of the last event that the caller got.
+	deliveredID string
 	// headAt is when the headAt came of the answer that the caller gets first.
 	headAt time.Time
 	// configAge is the configAge of the configuration by which the request was admitted.
@@ -168,14 +168,14 @@
 	ex.sessionless = ex.session == ""
 	limit := ro.Timeout
 	if limit == 0 {
-		limit = defaultPatience
+		limit = defaultTimeout
 	}
 	if as.Timeout > 0 {
 		limit = min(limit, as.Timeout)
 	}
 	ex.request = direct.Request{
 		Idempotent: ro.Idempotent(), Resumable: ro.Kind == routing.Streaming && ro.Resumable,
-		MaxRuns:  max(plainAttempts, ro.Attempts),
+		MaxRuns:  max(defaultMaxRuns, ro.Attempts),
 		Received: as.Received, Target: as.Received.Add(ro.Target), Deadline: as.Received.Add(limit),
 		Picker: ex, Retries: ex, Cascade: ex, Pace: ex, Blocks: ex,
 	}
@@ -242,7 +242,7 @@
 	}
 	ex.ga.mu.Lock()
 	defer ex.ga.mu.Unlock()
-	return ex.ga.blocks.Return(ex.print, now)
+	return ex.ga.blocks.Return(ex.fingerprint, now)
 }
 
 // Usual returns how long the head of a model's answer usually takes, or is expected to
@@ -336,7 +336,7 @@
 	le := ex.ga.Log.Info().Int("event", int(id)).Str("request", ex.rq.ID).Str("route", route).Str("team", ex.team()).
 		Str("session", ex.session).Int("code", int(co)).Uint64("version", ex.table.Version()).Dur("age_ms", ex.configAge).Dur("ms", took).
 		Int("sends", len(ex.attempts)).Int("runs", ex.request.Runs()).
-		Str("print", ex.print.String())
+		Str("print", ex.fingerprint.String())
 	if last := ex.lastAttempt(); last != nil {
 		le = last.addLogFields(le)
 	}
@@ -348,8 +348,8 @@
 
 // lastAttempt returns the attempt that a request ended with, nil if there was none.
 func (ex *exchange) lastAttempt() *attemptState {
-	if ex.final != nil {
-		return ex.final
+	if ex.finalAttempt != nil {
+		return ex.finalAttempt
 	}
 	return ex.attempts[len(ex.attempts)]
 }
--- a/internal/gateway/snapshot.go
+++ b/internal/gateway/snapshot.go
@@ -14,12 +14,12 @@
 )
 
 const (
-	// startWait is how long a gateway that has read a part of a large state waits until a watcher
+	// snapshotWait is how long a gateway that has read a part of a large state waits until a watcher
 	// has read all of it, startSlack how long the watcher's answer may take.
-	startWait  = 2 * time.Second
-	startSlack = 2 * time.Second
-	// startAgain is the pause after an answer of a watcher that has not read all yet.
-	startAgain = 50 * time.Millisecond
+	snapshotWait  = 2 * time.Second
+	snapshotSlack = 2 * time.Second
+	// snapshotRetryPause is the pause after an answer of a watcher that has not read all yet.
+	snapshotRetryPause = 50 * time.Millisecond
 )
 
 // readState reads everything, from the service or the rest of it from a watcher, and returns
@@ -34,7 +34,7 @@
 		return !ok
 	})
 	if err == nil && !whole {
-		at, ok := ga.readFrom(ctx, from)
+		at, ok := ga.readFromWatcher(ctx, from)
 		if ok {
 			return at, nil
 		}
@@ -84,28 +84,28 @@
 	}
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
-	if ga.Bounds.MaxConfigAge != 0 && ga.Bounds.keyAcceptanceAge() < relayLeast {
+	if ga.Bounds.MaxConfigAge != 0 && ga.Bounds.keyAcceptanceAge() < minRelayBound {
 		return relay.Member{}, false
 	}
 	return ga.relayPlan.Watcher(members, clock.Now())
 }
 
-// readFrom gets the whole state from a watcher, which may have to read it first. It reports
+// readFromWatcher gets the whole state from a watcher, which may have to read it first. It reports
 // false if the watcher does not have it in time.
-func (ga *Gateway) readFrom(ctx context.Context, wa relay.Member) (revision.Revision, bool) {
-	cl := relay.Client{Address: wa.Address, Slack: startSlack, HTTP: ga.RelayHTTP}
+func (ga *Gateway) readFromWatcher(ctx context.Context, wa relay.Member) (revision.Revision, bool) {
+	cl := relay.Client{Address: wa.Address, Slack: snapshotSlack, HTTP: ga.RelayHTTP}
 	defer cl.Close()
 	var failed error
-	for end := clock.Now().Add(startWait); ctx.Err() == nil && clock.Now().Before(end); sleep(ctx, startAgain) {
+	for end := clock.Now().Add(snapshotWait); ctx.Err() == nil && clock.Now().Before(end); sleep(ctx, snapshotRetryPause) {
 		sent := clock.Now()
 		up, err := cl.Ask(ctx, relay.Request{})
 		switch {
 		case err != nil:
 			failed = err
-		case up.Age > relayAge:
-			failed = errOld
+		case up.Age > maxRelayAge:
+			failed = errWatcherStale
 		case up.Whole == nil:
-			failed = errUnknown
+			failed = errWatcherHistory
 		default:
 			at, err := ga.applySnapshot(up, sent)
 			if err == nil {
@@ -118,10 +118,10 @@
 	return revision.Revision{}, false
 }
 
-// wholeState returns everything that a gateway needs to begin from, as changes. Tallies
+// snapshotChanges returns everything that a gateway needs to begin from, as changes. Tallies
 // are left out, since each gateway tells its own again, and so is what a restored service has
 // lost, which each gateway keeps for itself. The lock is held.
-func (ga *Gateway) wholeState() []Change {
+func (ga *Gateway) snapshotChanges() []Change {
 	var all []Change
 	if ga.document != nil {
 		all = append(all, Change{Document: ga.document})
@@ -159,32 +159,32 @@
 	return all
 }
 
-// unknown answers a request from before the history, with the whole state if this gateway has it.
+// answerUnknownRevision answers a request from before the history, with the whole state if this gateway has it.
 // The lock is held.
-func (ga *Gateway) unknown(age time.Duration) relay.Update {
+func (ga *Gateway) answerUnknownRevision(age time.Duration) relay.Update {
 	up := relay.Update{Revision: ga.history.Revision(), Age: age, Unknown: true}
 	if !ga.stateRead || !ga.relayPlan.Watches(ga.memberList()) {
 		return up
 	}
 	now := clock.Now()
-	if ga.snapshot.revision != up.Revision || now.Sub(ga.snapshot.at) > wholeKept {
-		data, err := cbor.Marshal(ga.wholeState())
+	if ga.snapshot.revision != up.Revision || now.Sub(ga.snapshot.at) > snapshotMaxAge {
+		data, err := cbor.Marshal(ga.snapshotChanges())
 		if err != nil {
 			ga.Log.Error().Int("event", int(event.RelayFailed)).Err(err).Msg(event.Name(event.RelayFailed))
 			return up
 		}
-		ga.snapshot = encodedState{data: data, revision: up.Revision, at: now}
+		ga.snapshot = encodedSnapshot{data: data, revision: up.Revision, at: now}
 	}
 	up.Whole = ga.snapshot.data
 	return up
 }
 
-// wholeKept is how long an encoded whole state is used again: after a restart all gateways of a data
+// snapshotMaxAge is how long an encoded whole state is used again: after a restart all gateways of a data
 // centre ask for it within some tenths of a second.
-const wholeKept = 200 * time.Millisecond
+const snapshotMaxAge = 200 * time.Millisecond
 
-// encodedState is a whole state as it is passed on.
-type encodedState struct {
+// encodedSnapshot is a whole state as it is passed on.
+type encodedSnapshot struct {
 	data     []byte
 	revision revision.Revision
 	at       time.Time
--- a/internal/gateway/stopping.go
+++ b/internal/gateway/stopping.go
@@ -11,9 +11,9 @@
 	// restartTime is how long a process that has ended takes to serve again: 0.5 s to its
 	// start and some hundredths to read the configuration.
 	restartTime = 700 * time.Millisecond
-	// longestReturn is the longest time after which a caller is told to come back: another
+	// maxRetryAfter is the longest time after which a caller is told to come back: another
 	// gateway may serve before this one does.
-	longestReturn = 3 * time.Second
+	maxRetryAfter = 3 * time.Second
 )
 
 // stopPlan says which requests a stopping gateway still accepts: it may be the only one to which the
@@ -35,7 +35,7 @@
 
 // retryAfter returns after which time a caller that is not served may come retryAfter.
 func (sp *stopPlan) retryAfter(now time.Time) time.Duration {
-	return min(longestReturn, max(0, sp.end.Sub(now))+restartTime)
+	return min(maxRetryAfter, max(0, sp.end.Sub(now))+restartTime)
 }
 
 // Stop begins a planned stop: the gateway says that it is not ready, and goes on to serve
--- a/internal/gateway/stopping_test.go
+++ b/internal/gateway/stopping_test.go
@@ -30,7 +30,7 @@
 	require.False(t, stop.accepts(unbounded, late))
 	require.False(t, stop.accepts(plain, now.Add(6500*time.Millisecond)))
 	require.Equal(t, 2*time.Second+restartTime, stop.retryAfter(late))
-	require.Equal(t, longestReturn, stop.retryAfter(now))
+	require.Equal(t, maxRetryAfter, stop.retryAfter(now))
 	require.Equal(t, restartTime, stop.retryAfter(now.Add(time.Minute)))
 }
 
@@ -71,7 +71,7 @@
 	ga.otherReadyAt = time.Now().Add(-2 * loadKept)
 	ask()
 	usual := result.Of(result.NoConfiguration).RetryAfter()
-	require.Equal(t, []time.Duration{usual, usual, atOnce, usual}, re.after)
+	require.Equal(t, []time.Duration{usual, usual, immediateRetry, usual}, re.after)
 }
 
 func TestAGatewayTellsOthersWhetherItIsReady(t *testing.T) {
--- a/internal/gateway/trials.go
+++ b/internal/gateway/trials.go
@@ -25,7 +25,7 @@
 		ga.mu.Lock()
 		lifted := ga.blockLifted
 		ex.trial = ga.takeTrial(ex, now)
-		wait := min(ga.blocks.Fresh(ex.print, now), until.Sub(now))
+		wait := min(ga.blocks.Fresh(ex.fingerprint, now), until.Sub(now))
 		ga.mu.Unlock()
 		if ex.trial || wait <= 0 {
 			return
@@ -50,7 +50,7 @@
 // A trial needs a server that runs nothing else, so that its end has one suspect only. The lock is
 // held.
 func (ga *Gateway) takeTrial(ex *exchange, now time.Time) bool {
-	pr := ex.print
+	pr := ex.fingerprint
 	trial, due := ga.blocks.Trial(pr, now)
 	if trial == 0 || !ga.triesFor(pr, trial, due) || !ga.pool.AnyIdle(ex.poolRequest("", nil, now), now) {
 		return false
