--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -18,45 +18,46 @@
 	"github.com/linnetrudder/linnetrudder/internal/result"
 )
 
-// maxBufferedBytes is the longest answer of a plain service that is read whole
-// before it is delivered, so that a broken one can be repeated elsewhere.
+// maxBufferedBytes is the size up to which the response of a plain service is read completely
+// before it is delivered, so that an attempt with a truncated response can be repeated at another
+// server.
 const maxBufferedBytes = 1 << 20
 
-// attemptState is one attempt in progress or ended.
+// attemptState is an attempt in progress or ended.
 type attemptState struct {
 	ex     *exchange
 	step   direct.Step
 	server directory.Server
 	began  time.Time
-	// offer is how the server was chosen, prompt what it is to read.
+	// offer is how the server was chosen. prompt is the prompt that the server has to read.
 	offer  pool.Offer
 	prompt pool.Prompt
 	cancel context.CancelFunc
-	// response is nil until the head came.
+	// response is nil until its head has arrived.
 	response *Response
-	// body is the whole body of an answer that is not a stream.
+	// body is the complete body of a response that is not a stream, or its first maxBufferedBytes.
 	body []byte
-	// rest is what follows body of one that is longer than wholeBytes.
+	// rest is the remainder of a body that is longer than maxBufferedBytes.
 	rest io.Reader
 	err  error
-	// released is set once what the attempt holds was freed.
+	// released is set once the resources of the attempt have been freed.
 	released atomic.Bool
-	// record is what is remembered of the attempt in case its server ends; nil if it was never
-	// sent. left is set if this gateway ended the attempt without an answer.
+	// record is kept of the attempt in case its server ends. It is nil if the attempt was never sent.
+	// abandoned is set if this gateway ended the attempt before the response arrived.
 	record    *poison.Run
 	abandoned bool
-	// headDecided is set once by whichever is first: the head of the answer, or the
-	// timer that gives the attempt up. serverSilent is set if the latter was because the
-	// server said nothing to anybody.
+	// headDecided is set once, either when sendAttempt has received the response or by the timer that
+	// abandons the attempt. serverSilent is set if the timer did so because the server sent nothing on
+	// any connection.
 	headDecided, serverSilent atomic.Bool
-	// stalled is set if the stream was left because it was silent.
+	// stalled is set if the stream was abandoned because no events arrived.
 	stalled atomic.Bool
 }
 
-// attemptAnswered is the outcome of an attempt whose whole answer came.
+// attemptAnswered is the outcome of an attempt whose complete response arrived.
 const attemptAnswered = "answered"
 
-// status returns the status of the answer, zero if there is none.
+// status returns the status of the response, zero if there is none.
 func (se *attemptState) status() int {
 	if se.response == nil {
 		return 0
@@ -64,8 +65,8 @@
 	return se.response.Status
 }
 
-// sendAttempt makes an attempt and waits for the head of its answer, for a plain
-// service for the whole.
+// sendAttempt makes an attempt and waits for the head of the response, for a plain service for all
+// of it.
 func (ex *exchange) sendAttempt(ctx context.Context, step direct.Step) *attemptState {
 	ga := ex.ga
 	now := clock.Now()
@@ -94,37 +95,37 @@
 	if step.Attempt() > 1 {
 		ex.logRetry(se)
 	}
-	patience := time.AfterFunc(step.Patience().Sub(now), se.onHeadTimeout)
+	headTimer := time.AfterFunc(step.Patience().Sub(now), se.onHeadTimeout)
 	se.callBackend(ctx)
-	patience.Stop()
+	headTimer.Stop()
 	se.abandoned = !se.headDecided.CompareAndSwap(false, true)
 	if se.abandoned && se.err == nil {
-		// Given up just as the head came: the call was cancelled already.
+		// The attempt was abandoned just as the head arrived, and the call is already cancelled.
 		se.err = errAbandoned
 	}
 	se.recordHead(clock.Now())
 	return se
 }
 
-// errAbandoned means that an answer came just after its attempt was given up.
-var errAbandoned = eris.New("attempt was given up")
+// errAbandoned means that the response arrived just after its attempt was abandoned.
+var errAbandoned = eris.New("attempt was abandoned before its response arrived")
 
-// onHeadTimeout gives the attempt up if its server has said nothing since, and
-// waits on for a last time if it has: such a server is slow and not dead, and to
-// ask another one would be the same work again. It runs on a timer of its own.
+// onHeadTimeout abandons the attempt if its server has sent nothing on any connection since the
+// attempt began. Otherwise it waits until the final limit: such a server is slow rather than dead,
+// and an attempt at another one would repeat the work. It runs on a timer.
 func (se *attemptState) onHeadTimeout() {
-	ga, more := se.ex.ga, se.step.Limit().Sub(se.step.Patience())
+	ga, extra := se.ex.ga, se.step.Limit().Sub(se.step.Patience())
 	ga.mu.Lock()
 	alive := ga.pool.LastResponse(se.server.Key()).After(se.began)
 	ga.mu.Unlock()
-	if !alive || more <= 0 {
+	if !alive || extra <= 0 {
 		se.abandon(true)
 		return
 	}
-	time.AfterFunc(more, func() { se.abandon(false) })
+	time.AfterFunc(extra, func() { se.abandon(false) })
 }
 
-// abandon cancels the call if no head has come.
+// abandon cancels the call if no head has arrived.
 func (se *attemptState) abandon(silent bool) {
 	if se.headDecided.CompareAndSwap(false, true) {
 		se.serverSilent.Store(silent)
@@ -132,8 +133,8 @@
 	}
 }
 
-// recordHead notes how long the head of an answer took, or that it was not waited
-// for any longer.
+// recordHead records the time to the response head, or that the attempt was abandoned or failed
+// before it.
 func (se *attemptState) recordHead(now time.Time) {
 	ga, took := se.ex.ga, now.Sub(se.began)
 	ga.mu.Lock()
@@ -178,13 +179,15 @@
 	}
 }
 
-// highestPriority is the rank of the smallest model's attempts, whose prompts are read quickly.
+// highestPriority is the queue priority of the smallest model's attempts, whose prompts are read
+// quickly.
 const highestPriority = 0
 
-// readTimePerRank is the reading time of a larger model's prompt that lowers an attempt's rank by one.
+// readTimePerRank is the time to read a larger model's prompt that lowers the attempt by one rank.
 const readTimePerRank = 200 * time.Millisecond
 
-// queuePriority ranks an attempt at a server of models; plain services take no ranks.
+// queuePriority returns the rank of an attempt in the queue of a model server. Plain services have
+// no such queue.
 func (ex *exchange) queuePriority(step direct.Step) int {
 	if models := ex.request.Models; len(models) > 0 && step.Model() == models[0] {
 		return highestPriority
@@ -199,9 +202,9 @@
 	return ex.route.Priority
 }
 
-// serverTimeout returns how long a server may work: what is serverTimeout of the caller's time,
-// not the route's, since a server that stops early fails where a gateway would
-// still have delivered.
+// serverTimeout returns how long a server may work: the remainder of the caller's timeout rather
+// than the route's, since a server that stops early would fail a request that the gateway could
+// still have served.
 func (ex *exchange) serverTimeout(now time.Time) time.Duration {
 	if ex.rq.Timeout > 0 {
 		return max(time.Millisecond, ex.rq.Received.Add(ex.rq.Timeout).Sub(now))
@@ -216,8 +219,8 @@
 	return ex.rq.LastEventID
 }
 
-// handleOutcome tells the request what became of an attempt until the head of its
-// answer.
+// handleOutcome passes the outcome of an attempt up to the response head to the request, and
+// returns the next step.
 func (ex *exchange) handleOutcome(ctx context.Context, se *attemptState) direct.Step {
 	now := clock.Now()
 	var refusal *RefusedError
@@ -230,7 +233,7 @@
 		return ex.request.Refused(now)
 	case errors.Is(se.err, ErrUnreachable):
 		se.endNotSent("unreachable")
-		ex.ga.serverEnded(se.server, "it takes no connection")
+		ex.ga.serverEnded(se.server, "it refuses connections")
 		ex.ga.leaveServer(ctx, se, now)
 		return ex.request.Unsent(now)
 	case errors.Is(se.err, ErrNotSent):
@@ -254,7 +257,7 @@
 	return ex.request.Answered(se.response.Status, se.response.Confidence, now)
 }
 
-// end frees what the attempt holds.
+// end frees the resources of the attempt and counts its outcome.
 func (se *attemptState) end(outcome string) {
 	se.cancel()
 	if !se.released.CompareAndSwap(false, true) {
@@ -270,7 +273,7 @@
 	countAttempt(se.server.Service, outcome)
 }
 
-// endNotSent ends an attempt that its server never began.
+// endNotSent ends an attempt that its server never started.
 func (se *attemptState) endNotSent(outcome string) {
 	if se.record != nil {
 		se.ex.ga.mu.Lock()
@@ -280,17 +283,16 @@
 	se.end(outcome)
 }
 
-// discard ends an attempt whose answer is not wanted any more.
+// discard ends an attempt whose response is not needed any more.
 func (se *attemptState) discard() { se.end("dropped") }
 
-// copyRest gives the caller what follows the part of a long answer that was
-// read before.
-func (se *attemptState) copyRest(an Responder) error {
+// copyRest sends the caller the remainder of a response whose start was buffered.
+func (se *attemptState) copyRest(rs Responder) error {
 	buf := make([]byte, 32<<10)
 	for {
 		n, err := se.rest.Read(buf)
 		if n > 0 {
-			if werr := an.WriteChunk(bytes.Clone(buf[:n])); werr != nil {
+			if werr := rs.WriteChunk(bytes.Clone(buf[:n])); werr != nil {
 				return werr
 			}
 		}
--- a/internal/gateway/attemptlog.go
+++ b/internal/gateway/attemptlog.go
@@ -8,7 +8,7 @@
 	"github.com/linnetrudder/linnetrudder/internal/event"
 )
 
-// addLogFields adds to a line of the log what an attempt gave.
+// addLogFields adds the result of an attempt to a log entry.
 func (se *attemptState) addLogFields(le *zerolog.Event) *zerolog.Event {
 	le = le.Str("server", se.server.ID).Str("model", se.step.Model()).Int("status", se.status())
 	if se.response == nil {
@@ -18,10 +18,11 @@
 		Dur("head_ms", se.ex.headAt.Sub(se.ex.rq.Received))
 }
 
-// modelIndex returns the modelIndex of a model among those that may answer, -1 for none of them.
+// modelIndex returns the index of a model among those that may serve the request, -1 if it is none
+// of them.
 func (ex *exchange) modelIndex(model string) int { return slices.Index(ex.request.Models, model) }
 
-// logRetry logs an attempt beyond the first with what led to it.
+// logRetry logs an attempt after the first one together with what led to it.
 func (ex *exchange) logRetry(se *attemptState) {
 	id := event.RequestRetried
 	before := ex.attempts[se.step.Attempt()-1]
--- a/internal/gateway/deliver.go
+++ b/internal/gateway/deliver.go
@@ -15,15 +15,15 @@
 )
 
 const (
-	// stallFactor is how many of the route's longest pauses a stream may be silent before it
-	// is continued elsewhere. A server that reads a long prompt beside a stream pauses it for a second
-	// and more, and goes on.
+	// stallFactor is the multiple of the route's maximum pause between events after which a stream is
+	// resumed at another server. A server that reads a long prompt pauses its streams for more than a
+	// second without having failed.
 	stallFactor = 2
-	// defaultStall is used where a route names no pause.
+	// defaultStall is the stall timeout if the route names no maximum pause.
 	defaultStall = 2 * time.Second
 )
 
-// deliver gives the caller the answer of an attempt.
+// deliver sends the caller the response of an attempt.
 func (ex *exchange) deliver(ctx context.Context, se *attemptState) {
 	ex.headAt, ex.finalAttempt = clock.Now(), se
 	if se.response.Stream {
@@ -57,8 +57,8 @@
 
 func (ex *exchange) logAnswered() { ex.logOutcome(event.RequestAnswered, result.OK, "") }
 
-// deliverStream gives the caller the events of a stream as they come, and goes
-// on with another server's where it breaks.
+// deliverStream sends the caller the events of a stream as they arrive, and resumes a broken stream
+// at another server.
 func (ex *exchange) deliverStream(ctx context.Context, se *attemptState) {
 	if err := ex.responder.WriteHead(se.response.Status, se.response.Header); err != nil {
 		se.discard()
@@ -95,12 +95,11 @@
 	}
 }
 
-// minStreamEvents is how many events a stream must have for its pace to say
-// something.
+// minStreamEvents is the minimum number of events of a stream whose pace is used.
 const minStreamEvents = 3
 
-// recordStreamPace takes the pace of a whole stream for the roll-out of its service. It
-// does not depend on the prompt, unlike the time to the head.
+// recordStreamPace records the pace of a complete stream for the roll-out of its service. Unlike
+// the time to the head, the pace does not depend on the prompt.
 func (ga *Gateway) recordStreamPace(se *attemptState, events int, took time.Duration, now time.Time) {
 	if events < minStreamEvents {
 		return
@@ -110,8 +109,8 @@
 	ga.observePace(se.server, "event "+se.ex.modelKey(se.step.Model()), took/time.Duration(events-1), slowEvents, now)
 }
 
-// resume continues a broken stream; it returns nil if the request has ended.
-func (ex *exchange) resume(ctx context.Context, why error) *attemptState {
+// resume resumes a broken stream at another server. It returns nil if the request has ended instead.
+func (ex *exchange) resume(ctx context.Context, cause error) *attemptState {
 	step := ex.request.Broken(clock.Now())
 	for step.Do() == direct.Send && ctx.Err() == nil {
 		se := ex.sendAttempt(ctx, step)
@@ -125,14 +124,14 @@
 	if ctx.Err() != nil {
 		co = result.Stopped
 	}
-	ex.logOutcome(event.RequestFailed, co, why.Error())
+	ex.logOutcome(event.RequestFailed, co, cause.Error())
 	ex.responder.Abort()
 	return nil
 }
 
-// relayEvents passes events on until the stream ends and returns how many came. The
-// error is nil at the end, has a code if the caller can't be given more, and is
-// any other if the stream broke.
+// relayEvents forwards events until the stream ends and returns their number. The error is nil at
+// the end of the stream, a *result.Error if nothing more can be sent to the caller, and another one
+// if the stream broke.
 func (ex *exchange) relayEvents(se *attemptState) (events int, err error) {
 	stall := ex.stallTimeout()
 	watch := time.AfterFunc(stall, func() { ex.onStall(se) })
@@ -160,7 +159,7 @@
 	}
 }
 
-// stallTimeout returns after which silence a stream is continued elsewhere.
+// stallTimeout returns the time without events after which a stream is resumed at another server.
 func (ex *exchange) stallTimeout() time.Duration {
 	if ex.route.Gap > 0 {
 		return time.Duration(stallFactor * float64(ex.route.Gap))
@@ -168,9 +167,9 @@
 	return defaultStall
 }
 
-// onStall leaves a stream that is silent if it can go on elsewhere. If it can't,
-// silence is no reason to end it. It runs on a timer while relay waits, when
-// nothing of the request changes.
+// onStall abandons a stream without events if it can be resumed at another server; otherwise it keeps
+// waiting. It runs on a timer while relayEvents waits, during which the state of the request does not
+// change.
 func (ex *exchange) onStall(se *attemptState) {
 	if ex.request.MayResume(clock.Now()) && ex.canRetryElsewhere(se) {
 		se.stalled.Store(true)
@@ -178,7 +177,7 @@
 	}
 }
 
-// canRetryElsewhere reports whether another server and a retry are to be had.
+// canRetryElsewhere reports whether another server and a retry are available.
 func (ex *exchange) canRetryElsewhere(se *attemptState) bool {
 	ga, now := ex.ga, clock.Now()
 	ga.mu.Lock()
@@ -188,19 +187,19 @@
 	return ok && ga.window(ex.service).Left(now) >= 1
 }
 
-// alreadyDelivered reports whether the caller alreadyDelivered an event already, as after a server began
-// a resumed stream too early.
+// alreadyDelivered reports whether the caller already has an event, as when a server resumes a
+// stream too early.
 func (ex *exchange) alreadyDelivered(ev sse.Event) bool {
 	if ex.deliveredID == "" {
 		return false
 	}
 	n, ok := ev.Number()
-	last, had := sse.Number(ex.deliveredID)
-	return ok && had && n <= last
+	last, hasLast := sse.Number(ex.deliveredID)
+	return ok && hasLast && n <= last
 }
 
-// codeOf returns the code of an error, Stopped if it has none: the caller's
-// connection failed.
+// codeOf returns the result code of an error, Stopped if it has none, since the caller's connection
+// then failed.
 func codeOf(err error) result.Code {
 	var er *result.Error
 	if errors.As(err, &er) {
--- a/internal/gateway/ends.go
+++ b/internal/gateway/ends.go
@@ -95,7 +95,7 @@
 		return
 	}
 	suspects, at := ga.runs.Ended(key, now)
-	serverCrashes.Inc()
+	serverEnds.Inc()
 	for _, ru := range suspects {
 		ga.accuse(ru.Suspicion(key, at, now), now)
 	}
--- a/internal/gateway/follow.go
+++ b/internal/gateway/follow.go
@@ -16,33 +16,34 @@
 )
 
 const (
-	// maxWatchWait is the longest wait of a watch. Each answer confirms the configuration, and each
-	// call has a price.
+	// maxWatchWait is the longest wait of a watch. Each response confirms the configuration, and each
+	// call has a cost.
 	maxWatchWait = 1500 * time.Millisecond
-	// rootWatchWait is that of a root: its state reaches others over two hops, and beyond denyAge they
-	// can't reject unknown keys any more.
+	// rootWatchWait is the longest wait of a watch by a root. Its state reaches other gateways over two
+	// hops, and beyond denyAge they can no longer reject unknown keys.
 	rootWatchWait = time.Second
 	// minWatchWait is the shortest wait of a watch.
 	minWatchWait = minRetryPause
-	// changeBatchPause is the pause after changes, so that those that follow come with one call.
+	// changeBatchPause is the pause after changes, so that the changes that follow arrive in one call.
 	changeBatchPause = 300 * time.Millisecond
-	// maxMissedChangeAge is how long watches may miss changes: an order that a whole read shows for the
-	// first time may be as old.
+	// maxMissedChangeAge is how long watches may miss changes. An order that a complete read returns for
+	// the first time may be that old.
 	maxMissedChangeAge = time.Second
-	// minRetryPause and pauseMost bound the pause between two calls to a service that does not
-	// answer; pauseLong bounds it in a longer outage, since other gateways report its return.
+	// minRetryPause and maxRetryPause bound the pause between two calls to a service that does not
+	// answer. maxOutagePause bounds it in a longer outage, since other gateways report that the service
+	// answers again.
 	minRetryPause  = 100 * time.Millisecond
 	maxRetryPause  = 400 * time.Millisecond
 	maxOutagePause = time.Second
-	// outagePauseRatio is the longest pause in a longer outage, as a part of its length.
+	// outagePauseRatio is the longest pause in a longer outage as a part of the outage's duration.
 	outagePauseRatio = 0.2
-	// watcherRetryPause is the pause after a watcher failed. In an outage of the service watchers answer
-	// at once that their state is out of date.
+	// watcherRetryPause is the pause after a watcher failed. In an outage of the service, watchers
+	// answer immediately that their state is out of date.
 	watcherRetryPause = minRetryPause
 )
 
-// syncState keeps the state up to date: it reads everything, then watches, and
-// reads again when the history has gone.
+// syncState keeps the state up to date. It reads the complete state, then watches for changes, and
+// reads again when the history is not available.
 func (ga *Gateway) syncState(ctx context.Context) {
 	defer ga.relayClient.Close()
 	for ctx.Err() == nil {
@@ -55,7 +56,7 @@
 	}
 }
 
-// watch takes changes as they come, until the history has gone.
+// watch applies changes as they arrive until the history is not available.
 func (ga *Gateway) watch(ctx context.Context, after revision.Revision) {
 	for ctx.Err() == nil {
 		next, err := ga.receiveChanges(ctx, after)
@@ -71,9 +72,9 @@
 	}
 }
 
-// receiveChanges waits once for changes after a revision, and returns the revision to go on
-// from. A watcher that fails is not asked again for a while; one whose history does not reach back
-// is asked again after a call to the service.
+// receiveChanges waits once for changes after a revision and returns the revision to continue from.
+// A watcher that fails is not asked again for a while. A watcher whose history does not go back far
+// enough is asked again after one call to the service.
 func (ga *Gateway) receiveChanges(ctx context.Context, after revision.Revision) (revision.Revision, error) {
 	wa, ok := ga.watcher(clock.Now())
 	if !ok {
@@ -108,9 +109,9 @@
 	return st.Revision, nil
 }
 
-// checkContinuity returns nil if changes up to a revision are all that followed another one, and
-// ErrHistoryGone if the service was restored in between: what was written since then may have
-// revisions that have been seen before.
+// checkContinuity returns nil if the changes up to a revision are complete since another one, and
+// ErrHistoryUnavailable if the service was restored in between: changes written since the restore
+// may reuse revisions that have already been seen.
 func (ga *Gateway) checkContinuity(to, after revision.Revision, now time.Time) error {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
@@ -123,46 +124,45 @@
 	return nil
 }
 
-// watchWait returns how long a watch waits, so that keys can be accepted all the
-// while: the older the configuration may be, the sooner it must be confirmed.
+// watchWait returns how long a watch waits. The older the configuration, the sooner it has to be
+// confirmed, so that keys are accepted without interruption.
 func (ga *Gateway) watchWait(now time.Time) time.Duration {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
-	most := maxWatchWait
+	longest := maxWatchWait
 	if ga.relayPlan.Root(ga.memberList()) {
-		most = rootWatchWait
+		longest = rootWatchWait
 	}
 	if ga.Bounds.MaxConfigAge == 0 {
-		return most
+		return longest
 	}
 	left := ga.Bounds.keyAcceptanceAge() - ga.freshness.Age(now)
-	return min(most, max(minWatchWait, left/2))
+	return min(longest, max(minWatchWait, left/2))
 }
 
-// storeFailed records a failed call and waits for a while.
-func (ga *Gateway) storeFailed(ctx context.Context, why error) {
+// storeFailed records a failed call to the service and pauses.
+func (ga *Gateway) storeFailed(ctx context.Context, cause error) {
 	if ctx.Err() != nil {
 		return
 	}
 	ga.mu.Lock()
-	was := ga.freshness.Failed()
+	wasConnected := ga.freshness.Failed()
 	ga.relayPlan.ServiceFailed(clock.Now())
 	ga.servers.StoreLost()
-	age, began := ga.freshness.Age(clock.Now()), !ga.freshness.Known()
+	age, neverRead := ga.freshness.Age(clock.Now()), !ga.freshness.Known()
 	ga.mu.Unlock()
 	storeFailures.Inc()
-	if was {
-		ga.Log.Warn().Int("event", int(event.StoreLost)).Dur("age_ms", age).Err(why).Msg(event.Name(event.StoreLost))
+	if wasConnected {
+		ga.Log.Warn().Int("event", int(event.StoreLost)).Dur("age_ms", age).Err(cause).Msg(event.Name(event.StoreLost))
 	}
-	most := min(maxOutagePause, max(maxRetryPause, time.Duration(outagePauseRatio*float64(age))))
-	if began {
-		most = maxRetryPause // no other gateway knows this one and could report the service's return
+	longest := min(maxOutagePause, max(maxRetryPause, time.Duration(outagePauseRatio*float64(age))))
+	if neverRead {
+		longest = maxRetryPause // no other gateway knows this one to report that the service answers again
 	}
-	ga.awaitStore(ctx, minRetryPause+rand.N(most-minRetryPause))
+	ga.awaitStore(ctx, minRetryPause+rand.N(longest-minRetryPause))
 }
 
-// awaitStore waits for a pause, or until another gateway reports that the service answers
-// again.
+// awaitStore waits for a pause, or until another gateway reports that the service answers again.
 func (ga *Gateway) awaitStore(ctx context.Context, pause time.Duration) {
 	ti := time.NewTimer(pause)
 	defer ti.Stop()
@@ -188,7 +188,7 @@
 	ga.Log.Info().Int("event", int(event.StoreRegained)).Msg(event.Name(event.StoreRegained))
 }
 
-// applyReadState applies a whole state that was read from the service.
+// applyReadState applies a complete state read from the service.
 func (ga *Gateway) applyReadState(st State, sent time.Time) error {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
@@ -204,7 +204,7 @@
 	return nil
 }
 
-// replaceState applies a whole state; the lock is held.
+// replaceState applies a complete state. The lock is held.
 func (ga *Gateway) replaceState(st State) {
 	now := clock.Now()
 	restored := ga.restoredSince(st.Revision, now)
@@ -238,7 +238,7 @@
 		Int("servers", len(listed)).Msg(event.Name(event.StateRead))
 }
 
-// applyWatch applies the answer to a watch that was sent at a time.
+// applyWatch applies the response to a watch that was sent at the given time.
 func (ga *Gateway) applyWatch(st State, sent time.Time, wait time.Duration, now time.Time) {
 	ba := relay.Batch{To: st.Revision}
 	ga.mu.Lock()
@@ -253,8 +253,9 @@
 	ga.announceConfirmation()
 }
 
-// applyBatch applies changes, and keeps them as encoded if other gateways may ask this one. A batch
-// that was not encoded is not kept, nor is the history before it. The lock is held.
+// applyBatch applies changes. It adds them to the history as encoded if other gateways may request
+// changes from this one. If a batch was not encoded, the history is reset, so that it has no gap.
+// The lock is held.
 func (ga *Gateway) applyBatch(changes []Change, ba relay.Batch) {
 	for _, ch := range changes {
 		ga.applyChange(ch)
@@ -271,7 +272,7 @@
 	}
 }
 
-// applyChange applies one applyChange; the lock is held.
+// applyChange applies one change. The lock is held.
 func (ga *Gateway) applyChange(ch Change) {
 	switch {
 	case ch.Document != nil:
@@ -311,8 +312,8 @@
 
 // applyConfig puts a configuration into force if its version is higher. The lock is held.
 func (ga *Gateway) applyConfig(doc *routing.Document) {
-	held := ga.table.Load().Version()
-	if doc.Version <= held {
+	current := ga.table.Load().Version()
+	if doc.Version <= current {
 		return
 	}
 	ta, err := routing.Compile(*doc)
@@ -322,6 +323,6 @@
 	}
 	ga.table.Store(ta)
 	ga.document = doc
-	ga.Log.Info().Int("event", int(event.ConfigInForce)).Uint64("version", doc.Version).Uint64("version_before", held).
+	ga.Log.Info().Int("event", int(event.ConfigInForce)).Uint64("version", doc.Version).Uint64("version_before", current).
 		Int("routes", len(doc.Routes)).Int("teams", len(doc.Teams)).Msg(event.Name(event.ConfigInForce))
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -33,8 +33,8 @@
 	// ownRatio is the part of the retry ratio that a gateway uses, since requests near the edge of a
 	// window are counted by another clock.
 	ownRatio = 0.94
-	// ownSlack is the number of retries that each gateway allows itself in addition. The platform's slack
-	// applies to all gateways together, whose number is not known.
+	// ownSlack is the number of retries that each gateway allows itself in addition. The platform's
+	// slack applies to all gateways together, whose number is not known.
 	ownSlack = 2
 	// retryReserve is how many retries of a service escalations leave to requests that have no response
 	// yet, while some servers are known to reject attempts.
--- a/internal/gateway/membership.go
+++ b/internal/gateway/membership.go
@@ -13,21 +13,23 @@
 )
 
 const (
-	// renewInterval is the pause between two renewals of the membership's lease, memberTTL its length.
-	// A watcher that fails is noticed by those that ask it, so that the lease may be long.
+	// renewInterval is the pause between two renewals of the membership's lease. memberTTL is the
+	// duration of the lease. It may be long, since the gateways that request changes from a watcher
+	// detect its failure themselves.
 	renewInterval = 10 * time.Second
 	memberTTL     = 25 * time.Second
-	// joinRetryPause is the pause after a call that failed.
+	// joinRetryPause is the pause after a failed call.
 	joinRetryPause = time.Second
-	// joinCheckInterval is how often a gateway checks whether it is needed as a member, joinSpread the
-	// longest delay before it joins: of many that start together a few join, and the others see
-	// them. Boxes with links of more than smallLinkMbps wait less, since they become the watchers.
+	// joinCheckInterval is how often a gateway checks whether it is needed as a member. maxJoinDelay
+	// is the longest random delay before it joins: if many gateways start together, a few join first
+	// and the others see that they are not needed. Boxes whose links have more than smallLinkMbps wait
+	// less, since gateways there become the watchers.
 	joinCheckInterval = 500 * time.Millisecond
 	maxJoinDelay      = 1500 * time.Millisecond
 	smallLinkMbps     = 20
 )
 
-// maintainMembership keeps this gateway among the members once it is needed there.
+// maintainMembership makes this gateway a member once it is needed, and renews the membership.
 func (ga *Gateway) maintainMembership(ctx context.Context) {
 	var le Lease
 	ga.awaitMembershipNeed(ctx)
@@ -43,7 +45,7 @@
 	}
 }
 
-// awaitRenewal waits for a time, or until the membership has ended, which it reports.
+// awaitRenewal waits for a pause, or until the membership has ended. It reports whether it has ended.
 func (ga *Gateway) awaitRenewal(ctx context.Context, pause time.Duration) (ended bool) {
 	ti := time.NewTimer(pause)
 	defer ti.Stop()
@@ -69,14 +71,15 @@
 	}
 }
 
-// neededAsMember reports whether this gateway is neededAsMember as a member, which takes the members to be known.
+// neededAsMember reports whether this gateway is needed as a member. It is false until the members
+// are known.
 func (ga *Gateway) neededAsMember() bool {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
 	return ga.stateRead && ga.relayPlan.Needed(ga.memberList(), ga.LinkMbps)
 }
 
-// renewMembership renews the lease, or joins anew if there is none.
+// renewMembership renews the lease, or joins if there is none.
 func (ga *Gateway) renewMembership(ctx context.Context, le *Lease) error {
 	if *le != 0 {
 		err := ga.Store.RenewLease(ctx, *le)
@@ -96,12 +99,12 @@
 	return nil
 }
 
-// self returns this gateway as a member.
+// self describes this gateway as a member.
 func (ga *Gateway) self() relay.Member {
 	return relay.Member{Box: ga.Box, DataCentre: ga.DataCentre, Address: ga.RelayAddress, LinkMbps: ga.LinkMbps}
 }
 
-// memberJoined records a member; the lock is held.
+// memberJoined records a member. The lock is held.
 func (ga *Gateway) memberJoined(me relay.Member) {
 	_, known := ga.members[me.Box]
 	ga.members[me.Box] = me
@@ -112,11 +115,11 @@
 	}
 }
 
-// memberList returns the members in no order; the lock is held.
+// memberList returns the members in no particular order. The lock is held.
 func (ga *Gateway) memberList() []relay.Member { return slices.Collect(maps.Values(ga.members)) }
 
-// replaceMembers drops the members that a whole state does not hold. Those that a restored service
-// may have lost get time to join again. The lock is held.
+// replaceMembers removes the members that a complete state does not list. Members that a restored
+// service may have lost get time to join again. The lock is held.
 func (ga *Gateway) replaceMembers(st State, restored bool, now time.Time) {
 	listed := map[string]bool{}
 	for _, ch := range st.Changes {
@@ -138,7 +141,7 @@
 	}
 }
 
-// requestRejoin lets this gateway join anew at once; the lock is held.
+// requestRejoin makes this gateway join again immediately. The lock is held.
 func (ga *Gateway) requestRejoin() {
 	select {
 	case ga.rejoin <- struct{}{}:
@@ -146,7 +149,7 @@
 	}
 }
 
-// memberLeft records that a member is gone; the lock is held.
+// memberLeft records that a member has left. The lock is held.
 func (ga *Gateway) memberLeft(box string) {
 	ga.missingMembers.Release(box)
 	if _, known := ga.members[box]; known {
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -11,14 +11,14 @@
 var (
 	storeFailures     = metrics.NewCounter(`linnetrudder_store_failures_total`)
 	storeEra          = metrics.NewGauge(`linnetrudder_store_era`, nil)
-	serverCrashes     = metrics.NewCounter(`linnetrudder_server_ends_total`)
+	serverEnds        = metrics.NewCounter(`linnetrudder_server_ends_total`)
 	requestBlocks     = metrics.NewCounter(`linnetrudder_request_blocks_total`)
 	serverLimits      = metrics.NewCounter(`linnetrudder_server_limits_total`)
 	serverPauses      = metrics.NewCounter(`linnetrudder_server_pauses_total`)
 	serversLeaving    = metrics.NewCounter(`linnetrudder_servers_leaving_total`)
 	reportsUnreadable = metrics.NewCounter(`linnetrudder_reports_unreadable_total`)
 	unusableEntries   = metrics.NewCounter(`linnetrudder_unusable_entries_total`)
-	// attemptsUnwanted counts attempts sent to a server that is leaving or asked for a pause.
+	// attemptsUnwanted counts attempts sent to a server that is shutting down or has asked for a pause.
 	attemptsUnwanted = metrics.NewCounter(`linnetrudder_attempts_unwanted_total`)
 )
 
@@ -29,7 +29,7 @@
 	metrics.GetOrCreateHistogram(fmt.Sprintf(`linnetrudder_request_seconds{kind=%q}`, kind)).Update(seconds)
 }
 
-// countAttempt counts what became of an attempt.
+// countAttempt counts the outcome of an attempt.
 func countAttempt(service, outcome string) {
 	metrics.GetOrCreateCounter(fmt.Sprintf(`linnetrudder_attempts_total{service=%q,outcome=%q}`, service, outcome)).Inc()
 }
--- a/internal/gateway/relay.go
+++ b/internal/gateway/relay.go
@@ -15,28 +15,29 @@
 )
 
 const (
-	// relayWait is how long a watcher may hold an answer, relaySlack how much later it may come: a
-	// silent watcher is noticed after both. Watchers that ask others use half of relayWait, since
-	// they pass the changes on.
+	// relayWait is how long a watcher may wait for changes before it answers. relaySlack is the
+	// additional time in which its response must arrive: an unresponsive watcher is detected after
+	// both. Watchers that themselves request changes from others use half of relayWait, since they
+	// pass the changes on.
 	relayWait  = 500 * time.Millisecond
 	relaySlack = 400 * time.Millisecond
-	// maxRelayAge is the age beyond which a watcher's state is not used: more than a whole wait for
-	// changes, a pause to gather them and two slow calls.
+	// maxRelayAge is the age up to which a watcher's state is used. It is longer than a full wait for
+	// changes, changeBatchPause and two slow calls together.
 	maxRelayAge = 2200 * time.Millisecond
-	// minRelayBound is the least bound on the age of the configuration with which gateways ask
-	// watchers, whose answers may be older by a wait.
+	// minRelayBound is the lowest key acceptance age with which gateways request changes from watchers,
+	// whose responses may be older by one wait.
 	minRelayBound = maxRelayAge + relayWait
 )
 
 var (
-	errWatcherStale   = eris.New("the watcher's state is too old")
-	errWatcherHistory = eris.New("the watcher's history does not reach back")
-	// errOlderEra means that an answer is from before the service was restored.
-	errOlderEra = eris.New("the answer is of an older era")
+	errWatcherStale   = eris.New("the watcher's state is out of date")
+	errWatcherHistory = eris.New("the watcher has no history from the requested revision on")
+	// errOlderEra means that a response is from before the service was restored.
+	errOlderEra = eris.New("the response is of an older era")
 )
 
-// watcher returns the gateway to ask for changes, or false if this one watches the
-// key-value service itself.
+// watcher returns the gateway to request changes from, or false if this one watches the key-value
+// service itself.
 func (ga *Gateway) watcher(now time.Time) (relay.Member, bool) {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
@@ -53,7 +54,7 @@
 	return wa, ok
 }
 
-// logWatcher logs where changes come from now on.
+// logWatcher logs where changes are received from now on.
 func (ga *Gateway) logWatcher(wa relay.Member, ok bool) {
 	id := event.WatchStarted
 	if ok {
@@ -62,8 +63,8 @@
 	ga.Log.Info().Int("event", int(id)).Str("watcher", wa.Box).Int("members", len(ga.members)).Msg(event.Name(id))
 }
 
-// requestUpdates asks the watcher once for changes after a revision, and returns the revision
-// to go on from.
+// requestUpdates requests the changes after a revision from the watcher once, and returns the
+// revision to continue from.
 func (ga *Gateway) requestUpdates(ctx context.Context, after revision.Revision) (revision.Revision, error) {
 	sent := clock.Now()
 	up, err := ga.relayClient.Ask(ctx, relay.Request{After: after, Wait: ga.updateWait()})
@@ -97,12 +98,12 @@
 	return up.Revision, nil
 }
 
-// confirmStep is by how much fresher a gateway's state must be before it answers requests for
-// changes early.
+// confirmStep is how much more recent a gateway's state must be for waiting requests for changes to
+// be answered early.
 const confirmStep = 200 * time.Millisecond
 
-// announceConfirmation answers requests for changes early once this gateway's state was confirmed, so that
-// the askers' states get fresher too. The lock is held.
+// announceConfirmation answers waiting requests for changes early when this gateway's state has been
+// confirmed, so that the states of the requesting gateways are confirmed as well. The lock is held.
 func (ga *Gateway) announceConfirmation() {
 	at := ga.freshness.Confirmed()
 	if at.Sub(ga.announcedConfirmed) < confirmStep {
@@ -113,7 +114,7 @@
 	ga.confirmed = make(chan struct{})
 }
 
-// updateWait returns how long a watcher may hold its answer.
+// updateWait returns how long the watcher may wait for changes.
 func (ga *Gateway) updateWait() time.Duration {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
@@ -123,7 +124,7 @@
 	return relayWait
 }
 
-// mayCatchUp reports whether to call the service once since the watcher does not know the revision.
+// mayCatchUp reports whether to call the service once because the watcher does not have the revision.
 func (ga *Gateway) mayCatchUp(now time.Time) bool {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
@@ -131,20 +132,20 @@
 }
 
 // watcherFailed records that a watcher failed.
-func (ga *Gateway) watcherFailed(wa relay.Member, why error) {
+func (ga *Gateway) watcherFailed(wa relay.Member, cause error) {
 	now := clock.Now()
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
-	if errors.Is(why, errWatcherStale) {
+	if errors.Is(cause, errWatcherStale) {
 		ga.relayPlan.Old(wa.Box, now)
 	} else {
 		ga.relayPlan.Failed(wa.Box, now)
 	}
 	ga.Log.Warn().Int("event", int(event.WatcherFailed)).Str("watcher", wa.Box).Dur("age_ms", ga.freshness.Age(now)).
-		Err(why).Msg(event.Name(event.WatcherFailed))
+		Err(cause).Msg(event.Name(event.WatcherFailed))
 }
 
-// historyRetention is how long a gateway keeps changes for others after the last request for them.
+// historyRetention is how long a gateway keeps changes after the last request for them.
 const historyRetention = 10 * relayWait
 
 // servesUpdates reports whether this gateway keeps changes for others. The lock is held.
@@ -152,10 +153,10 @@
 	return ga.relayPlan.Serves(ga.memberList()) || now.Sub(ga.lastUpdateRequest) < historyRetention
 }
 
-// Updates answers another gateway that asks for changes.
+// Updates answers another gateway's request for changes.
 func (ga *Gateway) Updates(ctx context.Context, rq relay.Request) relay.Update {
-	over := time.NewTimer(rq.Wait)
-	defer over.Stop()
+	timeout := time.NewTimer(rq.Wait)
+	defer timeout.Stop()
 	for waiting := true; ; {
 		ga.mu.Lock()
 		ga.lastUpdateRequest = clock.Now()
@@ -174,7 +175,7 @@
 		case <-changed:
 		case <-confirmed:
 			waiting = false
-		case <-over.C:
+		case <-timeout.C:
 			waiting = false
 		case <-ctx.Done():
 			waiting = false
@@ -182,8 +183,8 @@
 	}
 }
 
-// logAhead logs that a gateway asks for changes after a revision that is later than any known
-// here. The lock is held.
+// logAhead logs a request for changes after a revision that is later than the latest one of this
+// gateway. The lock is held.
 func (ga *Gateway) logAhead(after revision.Revision) {
 	if own := ga.history.Revision(); after.After(own) {
 		lo := ga.Log.Sample(&ga.aheadLog)
@@ -191,7 +192,7 @@
 	}
 }
 
-// encodeBatch returns changes as they are passed on, without data if they can't be encoded.
+// encodeBatch encodes changes for other gateways. The batch has no data if that fails.
 func (ga *Gateway) encodeBatch(st State) relay.Batch {
 	ba := relay.Batch{To: st.Revision}
 	if len(st.Changes) == 0 {
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -14,38 +14,37 @@
 	"github.com/linnetrudder/linnetrudder/internal/routing"
 )
 
-// defaultTimeout is how long a caller is served that names no time, where the
-// route sets none either.
+// defaultTimeout is the timeout of a request if neither the caller nor the route names one.
 const defaultTimeout = 30 * time.Second
 
-// expectedTimes is how many times the expected time to a head is taken as usual when attempts are given
-// up.
-const expectedTimes = 2
+// expectedHeadFactor is the multiple of the expected time to the response head up to which an
+// attempt counts as normal and is not abandoned.
+const expectedHeadFactor = 2
 
-// defaultMaxRuns bounds the runs where a route names no bound.
+// defaultMaxRuns is the maximum number of runs if the route names none.
 const defaultMaxRuns = 1
 
-// Serve answers one request.
-func (ga *Gateway) Serve(ctx context.Context, as *Request, an Responder) {
+// Serve serves one request.
+func (ga *Gateway) Serve(ctx context.Context, rq *Request, rs Responder) {
 	ga.inProgress.Add(1)
 	defer ga.inProgress.Add(-1)
-	ex := &exchange{ga: ga, rq: as, responder: an, attempts: map[int]*attemptState{}}
-	if co := ex.admit(as.Received); co != result.OK {
+	ex := &exchange{ga: ga, rq: rq, responder: rs, attempts: map[int]*attemptState{}}
+	if co := ex.admit(rq.Received); co != result.OK {
 		ex.writeError(co, "", ex.retryAfter(co, 0))
 		return
 	}
-	if stop := ga.stop.Load(); !stop.accepts(ex.route, as.Received) {
-		ex.writeError(result.Leaving, "", ex.retryAfter(result.Leaving, stop.retryAfter(as.Received)))
+	if stop := ga.stop.Load(); !stop.accepts(ex.route, rq.Received) {
+		ex.writeError(result.Leaving, "", ex.retryAfter(result.Leaving, stop.retryAfter(rq.Received)))
 		return
 	}
-	body, err := as.ReadBody()
+	body, err := rq.ReadBody()
 	if err != nil {
 		ex.writeError(codeOf(err), err.Error(), 0)
 		return
 	}
 	ex.body = body
 	ex.fingerprint = poison.PrintOf(poison.Request{
-		Team: ex.team(), Method: as.Method, Host: as.Host, Target: as.Target, Body: body,
+		Team: ex.team(), Method: rq.Method, Host: rq.Host, Target: rq.Target, Body: body,
 	})
 	ctx, cancel := context.WithTimeout(ctx, clock.Until(ex.request.Deadline))
 	defer cancel()
@@ -53,11 +52,11 @@
 	ex.run(ctx)
 }
 
-// immediateRetry is the Retry-After of a caller whom another gateway can serve.
+// immediateRetry is the Retry-After for a caller that another gateway can serve.
 const immediateRetry = 50 * time.Millisecond
 
-// retryAfter returns the Retry-After of a refusal: at once if only this gateway can't serve the caller and
-// another one reports that it is ready.
+// retryAfter returns the Retry-After for an error. It is immediateRetry if the error concerns only
+// this gateway and another one reports that it is ready.
 func (ex *exchange) retryAfter(co result.Code, after time.Duration) time.Duration {
 	switch co {
 	case result.StaleConfiguration, result.NoConfiguration, result.Leaving:
@@ -68,7 +67,7 @@
 	return after
 }
 
-// exchange is one request in progress; one goroutine uses it.
+// exchange is a request in progress. It is used by one goroutine.
 type exchange struct {
 	ga        *Gateway
 	rq        *Request
@@ -76,44 +75,43 @@
 
 	table *routing.Table
 	route *routing.Route
-	// keyTeam is the team that holds the caller's key, nil on a public route.
+	// keyTeam is the team that the caller's key belongs to, nil on a public route.
 	keyTeam *routing.Team
 	service string
-	// session groups requests; single is set for one that belongs to none, which
-	// draw then places in a roll-out.
+	// session groups requests. sessionless is set if the request belongs to none. draw then decides
+	// whether the new version of a roll-out serves it.
 	session     string
 	sessionless bool
 	draw        float64
 	body        []byte
-	// fingerprint is the same for all copies of the request, known once the body is. trial is set if
+	// fingerprint identifies equal requests. It is known once the body has been read. trial is set if
 	// the request is sent once although it is blocked.
 	fingerprint poison.Print
 	trial       bool
 	request     direct.Request
-	// attempts holds what was sent, by number.
+	// attempts holds the attempts by number.
 	attempts map[int]*attemptState
-	// firstVersion is the version of the server that the first attempt was sent to, known once
-	// there was one.
+	// firstVersion is the version of the server that received the first attempt, empty before that.
 	firstVersion string
-	// offer is the server chosen last.
+	// offer is the server that was chosen last.
 	offer pool.Offer
-	// choice is what a model was last chosen by, smallest the confidence of the smallest
-	// model's answer.
+	// choice describes the last choice of a model. smallestConfidence is the confidence of the smallest
+	// model's response.
 	choice             modelChoice
 	smallestConfidence int
-	// held is the answer of before an escalation, nil once it is not needed any more.
+	// held is the response before an escalation, nil once it is not needed any more.
 	held *heldAnswer
-	// finalAttempt is the attempt whose answer the caller gets, nil before there is one.
+	// finalAttempt is the attempt whose response the caller receives, nil before there is one.
 	finalAttempt *attemptState
-	// deliveredID is the id of the last event that the caller got.
+	// deliveredID is the id of the last event that the caller received.
 	deliveredID string
-	// headAt is when the headAt came of the answer that the caller gets first.
+	// headAt is when the head of the first delivered response arrived.
 	headAt time.Time
-	// configAge is the configAge of the configuration by which the request was admitted.
+	// configAge is the age of the configuration when the request was admitted.
 	configAge time.Duration
 }
 
-// admit checks what can be checked by the head of the request.
+// admit checks everything that the head of the request suffices for.
 func (ex *exchange) admit(now time.Time) result.Code {
 	ga := ex.ga
 	ex.table = ga.table.Load()
@@ -139,7 +137,7 @@
 	return result.OK
 }
 
-// team returns the name of the caller's team, "" on a public route.
+// team returns the name of the caller's team, empty on a public route.
 func (ex *exchange) team() string {
 	if ex.keyTeam == nil {
 		return ""
@@ -147,8 +145,8 @@
 	return ex.keyTeam.Name
 }
 
-// notFound returns the code for what the configuration does not hold: with an
-// old configuration that says nothing.
+// notFound returns the code for a route or key that the configuration does not have. With an old
+// configuration the code is StaleConfiguration, since the route or key may have been added since.
 func (ex *exchange) notFound(co result.Code) result.Code {
 	if ex.configAge > denyAge {
 		return result.StaleConfiguration
@@ -156,35 +154,35 @@
 	return co
 }
 
-// prepareRequest fills the request from the route.
+// prepareRequest fills in the request from its route.
 func (ex *exchange) prepareRequest() {
-	as, ro := ex.rq, ex.route
+	rq, ro := ex.rq, ex.route
 	ex.service = ro.Pick(rand.Float64())
 	ex.draw = rand.Float64()
-	ex.session = as.Session
-	if ex.session == "" && len(as.Prompt) > 0 {
-		ex.session = as.Prompt[len(as.Prompt)-1].ID
+	ex.session = rq.Session
+	if ex.session == "" && len(rq.Prompt) > 0 {
+		ex.session = rq.Prompt[len(rq.Prompt)-1].ID
 	}
 	ex.sessionless = ex.session == ""
 	limit := ro.Timeout
 	if limit == 0 {
 		limit = defaultTimeout
 	}
-	if as.Timeout > 0 {
-		limit = min(limit, as.Timeout)
+	if rq.Timeout > 0 {
+		limit = min(limit, rq.Timeout)
 	}
 	ex.request = direct.Request{
 		Idempotent: ro.Idempotent(), Resumable: ro.Kind == routing.Streaming && ro.Resumable,
 		MaxRuns:  max(defaultMaxRuns, ro.Attempts),
-		Received: as.Received, Target: as.Received.Add(ro.Target), Deadline: as.Received.Add(limit),
+		Received: rq.Received, Target: rq.Received.Add(ro.Target), Deadline: rq.Received.Add(limit),
 		Picker: ex, Retries: ex, Cascade: ex, Pace: ex, Blocks: ex,
 	}
-	if as.AnyModel {
+	if rq.AnyModel {
 		ex.request.Models = ro.Models
 	}
 }
 
-// Pick chooses a server for an attempt.
+// Pick chooses a server for an attempt and reserves it.
 func (ex *exchange) Pick(model string, tried []string, now time.Time) (string, bool) {
 	ga := ex.ga
 	ga.mu.Lock()
@@ -198,32 +196,33 @@
 	return of.Server().ID, true
 }
 
-// Wait returns how long it is until a server takes an attempt again, if limits on what servers
-// take are all that keeps it from one.
+// Wait returns the time until a server accepts an attempt again if the limits of servers are the only
+// reason why none does now.
 func (ex *exchange) Wait(model string, tried []string, now time.Time) time.Duration {
 	ex.ga.mu.Lock()
 	defer ex.ga.mu.Unlock()
 	return ex.ga.pool.Wait(ex.poolRequest(model, tried, now), now)
 }
 
-// poolRequest returns what an attempt needs; the lock is held.
+// poolRequest returns the requirements of an attempt on its server. The lock is held.
 func (ex *exchange) poolRequest(model string, tried []string, now time.Time) pool.Ask {
 	ask := pool.Ask{
 		Service: ex.service, Tried: tried, Prompt: ex.prompt(model), Cold: ex.ga.coldLimit(ex.service), Alone: ex.trial,
-		// Only first attempts probe: a request that was rejected would be again.
+		// Only first attempts probe, since a request that was rejected once would be rejected again.
 		Probe: len(ex.attempts) == 0,
 	}
 	return ex.ga.restrict(ask, ex, now)
 }
 
-// Take takes a retry from the service's window.
+// Take consumes a retry of the service's window if there is one.
 func (ex *exchange) Take(now time.Time) bool {
 	ex.ga.mu.Lock()
 	defer ex.ga.mu.Unlock()
 	return ex.ga.window(ex.service).Take(now)
 }
 
-// TakeSpare takes a retry from the service's window for an attempt that the request can do without.
+// TakeSpare is Take for an optional attempt. It leaves retryReserve retries while a server has
+// asked for a pause.
 func (ex *exchange) TakeSpare(now time.Time) bool {
 	ex.ga.mu.Lock()
 	defer ex.ga.mu.Unlock()
@@ -234,20 +233,20 @@
 	return ex.ga.window(ex.service).TakeSpare(reserve, now)
 }
 
-// Blocked returns when it is worth coming back with a request that is not to be sent, zero if
-// it may be.
+// Blocked returns the time after which the caller should retry a request that must not be sent,
+// zero if it may be sent.
 func (ex *exchange) Blocked(now time.Time) time.Duration {
 	if ex.trial && ex.request.Runs() == 0 {
-		return 0 // also after attempts that reached no server: most have just ended
+		return 0 // also after attempts that reached no server, since most servers have just ended
 	}
 	ex.ga.mu.Lock()
 	defer ex.ga.mu.Unlock()
 	return ex.ga.blocks.Return(ex.fingerprint, now)
 }
 
-// Usual returns how long the head of a model's answer usually takes, or is expected to
-// take from the server just chosen if that is more: what is slow because much is in
-// progress there is not lost.
+// Usual returns the usual time to the head of a model's response, or a multiple of the time
+// expected from the chosen server if that is longer: an attempt that is slow because the server is
+// busy must not count as lost.
 func (ex *exchange) Usual(model string) time.Duration {
 	ex.ga.mu.Lock()
 	defer ex.ga.mu.Unlock()
@@ -255,10 +254,10 @@
 	if model == "" {
 		return usual
 	}
-	return max(usual, expectedTimes*ex.offer.Head())
+	return max(usual, expectedHeadFactor*ex.offer.Head())
 }
 
-// run carries out the decisions until the request has its answer.
+// run executes the request's steps until it has its outcome.
 func (ex *exchange) run(ctx context.Context) {
 	now := clock.Now()
 	ex.ga.mu.Lock()
@@ -297,7 +296,7 @@
 	}
 }
 
-// callerGone ends a request whose caller went away or whose time is over.
+// callerGone ends a request whose caller disconnected or whose deadline has passed.
 func (ex *exchange) callerGone(ctx context.Context, at *attemptState) {
 	if at != nil {
 		at.discard()
@@ -307,10 +306,10 @@
 		return
 	}
 	if ex.request.Runs() > 0 {
-		ex.writeError(result.LinkLost, "the time was over", 0)
+		ex.writeError(result.LinkLost, "the deadline has passed", 0)
 		return
 	}
-	ex.writeError(result.DeadlinePassed, "the time was over", 0)
+	ex.writeError(result.DeadlinePassed, "the deadline has passed", 0)
 }
 
 func (ex *exchange) writeError(co result.Code, detail string, after time.Duration) {
@@ -325,7 +324,7 @@
 	ex.logOutcome(id, co, detail)
 }
 
-// logOutcome logs the final outcome and counts it.
+// logOutcome logs and counts the final outcome.
 func (ex *exchange) logOutcome(id event.ID, co result.Code, detail string) {
 	took := clock.Since(ex.rq.Received)
 	kind, route := "none", ""
@@ -346,7 +345,7 @@
 	le.Str("detail", detail).Msg(event.Name(id))
 }
 
-// lastAttempt returns the attempt that a request ended with, nil if there was none.
+// lastAttempt returns the attempt that the request ended with, nil if there was none.
 func (ex *exchange) lastAttempt() *attemptState {
 	if ex.finalAttempt != nil {
 		return ex.finalAttempt
--- a/internal/gateway/snapshot.go
+++ b/internal/gateway/snapshot.go
@@ -14,26 +14,27 @@
 )
 
 const (
-	// snapshotWait is how long a gateway that has read a part of a large state waits until a watcher
-	// has read all of it, startSlack how long the watcher's answer may take.
+	// snapshotWait is how long a gateway that has read a part of a large state waits until a watcher has
+	// read all of it. snapshotSlack is the time allowed for the watcher's response.
 	snapshotWait  = 2 * time.Second
 	snapshotSlack = 2 * time.Second
-	// snapshotRetryPause is the pause after an answer of a watcher that has not read all yet.
+	// snapshotRetryPause is the pause after a response of a watcher that has not read all of the state
+	// yet.
 	snapshotRetryPause = 50 * time.Millisecond
 )
 
-// readState reads everything, from the service or the rest of it from a watcher, and returns
-// the revision to go on from.
+// readState reads the complete state, either from the service or, after a first part, from a
+// watcher. It returns the revision to continue from.
 func (ga *Gateway) readState(ctx context.Context) (revision.Revision, error) {
 	sent := clock.Now()
 	var from relay.Member
 	era := ga.era()
-	st, whole, err := ga.Store.Read(ctx, era, func(first State) bool {
+	st, complete, err := ga.Store.Read(ctx, era, func(first State) bool {
 		var ok bool
 		from, ok = ga.watcherAmong(first)
 		return !ok
 	})
-	if err == nil && !whole {
+	if err == nil && !complete {
 		at, ok := ga.readFromWatcher(ctx, from)
 		if ok {
 			return at, nil
@@ -54,7 +55,7 @@
 	return ga.eraGuard.Era()
 }
 
-// applySnapshot applies a whole state that a watcher sent.
+// applySnapshot applies a complete state sent by a watcher.
 func (ga *Gateway) applySnapshot(up relay.Update, sent time.Time) (revision.Revision, error) {
 	st := State{Revision: up.Revision}
 	if err := cbor.Unmarshal(up.Whole, &st.Changes); err != nil {
@@ -72,9 +73,9 @@
 	return up.Revision, nil
 }
 
-// watcherAmong returns the watcher to ask for a whole state, by the members in a first part of it,
-// or false if this gateway reads all of it itself. Many gateways that start together would
-// otherwise saturate the service's link.
+// watcherAmong returns the watcher to request the complete state from, given the members in its
+// first part, or false if this gateway reads all of it from the service. Many gateways that start
+// together would otherwise saturate the link of the service.
 func (ga *Gateway) watcherAmong(first State) (relay.Member, bool) {
 	var members []relay.Member
 	for _, ch := range first.Changes {
@@ -90,37 +91,37 @@
 	return ga.relayPlan.Watcher(members, clock.Now())
 }
 
-// readFromWatcher gets the whole state from a watcher, which may have to read it first. It reports
-// false if the watcher does not have it in time.
+// readFromWatcher reads the complete state from a watcher, which may have to read it first. It
+// reports false if the watcher does not have it within snapshotWait.
 func (ga *Gateway) readFromWatcher(ctx context.Context, wa relay.Member) (revision.Revision, bool) {
 	cl := relay.Client{Address: wa.Address, Slack: snapshotSlack, HTTP: ga.RelayHTTP}
 	defer cl.Close()
-	var failed error
+	var lastErr error
 	for end := clock.Now().Add(snapshotWait); ctx.Err() == nil && clock.Now().Before(end); sleep(ctx, snapshotRetryPause) {
 		sent := clock.Now()
 		up, err := cl.Ask(ctx, relay.Request{})
 		switch {
 		case err != nil:
-			failed = err
+			lastErr = err
 		case up.Age > maxRelayAge:
-			failed = errWatcherStale
+			lastErr = errWatcherStale
 		case up.Whole == nil:
-			failed = errWatcherHistory
+			lastErr = errWatcherHistory
 		default:
 			at, err := ga.applySnapshot(up, sent)
 			if err == nil {
 				return at, true
 			}
-			failed = err
+			lastErr = err
 		}
 	}
-	ga.watcherFailed(wa, failed)
+	ga.watcherFailed(wa, lastErr)
 	return revision.Revision{}, false
 }
 
-// snapshotChanges returns everything that a gateway needs to begin from, as changes. Tallies
-// are left out, since each gateway tells its own again, and so is what a restored service has
-// lost, which each gateway keeps for itself. The lock is held.
+// snapshotChanges returns the complete state as changes, for gateways that start from it. It leaves
+// out tallies, since each gateway reports its own again, and what a restored service has lost,
+// since each gateway keeps that itself. The lock is held.
 func (ga *Gateway) snapshotChanges() []Change {
 	var all []Change
 	if ga.document != nil {
@@ -159,8 +160,8 @@
 	return all
 }
 
-// answerUnknownRevision answers a request from before the history, with the whole state if this gateway has it.
-// The lock is held.
+// answerUnknownRevision answers a request for changes after a revision that the history does not
+// cover, with the complete state if this gateway has it. The lock is held.
 func (ga *Gateway) answerUnknownRevision(age time.Duration) relay.Update {
 	up := relay.Update{Revision: ga.history.Revision(), Age: age, Unknown: true}
 	if !ga.stateRead || !ga.relayPlan.Watches(ga.memberList()) {
@@ -179,11 +180,11 @@
 	return up
 }
 
-// snapshotMaxAge is how long an encoded whole state is used again: after a restart all gateways of a data
-// centre ask for it within some tenths of a second.
+// snapshotMaxAge is how long an encoded state is reused. After a restart all gateways of a data
+// centre request it within some tenths of a second.
 const snapshotMaxAge = 200 * time.Millisecond
 
-// encodedSnapshot is a whole state as it is passed on.
+// encodedSnapshot is a complete state as sent to other gateways.
 type encodedSnapshot struct {
 	data     []byte
 	revision revision.Revision
--- a/internal/gateway/stopping.go
+++ b/internal/gateway/stopping.go
@@ -8,24 +8,24 @@
 )
 
 const (
-	// restartTime is how long a process that has ended takes to serve again: 0.5 s to its
-	// start and some hundredths to read the configuration.
+	// restartTime is the time from the end of a process until its successor serves: 0.5 s until it
+	// starts and some hundredths of a second to read the configuration.
 	restartTime = 700 * time.Millisecond
-	// maxRetryAfter is the longest time after which a caller is told to come back: another
-	// gateway may serve before this one does.
+	// maxRetryAfter bounds the Retry-After of rejected callers, since another gateway may be available
+	// before this one restarts.
 	maxRetryAfter = 3 * time.Second
 )
 
-// stopPlan says which requests a stopping gateway still accepts: it may be the only one to which the
-// platform can send callers.
+// stopPlan decides which requests a stopping gateway still accepts. It may be the only gateway that
+// the platform can send callers to.
 type stopPlan struct {
-	// drainAt is when the platform has been told that no new callers are to come, end when
+	// drainAt is when the platform has been informed that no new callers may be sent here. end is when
 	// the process ends at the latest.
 	drainAt, end time.Time
 }
 
-// accepts reports whether a request is still served: from leave on, only one that ends in
-// time whatever becomes of it. A stream may last any time.
+// accepts reports whether a request is still served. From drainAt on that is the case only if its
+// timeout ends before the process does. A stream has no such bound.
 func (sp *stopPlan) accepts(ro *routing.Route, now time.Time) bool {
 	if sp == nil || now.Before(sp.drainAt) {
 		return true
@@ -33,15 +33,15 @@
 	return ro.Kind != routing.Streaming && ro.Timeout > 0 && now.Add(ro.Timeout).Before(sp.end)
 }
 
-// retryAfter returns after which time a caller that is not served may come retryAfter.
+// retryAfter returns the Retry-After of a caller whose request is rejected.
 func (sp *stopPlan) retryAfter(now time.Time) time.Duration {
 	return min(maxRetryAfter, max(0, sp.end.Sub(now))+restartTime)
 }
 
-// Stop begins a planned stop: the gateway says that it is not ready, and goes on to serve
-// what reaches it, from leave on only what surely ends before the process does.
-func (ga *Gateway) Stop(leave, end time.Time) {
-	if ga.stop.CompareAndSwap(nil, &stopPlan{drainAt: leave, end: end}) {
+// Stop starts a planned stop. The gateway reports that it is not ready and continues to serve the
+// requests that arrive, from drainAt on only those that end before the process does.
+func (ga *Gateway) Stop(drainAt, end time.Time) {
+	if ga.stop.CompareAndSwap(nil, &stopPlan{drainAt: drainAt, end: end}) {
 		ga.Log.Info().Int("event", int(event.ProcessStopping)).
 			Int64("in_progress", ga.inProgress.Load()).Msg(event.Name(event.ProcessStopping))
 	}
--- a/internal/gateway/types.go
+++ b/internal/gateway/types.go
@@ -230,9 +230,9 @@
 	return or.Revision.Era != other.Revision.Era && or.sameAs(other)
 }
 
-// isRestoredAs reports whether other, which was read from a restored service, is the copy of or. The
-// revision numbers must match, since the restored service has the previous order if the newest one was
-// lost.
+// isRestoredAs reports whether other, which was read from a restored service, is the copy of or.
+// The revision numbers must match, since the restored service has the previous order if the newest
+// one was lost.
 func (or *Order) isRestoredAs(other Order) bool {
 	return or != nil && or.Revision.Number == other.Revision.Number && other.isRewriteOf(*or)
 }
