--- a/internal/gateway/blocks.go
+++ b/internal/gateway/blocks.go
@@ -36,7 +36,7 @@
 	if term == 0 || ga.blocks.Remaining(su.Fingerprint, now) > 0 {
 		return
 	}
-	ga.storing[su.Fingerprint] = now.Add(rand.N(blockWriteJitter))
+	ga.storeBlockAt[su.Fingerprint] = now.Add(rand.N(blockWriteJitter))
 	ga.applyBlock(poison.NewBlock(su.Fingerprint, term, clock.Day()), false, now)
 }
 
@@ -50,15 +50,15 @@
 	if !ga.blocks.Add(bl, bl.Remaining(clock.Day()), stored, now) {
 		return
 	}
-	if _, own := ga.storing[bl.Fingerprint]; !own && !stored {
-		ga.storing[bl.Fingerprint] = ga.blockWriteTime(now.Add(watcherWriteDelay))
+	if _, own := ga.storeBlockAt[bl.Fingerprint]; !own && !stored {
+		ga.storeBlockAt[bl.Fingerprint] = ga.blockWriteTime(now.Add(watcherWriteDelay))
 	}
-	blocksBegun.Inc()
+	requestBlocks.Inc()
 	ga.Log.Warn().Int("event", int(event.RequestBlocked)).Str("print", bl.Fingerprint.String()).Int("servers", ga.cases.CrashedServers(bl.Fingerprint)).
 		Dur("for_ms", ga.blocks.Remaining(bl.Fingerprint, now)).Bool("stored", stored).Msg(event.Name(event.RequestBlocked))
-	for se := range ga.waiting {
-		if se.ex.print == bl.Fingerprint {
-			se.giveUp(false)
+	for se := range ga.awaitingHead {
+		if se.ex.fingerprint == bl.Fingerprint {
+			se.abandon(false)
 		}
 	}
 }
@@ -67,8 +67,8 @@
 // gateway that has just started may block a common request because it has seen no answer to it yet.
 // The lock is held.
 func (ga *Gateway) contestBlock(pr poison.Fingerprint, stored bool, now time.Time) {
-	if _, due := ga.objecting[pr]; !due && stored {
-		ga.objecting[pr] = ga.blockWriteTime(now)
+	if _, due := ga.deleteBlockAt[pr]; !due && stored {
+		ga.deleteBlockAt[pr] = ga.blockWriteTime(now)
 	}
 	if ga.addDoubt(pr, now) {
 		ga.Log.Warn().Int("event", int(event.BlockDoubted)).Str("print", pr.String()).Msg(event.Name(event.BlockDoubted))
@@ -85,7 +85,7 @@
 	ga.unblock(pr, "a server answered it and lives on")
 	ga.addDoubt(pr, now)
 	if stored {
-		ga.objecting[pr] = ga.blockWriteTime(now)
+		ga.deleteBlockAt[pr] = ga.blockWriteTime(now)
 	}
 }
 
@@ -101,7 +101,7 @@
 // turn returns when this gateway writes a key that any gateway can write; watchers are first. The
 // lock is held.
 func (ga *Gateway) blockWriteTime(now time.Time) time.Time {
-	if ga.plan.IsWatcher(ga.memberList()) {
+	if ga.relayPlan.IsWatcher(ga.memberList()) {
 		return now.Add(rand.N(blockWriteJitter))
 	}
 	return nonWatcherWriteTime(now)
@@ -114,18 +114,18 @@
 
 // unblock lifts a block here; the lock is held.
 func (ga *Gateway) unblock(pr poison.Fingerprint, why string) {
-	delete(ga.storing, pr)
+	delete(ga.storeBlockAt, pr)
 	ga.cases.Forget(pr)
 	if ga.blocks.Lift(pr) {
-		close(ga.lifted)
-		ga.lifted = make(chan struct{})
+		close(ga.blockLifted)
+		ga.blockLifted = make(chan struct{})
 		ga.logUnblocked(pr, why)
 	}
 }
 
 // notKept lifts a block that was removed from the key-value service; the lock is held.
 func (ga *Gateway) blockRemoved(pr poison.Fingerprint) {
-	delete(ga.objecting, pr)
+	delete(ga.deleteBlockAt, pr)
 	ga.unblock(pr, "it is not kept any more")
 }
 
@@ -142,7 +142,7 @@
 		case named[bl.Fingerprint]:
 		case restored:
 			ga.blocks.MarkUnstored(bl.Fingerprint)
-			ga.storing[bl.Fingerprint] = ga.blockWriteTime(now)
+			ga.storeBlockAt[bl.Fingerprint] = ga.blockWriteTime(now)
 		default:
 			ga.blockRemoved(bl.Fingerprint)
 		}
@@ -180,48 +180,48 @@
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
 	for _, bl := range ga.blocks.Unstored() {
-		if !ga.fresh.Failing() && !now.Before(ga.storing[bl.Fingerprint]) {
-			ga.storing[bl.Fingerprint] = now.Add(blockWriteRetryDelay)
+		if !ga.freshness.Failing() && !now.Before(ga.storeBlockAt[bl.Fingerprint]) {
+			ga.storeBlockAt[bl.Fingerprint] = now.Add(blockWriteRetryDelay)
 			go ga.storeBlock(ctx, bl)
 		}
 	}
-	for pr, due := range ga.objecting {
-		if !ga.fresh.Failing() && !now.Before(due) {
-			ga.objecting[pr] = now.Add(blockWriteRetryDelay)
+	for pr, due := range ga.deleteBlockAt {
+		if !ga.freshness.Failing() && !now.Before(due) {
+			ga.deleteBlockAt[pr] = now.Add(blockWriteRetryDelay)
 			go ga.removeBlocks(ctx, []poison.Fingerprint{pr})
 		}
 	}
 	maps.DeleteFunc(ga.doubts, func(_ poison.Fingerprint, since time.Time) bool { return now.Sub(since) >= 2*doubtTTL })
 	over := ga.blocks.Expire(now)
 	for _, pr := range over {
-		delete(ga.storing, pr)
+		delete(ga.storeBlockAt, pr)
 		ga.logUnblocked(pr, "its time is over")
 	}
-	if len(over) > 0 && ga.plan.IsWatcher(ga.memberList()) {
+	if len(over) > 0 && ga.relayPlan.IsWatcher(ga.memberList()) {
 		go ga.removeBlocks(ctx, over)
 	}
 }
 
 func (ga *Gateway) storeBlock(ctx context.Context, bl poison.Block) {
-	err := ga.Source.Block(ctx, bl)
+	err := ga.Store.StoreBlock(ctx, bl)
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
 	if err != nil {
 		ga.logBlockCallFailure(bl.Fingerprint, err)
 		return
 	}
-	delete(ga.storing, bl.Fingerprint)
+	delete(ga.storeBlockAt, bl.Fingerprint)
 	ga.blocks.Add(bl, bl.Remaining(clock.Day()), true, clock.Now())
 }
 
 func (ga *Gateway) removeBlocks(ctx context.Context, over []poison.Fingerprint) {
 	for _, pr := range over {
-		err := ga.Source.Unblock(ctx, pr)
+		err := ga.Store.DeleteBlock(ctx, pr)
 		ga.mu.Lock()
 		if err != nil {
 			ga.logBlockCallFailure(pr, err)
 		} else {
-			delete(ga.objecting, pr)
+			delete(ga.deleteBlockAt, pr)
 		}
 		ga.mu.Unlock()
 	}
--- a/internal/gateway/ends.go
+++ b/internal/gateway/ends.go
@@ -69,7 +69,7 @@
 	defer close(pr.done)
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	switch err := ga.Backend.Reach(ctx, se); {
+	switch err := ga.Backend.CheckReachable(ctx, se); {
 	case err == nil:
 		ga.mu.Lock()
 		defer ga.mu.Unlock()
--- a/internal/gateway/loads.go
+++ b/internal/gateway/loads.go
@@ -139,7 +139,7 @@
 	}
 	re.Work = re.Work.Busiest(maxLoadServers)
 	now := clock.Now()
-	re.Ready = ga.isReady(now)
+	re.Ready = ga.readyLocked(now)
 	to := gossip.ToCollector
 	if collector {
 		to = gossip.BetweenCollectors
@@ -155,7 +155,7 @@
 	}
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
-	ga.reported = now
+	ga.lastReportCollected = now
 	ga.clearReported()
 }
 
@@ -180,8 +180,8 @@
 // collector has gone, the others are taken to be there still. The lock is held.
 func (ga *Gateway) updateSize() {
 	known := max(len(ga.members), 1+ga.loads.OtherGateways())
-	if known >= ga.size || ga.loads.HasReports() {
-		ga.size = known
+	if known >= ga.gatewayCount || ga.loads.HasReports() {
+		ga.gatewayCount = known
 		ga.pool.Members = known
 	}
 }
@@ -191,20 +191,20 @@
 	if !re.Ready {
 		return
 	}
-	if now.Sub(ga.otherReady) >= loadReportTTL {
+	if now.Sub(ga.otherReadyAt) >= loadReportTTL {
 		select {
-		case ga.back <- struct{}{}:
+		case ga.storeAvailable <- struct{}{}:
 		default:
 		}
 	}
-	ga.otherReady = now
+	ga.otherReadyAt = now
 }
 
 // elsewhere reports whether another gateway has just said that it is ready.
 func (ga *Gateway) otherGatewayReady(now time.Time) bool {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
-	return now.Sub(ga.otherReady) < loadReportTTL
+	return now.Sub(ga.otherReadyAt) < loadReportTTL
 }
 
 // Reported takes another gateway's report.
@@ -229,7 +229,7 @@
 		work, gateways = ga.loads.SumExcept(re.Box, ga.pool.Work()), ga.loads.OtherGateways()
 	}
 	answer := relay.Report{
-		Box: ga.Box, Collector: true, Work: work.Busiest(maxLoadServers), Ready: ga.isReady(now), Gateways: gateways,
+		Box: ga.Box, Collector: true, Work: work.Busiest(maxLoadServers), Ready: ga.readyLocked(now), Gateways: gateways,
 	}
 	ga.addNotices(&answer, to, now)
 	return ga.addBlocks(answer, now)
--- a/internal/gateway/outcomes.go
+++ b/internal/gateway/outcomes.go
@@ -58,9 +58,9 @@
 	ro := ga.rollouts[se.Service]
 	isNew := ro != nil && se.Version == ro.order.Plan.Version
 	if !isNew {
-		ga.best.Observe(name, took)
+		ga.latencyFloors.Observe(name, took)
 	}
-	if best := ga.best.Latency(name); ro != nil && !ro.ended() && best > 0 {
+	if best := ga.latencyFloors.Latency(name); ro != nil && !ro.ended() && best > 0 {
 		ro.canary.ObserveLatency(se.Key(), isNew, float64(took) > times*float64(best), now)
 	}
 }
--- a/internal/gateway/restored_history_test.go
+++ b/internal/gateway/restored_history_test.go
@@ -59,7 +59,7 @@
 				serverDrains, serverStops, serverStarts, centreEvacuated, centreRestored, configWritten,
 				storeCopied, storeCopied, storeRestored, storeRestored, storeLost, storeRegained, gatewayReplaced,
 			}).Draw(rt, "what"),
-			index: rapid.IntRange(0, poolSize-1).Draw(rt, "which"),
+			index: rapid.IntRange(0, serverCount-1).Draw(rt, "which"),
 		})
 	}
 	return hi
@@ -77,7 +77,7 @@
 
 // play is a history while it is played.
 type historyRun struct {
-	*scene
+	*testCluster
 
 	expected expectedState
 	// copy is how many changes the store's newest copy holds.
@@ -93,11 +93,11 @@
 func (hi history) run(t *testing.T) (wrong []string) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		pl := &historyRun{scene: newScene(t, hi.gateways), expected: expectedState{
+		pl := &historyRun{testCluster: newTestCluster(t, hi.gateways), expected: expectedState{
 			draining: map[string]time.Time{}, ended: map[string]time.Time{}, evacuated: map[string]bool{}, version: 1,
 		}}
-		pl.servers.kept.silent = hi.silent
-		pl.copy = pl.servers.kept.changeCount()
+		pl.servers.store.hidesEra = hi.silent
+		pl.copy = pl.servers.store.changeCount()
 		for _, st := range hi.steps {
 			pl.watch(st.pause)
 			pl.do(st, hi.rewriteAfter)
@@ -122,19 +122,19 @@
 }
 
 func (pl *historyRun) do(st historyStep, rewriteAfter time.Duration) {
-	ke, now := pl.servers.kept, time.Now()
+	ke, now := pl.servers.store, time.Now()
 	id, dataCentre := fmt.Sprint("s", st.index+1), fmt.Sprint("dc", st.index%3)
 	_, ended := pl.expected.ended[id]
 	switch {
 	case st.what == storeRegained:
-		pl.cutAll(false)
+		pl.disconnectAll(false)
 		if pl.storeDown {
 			pl.expected.regained = now
 		}
 		pl.storeDown, pl.expected.stable = false, now
 	case pl.storeDown && st.what != gatewayReplaced && st.what != storeRestored:
 	case st.what == storeLost:
-		pl.cutAll(true)
+		pl.disconnectAll(true)
 		pl.storeDown = true
 	case st.what == storeCopied:
 		pl.copy = ke.changeCount()
@@ -142,7 +142,7 @@
 		ke.restore(pl.copy)
 		pl.rewriteAt = now.Add(rewriteAfter)
 	case st.what == gatewayReplaced:
-		pl.replace(st.index % len(pl.gateways))
+		pl.replaceGateway(st.index % len(pl.gateways))
 		pl.expected.stable = now
 	case st.what == configWritten:
 		pl.expected.version++
@@ -161,7 +161,7 @@
 	case st.what == serverStops && !ended:
 		ke.add(Change{Gone: id})
 		pl.expected.ended[id] = now
-		if after := pl.expected.regained.Add(tellWithin); after.After(now) {
+		if after := pl.expected.regained.Add(propagationTime); after.After(now) {
 			pl.expected.ended[id] = after // it may be a lapse
 		}
 	}
@@ -170,19 +170,19 @@
 func (pl *historyRun) writeDocument() {
 	doc := pl.servers.document()
 	doc.Version = pl.expected.version
-	pl.servers.kept.add(Change{Document: &doc})
+	pl.servers.store.add(Change{Document: &doc})
 }
 
 // document returns the newest configuration that was ever written.
-func (cr *crashing) document() routing.Document {
-	cr.kept.mu.Lock()
-	defer cr.kept.mu.Unlock()
-	return *cr.kept.changes[0].Document
+func (cr *crashingBackend) document() routing.Document {
+	cr.store.mu.Lock()
+	defer cr.store.mu.Unlock()
+	return *cr.store.changes[0].Document
 }
 
 // rewrite lets operators and servers write again what they had written.
 func (pl *historyRun) rewrite() {
-	ke := pl.servers.kept
+	ke := pl.servers.store
 	pl.rewriteAt, pl.expected.stable = time.Time{}, time.Now()
 	pl.writeDocument()
 	for _, se := range pl.servers.all() {
@@ -211,7 +211,7 @@
 	if pl.storeDown || !pl.rewriteAt.IsZero() {
 		return
 	}
-	bound := time.Now().Add(-tellWithin)
+	bound := time.Now().Add(-propagationTime)
 	if pl.expected.stable.After(bound) {
 		return
 	}
@@ -265,7 +265,7 @@
 // The naive gateway compares revisions by their number.
 func TestANaiveGatewayMissesWhatIsWrittenAfterARestore(t *testing.T) {
 	hi := history{gateways: 23, steps: []historyStep{{what: storeCopied}}}
-	for range 3 * poolSize {
+	for range 3 * serverCount {
 		hi.steps = append(hi.steps, historyStep{what: configWritten})
 	}
 	hi.steps = append(hi.steps, historyStep{pause: 2 * time.Second, what: storeRestored}, historyStep{what: serverDrains})
--- a/internal/gateway/rollouts.go
+++ b/internal/gateway/rollouts.go
@@ -58,16 +58,16 @@
 	if old != nil && !or.Revision.After(old.order.Revision) {
 		return
 	}
-	if old != nil && or.rewrites(old.order) {
+	if old != nil && or.isRewriteOf(old.order) {
 		old.order.Revision = or.Revision
 		old.resendOutcomes()
 		return
 	}
-	if old != nil && old.previous.rewrittenBy(or) {
+	if old != nil && old.previous.isRestoredAs(or) {
 		return
 	}
 	or.Plan.MostShare, or.Plan.MostExtra = ga.Bounds.CanaryShare, ga.extraPerGateway()
-	ro := &rolloutState{order: or, previous: previousOrder(old), canary: rollout.Canary{Plan: or.Plan, OrderedAt: clock.Now().Add(-ga.unseen)}}
+	ro := &rolloutState{order: or, previous: previousOrder(old), canary: rollout.Canary{Plan: or.Plan, OrderedAt: clock.Now().Add(-ga.maxChangeAge)}}
 	ro.withdrawn = ga.withdrawnVersions(old, or)
 	ga.rollouts[or.Plan.Service] = ro
 	ga.Log.Info().Int("event", int(event.RolloutOrdered)).Str("service", or.Plan.Service).
@@ -95,10 +95,10 @@
 // besides its share; none where it does not know how many gateways there are. The lock
 // is held.
 func (ga *Gateway) extraPerGateway() float64 {
-	if ga.size == 0 {
+	if ga.gatewayCount == 0 {
 		return 0
 	}
-	return ga.Bounds.CanaryExtra / float64(ga.size)
+	return ga.Bounds.CanaryExtra / float64(ga.gatewayCount)
 }
 
 // withdrawnFor returns the versions that get nothing while an order is carried out
@@ -180,9 +180,9 @@
 // goesToNew reports whether a request's next attempt goes to the new version.
 func (ro *rolloutState) useNewVersion(ex *exchange, now time.Time) bool {
 	switch {
-	case ex.begun != "":
-		return ro.canary.RetriesOnNew(ex.begun == ro.order.Plan.Version, ex.request.FinalRunLeft())
-	case ex.single:
+	case ex.firstVersion != "":
+		return ro.canary.RetriesOnNew(ex.firstVersion == ro.order.Plan.Version, ex.request.FinalRunLeft())
+	case ex.sessionless:
 		return ro.canary.SelectsRequest(ex.route.Name, ex.draw, now)
 	default:
 		return ro.canary.SelectsSession(ex.session, ex.route.Name, now)
@@ -237,7 +237,7 @@
 		ph = rollout.Waiting
 	}
 	boxes := slices.Collect(maps.Keys(ga.members))
-	return now.Sub(ro.dueSince) >= rollout.StoreDelay(ga.Box, boxes, ga.size, ro.order.Revision.Number, ph)
+	return now.Sub(ro.dueSince) >= rollout.StoreDelay(ga.Box, boxes, ga.gatewayCount, ro.order.Revision.Number, ph)
 }
 
 // elapsedEvery is how often the elapsed time of a trial is stored. A process that starts in the middle
@@ -248,7 +248,7 @@
 // is not kept yet, or the present one with the time that has passed.
 func (ga *Gateway) phaseToStore(ro *rolloutState, now time.Time) (StoredPhase, bool) {
 	kept := ga.phases[ro.order.Plan.Service]
-	known := kept.Order == ro.order.Revision && !kept.lost()
+	known := kept.Order == ro.order.Revision && !kept.isMissing()
 	if known && (kept.Phase == rollout.Complete || kept.Phase == rollout.Failed) {
 		return StoredPhase{}, false
 	}
@@ -277,11 +277,11 @@
 	if !tried || next.Elapsed-kept.Elapsed < elapsedWriteInterval || ro.canary.DecisionImminent(now) {
 		return false
 	}
-	return !ga.fresh.Failing() && ga.plan.IsWatcher(ga.memberList())
+	return !ga.freshness.Failing() && ga.relayPlan.IsWatcher(ga.memberList())
 }
 
 func (ga *Gateway) storePhase(ctx context.Context, ro *rolloutState, ph StoredPhase) {
-	kept, err := ga.Source.Store(ctx, ro.order, ph)
+	kept, err := ga.Store.StorePhase(ctx, ro.order, ph)
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
 	ro.storing = false
--- a/internal/gateway/servers.go
+++ b/internal/gateway/servers.go
@@ -120,8 +120,8 @@
 		switch {
 		case evacuated[dataCentre]:
 		case restored:
-			ga.lostCentres.Hold(dataCentre, now.Add(rewriteGrace))
-		case !ga.lostCentres.Has(dataCentre):
+			ga.missingDataCentres.Hold(dataCentre, now.Add(rewriteGrace))
+		case !ga.missingDataCentres.Has(dataCentre):
 			ga.endEvacuation(dataCentre, now)
 		}
 	}
@@ -172,14 +172,14 @@
 	}
 	ga.pool.Tick(now)
 	ga.expirePauses(now)
-	ga.leavingNews.Tick(now)
-	ga.pauseNews.Tick(now)
+	ga.leavingGossip.Tick(now)
+	ga.pauseGossip.Tick(now)
 	ga.updateFleet(now)
 }
 
 // countFleet takes how many gateways there may be; the lock is held.
 func (ga *Gateway) updateFleet(now time.Time) {
-	ga.fleet.Observe(ga.size, now)
+	ga.fleet.Observe(ga.gatewayCount, now)
 	ga.pool.MaxMembers = ga.fleet.Estimate(now)
 }
 
--- a/internal/gateway/tallies.go
+++ b/internal/gateway/tallies.go
@@ -36,9 +36,9 @@
 	case ro.ended() || ro.canary.OwnCount() == ro.publishedTried:
 		return false
 	case bad > ro.publishedBad:
-		return since >= max(badTallyInterval, tallySpacing*time.Duration(ga.size))
+		return since >= max(badTallyInterval, tallySpacing*time.Duration(ga.gatewayCount))
 	case ro.canary.DecisionImminent(now):
-		return since >= max(decisionTallyInterval, tallySpacing*time.Duration(ga.size))
+		return since >= max(decisionTallyInterval, tallySpacing*time.Duration(ga.gatewayCount))
 	default:
 		return ro.canary.TotalBad() >= goodTallyMinBad && (ro.publishedTried == 0 || since >= goodTallyInterval)
 	}
@@ -57,7 +57,7 @@
 		ro.publishedBad, ro.publishedTried, ro.publishedAt = bad, ro.canary.OwnCount(), now
 		ro.pending = ga.ownTally(ro)
 	}
-	if now.Sub(ga.reported) < loadReportTTL {
+	if now.Sub(ga.lastReportCollected) < loadReportTTL {
 		return // it goes with the next report
 	}
 	if ro.pending == nil && (!ro.collectedNew || now.Sub(ro.writtenAt) < badTallyInterval) {
@@ -66,7 +66,7 @@
 	tallies := append(slices.Collect(maps.Values(ro.collected)), *ga.ownTally(ro))
 	ro.pending, ro.collectedNew, ro.writtenAt = nil, false, now
 	go func() {
-		if err := ga.Source.Tell(ctx, ga.Box, tallies); err != nil {
+		if err := ga.Store.StoreTallies(ctx, ga.Box, tallies); err != nil {
 			ga.Log.Warn().Int("event", int(event.StoreCallFailed)).Str("service", ro.order.Plan.Service).Err(err).Msg(event.Name(event.StoreCallFailed))
 		}
 	}()
@@ -75,17 +75,17 @@
 // ownTally returns what this gateway tells of a roll-out; the lock is held.
 func (ga *Gateway) ownTally(ro *rolloutState) *Tally {
 	return &Tally{
-		Service: ro.order.Plan.Service, Order: ro.order.Revision, Version: ro.order.Plan.Version, Box: ga.Box, Life: ga.life, Outcomes: ro.canary.Own(),
+		Service: ro.order.Plan.Service, Order: ro.order.Revision, Version: ro.order.Plan.Version, Box: ga.Box, Life: ga.instanceID, Outcomes: ro.canary.Own(),
 	}
 }
 
 // tallied takes what another gateway tells of a new version; the lock is held.
 func (ga *Gateway) receiveTally(ta Tally) {
 	ro := ga.rollouts[ta.Service]
-	if ro == nil || !ta.belongsTo(ro.order) || ta.Box == ga.Box && ta.Life == ga.life || ro.ended() {
+	if ro == nil || !ta.belongsTo(ro.order) || ta.Box == ga.Box && ta.Life == ga.instanceID || ro.ended() {
 		return
 	}
-	ro.canary.Merge(ta.teller(), ta.Outcomes)
+	ro.canary.Merge(ta.processID(), ta.Outcomes)
 }
 
 // outgoing returns the tallies that go with a report; the lock is held.
@@ -136,7 +136,7 @@
 		if ro.collected == nil {
 			ro.collected = map[string]Tally{}
 		}
-		ro.collected[ta.teller()] = ta
+		ro.collected[ta.processID()] = ta
 		ro.collectedNew = true
 	}
 }
--- a/internal/gateway/trials.go
+++ b/internal/gateway/trials.go
@@ -19,13 +19,13 @@
 // this gateway's.
 func (ex *exchange) awaitTrial(ctx context.Context) {
 	ga := ex.ga
-	until := ex.as.Received.Add(time.Duration(freshWaitFraction * float64(ex.route.Target)))
+	until := ex.rq.Received.Add(time.Duration(freshWaitFraction * float64(ex.route.Target)))
 	for {
 		now := clock.Now()
 		ga.mu.Lock()
-		lifted := ga.lifted
+		lifted := ga.blockLifted
 		ex.trial = ga.startTrial(ex, now)
-		wait := min(ga.blocks.FreshFor(ex.print, now), until.Sub(now))
+		wait := min(ga.blocks.FreshFor(ex.fingerprint, now), until.Sub(now))
 		ga.mu.Unlock()
 		if ex.trial || wait <= 0 {
 			return
@@ -50,13 +50,13 @@
 // A trial needs a server that runs nothing else, so that its end has one suspect only. The lock is
 // held.
 func (ga *Gateway) startTrial(ex *exchange, now time.Time) bool {
-	pr := ex.print
+	pr := ex.fingerprint
 	trial, due := ga.blocks.DueTrial(pr, now)
-	if trial == 0 || !ga.isTrialTurn(pr, trial, due) || !ga.pool.HasIdle(ex.askFor("", nil, now), now) {
+	if trial == 0 || !ga.isTrialTurn(pr, trial, due) || !ga.pool.HasIdle(ex.poolRequest("", nil, now), now) {
 		return false
 	}
 	ga.blocks.RecordTrial(pr, trial, now)
-	ga.storing[pr] = now
+	ga.storeBlockAt[pr] = now
 	ga.Log.Info().Int("event", int(event.BlockTried)).Str("print", pr.String()).Int("trial", trial).Msg(event.Name(event.BlockTried))
 	return true
 }
