--- a/internal/gateway/servers_test.go
+++ b/internal/gateway/servers_test.go
@@ -36,7 +36,7 @@
 
 // newServing returns a gateway that knows the configuration and a server in each of three
 // data centres, and its log.
-func newServing(changes ...Change) (*Gateway, *bytes.Buffer) {
+func newServingGateway(changes ...Change) (*Gateway, *bytes.Buffer) {
 	log := &bytes.Buffer{}
 	ga := &Gateway{
 		Log: zerolog.New(log), Box: "a", DataCentre: "dc0",
@@ -45,7 +45,7 @@
 	ga.prepare()
 	ga.pool.MaxMembers = 1
 	all := append([]Change{{Document: coldDocument()}, serverChange("x0", "dc0"), serverChange("x1", "dc1"), serverChange("x2", "dc2")}, changes...)
-	if err := ga.takeRead(State{Revision: rev(1), Changes: all}, time.Now()); err != nil {
+	if err := ga.applyReadState(State{Revision: rev(1), Changes: all}, time.Now()); err != nil {
 		panic(err)
 	}
 	return ga, log
@@ -54,12 +54,12 @@
 // newExchange returns a request of the only route.
 func newExchange(ga *Gateway, session string) *exchange {
 	ta := ga.Table()
-	return &exchange{ga: ga, as: &Ask{}, table: ta, route: ta.Route("h", "/r/"), service: "s", session: session}
+	return &exchange{ga: ga, rq: &Request{}, table: ta, route: ta.Route("h", "/r/"), service: "s", session: session}
 }
 
 // servedBy returns the servers that first attempts, repeated ones and later parts of
 // streams go to.
-func servedBy(ga *Gateway, now time.Time) map[string]bool {
+func pickedServers(ga *Gateway, now time.Time) map[string]bool {
 	servers := map[string]bool{}
 	for i := range 60 {
 		ex := newExchange(ga, fmt.Sprint("session-", i))
@@ -77,7 +77,7 @@
 }
 
 // firstServers returns the servers that first attempts go to.
-func firstServers(ga *Gateway, now time.Time) map[string]bool {
+func firstPicks(ga *Gateway, now time.Time) map[string]bool {
 	servers := map[string]bool{}
 	for i := range 60 {
 		if id, ok := newExchange(ga, fmt.Sprint("session-", i)).Pick("", nil, now); ok {
@@ -89,17 +89,17 @@
 
 func TestNothingGoesToAnEvacuatedDataCentre(t *testing.T) {
 	now := time.Now()
-	ga, log := newServing()
-	require.Len(t, servedBy(ga, now), 3)
-	ga.change(Change{Evacuated: "dc1"})
-	require.Equal(t, map[string]bool{"x0": true, "x2": true}, servedBy(ga, now))
-	ga.change(Change{Evacuated: "dc0"})
-	ga.change(Change{Evacuated: "nobody knows"})
-	require.Equal(t, map[string]bool{"x2": true}, servedBy(ga, now), "the gateway's own as well")
-	ga.change(Change{Evacuated: "dc2"})
-	require.Empty(t, servedBy(ga, now))
-	ga.change(Change{Restored: "dc2"})
-	require.Equal(t, map[string]bool{"x2": true}, servedBy(ga, now.Add(time.Minute)))
+	ga, log := newServingGateway()
+	require.Len(t, pickedServers(ga, now), 3)
+	ga.applyChange(Change{Evacuated: "dc1"})
+	require.Equal(t, map[string]bool{"x0": true, "x2": true}, pickedServers(ga, now))
+	ga.applyChange(Change{Evacuated: "dc0"})
+	ga.applyChange(Change{Evacuated: "nobody knows"})
+	require.Equal(t, map[string]bool{"x2": true}, pickedServers(ga, now), "the gateway's own as well")
+	ga.applyChange(Change{Evacuated: "dc2"})
+	require.Empty(t, pickedServers(ga, now))
+	ga.applyChange(Change{Restored: "dc2"})
+	require.Equal(t, map[string]bool{"x2": true}, pickedServers(ga, now.Add(time.Minute)))
 	require.Contains(t, log.String(), "data_centre_evacuated")
 	require.Contains(t, log.String(), "data_centre_restored")
 }
@@ -108,21 +108,21 @@
 // its own read or a watcher's.
 func TestAWholeStateTellsWhatIsEvacuated(t *testing.T) {
 	now := time.Now()
-	wa, _ := newServing(Change{Evacuated: "dc1"}, Change{Member: &relay.Member{Box: "a", DataCentre: "dc0", Address: "127.0.0.1:1"}})
-	require.NotContains(t, servedBy(wa, now), "x1", "a gateway that starts during it")
-	ga, _ := newServing(Change{Evacuated: "dc2"})
+	wa, _ := newServingGateway(Change{Evacuated: "dc1"}, Change{Member: &relay.Member{Box: "a", DataCentre: "dc0", Address: "127.0.0.1:1"}})
+	require.NotContains(t, pickedServers(wa, now), "x1", "a gateway that starts during it")
+	ga, _ := newServingGateway(Change{Evacuated: "dc2"})
 	up := wa.Updates(t.Context(), relay.Request{After: rev(0)})
 	require.NotEmpty(t, up.Snapshot)
-	_, err := ga.takeWhole(up, now)
+	_, err := ga.applySnapshot(up, now)
 	require.NoError(t, err)
-	require.Equal(t, map[string]bool{"x0": true, "x2": true}, servedBy(ga, now.Add(time.Minute)))
+	require.Equal(t, map[string]bool{"x0": true, "x2": true}, pickedServers(ga, now.Add(time.Minute)))
 }
 
 // What comes back may be cold before it says so.
 func TestADataCentreComesBackSlowly(t *testing.T) {
 	now := time.Now()
-	ga, _ := newServing(Change{Evacuated: "dc0"})
-	ga.restore("dc0", now)
+	ga, _ := newServingGateway(Change{Evacuated: "dc0"})
+	ga.endEvacuation("dc0", now)
 	sent := 0
 	for range 100 {
 		ex := newExchange(ga, "")
@@ -145,70 +145,70 @@
 // A version of which all servers are cold is there all the same: its sessions stay.
 func TestAColdVersionIsNotOneThatIsGone(t *testing.T) {
 	now := time.Now()
-	ga, ro := rolling(t)
-	list(ga, "v1", "v2")
+	ga, ro := newTrialGateway(t)
+	putServers(ga, "v1", "v2")
 	ro.canary.Enter("shifting")
 	for _, se := range ga.servers.Listed() {
 		if se.Version == "v2" {
 			ga.pool.Warmup.MarkCold(se.Key(), time.Minute, now)
 		}
 	}
-	ex := &exchange{ga: ga, as: &Ask{}, route: &routing.Route{Name: "r"}, service: "s", session: "any"}
-	ask := ex.askFor("", nil, now)
+	ex := &exchange{ga: ga, rq: &Request{}, route: &routing.Route{Name: "r"}, service: "s", session: "any"}
+	ask := ex.poolRequest("", nil, now)
 	require.True(t, ask.OnlyVersion)
 	require.Equal(t, "v2", ask.Version)
 }
 
 func TestANewLifeOfAServerIsKnownByNothing(t *testing.T) {
 	now := time.Now()
-	ga, log := newServing(Change{Gone: "x0"})
+	ga, log := newServingGateway(Change{Gone: "x0"})
 	born := serverChange("y0", "dc0")
 	born.Server.Born = 1000
-	ga.change(born)
+	ga.applyChange(born)
 	first := *ga.servers.Get("y0")
 	for range 5 {
 		ga.pool.Failed(first.Key(), now)
 	}
 	ga.pool.Started(first.Key(), time.Second, now)
 	ga.pool.Responded(first.Key(), now)
-	require.NotContains(t, firstServers(ga, now), "y0", "it was ejected")
+	require.NotContains(t, firstPicks(ga, now), "y0", "it was ejected")
 	again := serverChange("y0", "dc0")
 	again.Server.Born, again.Server.Address = 2000, "127.0.0.1:2"
-	ga.change(again)
+	ga.applyChange(again)
 	second := *ga.servers.Get("y0")
-	require.Contains(t, firstServers(ga, now), "y0")
+	require.Contains(t, firstPicks(ga, now), "y0")
 	require.True(t, ga.pool.LastResponse(second.Key()).IsZero())
 	ga.pool.Ended(first.Key())
 	ga.pool.Failed(first.Key(), now)
-	require.Contains(t, firstServers(ga, now), "y0", "late answers of the old life")
-	ga.change(born)
+	require.Contains(t, firstPicks(ga, now), "y0", "late answers of the old life")
+	ga.applyChange(born)
 	require.Equal(t, "127.0.0.1:2", ga.servers.Get("y0").Address, "an old entry that comes late")
 	require.Equal(t, 1, strings.Count(log.String(), "server_restarted"))
 }
 
 func TestAnUnusableEntryTakesItsServerOutOfUse(t *testing.T) {
 	now := time.Now()
-	ga, log := newServing()
+	ga, log := newServingGateway()
 	ga.servers.StoreUnavailable()
-	ga.change(Change{Unusable: &UnusableServer{ID: "x1", Reason: "a field is missing"}})
-	require.Equal(t, map[string]bool{"x0": true, "x2": true}, servedBy(ga, now), "at once, whatever the store does")
+	ga.applyChange(Change{Unusable: &UnusableServer{ID: "x1", Reason: "a field is missing"}})
+	require.Equal(t, map[string]bool{"x0": true, "x2": true}, pickedServers(ga, now), "at once, whatever the store does")
 	for range 50 {
-		ga.change(Change{Unusable: &UnusableServer{ID: "x1", Reason: "a field is missing"}})
-		ga.change(Change{Unusable: &UnusableServer{ID: "forged", Reason: "a field is missing"}})
+		ga.applyChange(Change{Unusable: &UnusableServer{ID: "x1", Reason: "a field is missing"}})
+		ga.applyChange(Change{Unusable: &UnusableServer{ID: "forged", Reason: "a field is missing"}})
 	}
 	require.Equal(t, 2, strings.Count(log.String(), "server_unusable"), "each id is named once")
-	for i := range 2 * mostUnusable {
-		ga.change(Change{Unusable: &UnusableServer{ID: fmt.Sprint("forged-", i), Reason: "a field is missing"}})
+	for i := range 2 * maxUnusableIDs {
+		ga.applyChange(Change{Unusable: &UnusableServer{ID: fmt.Sprint("forged-", i), Reason: "a field is missing"}})
 	}
-	require.LessOrEqual(t, strings.Count(log.String(), "server_unusable"), mostUnusable+1)
-	ga.change(serverChange("x1", "dc1"))
-	require.Len(t, servedBy(ga, now), 3, "the server writes its own again")
+	require.LessOrEqual(t, strings.Count(log.String(), "server_unusable"), maxUnusableIDs+1)
+	ga.applyChange(serverChange("x1", "dc1"))
+	require.Len(t, pickedServers(ga, now), 3, "the server writes its own again")
 }
 
 // Those that hear through a watcher must know as well that an entry names no server.
 func TestAnUnusableEntryIsPassedOn(t *testing.T) {
-	re := newRelaying(t)
-	re.kept.add(serverChange("x", "dc"))
+	re := newRelayCluster(t)
+	re.store.add(serverChange("x", "dc"))
 	listed := func(box string) func() bool {
 		return func() bool {
 			ga := re.gateways[box]
@@ -220,11 +220,11 @@
 	for _, box := range []string{"a", "b", "c"} {
 		re.eventually(t, box+" lists it", listed(box))
 	}
-	re.kept.add(Change{Unusable: &UnusableServer{ID: "x", Reason: "a field is missing"}})
+	re.store.add(Change{Unusable: &UnusableServer{ID: "x", Reason: "a field is missing"}})
 	for _, box := range []string{"a", "b", "c"} {
 		re.eventually(t, box+" does not use it", func() bool { return !listed(box)() })
 	}
-	re.kept.add(Change{Evacuated: "dc"})
+	re.store.add(Change{Evacuated: "dc"})
 	for _, box := range []string{"a", "b", "c"} {
 		re.eventually(t, box+" knows of the evacuation", func() bool {
 			ga := re.gateways[box]
@@ -243,7 +243,7 @@
 	fleet := make([]*Gateway, gateways)
 	began := time.Now()
 	for i := range fleet {
-		ga, _ := newServing(Change{Gone: "x0"}, Change{Gone: "x1"}, Change{Gone: "x2"})
+		ga, _ := newServingGateway(Change{Gone: "x0"}, Change{Gone: "x1"}, Change{Gone: "x2"})
 		ga.Log, ga.Box, ga.pool.Box, ga.pool.MaxMembers = zerolog.Nop(), fmt.Sprint("box-", i), fmt.Sprint("box-", i), gateways
 		for s := range servers {
 			se := serverChange(fmt.Sprint("y", s), fmt.Sprint("dc", s%3))
