--- a/internal/gateway/cluster_test.go
+++ b/internal/gateway/cluster_test.go
@@ -27,55 +27,56 @@
 	"github.com/linnetrudder/linnetrudder/internal/selfreport"
 )
 
-// crashingBackend is a service's servers, of which each ends that begins to run one request. It
-// calls no network; time is the test's.
+// crashingBackend simulates the servers of a service. A server ends when it begins to run the
+// poison request. It makes no network calls, and its time is that of the test.
 type crashingBackend struct {
 	store *fakeStore
-	// endsAfter is the time from a request's first token to its server's end.
+	// endsAfter is the time from the poison request's first token to the end of its server.
 	endsAfter time.Duration
-	// silent is set if that request's server ends before any of its answer came.
+	// silent is set if the server of the poison request ends before it sends any part of its response.
 	silent bool
-	// machineFails is set if servers end with their machines, which then refuse nothing.
+	// machineFails is set if servers end together with their machines, which then refuse no connections.
 	machineFails bool
 
 	mu      sync.Mutex
 	servers map[string]*fakeServer
 	started int
-	// sent holds when copies of that request reached servers, ended when servers ended.
+	// sent holds when copies of the poison request reached servers. ended holds when servers ended.
 	sent, ended []time.Time
-	// records holds the same by the request's path, the ends being those records servers that began it.
+	// records holds the same by path of the request, with the ends of those servers only that ran it.
 	records map[string]*poisonRecord
-	// limits holds what servers name in their answers, arrived when requests reached them, by id.
+	// limits holds the rate limits that servers report, arrived the times at which requests reached
+	// servers, both by id.
 	limits  map[string]float64
 	arrived map[string][]time.Time
-	// leaving holds the servers that announce their shutdown, pauses the pause that servers ask
-	// for which reject everything, by id. rejected holds what they rejected.
+	// leaving holds the servers that announce their shutdown. pauses holds the pause that servers
+	// which reject all requests ask for, by id. rejected holds the requests that they rejected.
 	leaving  map[string]bool
 	pauses   map[string]time.Duration
 	rejected []rejection
-	// received holds when each box's requests reached each server.
+	// received holds when requests of each box reached each server.
 	received map[boxServer][]time.Time
 }
 
-// poisonRecord is what became of one request under which servers end.
+// poisonRecord records when one poison request was sent and when servers ended because of it.
 type poisonRecord struct{ sent, ended []time.Time }
 
-// lateCopies returns how many copies reached servers later than tellWithin after the third end,
-// and later than a time.
-func (de *poisonRecord) lateCopies(known time.Time) int {
-	if len(de.ended) < 3 {
+// lateCopies returns the number of copies that reached servers more than propagationTime after the
+// third end and later than known.
+func (pr *poisonRecord) lateCopies(known time.Time) int {
+	if len(pr.ended) < 3 {
 		return 0
 	}
-	many := 0
-	for _, at := range de.sent {
-		if at.After(de.ended[2].Add(propagationTime)) && at.After(known) {
-			many++
+	late := 0
+	for _, at := range pr.sent {
+		if at.After(pr.ended[2].Add(propagationTime)) && at.After(known) {
+			late++
 		}
 	}
-	return many
+	return late
 }
 
-// recordOf returns what became of the request of a path; the lock is held.
+// recordOf returns the record of the poison request with a path. The lock is held.
 func (cr *crashingBackend) recordOf(path string) *poisonRecord {
 	if cr.records == nil {
 		cr.records = map[string]*poisonRecord{}
@@ -86,11 +87,11 @@
 	return cr.records[path]
 }
 
-// endByPoison ends the server that began a request.
+// endByPoison ends the server that ran a poison request and records it.
 func (cr *crashingBackend) endByPoison(path string, se *fakeServer) {
 	cr.mu.Lock()
-	de := cr.recordOf(path)
-	de.ended = append(de.ended, time.Now())
+	pr := cr.recordOf(path)
+	pr.ended = append(pr.ended, time.Now())
 	cr.mu.Unlock()
 	cr.end(se)
 }
@@ -102,14 +103,14 @@
 }
 
 const (
-	// poisonPath and plainPoison are where requests are sent that servers end of.
+	// poisonPath and plainPoisonPath are the paths of requests that end their servers.
 	poisonPath      = "/menu/poison"
 	plainPoisonPath = "/cards/poison"
-	// serverCount is how many servers there are.
+	// serverCount is the number of servers at any time, apart from restarts.
 	serverCount = 18
 	readTime    = 30 * time.Millisecond
 	eventPause  = 20 * time.Millisecond
-	// propagationTime is how long gateways may take to tell each other.
+	// propagationTime is the time in which gateways must have informed each other.
 	propagationTime = 3 * time.Second
 	restartDelay    = 2 * time.Second
 	entryTTL        = 2500 * time.Millisecond
@@ -128,7 +129,7 @@
 	cr.store.add(Change{Server: &se.listed})
 }
 
-// end ends a server, once.
+// end ends a server. Further calls do nothing.
 func (cr *crashingBackend) end(se *fakeServer) {
 	cr.mu.Lock()
 	defer cr.mu.Unlock()
@@ -170,8 +171,8 @@
 		return nil, ErrNotSent
 	}
 	cr.recordArrival(se)
-	if lasts, ok := cr.reject(at, box); ok {
-		return nil, &RefusedError{Reason: "shed", Report: selfreport.Report{RetryAfter: max(0, lasts), Leaving: cr.isLeaving(se)}}
+	if pause, ok := cr.reject(at, box); ok {
+		return nil, &RefusedError{Reason: "shed", Report: selfreport.Report{RetryAfter: max(0, pause), Leaving: cr.isLeaving(se)}}
 	}
 	poison := strings.HasSuffix(at.Request.Path, "/poison")
 	if poison {
@@ -204,7 +205,7 @@
 	}, nil
 }
 
-// recordArrival notes that a request has reached a server.
+// recordArrival records that a request has reached a server.
 func (cr *crashingBackend) recordArrival(se *fakeServer) {
 	cr.mu.Lock()
 	defer cr.mu.Unlock()
@@ -214,7 +215,7 @@
 	cr.arrived[se.listed.ID] = append(cr.arrived[se.listed.ID], time.Now())
 }
 
-// limit returns the limit that a server names, nil for none.
+// limit returns the rate limit that a server reports, nil for none.
 func (cr *crashingBackend) limit(se *fakeServer) *float64 {
 	cr.mu.Lock()
 	defer cr.mu.Unlock()
@@ -224,12 +225,12 @@
 	return nil
 }
 
-// report returns what a server reports about itself in an answer.
+// report returns what a server reports about itself in a response.
 func (cr *crashingBackend) report(se *fakeServer) selfreport.Report {
 	return selfreport.Report{Limit: cr.limit(se), Leaving: cr.isLeaving(se)}
 }
 
-// work takes a time, or fails with the server's end or as the attempt is given up.
+// work waits for a duration. It fails if the server ends or the attempt is cancelled.
 func (se *fakeServer) work(ctx context.Context, takes time.Duration) error {
 	ti := time.NewTimer(takes)
 	defer ti.Stop()
@@ -243,7 +244,7 @@
 	}
 }
 
-// fakeStream is an answer of some events, one with none left waits for its server's end.
+// fakeStream is a response of left events. If left is zero, it blocks until its server ends.
 type fakeStream struct {
 	ctx    context.Context
 	server *fakeServer
@@ -268,7 +269,7 @@
 
 func (*fakeStream) Close() error { return nil }
 
-// recordingResponder keeps what one request's recordingResponder got.
+// recordingResponder records the response to one request.
 type recordingResponder struct {
 	code     result.Code
 	after    time.Duration
@@ -285,11 +286,11 @@
 	ca.code, ca.after = co, after
 }
 
-// pipeNetwork is a network without one: connections between gateways are pipes.
+// pipeNetwork connects gateways through pipes instead of a network.
 type pipeNetwork struct {
 	mu        sync.Mutex
 	listeners map[string]*pipeListener
-	// partitioned is set while nothing gets through.
+	// partitioned is set while no connection can be opened.
 	partitioned atomic.Bool
 }
 
@@ -304,17 +305,17 @@
 	select {
 	case li.accepted <- far:
 		return near, nil
-	case <-li.over:
+	case <-li.closed:
 		return nil, net.ErrClosed
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
 }
 
-// pipeListener is one address of it.
+// pipeListener listens at one address of a pipeNetwork.
 type pipeListener struct {
 	accepted chan net.Conn
-	over     chan struct{}
+	closed   chan struct{}
 	once     sync.Once
 
 	mu    sync.Mutex
@@ -328,12 +329,12 @@
 		defer li.mu.Unlock()
 		li.conns = append(li.conns, conn)
 		return conn, nil
-	case <-li.over:
+	case <-li.closed:
 		return nil, net.ErrClosed
 	}
 }
 
-// reset breaks off the connections, also those that a server does not know any more.
+// reset closes all connections, including those that the HTTP server no longer tracks.
 func (li *pipeListener) reset() {
 	li.mu.Lock()
 	defer li.mu.Unlock()
@@ -343,24 +344,24 @@
 }
 
 func (li *pipeListener) Close() error {
-	li.once.Do(func() { close(li.over) })
+	li.once.Do(func() { close(li.closed) })
 	return nil
 }
 
 func (*pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// testCluster is some gateways before such servers.
+// testCluster is a number of gateways in front of a crashingBackend.
 type testCluster struct {
 	t        *testing.T
 	servers  *crashingBackend
 	network  *pipeNetwork
 	gateways []*Gateway
 	stops    []func()
-	// copies holds what the callers of that request got, others what those of all others did.
+	// poisonResponses holds the responses to poison requests, otherResponses those to all others.
 	mu                              sync.Mutex
 	poisonResponses, otherResponses []*recordingResponder
 	callers                         sync.WaitGroup
-	// log takes what gateways log that are added from now on.
+	// log receives the log of the gateways that are started after it is set.
 	log io.Writer
 }
 
@@ -369,11 +370,12 @@
 	return newTestClusterWith(t, gateways, func(*testCluster) {})
 }
 
-// newTestClusterWith changes the scene before its gateways start.
+// newTestClusterWith is newTestCluster with a function that changes the cluster before its gateways
+// start.
 func newTestClusterWith(t *testing.T, gateways int, change func(sc *testCluster)) *testCluster {
 	t.Helper()
-	kept := &fakeStore{changed: make(chan struct{}), watches: map[string]int{}, disconnected: map[string]bool{}}
-	kept.add(Change{Document: &routing.Document{Version: 1, Services: []routing.Service{{Name: "llm"}}, Routes: []routing.Route{{
+	store := &fakeStore{changed: make(chan struct{}), watches: map[string]int{}, disconnected: map[string]bool{}}
+	store.add(Change{Document: &routing.Document{Version: 1, Services: []routing.Service{{Name: "llm"}}, Routes: []routing.Route{{
 		Name: "menu", Host: "h", Prefix: "/menu/", Kind: routing.Streaming, Resumable: true, Public: true,
 		Timeout: 8 * time.Second, Target: 2 * time.Second, Gap: time.Second, Attempts: 3, Models: []string{"small", "large"},
 		Split: []routing.Share{{Service: "llm", Weight: 1}},
@@ -382,7 +384,7 @@
 		Target: 150 * time.Millisecond, Attempts: 1, Split: []routing.Share{{Service: "llm", Weight: 1}},
 	}}}})
 	sc := &testCluster{
-		t: t, servers: &crashingBackend{store: kept, endsAfter: 100 * time.Millisecond, servers: map[string]*fakeServer{}},
+		t: t, servers: &crashingBackend{store: store, endsAfter: 100 * time.Millisecond, servers: map[string]*fakeServer{}},
 		network: &pipeNetwork{listeners: map[string]*pipeListener{}}, log: io.Discard,
 	}
 	t.Cleanup(func() {
@@ -401,7 +403,7 @@
 	return sc
 }
 
-// addGateway starts one more gateway, each third in the same data centre.
+// addGateway starts another gateway. The gateways are distributed over three data centres.
 func (sc *testCluster) addGateway() {
 	sc.mu.Lock()
 	sc.gateways, sc.stops = append(sc.gateways, nil), append(sc.stops, nil)
@@ -410,7 +412,7 @@
 	sc.startGateway(n)
 }
 
-// startGateway starts the gateway of a number.
+// startGateway starts the gateway with a number.
 func (sc *testCluster) startGateway(n int) {
 	box := fmt.Sprint("b", n)
 	ga := &Gateway{
@@ -421,7 +423,7 @@
 	router := http.NewServeMux()
 	router.Handle(relay.Path, &relay.Server{Feed: ga})
 	router.Handle(relay.LoadPath, &relay.LoadServer{Loads: ga})
-	li := &pipeListener{accepted: make(chan net.Conn), over: make(chan struct{})}
+	li := &pipeListener{accepted: make(chan net.Conn), closed: make(chan struct{})}
 	sc.network.mu.Lock()
 	sc.network.listeners[ga.RelayAddress] = li
 	sc.network.mu.Unlock()
@@ -445,12 +447,12 @@
 	})
 }
 
-// send sends a request to a gateway and keeps what its caller gets.
+// send sends a request to a gateway and records its response.
 func (sc *testCluster) send(gateway int, path, id string) {
 	sc.callers.Go(func() {
 		began := time.Now()
 		ca := &recordingResponder{}
-		as := &Request{
+		rq := &Request{
 			ID: id, Host: "h", Path: path, Target: path, Method: http.MethodPost, Received: began,
 			Timeout: 8 * time.Second, AnyModel: true, PromptTokens: 1000,
 			ReadBody: func() ([]byte, error) { return []byte(path), nil },
@@ -458,7 +460,7 @@
 		sc.mu.Lock()
 		ga := sc.gateways[gateway]
 		sc.mu.Unlock()
-		ga.Serve(sc.t.Context(), as, ca)
+		ga.Serve(sc.t.Context(), rq, ca)
 		ca.took, ca.answered = time.Since(began), ca.code == 0
 		sc.mu.Lock()
 		defer sc.mu.Unlock()
@@ -470,10 +472,10 @@
 	})
 }
 
-// sendTraffic sends copies of the request and others for a while, to all gateways from one on.
-func (sc *testCluster) sendTraffic(first int, poison string, lasts time.Duration) {
+// sendTraffic sends poison requests and others for a duration, to all gateways from number first on.
+func (sc *testCluster) sendTraffic(first int, poison string, duration time.Duration) {
 	n := 0
-	for until := time.Now().Add(lasts); time.Now().Before(until); time.Sleep(25 * time.Millisecond) {
+	for until := time.Now().Add(duration); time.Now().Before(until); time.Sleep(25 * time.Millisecond) {
 		n++
 		gateway := first + n%(len(sc.gateways)-first)
 		sc.send(gateway, fmt.Sprint("/menu/", first, "/", n), fmt.Sprint("other", first, "-", n))
@@ -489,14 +491,15 @@
 	}
 }
 
-// endCount returns how many servers have ended.
+// endCount returns the number of servers that have ended.
 func (cr *crashingBackend) endCount() int {
 	cr.mu.Lock()
 	defer cr.mu.Unlock()
 	return len(cr.ended)
 }
 
-// lateCopies returns how many copies reached servers later than tellWithin after the third end.
+// lateCopies returns the number of copies that reached servers more than propagationTime after the
+// third end.
 func (cr *crashingBackend) lateCopies() int {
 	cr.mu.Lock()
 	defer cr.mu.Unlock()
@@ -505,16 +508,16 @@
 	}
 	slices.SortFunc(cr.ended, time.Time.Compare)
 	bound := cr.ended[2].Add(propagationTime)
-	many := 0
+	late := 0
 	for _, at := range cr.sent {
 		if at.After(bound) {
-			many++
+			late++
 		}
 	}
-	return many
+	return late
 }
 
-// firstStoredBlock returns the first block that a gateway knows to be kept.
+// firstStoredBlock returns the first block that a gateway knows to be stored.
 func (sc *testCluster) firstStoredBlock(gateway int) poison.Print {
 	ga := sc.gateways[gateway]
 	ga.mu.Lock()
@@ -522,7 +525,7 @@
 	return ga.blocks.Stored()[0].Print
 }
 
-// blockCount counts the requests that a scene's gateways have blockCount.
+// blockCount returns the number of requests blocked at the gateways, summed over the gateways.
 func (sc *testCluster) blockCount() int {
 	all := 0
 	for _, ga := range sc.gateways {
@@ -533,43 +536,43 @@
 	return all
 }
 
-// disconnectAll cuts all gateways off from the key-value service, or ends that.
-func (sc *testCluster) disconnectAll(cut bool) {
+// disconnectAll disconnects all gateways from the key-value service, or connects them again.
+func (sc *testCluster) disconnectAll(disconnected bool) {
 	for i := range 2 * len(sc.gateways) {
-		sc.servers.store.setDisconnected(fmt.Sprint("b", i), cut)
+		sc.servers.store.setDisconnected(fmt.Sprint("b", i), disconnected)
 	}
 }
 
-// replaceGateway loses a gateway and starts another one under its name, which knows nothing.
+// replaceGateway stops a gateway and starts a new one on the same box without any state.
 func (sc *testCluster) replaceGateway(i int) {
 	sc.stops[i]()
 	sc.startGateway(i)
 }
 
-// storedBlocks returns the blocks that the key-value service holds.
+// storedBlocks returns the blocks in the key-value service.
 func (sc *testCluster) storedBlocks() []poison.Print {
 	st, _, err := storeView{store: sc.servers.store}.since(rev(0))
 	require.NoError(sc.t, err)
-	var kept []poison.Print
+	var stored []poison.Print
 	for _, ch := range st.Changes {
-		if ch.Blocked != nil && !slices.Contains(kept, ch.Blocked.Print) {
-			kept = append(kept, ch.Blocked.Print)
+		if ch.Blocked != nil && !slices.Contains(stored, ch.Blocked.Print) {
+			stored = append(stored, ch.Blocked.Print)
 		}
 		if ch.Unblocked != nil {
-			kept = slices.DeleteFunc(kept, func(pr poison.Print) bool { return pr == *ch.Unblocked })
+			stored = slices.DeleteFunc(stored, func(pr poison.Print) bool { return pr == *ch.Unblocked })
 		}
 	}
-	return kept
+	return stored
 }
 
-// all returns every server that there ever was.
+// all returns all servers, including those that have ended.
 func (cr *crashingBackend) all() []*fakeServer {
 	cr.mu.Lock()
 	defer cr.mu.Unlock()
 	return slices.Collect(maps.Values(cr.servers))
 }
 
-// hasAttemptsAt reports whether a gateway has anything at a server.
+// hasAttemptsAt reports whether a gateway tracks attempts at a server.
 func (ga *Gateway) hasAttemptsAt(server string) bool {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
--- a/internal/gateway/follow_test.go
+++ b/internal/gateway/follow_test.go
@@ -20,26 +20,27 @@
 	"github.com/linnetrudder/linnetrudder/internal/story"
 )
 
-// scriptedStore is a source whose watches last as long as they may, until it is cut.
+// scriptedStore is a key-value service without changes: its watches use the whole wait. It fails
+// while it is disconnected.
 type scriptedStore struct {
 	mu           sync.Mutex
 	disconnected bool
-	// joins counts the memberships; over is set when the lease has run out.
+	// joins is the number of Join calls. leaseExpired is set when the lease has expired.
 	joins        int
 	leaseExpired bool
 }
 
-func (sc *scriptedStore) setDisconnected(cut bool) {
+func (sc *scriptedStore) setDisconnected(disconnected bool) {
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
-	sc.disconnected = cut
+	sc.disconnected = disconnected
 }
 
 func (sc *scriptedStore) err() error {
 	sc.mu.Lock()
 	defer sc.mu.Unlock()
 	if sc.disconnected {
-		return result.New(result.StoreDown, "cut")
+		return result.New(result.StoreDown, "disconnected")
 	}
 	return nil
 }
@@ -88,27 +89,27 @@
 
 func (sc *scriptedStore) DeleteBlock(context.Context, poison.Print) error { return sc.err() }
 
-// Keys are accepted all the time while the service answers, and for as long as
-// the bound allows after it was cut off, but never longer.
-func TestKeysAreAcceptedUpToTheBoundOnTheirAge(t *testing.T) {
-	for _, cutAfter := range []time.Duration{1500 * time.Millisecond, 2 * time.Second, 2900 * time.Millisecond, 10 * time.Second} {
+// Keys are accepted without interruption while the service answers, and after it is disconnected
+// for as long as the maximum age of the configuration allows, but not longer.
+func TestKeysAreAcceptedUpToTheMaximumConfigAge(t *testing.T) {
+	for _, disconnectAfter := range []time.Duration{1500 * time.Millisecond, 2 * time.Second, 2900 * time.Millisecond, 10 * time.Second} {
 		synctest.Test(t, func(t *testing.T) {
 			sc := &scriptedStore{}
 			ga := &Gateway{Log: zerolog.Nop(), Store: sc, Bounds: Bounds{MaxConfigAge: 5 * time.Second, RetryWindow: time.Second}}
 			ctx, cancel := context.WithCancel(t.Context())
 			go func() { _ = ga.Run(ctx) }()
-			for range cutAfter / (50 * time.Millisecond) {
+			for range disconnectAfter / (50 * time.Millisecond) {
 				time.Sleep(50 * time.Millisecond)
 				require.True(t, ga.acceptsKeys(time.Now()))
 			}
 			sc.setDisconnected(true)
-			cut := time.Now()
+			disconnectedAt := time.Now()
 			for ga.acceptsKeys(time.Now()) {
 				time.Sleep(10 * time.Millisecond)
 			}
-			held := time.Since(cut)
-			require.GreaterOrEqual(t, held, 2*time.Second, "most of the time in which requests are owed")
-			require.Less(t, held, 5*time.Second-time.Second, "a watch may have heard nothing for a second before")
+			accepted := time.Since(disconnectedAt)
+			require.GreaterOrEqual(t, accepted, 2*time.Second, "keys must be accepted for most of the time that the bound allows")
+			require.Less(t, accepted, 5*time.Second-time.Second, "a watch may have missed changes for a second before")
 			sc.setDisconnected(false)
 			time.Sleep(2 * time.Second)
 			require.True(t, ga.acceptsKeys(time.Now()))
@@ -118,8 +119,8 @@
 	}
 }
 
-// A membership whose lease ran out while the service was away is taken up again.
-func TestAMembershipThatRanOutIsTakenUpAgain(t *testing.T) {
+// A gateway whose lease expired while the service did not answer joins again.
+func TestGatewayJoinsAgainAfterItsLeaseExpired(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sc := &scriptedStore{disconnected: true}
 		ga := &Gateway{Log: zerolog.Nop(), Store: sc, Box: "b"}
@@ -128,27 +129,27 @@
 		time.Sleep(3 * time.Second)
 		sc.setDisconnected(false)
 		time.Sleep(maxRetryPause + joinCheckInterval + maxJoinDelay)
-		joined := func() int {
+		joins := func() int {
 			sc.mu.Lock()
 			defer sc.mu.Unlock()
 			return sc.joins
 		}
-		require.Equal(t, 1, joined())
+		require.Equal(t, 1, joins())
 		sc.mu.Lock()
 		sc.leaseExpired = true
 		sc.mu.Unlock()
 		time.Sleep(renewInterval + time.Second)
-		require.Equal(t, 2, joined())
+		require.Equal(t, 2, joins())
 		time.Sleep(3 * renewInterval)
-		require.Equal(t, 2, joined(), "renewed since")
+		require.Equal(t, 2, joins(), "the new lease is renewed")
 		cancel()
 		synctest.Wait()
 	})
 }
 
-// Gateways call a silent service less and less often; the first that hears from it says so
-// with its report, and the others call at once.
-func TestWhoHearsFromTheServiceAgainTellsTheOthers(t *testing.T) {
+// Gateways call an unavailable service less and less often. The first gateway that reaches it again
+// reports that it is ready, on which the others call it immediately.
+func TestReadyReportEndsThePauseOfOtherGateways(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ga := &Gateway{Log: zerolog.Nop()}
 		ga.prepare()
@@ -164,11 +165,11 @@
 		ga.Reported(relay.Report{Box: "b", Ready: true})
 		began = time.Now()
 		ga.awaitStore(t.Context(), maxOutagePause)
-		require.Equal(t, maxOutagePause, time.Since(began), "once")
+		require.Equal(t, maxOutagePause, time.Since(began), "only the first ready report ends a pause")
 	})
 }
 
-func TestLogOfChangesIsReadByExplain(t *testing.T) {
+func TestLogOfChangesIsParsedByExplain(t *testing.T) {
 	ga, log := newServing(Change{Evacuated: "dc9"}, orderAt(inEra(1, 3), "v2"), phaseAt(inEra(1, 4), inEra(1, 3), rollout.Trying))
 	doc := coldDocument()
 	doc.Version += 7
--- a/internal/gateway/fuzz_test.go
+++ b/internal/gateway/fuzz_test.go
@@ -17,7 +17,7 @@
 	"github.com/linnetrudder/linnetrudder/internal/routing"
 )
 
-// newGatewayWithState returns a gateway that knows one server and a configuration.
+// newGatewayWithState returns a gateway with one server and a configuration.
 func newGatewayWithState() *Gateway {
 	ga := &Gateway{Log: zerolog.Nop(), Box: "a", DataCentre: "dc", Bounds: Bounds{MaxConfigAge: 5 * time.Second, RetryWindow: time.Second}}
 	ga.prepare()
@@ -30,7 +30,7 @@
 	return ga
 }
 
-// encodedChanges returns one change of each kind, as a watcher passes them on.
+// encodedChanges returns one change of each kind, encoded as a watcher sends them.
 func encodedChanges(f *testing.F) []byte {
 	f.Helper()
 	pr := poison.PrintOf(poison.Request{Target: "x"})
@@ -55,18 +55,17 @@
 	return data
 }
 
-// checkInvariants checks what must hold whatever another process sends.
+// checkInvariants checks what must be true whatever another process sends.
 func checkInvariants(t *testing.T, ga *Gateway) {
 	t.Helper()
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
-	require.GreaterOrEqual(t, ga.table.Load().Version(), uint64(3), "a configuration never goes back")
+	require.GreaterOrEqual(t, ga.table.Load().Version(), uint64(3), "the version of the configuration must not decrease")
 	require.LessOrEqual(t, len(ga.blocks.Stored())+len(ga.blocks.Unstored()), 1024)
-	require.NotNil(t, ga.servers.Get("good"), "what was not named stays")
+	require.NotNil(t, ga.servers.Get("good"), "a server that no change mentions must stay")
 }
 
-// Changes that a watcher passes on: torn ones, ones that were passed on before, and ones out of
-// order.
+// FuzzBatches applies batches of a watcher that are malformed, repeated or out of order.
 func FuzzBatches(f *testing.F) {
 	f.Add(encodedChanges(f), encodedChanges(f))
 	f.Add([]byte{0x80}, []byte{0xff})
@@ -88,7 +87,7 @@
 	})
 }
 
-// mentionServer reports whether changes say anything of a server.
+// mentionServer reports whether any of the changes concerns a server.
 func mentionServer(changes []Change, server string) bool {
 	for _, ch := range changes {
 		if ch.Gone == server || ch.Server != nil && ch.Server.ID == server || ch.Unusable != nil && ch.Unusable.ID == server {
@@ -98,7 +97,7 @@
 	return false
 }
 
-// A whole state that can't be decoded changes nothing.
+// FuzzWhole applies encoded states. A state that cannot be decoded must change nothing.
 func FuzzWhole(f *testing.F) {
 	f.Add(encodedChanges(f))
 	f.Add([]byte("torn"))
@@ -112,7 +111,7 @@
 	})
 }
 
-// Reports of other gateways, whatever is in them.
+// FuzzReports applies reports of other gateways with arbitrary content.
 func FuzzReports(f *testing.F) {
 	pr := poison.PrintOf(poison.Request{Target: "x"})
 	data, err := cbor.Marshal(relay.Report{
--- a/internal/gateway/relay_test.go
+++ b/internal/gateway/relay_test.go
@@ -25,31 +25,31 @@
 	"github.com/linnetrudder/linnetrudder/internal/routing"
 )
 
-// fakeStore is a source of a few lines that several gateways share.
+// fakeStore is an in-memory key-value service that several gateways share.
 type fakeStore struct {
 	mu      sync.Mutex
 	changes []Change
 	changed chan struct{}
-	// era counts how often it went back, if it says so.
+	// era is the number of restores. hidesEra is set if responses do not name it.
 	era      uint64
 	hidesEra bool
-	// watches counts the watches of each box, cut names those that get no answers.
+	// watches is the number of watch calls by box. disconnected names the boxes whose calls fail.
 	watches      map[string]int
 	disconnected map[string]bool
-	// reads counts the whole reads.
+	// reads is the number of Read calls.
 	reads int
-	// rejectsBlocks is set where it keeps none.
+	// rejectsBlocks is set if blocks cannot be stored.
 	rejectsBlocks bool
 }
 
-// storeView is the source as one box sees it.
+// storeView is the fakeStore as used by the gateway of one box.
 type storeView struct {
 	store *fakeStore
 	box   string
-	// pageSize is how many changes a page of a read holds; all if it is zero. wholeReads counts
-	// the reads of more than the first page.
-	pageSize   int
-	wholeReads *atomic.Int64
+	// pageSize is the number of changes in the first part of a read, zero for no limit. completeReads
+	// counts the reads that continued after it.
+	pageSize      int
+	completeReads *atomic.Int64
 }
 
 func (ke *fakeStore) add(ch Change) {
@@ -60,7 +60,7 @@
 	ke.changed = make(chan struct{})
 }
 
-// restore goes back to the first changes that there were.
+// restore discards all but the first changes, as if an older copy of the service was restored.
 func (ke *fakeStore) restore(changes int) {
 	ke.mu.Lock()
 	defer ke.mu.Unlock()
@@ -72,13 +72,13 @@
 	ke.changed = make(chan struct{})
 }
 
-func (ke *fakeStore) setDisconnected(box string, cut bool) {
+func (ke *fakeStore) setDisconnected(box string, disconnected bool) {
 	ke.mu.Lock()
 	defer ke.mu.Unlock()
-	ke.disconnected[box] = cut
+	ke.disconnected[box] = disconnected
 }
 
-// watchesOfC counts the watches of the gateway that others watch for.
+// watchesOfC returns the number of watch calls of gateway c, which requests its changes from a and b.
 func (ke *fakeStore) watchesOfC() int {
 	ke.mu.Lock()
 	defer ke.mu.Unlock()
@@ -90,7 +90,7 @@
 	ke.mu.Lock()
 	defer ke.mu.Unlock()
 	if ke.disconnected[vi.box] {
-		return State{}, nil, result.New(result.StoreDown, "cut")
+		return State{}, nil, result.New(result.StoreDown, "disconnected")
 	}
 	to := revision.Revision{Era: ke.era, Number: uint64(len(ke.changes))}
 	if after.Number > to.Number {
@@ -109,7 +109,7 @@
 	}
 	first := State{Revision: st.Revision, Changes: st.Changes[:vi.pageSize]}
 	if goOn(first) {
-		vi.wholeReads.Add(1)
+		vi.completeReads.Add(1)
 		return st, true, nil
 	}
 	return first, false, nil
@@ -148,7 +148,7 @@
 		return err
 	}
 	if vi.store.rejectsBlocks {
-		return result.New(result.StoreDown, "keeps no blocks")
+		return result.New(result.StoreDown, "blocks are rejected")
 	}
 	vi.store.add(Change{Blocked: &bl})
 	return nil
@@ -159,20 +159,20 @@
 	return nil
 }
 
-// relayCluster is three gateways of one data centre, of which a and b watch for c.
+// relayCluster is three gateways of one data centre, of which a and b watch the service for c.
 type relayCluster struct {
 	store     *fakeStore
 	gateways  map[string]*Gateway
 	listeners map[string]*recordingListener
 }
 
-// recordingListener remembers its connections: the server forgets those that are
-// WebSockets.
+// recordingListener records its connections, since the HTTP server does not track those that have
+// become WebSockets.
 type recordingListener struct {
 	net.Listener
 	mu    sync.Mutex
 	conns []net.Conn
-	// disabled is set when the server is to refuse everything.
+	// disabled is set while the server rejects all requests.
 	disabled atomic.Bool
 }
 
@@ -195,7 +195,7 @@
 	rl.conns = nil
 }
 
-// disableRelay makes a gateway refuse the others' requests and ends their connections.
+// disableRelay makes a gateway reject the requests of other gateways and closes their connections.
 func (re *relayCluster) disableRelay(box string) {
 	re.listeners[box].disabled.Store(true)
 	re.listeners[box].closeAll()
@@ -245,16 +245,16 @@
 			re.eventually(t, box+" joins", func() bool { return re.hasMember("a", box) })
 		}
 	}
-	re.eventually(t, "all are counted", func() bool {
+	re.eventually(t, "all gateways are counted", func() bool {
 		return re.size("a") == 3 && re.size("b") == 3 && re.size("c") == 3
 	})
-	require.False(t, re.hasMember("a", "c"), "two that watch are enough")
-	re.eventually(t, "c asks a watcher", func() bool {
+	require.False(t, re.hasMember("a", "c"), "two watchers are enough")
+	re.eventually(t, "c requests changes from a watcher", func() bool {
 		before := re.store.watchesOfC()
 		time.Sleep(2 * maxWatchWait)
 		return re.store.watchesOfC() == before
 	})
-	require.LessOrEqual(t, re.store.watchesOfC(), 3, "watchers that begin to serve with c are not left for that")
+	require.LessOrEqual(t, re.store.watchesOfC(), 3, "a watcher that starts to serve updates with the first request of c is not treated as failed")
 	return re
 }
 
@@ -271,7 +271,7 @@
 	return ok
 }
 
-// size returns how many gateways one of them counts.
+// size returns the number of gateways that one of them counts.
 func (re *relayCluster) size(box string) int {
 	ga := re.gateways[box]
 	ga.mu.Lock()
@@ -288,7 +288,7 @@
 	re.eventually(t, box, func() bool { return re.gateways[box].Table().Version() == version })
 }
 
-func TestChangesComeThroughAWatcher(t *testing.T) {
+func TestChangesAreReceivedFromWatcher(t *testing.T) {
 	re := newRelayCluster(t)
 	before := re.store.watchesOfC()
 	for version := uint64(2); version < 5; version++ {
@@ -296,15 +296,15 @@
 		re.awaitConfig(t, "c", version)
 	}
 	require.True(t, re.gateways["c"].acceptsKeys(time.Now()))
-	require.Equal(t, before, re.store.watchesOfC(), "the service is not asked")
-	require.Equal(t, "t", re.gateways["c"].Table().TeamByKey("k").Name, "all of the configuration came")
-	kept := re.gateways["c"].Updates(t.Context(), relay.Request{After: rev(1)})
-	require.True(t, kept.Unknown, "a gateway that nobody asks keeps no changes")
+	require.Equal(t, before, re.store.watchesOfC(), "c does not call the service")
+	require.Equal(t, "t", re.gateways["c"].Table().TeamByKey("k").Name, "the configuration is complete")
+	up := re.gateways["c"].Updates(t.Context(), relay.Request{After: rev(1)})
+	require.True(t, up.Unknown, "a gateway without requests for changes keeps no history")
 }
 
-// A watcher that is gone, and one that is cut off from the service: who asked it
-// hears of the next change all the same, and stays fresh.
-func TestAGatewayGoesOnWithoutItsWatchers(t *testing.T) {
+// A gateway whose watchers have ended receives the next change from the service, and its
+// configuration stays recent enough to accept keys.
+func TestGatewayStaysCurrentWhenItsWatchersFail(t *testing.T) {
 	re := newRelayCluster(t)
 	for _, box := range []string{"a", "b"} {
 		re.disableRelay(box)
@@ -316,7 +316,9 @@
 	require.True(t, re.gateways["c"].acceptsKeys(time.Now()))
 }
 
-func TestAWatcherThatIsCutOffIsLeft(t *testing.T) {
+// A gateway whose watchers are disconnected from the service watches it itself, and its
+// configuration stays recent enough to accept keys.
+func TestGatewayLeavesADisconnectedWatcher(t *testing.T) {
 	re := newRelayCluster(t)
 	re.store.setDisconnected("a", true)
 	re.store.setDisconnected("b", true)
@@ -331,9 +333,9 @@
 	re.awaitConfig(t, "a", 2)
 }
 
-// Seen in the soak with a bound of 2 s on keys: what came through a watcher was too
-// old to accept any in a third of the time.
-func TestUnderATightBoundEachGatewayWatchesItself(t *testing.T) {
+// With a bound of 2 s on the age of the configuration, changes that came through a watcher were too
+// old to accept keys for a third of the time in the soak test.
+func TestGatewayWatchesTheServiceUnderATightKeyAgeBound(t *testing.T) {
 	for revoke, relayed := range map[time.Duration]bool{2 * time.Second: false, 3 * time.Second: false, 5 * time.Second: true, 0: true} {
 		ga := &Gateway{Log: zerolog.Nop(), Box: "c", DataCentre: "dc", Bounds: Bounds{MaxConfigAge: revoke}}
 		ga.prepare()
@@ -345,9 +347,9 @@
 	}
 }
 
-// A gateway that begins to serve others with a batch has not kept that batch: who
-// asks for it must be told so.
-func TestNoChangeIsLeftOutWhereAGatewayBeginsToServe(t *testing.T) {
+// A gateway that starts to serve updates with a batch that it did not encode has no history of that
+// batch, and must report so to a gateway that requests it.
+func TestHistoryHasNoGapWhenAGatewayStartsServingUpdates(t *testing.T) {
 	ga := &Gateway{Log: zerolog.Nop(), Box: "a", DataCentre: "dc"}
 	ga.prepare()
 	member := func(box string) Change {
@@ -357,16 +359,16 @@
 	require.NoError(t, ga.applyReadState(State{Revision: rev(5), Changes: []Change{member("a"), member("b")}}, now))
 	ga.applyWatch(State{Revision: rev(7), Changes: []Change{member("c")}}, now, time.Second, now)
 	up := ga.Updates(t.Context(), relay.Request{After: rev(5)})
-	require.True(t, up.Unknown || len(up.Batches) > 0, "revision 7 brought a member")
+	require.True(t, up.Unknown || len(up.Batches) > 0, "revision 7 contains a member")
 	ga.applyWatch(State{Revision: rev(8), Changes: []Change{member("d")}}, now, time.Second, now)
 	up = ga.Updates(t.Context(), relay.Request{After: rev(7)})
 	require.False(t, up.Unknown)
 	require.Len(t, up.Batches, 1)
 }
 
-// A watcher that is gone for good is replaced by one of those that asked it, once its
-// membership has run out.
-func TestAWatcherThatIsGoneIsReplaced(t *testing.T) {
+// A watcher that has ended is replaced by one of the gateways that requested changes from it, once
+// its membership has expired.
+func TestExpiredWatcherIsReplaced(t *testing.T) {
 	re := newRelayCluster(t)
 	re.disableRelay("b")
 	re.store.add(Change{MemberGone: "b"})
@@ -375,9 +377,9 @@
 	re.awaitConfig(t, "c", 2)
 }
 
-// A gateway whose revision a watcher's history does not reach gets the whole state from it
-// and goes on from there, without a call to the service.
-func TestAWatcherBringsUpWhoIsBehind(t *testing.T) {
+// A gateway whose revision is not covered by the watcher's history receives the complete state from
+// the watcher and continues from there without a call to the service.
+func TestWatcherSendsSnapshotToGatewayWithOldRevision(t *testing.T) {
 	wa := &Gateway{Log: zerolog.Nop(), Box: "a", DataCentre: "dc"}
 	wa.prepare()
 	now := time.Now()
@@ -406,41 +408,41 @@
 
 	_, err = ga.applySnapshot(relay.Update{Whole: []byte{1, 2}}, now)
 	require.Error(t, err)
-	require.Equal(t, uint64(3), ga.Table().Version(), "what can't be read changes nothing")
+	require.Equal(t, uint64(3), ga.Table().Version(), "a state that cannot be decoded changes nothing")
 }
 
-// newStartingGateway returns a gateway of the same data centre that is not a member, whose reads come
-// in pages, and how many whole reads it has made.
+// newStartingGateway returns a gateway of the same data centre that is not a member and reads the
+// state in pages, and its number of complete reads.
 func (re *relayCluster) newStartingGateway(box string) (*Gateway, *atomic.Int64) {
-	var wholeReads atomic.Int64
+	var completeReads atomic.Int64
 	ga := &Gateway{
 		Log: zerolog.Nop(), Box: box, DataCentre: "dc", Bounds: Bounds{MaxConfigAge: 5 * time.Second},
-		Store:     storeView{store: re.store, box: box, pageSize: 8, wholeReads: &wholeReads},
+		Store:     storeView{store: re.store, box: box, pageSize: 8, completeReads: &completeReads},
 		RelayHTTP: http.DefaultClient,
 	}
 	ga.prepare()
-	return ga, &wholeReads
+	return ga, &completeReads
 }
 
-// Of a state that takes several calls to read a gateway that starts reads the first part,
-// which holds the members, and has the rest from a watcher.
-func TestOfALargeStateAWatcherTellsTheRest(t *testing.T) {
+// A gateway that starts with a state which takes several calls to read reads only the first part,
+// with the members, from the service, and the rest from a watcher.
+func TestRestOfALargeStateIsReadFromWatcher(t *testing.T) {
 	re := newRelayCluster(t)
 	for i := range 40 {
 		re.store.add(serverChange(fmt.Sprint("x", i), "dc"))
 	}
 	for _, box := range []string{"a", "b"} {
-		re.eventually(t, box+", which may be asked, knows all", func() bool {
+		re.eventually(t, box+" has the complete state", func() bool {
 			ga := re.gateways[box]
 			ga.mu.Lock()
 			defer ga.mu.Unlock()
 			return ga.servers.Len() == 40
 		})
 	}
-	ga, wholeReads := re.newStartingGateway("d")
+	ga, completeReads := re.newStartingGateway("d")
 	revision, err := ga.readState(t.Context())
 	require.NoError(t, err)
-	require.Zero(t, wholeReads.Load())
+	require.Zero(t, completeReads.Load())
 	require.Equal(t, 40, ga.servers.Len())
 	require.Equal(t, uint64(1), ga.Table().Version())
 	require.True(t, ga.acceptsKeys(time.Now()))
@@ -449,11 +451,11 @@
 	for _, box := range []string{"a", "b"} {
 		re.disableRelay(box)
 	}
-	alone, wholeReads := re.newStartingGateway("e")
+	alone, completeReads := re.newStartingGateway("e")
 	began := time.Now()
 	_, err = alone.readState(t.Context())
 	require.NoError(t, err)
-	require.Equal(t, int64(1), wholeReads.Load(), "no watcher answers")
+	require.Equal(t, int64(1), completeReads.Load(), "no watcher answered")
 	require.Equal(t, 40, alone.servers.Len())
 	require.Less(t, time.Since(began), snapshotWait+time.Second)
 }
--- a/internal/gateway/schedule_test.go
+++ b/internal/gateway/schedule_test.go
@@ -14,7 +14,7 @@
 	"github.com/linnetrudder/linnetrudder/internal/rollout"
 )
 
-// casStore keeps one phase by compare-and-swap, and its history.
+// casStore stores one phase by compare-and-swap and records its history.
 type casStore struct {
 	stored  StoredPhase
 	changes []Change
@@ -32,7 +32,7 @@
 	return true
 }
 
-// rolloutFleet is several gateways with what each has seen of the store.
+// rolloutFleet is several gateways, with the number of the store's changes that each has received.
 type rolloutFleet struct {
 	store    casStore
 	gateways []*Gateway
@@ -49,7 +49,7 @@
 	return fl
 }
 
-// start begins a gateway's life anew: it reads what is kept.
+// start replaces a gateway with a new process, which reads the stored phase.
 func (fl *rolloutFleet) start(i int) {
 	ga := &Gateway{Log: zerolog.Nop(), Box: fmt.Sprint(i), Bounds: Bounds{CanaryShare: 0.15}}
 	ga.prepare()
@@ -62,32 +62,32 @@
 
 func (fl *rolloutFleet) rollout(i int) *timedRollout { return fl.gateways[i].rollouts["s"] }
 
-func (fl *rolloutFleet) deliver(i, most int) {
-	for ; most > 0 && fl.seen[i] < len(fl.store.changes); most-- {
+func (fl *rolloutFleet) deliver(i, count int) {
+	for ; count > 0 && fl.seen[i] < len(fl.store.changes); count-- {
 		fl.gateways[i].applyChange(fl.store.changes[fl.seen[i]])
 		fl.seen[i]++
 	}
 }
 
-// decide lets a gateway store what it thinks is due. The answer may be lost, and
-// the gateway may die between the decision and the write.
+// decide makes a gateway store the phase that is due. The response may be lost, and the gateway may
+// end between the decision and the write.
 func (fl *rolloutFleet) decide(rt *rapid.T, i int, now time.Time) {
 	fl.gateways[i].settle(fl.rollout(i), now)
 	ph, due := fl.gateways[i].dueFor(fl.rollout(i), now)
 	if !due {
 		return
 	}
-	switch rapid.SampledFrom([]string{"kept", "kept", "lost", "died"}).Draw(rt, "write") {
-	case "died":
+	switch rapid.SampledFrom([]string{"stored", "stored", "response lost", "process ended"}).Draw(rt, "write") {
+	case "process ended":
 		fl.start(i)
 	default:
 		fl.store.store(ph)
 	}
 }
 
-// Whatever the order of deaths, lost answers, late news and verdicts: what is
-// stored only goes forward, ends once, and all gateways come to it.
-func TestARolloutEndsOnceUnderAnySchedule(t *testing.T) {
+// Under any order of process ends, lost responses, delayed changes and outcomes, stored phases only
+// advance, a roll-out ends once, and all gateways reach its final phase.
+func TestRolloutEndsOnceUnderAnySchedule(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		fl := newRolloutFleet(rapid.IntRange(1, 4).Draw(rt, "gateways"))
 		now := time.Now()
@@ -113,10 +113,10 @@
 		for i := range fl.gateways {
 			fl.deliver(i, len(fl.store.changes))
 		}
-		if kept := fl.store.stored.Phase; kept == rollout.Complete || kept == rollout.Failed {
+		if stored := fl.store.stored.Phase; stored == rollout.Complete || stored == rollout.Failed {
 			for i := range fl.gateways {
-				if fl.rollout(i).canary.Phase() != kept {
-					rt.Fatalf("gateway %d is in %s, %s is kept", i, fl.rollout(i).canary.Phase(), kept)
+				if fl.rollout(i).canary.Phase() != stored {
+					rt.Fatalf("gateway %d is in phase %s, stored is %s", i, fl.rollout(i).canary.Phase(), stored)
 				}
 			}
 		}
@@ -130,32 +130,32 @@
 func checkHistory(rt *rapid.T, history []rollout.Phase) {
 	for i := 1; i < len(history); i++ {
 		if rank[history[i]] < rank[history[i-1]] || rank[history[i-1]] == rank[rollout.Failed] {
-			rt.Fatalf("stored %v", history)
+			rt.Fatalf("stored phases went back or on after the end: %v", history)
 		}
 	}
 }
 
-// phaseOperation is one compare-and-swap as a gateway saw it.
+// phaseOperation is the input of one compare-and-swap.
 type phaseOperation struct {
 	compared uint64
 	phase    rollout.Phase
 }
 
-// phaseModel is the register that the gateways share: a write holds if it
-// compares with the newest revision.
+// phaseModel is the register that the gateways share. A write succeeds if it compares with the newest
+// revision.
 var phaseModel = porcupine.Model{
 	Init: func() any { return uint64(0) },
 	Step: func(state, input, output any) (bool, any) {
-		revision, op, kept := state.(uint64), input.(phaseOperation), output.(bool)
+		revision, op, stored := state.(uint64), input.(phaseOperation), output.(bool)
 		if op.compared != revision {
-			return !kept, revision
+			return !stored, revision
 		}
-		return kept, revision + 1
+		return stored, revision + 1
 	},
 }
 
-// Concurrent writers see a linearizable register, so that no two of them both
-// believe that they ended a roll-out.
+// The phase is a linearizable register for concurrent writers, so that no two gateways both
+// conclude that they ended a roll-out.
 func TestPhaseWritesAreLinearizable(t *testing.T) {
 	fl := newRolloutFleet(4)
 	now := time.Now()
@@ -165,9 +165,9 @@
 		now = now.Add(400 * time.Millisecond)
 		ph, due := fl.gateways[i].dueFor(fl.rollout(i), now)
 		if due {
-			kept := fl.store.store(ph)
+			stored := fl.store.store(ph)
 			history = append(history, porcupine.Operation{
-				ClientId: i, Input: phaseOperation{ph.Revision.Number, ph.Phase}, Call: step, Output: kept, Return: step + 2,
+				ClientId: i, Input: phaseOperation{ph.Revision.Number, ph.Phase}, Call: step, Output: stored, Return: step + 2,
 			})
 		}
 		if step%3 == 0 {
@@ -179,15 +179,16 @@
 	require.Equal(t, rollout.Complete, fl.store.stored.Phase)
 }
 
-// The naive writer stores its view whatever is kept.
-func TestANaiveWriterUndoesAFinishedRollout(t *testing.T) {
+// A writer that stores its own view whatever the stored phase is reverts a finished roll-out. The
+// test shows why writes need the comparison.
+func TestUnconditionalWriterUndoesAFinishedRollout(t *testing.T) {
 	fl := newRolloutFleet(2)
 	fl.store.store(StoredPhase{Service: "s", Order: rev(7), Phase: rollout.Complete})
 	for n := range 20 {
 		fl.gateways[1].observe(directory.Server{ID: fmt.Sprint(n), Service: "s", Version: "v2"}, "r", true)
 	}
 	settle(fl.gateways[1], fl.rollout(1))
-	naive := StoredPhase{Service: "s", Order: rev(7), Phase: fl.rollout(1).canary.Phase(), Revision: fl.store.stored.Revision}
-	require.True(t, fl.store.store(naive))
-	require.Equal(t, rollout.Failed, fl.store.stored.Phase, "the old servers are stopped, and everything goes back to them")
+	unconditional := StoredPhase{Service: "s", Order: rev(7), Phase: fl.rollout(1).canary.Phase(), Revision: fl.store.stored.Revision}
+	require.True(t, fl.store.store(unconditional))
+	require.Equal(t, rollout.Failed, fl.store.stored.Phase, "the old servers have been stopped, and all requests are sent to them again")
 }
--- a/internal/gateway/stopping_test.go
+++ b/internal/gateway/stopping_test.go
@@ -13,7 +13,7 @@
 	"github.com/linnetrudder/linnetrudder/internal/routing"
 )
 
-func TestAGatewayThatStopsTakesOnlyWhatItCanFinish(t *testing.T) {
+func TestStoppingGatewayAcceptsOnlyRequestsThatEndInTime(t *testing.T) {
 	now := time.Unix(1000, 0)
 	plain := &routing.Route{Kind: routing.Unsafe, Timeout: time.Second}
 	stream := &routing.Route{Kind: routing.Streaming, Timeout: time.Second}
@@ -22,7 +22,7 @@
 	require.True(t, none.accepts(stream, now))
 	stop := &stopPlan{drainAt: now.Add(3 * time.Second), end: now.Add(7 * time.Second)}
 	for _, ro := range []*routing.Route{plain, stream, unbounded} {
-		require.True(t, stop.accepts(ro, now.Add(2*time.Second)), "new callers may still come")
+		require.True(t, stop.accepts(ro, now.Add(2*time.Second)), "new callers may still be sent here")
 	}
 	late := now.Add(5 * time.Second)
 	require.True(t, stop.accepts(plain, late))
@@ -34,7 +34,7 @@
 	require.Equal(t, restartTime, stop.retryAfter(now.Add(time.Minute)))
 }
 
-func TestAGatewayThatStopsIsNotReadyAndStaysSo(t *testing.T) {
+func TestStoppingGatewayIsNotReady(t *testing.T) {
 	ga := &Gateway{Log: zerolog.Nop()}
 	ga.prepare()
 	now := time.Now()
@@ -43,10 +43,10 @@
 	ga.Stop(now.Add(time.Hour), now.Add(2*time.Hour))
 	require.True(t, ga.Stopping())
 	require.False(t, ga.Ready(now))
-	require.Equal(t, now, ga.stop.Load().drainAt, "the first one holds")
+	require.Equal(t, now, ga.stop.Load().drainAt, "the first call to Stop is in effect")
 }
 
-// retryRecorder keeps when refused callers may come back.
+// retryRecorder records the Retry-After of rejected requests.
 type retryRecorder struct{ after []time.Duration }
 
 func (*retryRecorder) WriteResponse(int, http.Header, []byte) error { return nil }
@@ -58,23 +58,23 @@
 	re.after = append(re.after, after)
 }
 
-func TestACallerWhomAnotherGatewayServesMayComeBackAtOnce(t *testing.T) {
+func TestRetryAfterIsShortIfAnotherGatewayIsReady(t *testing.T) {
 	ga := &Gateway{Log: zerolog.Nop()}
 	ga.prepare()
 	re := &retryRecorder{}
-	ask := func() { ga.Serve(t.Context(), &Request{Received: time.Now()}, re) }
-	ask()
+	send := func() { ga.Serve(t.Context(), &Request{Received: time.Now()}, re) }
+	send()
 	ga.Reported(relay.Report{Box: "other"})
-	ask()
+	send()
 	ga.Reported(relay.Report{Box: "other", Ready: true})
-	ask()
+	send()
 	ga.otherReadyAt = time.Now().Add(-2 * loadKept)
-	ask()
+	send()
 	usual := result.Of(result.NoConfiguration).RetryAfter()
 	require.Equal(t, []time.Duration{usual, usual, immediateRetry, usual}, re.after)
 }
 
-func TestAGatewayTellsOthersWhetherItIsReady(t *testing.T) {
+func TestReportsSayWhetherTheGatewayIsReady(t *testing.T) {
 	ga := &Gateway{Log: zerolog.Nop()}
 	ga.prepare()
 	require.False(t, ga.report(false).Ready)
