--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -30,7 +30,7 @@
 	server directory.Server
 	began  time.Time
 	// offer is how the server was chosen. prompt is the prompt that the server has to read.
-	offer  pool.Offer
+	offer  pool.Selection
 	prompt pool.Prompt
 	cancel context.CancelFunc
 	// response is nil until its head has arrived.
@@ -86,16 +86,16 @@
 		ex.firstVersion = listed.Version
 	}
 	se.offer, se.prompt = ex.offer, ex.prompt(step.Model())
-	ga.pool.Started(se.server.Key(), se.offer.Read(), now)
-	ga.sentTo(se.server, ex.route.Name, now)
+	ga.pool.Started(se.server.Key(), se.offer.PrefillTime(), now)
+	ga.recordAttempt(se.server, ex.route.Name, now)
 	se.record = ga.runs.Sent(se.server.Key(), ex.fingerprint, ex.rq.ID, now)
 	ga.awaitingHead[se] = true
-	ga.noteUnwanted(se, now)
+	ga.logUnwantedAttempt(se, now)
 	ga.mu.Unlock()
 	if step.Attempt() > 1 {
 		ex.logRetry(se)
 	}
-	headTimer := time.AfterFunc(step.Patience().Sub(now), se.onHeadTimeout)
+	headTimer := time.AfterFunc(step.SoftDeadline().Sub(now), se.onHeadTimeout)
 	se.callBackend(ctx)
 	headTimer.Stop()
 	se.abandoned = !se.headDecided.CompareAndSwap(false, true)
@@ -114,7 +114,7 @@
 // attempt began. Otherwise it waits until the final limit: such a server is slow rather than dead,
 // and an attempt at another one would repeat the work. It runs on a timer.
 func (se *attemptState) onHeadTimeout() {
-	ga, extra := se.ex.ga, se.step.Limit().Sub(se.step.Patience())
+	ga, extra := se.ex.ga, se.step.HardDeadline().Sub(se.step.SoftDeadline())
 	ga.mu.Lock()
 	alive := ga.pool.LastResponse(se.server.Key()).After(se.began)
 	ga.mu.Unlock()
@@ -139,27 +139,27 @@
 	ga, took := se.ex.ga, now.Sub(se.began)
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
-	ga.pool.Read(se.server.Key(), se.offer.Read())
+	ga.pool.PrefillDone(se.server.Key(), se.offer.PrefillTime())
 	delete(ga.awaitingHead, se)
 	if se.err == nil {
 		ga.pool.Responded(se.server.Key(), now)
 		ga.runs.Answered(se.record, now)
 	}
-	if se.err != nil && now.Before(se.step.Patience()) {
+	if se.err != nil && now.Before(se.step.SoftDeadline()) {
 		return
 	}
 	name := se.ex.modelKey(se.step.Model())
-	if !ga.isNew(se.server) {
+	if !ga.runsTrialVersion(se.server) {
 		ga.pace.Observe(name, took)
 	}
 	if se.err != nil {
 		return
 	}
-	ga.pool.Took(se.offer, se.prompt, took, now)
-	failed := se.response.Status >= direct.ServerFailed
-	ga.observe(se.server, se.ex.route.Name, failed)
+	ga.pool.HeadReceived(se.offer, se.prompt, took, now)
+	failed := se.response.Status >= direct.FirstServerError
+	ga.observeOutcome(se.server, se.ex.route.Name, failed)
 	if !failed && !se.response.Stream {
-		ga.observePace(se.server, "whole "+name+se.ex.route.Name, took, slowWhole, now)
+		ga.observeDuration(se.server, "whole "+name+se.ex.route.Name, took, slowAnswerFactor, now)
 	}
 }
 
@@ -167,7 +167,7 @@
 	ex := se.ex
 	se.response, se.err = ex.ga.Backend.Call(ctx, &Attempt{
 		Request: ex.rq, Body: ex.body, Server: se.server, Team: ex.team(), Model: se.step.Model(),
-		QueuePriority: ex.queuePriority(se.step), Timeout: ex.serverTimeout(clock.Now()), LastEventID: ex.lastEventID(se.step), NewConnection: se.step.Last(),
+		QueuePriority: ex.queuePriority(se.step), Timeout: ex.serverTimeout(clock.Now()), LastEventID: ex.lastEventID(se.step), NewConnection: se.step.FinalRun(),
 	})
 	ex.ga.applySelfReport(se, clock.Now())
 	if se.err != nil || se.response.Stream {
@@ -192,7 +192,7 @@
 	if models := ex.request.Models; len(models) > 0 && step.Model() == models[0] {
 		return highestPriority
 	}
-	return highestPriority + 1 + ex.priority() + int(ex.offer.Read()/readTimePerRank)
+	return highestPriority + 1 + ex.priority() + int(ex.offer.PrefillTime()/readTimePerRank)
 }
 
 func (ex *exchange) priority() int {
@@ -228,31 +228,31 @@
 	case errors.As(se.err, &refusal):
 		se.endNotSent("refused")
 		if refusal.Gone {
-			ex.forgetServer(se)
+			ex.removeReplacedServer(se)
 		}
 		return ex.request.Refused(now)
 	case errors.Is(se.err, ErrUnreachable):
 		se.endNotSent("unreachable")
-		ex.ga.serverEnded(se.server, "it refuses connections")
-		ex.ga.leaveServer(ctx, se, now)
+		ex.ga.recordServerEnd(se.server, "it refuses connections")
+		ex.ga.ejectUnreachable(ctx, se, now)
 		return ex.request.Unsent(now)
 	case errors.Is(se.err, ErrNotSent):
 		se.endNotSent("unsent")
-		ex.ga.judge(ctx, se, false, now)
+		ex.ga.recordHealth(ctx, se, false, now)
 		return ex.request.Unsent(now)
 	case se.err != nil:
 		se.end("lost")
 		if !se.abandoned {
-			ex.ga.brokeOff(ctx, se.server)
+			ex.ga.connectionLost(ctx, se.server)
 		}
 		if se.serverSilent.Load() || !se.abandoned {
-			ex.ga.judge(ctx, se, false, now)
+			ex.ga.recordHealth(ctx, se, false, now)
 		}
 		return ex.request.Lost(now)
 	}
-	good := se.response.Status < direct.ServerFailed
+	good := se.response.Status < direct.FirstServerError
 	if !good || !se.response.Stream {
-		ex.ga.judge(ctx, se, good, now)
+		ex.ga.recordHealth(ctx, se, good, now)
 	}
 	return ex.request.Answered(se.response.Status, se.response.Confidence, now)
 }
@@ -268,7 +268,7 @@
 	}
 	se.ex.ga.mu.Lock()
 	se.ex.ga.pool.Ended(se.server.Key())
-	se.record.Over(outcome == attemptAnswered, clock.Now())
+	se.record.Finish(outcome == attemptAnswered, clock.Now())
 	se.ex.ga.mu.Unlock()
 	countAttempt(se.server.Service, outcome)
 }
@@ -277,7 +277,7 @@
 func (se *attemptState) endNotSent(outcome string) {
 	if se.record != nil {
 		se.ex.ga.mu.Lock()
-		se.record.Unsent()
+		se.record.MarkUnsent()
 		se.ex.ga.mu.Unlock()
 	}
 	se.end(outcome)
--- a/internal/gateway/cluster_test.go
+++ b/internal/gateway/cluster_test.go
@@ -171,7 +171,7 @@
 		return nil, ErrNotSent
 	}
 	cr.recordArrival(se)
-	if pause, ok := cr.reject(at, box); ok {
+	if pause, ok := cr.rejection(at, box); ok {
 		return nil, &RefusedError{Reason: "shed", Report: selfreport.Report{RetryAfter: max(0, pause), Leaving: cr.isLeaving(se)}}
 	}
 	poison := strings.HasSuffix(at.Request.Path, "/poison")
@@ -422,7 +422,7 @@
 	}
 	router := http.NewServeMux()
 	router.Handle(relay.Path, &relay.Server{Feed: ga})
-	router.Handle(relay.LoadPath, &relay.LoadServer{Loads: ga})
+	router.Handle(relay.LoadPath, &relay.LoadServer{Handler: ga})
 	li := &pipeListener{accepted: make(chan net.Conn), closed: make(chan struct{})}
 	sc.network.mu.Lock()
 	sc.network.listeners[ga.RelayAddress] = li
@@ -518,11 +518,11 @@
 }
 
 // firstStoredBlock returns the first block that a gateway knows to be stored.
-func (sc *testCluster) firstStoredBlock(gateway int) poison.Print {
+func (sc *testCluster) firstStoredBlock(gateway int) poison.Fingerprint {
 	ga := sc.gateways[gateway]
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
-	return ga.blocks.Stored()[0].Print
+	return ga.blocks.Stored()[0].Fingerprint
 }
 
 // blockCount returns the number of requests blocked at the gateways, summed over the gateways.
@@ -530,7 +530,7 @@
 	all := 0
 	for _, ga := range sc.gateways {
 		ga.mu.Lock()
-		all += len(ga.blocks.News(clock.Now().Add(-time.Hour)))
+		all += len(ga.blocks.Recent(clock.Now().Add(-time.Hour)))
 		ga.mu.Unlock()
 	}
 	return all
@@ -550,16 +550,16 @@
 }
 
 // storedBlocks returns the blocks in the key-value service.
-func (sc *testCluster) storedBlocks() []poison.Print {
+func (sc *testCluster) storedBlocks() []poison.Fingerprint {
 	st, _, err := storeView{store: sc.servers.store}.since(rev(0))
 	require.NoError(sc.t, err)
-	var stored []poison.Print
+	var stored []poison.Fingerprint
 	for _, ch := range st.Changes {
-		if ch.Blocked != nil && !slices.Contains(stored, ch.Blocked.Print) {
-			stored = append(stored, ch.Blocked.Print)
+		if ch.Blocked != nil && !slices.Contains(stored, ch.Blocked.Fingerprint) {
+			stored = append(stored, ch.Blocked.Fingerprint)
 		}
 		if ch.Unblocked != nil {
-			stored = slices.DeleteFunc(stored, func(pr poison.Print) bool { return pr == *ch.Unblocked })
+			stored = slices.DeleteFunc(stored, func(pr poison.Fingerprint) bool { return pr == *ch.Unblocked })
 		}
 	}
 	return stored
@@ -576,5 +576,5 @@
 func (ga *Gateway) hasAttemptsAt(server string) bool {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
-	return ga.runs.Has(server)
+	return ga.runs.HasServer(server)
 }
--- a/internal/gateway/deliver.go
+++ b/internal/gateway/deliver.go
@@ -73,7 +73,7 @@
 		switch {
 		case err == nil:
 			se.end(attemptAnswered)
-			ex.ga.judge(ctx, se, true, now)
+			ex.ga.recordHealth(ctx, se, true, now)
 			ex.ga.recordStreamPace(se, events, now.Sub(began), now)
 			ex.logAnswered()
 			return
@@ -85,9 +85,9 @@
 		}
 		se.end("broken")
 		if !se.stalled.Load() {
-			ex.ga.brokeOff(ctx, se.server)
+			ex.ga.connectionLost(ctx, se.server)
 		}
-		ex.ga.judge(ctx, se, false, now)
+		ex.ga.recordHealth(ctx, se, false, now)
 		if se = ex.resume(ctx, err); se == nil {
 			return
 		}
@@ -106,16 +106,16 @@
 	}
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
-	ga.observePace(se.server, "event "+se.ex.modelKey(se.step.Model()), took/time.Duration(events-1), slowEvents, now)
+	ga.observeDuration(se.server, "event "+se.ex.modelKey(se.step.Model()), took/time.Duration(events-1), slowEventFactor, now)
 }
 
 // resume resumes a broken stream at another server. It returns nil if the request has ended instead.
 func (ex *exchange) resume(ctx context.Context, cause error) *attemptState {
 	step := ex.request.Broken(clock.Now())
-	for step.Do() == direct.Send && ctx.Err() == nil {
+	for step.Op() == direct.Send && ctx.Err() == nil {
 		se := ex.sendAttempt(ctx, step)
 		step = ex.handleOutcome(ctx, se)
-		if step.Do() == direct.Deliver && se.response.Stream {
+		if step.Op() == direct.Deliver && se.response.Stream {
 			return se
 		}
 		se.discard()
@@ -171,7 +171,7 @@
 // waiting. It runs on a timer while relayEvents waits, during which the state of the request does not
 // change.
 func (ex *exchange) onStall(se *attemptState) {
-	if ex.request.MayResume(clock.Now()) && ex.canRetryElsewhere(se) {
+	if ex.request.CanResume(clock.Now()) && ex.canRetryElsewhere(se) {
 		se.stalled.Store(true)
 		se.cancel()
 	}
@@ -182,9 +182,9 @@
 	ga, now := ex.ga, clock.Now()
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
-	ask := ga.restrict(pool.Ask{Service: ex.service, Tried: []string{se.server.ID}, Cold: ga.coldLimit(ex.service)}, ex, now)
+	ask := ga.restrictVersion(pool.Query{Service: ex.service, Tried: []string{se.server.ID}, ColdLimit: ga.coldLimit(ex.service)}, ex, now)
 	_, ok := ga.pool.Pick(ask, 0, now)
-	return ok && ga.window(ex.service).Left(now) >= 1
+	return ok && ga.window(ex.service).Remaining(now) >= 1
 }
 
 // alreadyDelivered reports whether the caller already has an event, as when a server resumes a
--- a/internal/gateway/follow.go
+++ b/internal/gateway/follow.go
@@ -130,7 +130,7 @@
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
 	longest := maxWatchWait
-	if ga.relayPlan.Root(ga.memberList()) {
+	if ga.relayPlan.IsRoot(ga.memberList()) {
 		longest = rootWatchWait
 	}
 	if ga.Bounds.MaxConfigAge == 0 {
@@ -148,7 +148,7 @@
 	ga.mu.Lock()
 	wasConnected := ga.freshness.Failed()
 	ga.relayPlan.ServiceFailed(clock.Now())
-	ga.servers.StoreLost()
+	ga.servers.StoreUnavailable()
 	age, neverRead := ga.freshness.Age(clock.Now()), !ga.freshness.Known()
 	ga.mu.Unlock()
 	storeFailures.Inc()
@@ -184,7 +184,7 @@
 
 // storeRecovered records that the service answers again. The lock is held.
 func (ga *Gateway) storeRecovered() {
-	ga.servers.StoreBack(clock.Now())
+	ga.servers.StoreAvailable(clock.Now())
 	ga.Log.Info().Int("event", int(event.StoreRegained)).Msg(event.Name(event.StoreRegained))
 }
 
@@ -208,29 +208,29 @@
 func (ga *Gateway) replaceState(st State) {
 	now := clock.Now()
 	restored := ga.restoredSince(st.Revision, now)
-	listed, evacuated, blocked := map[string]bool{}, map[string]bool{}, map[poison.Print]bool{}
+	listed, evacuated, blocked := map[string]bool{}, map[string]bool{}, map[poison.Fingerprint]bool{}
 	for _, ch := range st.Changes {
 		switch {
 		case ch.Server != nil:
 			listed[ch.Server.ID] = true
-			if restored && ga.revives(*ch.Server, now) {
+			if restored && ga.isRevived(*ch.Server, now) {
 				continue
 			}
 		case ch.Leaving != "":
-			ga.serverLeaves(ch.Leaving, clock.Now(), gossip.MostHops, "announced to a watcher")
+			ga.markLeaving(ch.Leaving, clock.Now(), gossip.MaxHops, "announced to a watcher")
 		case ch.Evacuated != "":
 			evacuated[ch.Evacuated] = true
 		case ch.Blocked != nil:
-			blocked[ch.Blocked.Print] = true
+			blocked[ch.Blocked.Fingerprint] = true
 		}
 		ga.applyChange(ch)
 	}
-	ga.keepServers(listed, restored, now)
+	ga.reconcileServers(listed, restored, now)
 	if restored {
-		ga.losePhases(st)
+		ga.markPhasesLost(st)
 	}
-	ga.keepEvacuated(evacuated, restored, now)
-	ga.liftOthers(blocked, restored, now)
+	ga.reconcileEvacuations(evacuated, restored, now)
+	ga.reconcileBlocks(blocked, restored, now)
 	ga.history.Reset(st.Revision)
 	ga.replaceMembers(st, restored, now)
 	ga.stateRead = true
@@ -280,27 +280,27 @@
 	case ch.Server != nil:
 		ga.putServer(*ch.Server, clock.Now())
 	case ch.Gone != "":
-		ga.serverGone(ch.Gone, clock.Now())
+		ga.removeServer(ch.Gone, clock.Now())
 	case ch.Unusable != nil:
-		ga.entryUnusable(*ch.Unusable)
+		ga.dropUnusableServer(*ch.Unusable)
 	case ch.Evacuated != "":
 		ga.missingDataCentres.Release(ch.Evacuated)
 		ga.evacuate(ch.Evacuated)
 	case ch.Restored != "":
 		ga.missingDataCentres.Release(ch.Restored)
-		ga.restore(ch.Restored, clock.Now())
+		ga.endEvacuation(ch.Restored, clock.Now())
 	case ch.Order != nil:
-		ga.ordered(*ch.Order)
+		ga.applyOrder(*ch.Order)
 	case ch.Phase != nil:
-		ga.stored(*ch.Phase)
+		ga.applyStoredPhase(*ch.Phase)
 	case len(ch.Tallies) > 0:
 		for _, ta := range ch.Tallies {
-			ga.tallied(ta)
+			ga.receiveTally(ta)
 		}
 	case ch.Blocked != nil:
-		ga.takeBlock(*ch.Blocked, true, clock.Now())
+		ga.applyBlock(*ch.Blocked, true, clock.Now())
 	case ch.Unblocked != nil:
-		ga.notKept(*ch.Unblocked)
+		ga.blockRemoved(*ch.Unblocked)
 	case ch.Member != nil:
 		ga.memberJoined(*ch.Member)
 	case ch.MemberGone != "":
--- a/internal/gateway/follow_test.go
+++ b/internal/gateway/follow_test.go
@@ -87,7 +87,7 @@
 
 func (sc *scriptedStore) StoreBlock(context.Context, poison.Block) error { return sc.err() }
 
-func (sc *scriptedStore) DeleteBlock(context.Context, poison.Print) error { return sc.err() }
+func (sc *scriptedStore) DeleteBlock(context.Context, poison.Fingerprint) error { return sc.err() }
 
 // Keys are accepted without interruption while the service answers, and after it is disconnected
 // for as long as the maximum age of the configuration allows, but not longer.
@@ -170,7 +170,7 @@
 }
 
 func TestLogOfChangesIsParsedByExplain(t *testing.T) {
-	ga, log := newServing(Change{Evacuated: "dc9"}, orderAt(inEra(1, 3), "v2"), phaseAt(inEra(1, 4), inEra(1, 3), rollout.Trying))
+	ga, log := newServingGateway(Change{Evacuated: "dc9"}, orderAt(inEra(1, 3), "v2"), phaseAt(inEra(1, 4), inEra(1, 3), rollout.Trying))
 	doc := coldDocument()
 	doc.Version += 7
 	ga.applyChange(Change{Document: doc})
--- a/internal/gateway/fuzz_test.go
+++ b/internal/gateway/fuzz_test.go
@@ -33,7 +33,7 @@
 // encodedChanges returns one change of each kind, encoded as a watcher sends them.
 func encodedChanges(f *testing.F) []byte {
 	f.Helper()
-	pr := poison.PrintOf(poison.Request{Target: "x"})
+	pr := poison.FingerprintOf(poison.Request{Target: "x"})
 	bl := poison.NewBlock(pr, time.Minute, clock.Day())
 	data, err := cbor.Marshal([]Change{
 		{Document: &routing.Document{Version: 4}},
@@ -103,7 +103,7 @@
 	f.Add([]byte("torn"))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		ga := newGatewayWithState()
-		_, err := ga.applySnapshot(relay.Update{Revision: rev(9), Whole: data}, clock.Now())
+		_, err := ga.applySnapshot(relay.Update{Revision: rev(9), Snapshot: data}, clock.Now())
 		if err != nil {
 			checkInvariants(t, ga)
 		}
@@ -113,11 +113,11 @@
 
 // FuzzReports applies reports of other gateways with arbitrary content.
 func FuzzReports(f *testing.F) {
-	pr := poison.PrintOf(poison.Request{Target: "x"})
+	pr := poison.FingerprintOf(poison.Request{Target: "x"})
 	data, err := cbor.Marshal(relay.Report{
 		Box: "b", Work: load.Work{1: 2}, Ready: true, Gateways: 3, Tallies: encodedChanges(f),
-		Suspicions: []poison.Suspicion{{Print: pr, Server: "s", Ago: time.Second}},
-		Blocks:     []poison.Block{poison.NewBlock(pr, time.Hour, clock.Day())}, Doubts: []poison.Print{pr},
+		Suspicions: []poison.Suspicion{{Fingerprint: pr, Server: "s", SinceCrash: time.Second}},
+		Blocks:     []poison.Block{poison.NewBlock(pr, time.Hour, clock.Day())}, Doubts: []poison.Fingerprint{pr},
 	})
 	require.NoError(f, err)
 	f.Add(data)
@@ -130,7 +130,7 @@
 		ga := newGatewayWithState()
 		answer := ga.Reported(re)
 		require.Equal(t, "a", answer.Box)
-		ga.takeRest(re, clock.Now())
+		ga.applyReportAnswer(re, clock.Now())
 		ga.expireLoads(clock.Now().Add(time.Hour))
 		checkInvariants(t, ga)
 	})
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -18,8 +18,8 @@
 	"github.com/linnetrudder/linnetrudder/internal/freshness"
 	"github.com/linnetrudder/linnetrudder/internal/gossip"
 	"github.com/linnetrudder/linnetrudder/internal/grace"
+	"github.com/linnetrudder/linnetrudder/internal/latency"
 	"github.com/linnetrudder/linnetrudder/internal/load"
-	"github.com/linnetrudder/linnetrudder/internal/pace"
 	"github.com/linnetrudder/linnetrudder/internal/poison"
 	"github.com/linnetrudder/linnetrudder/internal/pool"
 	"github.com/linnetrudder/linnetrudder/internal/quota"
@@ -133,7 +133,7 @@
 	rejoin   chan struct{}
 	// leavingGossip and pauseGossip hold the servers whose shutdown or pause is propagated to other
 	// gateways.
-	leavingGossip, pauseGossip gossip.Spread
+	leavingGossip, pauseGossip gossip.FactSet
 	// loads holds the load of servers that other gateways report. loadPlan selects the gateway that this
 	// one reports to.
 	loads    load.Table
@@ -147,20 +147,20 @@
 	// storeAvailable receives a value when another gateway reports that it is ready after none did.
 	storeAvailable chan struct{}
 	// pace tracks the usual time to the response head by service and model.
-	pace pace.Meter
+	pace latency.Meter
 	// promptSizes tracks the usual size of prompts by route and by service, modelGains by how much more
 	// confident each model is than the smallest one.
-	promptSizes sizes
-	modelGains  cascade.Gains
+	promptSizes promptSizes
+	modelGains  cascade.ConfidenceGains
 	// backlogTrends tracks the backlog of each service.
-	backlogTrends map[string]*pace.Trend
+	backlogTrends map[string]*latency.Smoother
 	// latencyFloors tracks the time that only the fastest responses or stream events stay below, by
 	// service and model.
-	latencyFloors pace.Floor
+	latencyFloors latency.Baseline
 	// retries holds the retry window of each service.
 	retries map[string]*budget.Window
 	// rollouts holds the most recent roll-out of each service.
-	rollouts map[string]*timedRollout
+	rollouts map[string]*rolloutState
 	// phases holds the stored phase of each service's roll-out.
 	phases map[string]StoredPhase
 	// demands measures the rate of attempts to each service by route.
@@ -170,19 +170,19 @@
 	runs   poison.Runs
 	probes map[string]*probe
 	// cases holds the suspicions against requests, blocks the requests that must not be sent.
-	cases  poison.Cases
+	cases  poison.Detector
 	blocks poison.Blocks
 	// blockLifted is closed and replaced when a block is lifted.
 	blockLifted chan struct{}
 	// awaitingHead holds the attempts whose response head has not arrived. storeBlockAt holds when to
 	// store the blocks that the key-value service does not have yet.
 	awaitingHead map[*attemptState]bool
-	storeBlockAt map[poison.Print]time.Time
+	storeBlockAt map[poison.Fingerprint]time.Time
 	// deleteBlockAt holds when to delete stored blocks of requests that servers here answer without
 	// ending.
-	deleteBlockAt map[poison.Print]time.Time
+	deleteBlockAt map[poison.Fingerprint]time.Time
 	// doubts holds the blocks that this gateway or another one disputes, with the time since when.
-	doubts map[poison.Print]time.Time
+	doubts map[poison.Fingerprint]time.Time
 }
 
 // Run keeps the state in step with the key-value service until the context ends.
@@ -194,7 +194,7 @@
 	var wg sync.WaitGroup
 	wg.Go(func() { ga.tick(ctx) })
 	wg.Go(func() { ga.maintainMembership(ctx) })
-	wg.Go(func() { ga.shareLoad(ctx) })
+	wg.Go(func() { ga.runLoadExchange(ctx) })
 	ga.syncState(ctx)
 	wg.Wait()
 	return ctx.Err()
@@ -209,18 +209,18 @@
 	ga.unusable = map[string]bool{}
 	ga.unreadableLog = zerolog.BurstSampler{Burst: unreadableBurst, Period: unreadablePeriod}
 	ga.aheadLog = zerolog.BurstSampler{Burst: aheadBurst, Period: aheadPeriod}
-	ga.countFleet(clock.Now())
+	ga.updateFleet(clock.Now())
 	ga.retries = map[string]*budget.Window{}
-	ga.rollouts = map[string]*timedRollout{}
+	ga.rollouts = map[string]*rolloutState{}
 	ga.phases = map[string]StoredPhase{}
 	ga.demands = map[string]*rate.Meter{}
-	ga.backlogTrends = map[string]*pace.Trend{}
+	ga.backlogTrends = map[string]*latency.Smoother{}
 	ga.probes = map[string]*probe{}
-	ga.cases = poison.Cases{Ends: poison.FewestEnds}
+	ga.cases = poison.Detector{MinCrashes: poison.MinCrashes}
 	ga.awaitingHead = map[*attemptState]bool{}
-	ga.storeBlockAt = map[poison.Print]time.Time{}
-	ga.deleteBlockAt = map[poison.Print]time.Time{}
-	ga.doubts = map[poison.Print]time.Time{}
+	ga.storeBlockAt = map[poison.Fingerprint]time.Time{}
+	ga.deleteBlockAt = map[poison.Fingerprint]time.Time{}
+	ga.doubts = map[poison.Fingerprint]time.Time{}
 	ga.members = map[string]relay.Member{}
 	ga.relayPlan = relay.Plan{Box: ga.Box, DataCentre: ga.DataCentre}
 	ga.loadPlan = ga.relayPlan
@@ -289,11 +289,11 @@
 			ga.recordTick(now)
 			ga.logSuspension()
 			ga.dropMissing(now)
-			ga.dropLost(now)
-			ga.watchServers(now)
+			ga.expireLost(now)
+			ga.tickServers(now)
 			ga.expireLoads(now)
-			ga.settleRuns(ctx, now)
-			ga.keepBlocks(ctx, now)
+			ga.updateRuns(ctx, now)
+			ga.maintainBlocks(ctx, now)
 			ga.advanceRollouts(ctx, now)
 		}
 	}
@@ -319,7 +319,7 @@
 func (ga *Gateway) window(service string) *budget.Window {
 	wi := ga.retries[service]
 	if wi == nil {
-		wi = &budget.Window{Span: ga.Bounds.RetryWindow, Ratio: ga.Bounds.RetryRatio * ownRatio, Slack: ownSlack}
+		wi = &budget.Window{Span: ga.Bounds.RetryWindow, Ratio: ga.Bounds.RetryRatio * ownRatio, Allowance: ownSlack}
 		ga.retries[service] = wi
 	}
 	return wi
--- a/internal/gateway/membership.go
+++ b/internal/gateway/membership.go
@@ -76,7 +76,7 @@
 func (ga *Gateway) neededAsMember() bool {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
-	return ga.stateRead && ga.relayPlan.Needed(ga.memberList(), ga.LinkMbps)
+	return ga.stateRead && ga.relayPlan.ShouldJoin(ga.memberList(), ga.LinkMbps)
 }
 
 // renewMembership renews the lease, or joins if there is none.
@@ -110,7 +110,7 @@
 	ga.members[me.Box] = me
 	ga.missingMembers.Release(me.Box)
 	if !known {
-		ga.resize()
+		ga.updateSize()
 		ga.logMember(event.MemberJoined, me.Box)
 	}
 }
@@ -154,7 +154,7 @@
 	ga.missingMembers.Release(box)
 	if _, known := ga.members[box]; known {
 		delete(ga.members, box)
-		ga.resize()
+		ga.updateSize()
 		ga.logMember(event.MemberLeft, box)
 	}
 }
--- a/internal/gateway/relay.go
+++ b/internal/gateway/relay.go
@@ -48,7 +48,7 @@
 	}
 	if wa.Address != ga.relayClient.Address {
 		ga.relayClient.Close()
-		ga.relayClient = relay.Client{Address: wa.Address, Slack: relaySlack, HTTP: ga.RelayHTTP}
+		ga.relayClient = relay.Client{Address: wa.Address, Timeout: relaySlack, HTTP: ga.RelayHTTP}
 		ga.logWatcher(wa, ok)
 	}
 	return wa, ok
@@ -67,13 +67,13 @@
 // revision to continue from.
 func (ga *Gateway) requestUpdates(ctx context.Context, after revision.Revision) (revision.Revision, error) {
 	sent := clock.Now()
-	up, err := ga.relayClient.Ask(ctx, relay.Request{After: after, Wait: ga.updateWait()})
+	up, err := ga.relayClient.Fetch(ctx, relay.Request{After: after, Wait: ga.updateWait()})
 	switch {
 	case err != nil:
 		return after, err
 	case up.Age > maxRelayAge:
 		return after, errWatcherStale
-	case up.Whole != nil:
+	case up.Snapshot != nil:
 		next, err := ga.applySnapshot(up, sent)
 		if err != nil {
 			return after, err
@@ -128,7 +128,7 @@
 func (ga *Gateway) mayCatchUp(now time.Time) bool {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
-	return ga.relayPlan.CatchUp(now)
+	return ga.relayPlan.AllowCatchUp(now)
 }
 
 // watcherFailed records that a watcher failed.
@@ -137,7 +137,7 @@
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
 	if errors.Is(cause, errWatcherStale) {
-		ga.relayPlan.Old(wa.Box, now)
+		ga.relayPlan.Stale(wa.Box, now)
 	} else {
 		ga.relayPlan.Failed(wa.Box, now)
 	}
--- a/internal/gateway/schedule_test.go
+++ b/internal/gateway/schedule_test.go
@@ -55,12 +55,12 @@
 	ga.prepare()
 	fl.gateways[i], fl.seen[i] = ga, len(fl.store.changes)
 	if !fl.store.stored.Revision.IsZero() {
-		ga.stored(fl.store.stored)
+		ga.applyStoredPhase(fl.store.stored)
 	}
-	ga.ordered(fl.order)
+	ga.applyOrder(fl.order)
 }
 
-func (fl *rolloutFleet) rollout(i int) *timedRollout { return fl.gateways[i].rollouts["s"] }
+func (fl *rolloutFleet) rollout(i int) *rolloutState { return fl.gateways[i].rollouts["s"] }
 
 func (fl *rolloutFleet) deliver(i, count int) {
 	for ; count > 0 && fl.seen[i] < len(fl.store.changes); count-- {
@@ -72,8 +72,8 @@
 // decide makes a gateway store the phase that is due. The response may be lost, and the gateway may
 // end between the decision and the write.
 func (fl *rolloutFleet) decide(rt *rapid.T, i int, now time.Time) {
-	fl.gateways[i].settle(fl.rollout(i), now)
-	ph, due := fl.gateways[i].dueFor(fl.rollout(i), now)
+	fl.gateways[i].applyVerdict(fl.rollout(i), now)
+	ph, due := fl.gateways[i].phaseToStore(fl.rollout(i), now)
 	if !due {
 		return
 	}
@@ -103,7 +103,7 @@
 			case 4:
 				for n := range 8 {
 					se := directory.Server{ID: fmt.Sprint(n % 3), Service: "s", Version: "v2"}
-					fl.gateways[i].observe(se, "r", true)
+					fl.gateways[i].observeOutcome(se, "r", true)
 				}
 			case 5:
 				fl.start(i)
@@ -163,7 +163,7 @@
 	for step := range int64(60) {
 		i := int(step) % len(fl.gateways)
 		now = now.Add(400 * time.Millisecond)
-		ph, due := fl.gateways[i].dueFor(fl.rollout(i), now)
+		ph, due := fl.gateways[i].phaseToStore(fl.rollout(i), now)
 		if due {
 			stored := fl.store.store(ph)
 			history = append(history, porcupine.Operation{
@@ -185,9 +185,9 @@
 	fl := newRolloutFleet(2)
 	fl.store.store(StoredPhase{Service: "s", Order: rev(7), Phase: rollout.Complete})
 	for n := range 20 {
-		fl.gateways[1].observe(directory.Server{ID: fmt.Sprint(n), Service: "s", Version: "v2"}, "r", true)
+		fl.gateways[1].observeOutcome(directory.Server{ID: fmt.Sprint(n), Service: "s", Version: "v2"}, "r", true)
 	}
-	settle(fl.gateways[1], fl.rollout(1))
+	awaitVerdict(fl.gateways[1], fl.rollout(1))
 	unconditional := StoredPhase{Service: "s", Order: rev(7), Phase: fl.rollout(1).canary.Phase(), Revision: fl.store.stored.Revision}
 	require.True(t, fl.store.store(unconditional))
 	require.Equal(t, rollout.Failed, fl.store.stored.Phase, "the old servers have been stopped, and all requests are sent to them again")
--- a/internal/gateway/selfreports.go
+++ b/internal/gateway/selfreports.go
@@ -37,7 +37,7 @@
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
 	if re.Err != nil {
-		ga.noteUnreadable(key, re.Err)
+		ga.logUnreadableReport(key, re.Err)
 	}
 	if se.response != nil && re.Err == nil || re.Limit != nil {
 		// A rejection without a limit does not end one: it may be older than the limit.
@@ -47,14 +47,14 @@
 	case re.RetryAfter > 0:
 		ga.pauseServer(key, re.RetryAfter, now)
 	case se.response == nil:
-		if ga.pool.Pauses.Rejected(key, now) {
-			ga.pauseGossip.Learn(key, 0, now)
+		if ga.pool.Pauses.RecordRejected(key, now) {
+			ga.pauseGossip.Add(key, 0, now)
 		}
 	default:
-		ga.pool.Pauses.Accepted(key, now)
+		ga.pool.Pauses.RecordAccepted(key, now)
 	}
 	if re.Leaving {
-		ga.serverLeaves(key, now, 0, "announced in an answer")
+		ga.markLeaving(key, now, 0, "announced in an answer")
 	}
 }
 
@@ -63,13 +63,13 @@
 	if !ga.pool.Pauses.Begin(key, lasts, now) {
 		return
 	}
-	ga.pauseGossip.Learn(key, 0, now)
+	ga.pauseGossip.Add(key, 0, now)
 	serverPauses.Inc()
 	ga.Log.Info().Int("event", int(event.ServerPaused)).Str("server", key).Dur("for_ms", lasts).Msg(event.Name(event.ServerPaused))
 }
 
 // noteUnreadable logs a report that could not be read, and counts all of them.
-func (ga *Gateway) noteUnreadable(key string, why error) {
+func (ga *Gateway) logUnreadableReport(key string, why error) {
 	reportsUnreadable.Inc()
 	lo := ga.Log.Sample(&ga.unreadableLog)
 	lo.Warn().Int("event", int(event.ReportUnreadable)).Str("server", key).Err(why).Msg(event.Name(event.ReportUnreadable))
@@ -77,13 +77,13 @@
 
 // serverLeaves takes a server out of use that announced its shutdown, and propagates that to other
 // gateways. The lock is held.
-func (ga *Gateway) serverLeaves(key string, at time.Time, hops uint8, detail string) {
-	if !ga.servers.Leave(key, at) {
+func (ga *Gateway) markLeaving(key string, at time.Time, hops uint8, detail string) {
+	if !ga.servers.MarkLeaving(key, at) {
 		return
 	}
-	ga.leavingGossip.Learn(key, hops, clock.Now())
+	ga.leavingGossip.Add(key, hops, clock.Now())
 	serversLeaving.Inc()
-	ga.noteServer(event.ServerLeaving, key, detail)
+	ga.logServer(event.ServerLeaving, key, detail)
 }
 
 // receiveNotices applies another gateway's notices of what servers reported. The lock is held.
@@ -91,18 +91,18 @@
 	ga.receiveLimitNotices(re, now)
 	for _, no := range re.Leaving {
 		if no.Valid() {
-			ga.serverLeaves(no.Server, now.Add(-no.Age), no.Hops+1, "announced to "+re.Box)
+			ga.markLeaving(no.Server, now.Add(-no.Age), no.Hops+1, "announced to "+re.Box)
 		}
 	}
 	for _, no := range re.Pauses {
-		if no.Valid() && ga.servers.Life(no.Server) != nil && ga.pool.Pauses.Told(no.Server, no.Lasts-no.Age, now) {
-			ga.pauseGossip.Learn(no.Server, no.Hops+1, now)
+		if no.Valid() && ga.servers.ByKey(no.Server) != nil && ga.pool.Pauses.RecordRemote(no.Server, no.Duration-no.Age, now) {
+			ga.pauseGossip.Add(no.Server, no.Hops+1, now)
 		}
 	}
 }
 
 // addNotices adds notices of what servers reported to a report for another gateway. The lock is held.
-func (ga *Gateway) addNotices(re *relay.Report, to gossip.Peer, now time.Time) {
+func (ga *Gateway) addNotices(re *relay.Report, to gossip.Direction, now time.Time) {
 	re.Limits = ga.pool.Limits.Notices(to, now)
 	for _, fa := range ga.leavingGossip.Due(to, now) {
 		if at, ok := ga.servers.LeavingSince(fa.Key()); ok {
@@ -111,17 +111,17 @@
 	}
 	for _, fa := range ga.pauseGossip.Due(to, now) {
 		if left := ga.pool.Pauses.Remaining(fa.Key(), now); left > 0 {
-			re.Pauses = append(re.Pauses, gossip.Notice{Server: fa.Key(), Hops: fa.Hops(), Lasts: left})
+			re.Pauses = append(re.Pauses, gossip.Notice{Server: fa.Key(), Hops: fa.Hops(), Duration: left})
 		}
 	}
 }
 
 // noteUnwanted logs an attempt that is sent although its server asked for none. The lock is
 // held.
-func (ga *Gateway) noteUnwanted(se *attemptState, now time.Time) {
+func (ga *Gateway) logUnwantedAttempt(se *attemptState, now time.Time) {
 	key := se.server.Key()
 	since, leaving := ga.servers.LeavingSince(key)
-	pause := ga.pool.Pauses.Left(key, now)
+	pause := ga.pool.Pauses.LocalRemaining(key, now)
 	if !leaving && pause == 0 {
 		return
 	}
@@ -135,7 +135,7 @@
 }
 
 // endPauses logs the pauses of servers that are over.
-func (ga *Gateway) endPauses(now time.Time) {
+func (ga *Gateway) expirePauses(now time.Time) {
 	for _, en := range ga.pool.Pauses.Tick(now) {
 		ga.Log.Info().Int("event", int(event.ServerResumed)).Str("server", en.Server).Int("sent", en.Sent).
 			Msg(event.Name(event.ServerResumed))
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -43,12 +43,12 @@
 		return
 	}
 	ex.body = body
-	ex.fingerprint = poison.PrintOf(poison.Request{
+	ex.fingerprint = poison.FingerprintOf(poison.Request{
 		Team: ex.team(), Method: rq.Method, Host: rq.Host, Target: rq.Target, Body: body,
 	})
 	ctx, cancel := context.WithTimeout(ctx, clock.Until(ex.request.Deadline))
 	defer cancel()
-	ex.awaitVerdict(ctx)
+	ex.awaitTrial(ctx)
 	ex.run(ctx)
 }
 
@@ -60,7 +60,7 @@
 func (ex *exchange) retryAfter(co result.Code, after time.Duration) time.Duration {
 	switch co {
 	case result.StaleConfiguration, result.NoConfiguration, result.Leaving:
-		if ex.ga.elsewhere(ex.rq.Received) {
+		if ex.ga.otherGatewayReady(ex.rq.Received) {
 			return immediateRetry
 		}
 	}
@@ -86,7 +86,7 @@
 	body        []byte
 	// fingerprint identifies equal requests. It is known once the body has been read. trial is set if
 	// the request is sent once although it is blocked.
-	fingerprint poison.Print
+	fingerprint poison.Fingerprint
 	trial       bool
 	request     direct.Request
 	// attempts holds the attempts by number.
@@ -94,13 +94,13 @@
 	// firstVersion is the version of the server that received the first attempt, empty before that.
 	firstVersion string
 	// offer is the server that was chosen last.
-	offer pool.Offer
+	offer pool.Selection
 	// choice describes the last choice of a model. smallestConfidence is the confidence of the smallest
 	// model's response.
 	choice             modelChoice
 	smallestConfidence int
 	// held is the response before an escalation, nil once it is not needed any more.
-	held *heldAnswer
+	held *fallbackAnswer
 	// finalAttempt is the attempt whose response the caller receives, nil before there is one.
 	finalAttempt *attemptState
 	// deliveredID is the id of the last event that the caller received.
@@ -123,7 +123,7 @@
 	if ex.route == nil {
 		return ex.notFound(result.UnknownPath)
 	}
-	if ex.table.Protected() && !ex.route.Public {
+	if ex.table.RequiresKeys() && !ex.route.Public {
 		if !ga.acceptsKeys(now) {
 			return result.StaleConfiguration
 		}
@@ -157,7 +157,7 @@
 // prepareRequest fills in the request from its route.
 func (ex *exchange) prepareRequest() {
 	rq, ro := ex.rq, ex.route
-	ex.service = ro.Pick(rand.Float64())
+	ex.service = ro.PickService(rand.Float64())
 	ex.draw = rand.Float64()
 	ex.session = rq.Session
 	if ex.session == "" && len(rq.Prompt) > 0 {
@@ -175,7 +175,7 @@
 		Idempotent: ro.Idempotent(), Resumable: ro.Kind == routing.Streaming && ro.Resumable,
 		MaxRuns:  max(defaultMaxRuns, ro.Attempts),
 		Received: rq.Received, Target: rq.Received.Add(ro.Target), Deadline: rq.Received.Add(limit),
-		Picker: ex, Retries: ex, Cascade: ex, Pace: ex, Blocks: ex,
+		Picker: ex, RetryBudget: ex, Cascade: ex, Latency: ex, Blocklist: ex,
 	}
 	if rq.AnyModel {
 		ex.request.Models = ro.Models
@@ -201,17 +201,17 @@
 func (ex *exchange) Wait(model string, tried []string, now time.Time) time.Duration {
 	ex.ga.mu.Lock()
 	defer ex.ga.mu.Unlock()
-	return ex.ga.pool.Wait(ex.poolRequest(model, tried, now), now)
+	return ex.ga.pool.RetryAfter(ex.poolRequest(model, tried, now), now)
 }
 
 // poolRequest returns the requirements of an attempt on its server. The lock is held.
-func (ex *exchange) poolRequest(model string, tried []string, now time.Time) pool.Ask {
-	ask := pool.Ask{
-		Service: ex.service, Tried: tried, Prompt: ex.prompt(model), Cold: ex.ga.coldLimit(ex.service), Alone: ex.trial,
+func (ex *exchange) poolRequest(model string, tried []string, now time.Time) pool.Query {
+	ask := pool.Query{
+		Service: ex.service, Tried: tried, Prompt: ex.prompt(model), ColdLimit: ex.ga.coldLimit(ex.service), PreferIdle: ex.trial,
 		// Only first attempts probe, since a request that was rejected once would be rejected again.
 		Probe: len(ex.attempts) == 0,
 	}
-	return ex.ga.restrict(ask, ex, now)
+	return ex.ga.restrictVersion(ask, ex, now)
 }
 
 // Take consumes a retry of the service's window if there is one.
@@ -230,7 +230,7 @@
 	if ex.ga.pool.Pauses.Any() {
 		reserve = retryReserve
 	}
-	return ex.ga.window(ex.service).TakeSpare(reserve, now)
+	return ex.ga.window(ex.service).TakeOptional(reserve, now)
 }
 
 // Blocked returns the time after which the caller should retry a request that must not be sent,
@@ -241,7 +241,7 @@
 	}
 	ex.ga.mu.Lock()
 	defer ex.ga.mu.Unlock()
-	return ex.ga.blocks.Return(ex.fingerprint, now)
+	return ex.ga.blocks.RetryAfter(ex.fingerprint, now)
 }
 
 // Usual returns the usual time to the head of a model's response, or a multiple of the time
@@ -254,7 +254,7 @@
 	if model == "" {
 		return usual
 	}
-	return max(usual, expectedHeadFactor*ex.offer.Head())
+	return max(usual, expectedHeadFactor*ex.offer.TimeToHead())
 }
 
 // run executes the request's steps until it has its outcome.
@@ -268,28 +268,28 @@
 	}
 	ex.ga.mu.Unlock()
 	step := ex.request.Begin(now)
-	defer ex.dropHeld()
+	defer ex.dropFallback()
 	var at *attemptState
 	for {
-		switch step.Do() {
+		switch step.Op() {
 		case direct.Refuse:
 			ex.writeError(step.Code(), "", step.RetryAfter())
 			return
 		case direct.Send:
-			ex.replace(at, step)
+			ex.releasePrevious(at, step)
 			at = ex.sendAttempt(ctx, step)
-			ex.checkHeld(at)
+			ex.checkFallback(at)
 			step = ex.handleOutcome(ctx, at)
 		case direct.Deliver:
 			if step.Fallback() {
-				at = ex.fallBack(at)
+				at = ex.useFallback(at)
 			}
 			ex.deliver(ctx, at)
 			return
 		default:
 			return
 		}
-		if ctx.Err() != nil && step.Do() != direct.Deliver {
+		if ctx.Err() != nil && step.Op() != direct.Deliver {
 			ex.callerGone(ctx, at)
 			return
 		}
@@ -340,7 +340,7 @@
 		le = last.addLogFields(le)
 	}
 	if len(ex.request.Models) > 0 {
-		le = ex.choice.describe(le.Int("prompt", ex.rq.PromptTokens).Dur("target_ms", ex.route.Target))
+		le = ex.choice.addLogFields(le.Int("prompt", ex.rq.PromptTokens).Dur("target_ms", ex.route.Target))
 	}
 	le.Str("detail", detail).Msg(event.Name(id))
 }
--- a/internal/gateway/snapshot.go
+++ b/internal/gateway/snapshot.go
@@ -58,7 +58,7 @@
 // applySnapshot applies a complete state sent by a watcher.
 func (ga *Gateway) applySnapshot(up relay.Update, sent time.Time) (revision.Revision, error) {
 	st := State{Revision: up.Revision}
-	if err := cbor.Unmarshal(up.Whole, &st.Changes); err != nil {
+	if err := cbor.Unmarshal(up.Snapshot, &st.Changes); err != nil {
 		return revision.Revision{}, eris.Wrap(err, "decode state")
 	}
 	ga.mu.Lock()
@@ -94,18 +94,18 @@
 // readFromWatcher reads the complete state from a watcher, which may have to read it first. It
 // reports false if the watcher does not have it within snapshotWait.
 func (ga *Gateway) readFromWatcher(ctx context.Context, wa relay.Member) (revision.Revision, bool) {
-	cl := relay.Client{Address: wa.Address, Slack: snapshotSlack, HTTP: ga.RelayHTTP}
+	cl := relay.Client{Address: wa.Address, Timeout: snapshotSlack, HTTP: ga.RelayHTTP}
 	defer cl.Close()
 	var lastErr error
 	for end := clock.Now().Add(snapshotWait); ctx.Err() == nil && clock.Now().Before(end); sleep(ctx, snapshotRetryPause) {
 		sent := clock.Now()
-		up, err := cl.Ask(ctx, relay.Request{})
+		up, err := cl.Fetch(ctx, relay.Request{})
 		switch {
 		case err != nil:
 			lastErr = err
 		case up.Age > maxRelayAge:
 			lastErr = errWatcherStale
-		case up.Whole == nil:
+		case up.Snapshot == nil:
 			lastErr = errWatcherHistory
 		default:
 			at, err := ga.applySnapshot(up, sent)
@@ -129,10 +129,10 @@
 	}
 	for _, se := range ga.servers.Listed() {
 		listed := *se
-		listed.ColdFor = ga.pool.Warmup.Left(se.Key(), clock.Now())
+		listed.ColdFor = ga.pool.Warmup.Remaining(se.Key(), clock.Now())
 		all = append(all, Change{Server: &listed})
 	}
-	for _, id := range ga.servers.EndedSince(ga.endedFrom(clock.Now())) {
+	for _, id := range ga.servers.EndedSince(ga.endedServersSince(clock.Now())) {
 		all = append(all, Change{Gone: id})
 	}
 	for _, key := range ga.servers.Leaving() {
@@ -164,7 +164,7 @@
 // cover, with the complete state if this gateway has it. The lock is held.
 func (ga *Gateway) answerUnknownRevision(age time.Duration) relay.Update {
 	up := relay.Update{Revision: ga.history.Revision(), Age: age, Unknown: true}
-	if !ga.stateRead || !ga.relayPlan.Watches(ga.memberList()) {
+	if !ga.stateRead || !ga.relayPlan.IsWatcher(ga.memberList()) {
 		return up
 	}
 	now := clock.Now()
@@ -176,7 +176,7 @@
 		}
 		ga.snapshot = encodedSnapshot{data: data, revision: up.Revision, at: now}
 	}
-	up.Whole = ga.snapshot.data
+	up.Snapshot = ga.snapshot.data
 	return up
 }
 
--- a/internal/gateway/types.go
+++ b/internal/gateway/types.go
@@ -196,8 +196,8 @@
 	// Tallies are the outcomes that gateways report for a new version.
 	Tallies []Tally `cbor:",omitempty"`
 	// Blocked is a request that must not be sent to servers. Unblocked is one that may be sent again.
-	Blocked   *poison.Block `cbor:",omitempty"`
-	Unblocked *poison.Print `cbor:",omitempty"`
+	Blocked   *poison.Block       `cbor:",omitempty"`
+	Unblocked *poison.Fingerprint `cbor:",omitempty"`
 	// Member is a gateway that is a member. MemberGone is the box of a gateway whose membership ended.
 	Member     *relay.Member `cbor:",omitempty"`
 	MemberGone string        `cbor:",omitempty"`
@@ -313,7 +313,7 @@
 	StoreTallies(ctx context.Context, box string, tallies []Tally) error
 	// StoreBlock stores a block, DeleteBlock removes it.
 	StoreBlock(ctx context.Context, bl poison.Block) error
-	DeleteBlock(ctx context.Context, pr poison.Print) error
+	DeleteBlock(ctx context.Context, pr poison.Fingerprint) error
 	// Join makes a gateway a member for as long as the lease is renewed.
 	Join(ctx context.Context, me relay.Member, ttl time.Duration) (Lease, error)
 	// RenewLease renews a lease. It returns ErrLeaseExpired if the lease does not exist any more.
--- a/standin/trial/load.go
+++ b/standin/trial/load.go
@@ -253,7 +253,7 @@
 // pool is the system: a board and a retry budget at each entry, a gate at each
 // server.
 type pool struct {
-	boards  [rushEntries]balance.Board
+	boards  [rushEntries]balance.Balancer
 	budgets [rushEntries]budget.Teams
 	gates   [rushServers]gate.Gate
 	jobs    map[gate.Key]*job
@@ -281,14 +281,14 @@
 	sn := config.Compile(1, doc)
 	begin := time.Unix(1_800_000_000, 0)
 	for i := range po.gates {
-		po.gates[i] = gate.Gate{Server: serverName(i), Queue: rushQueue}
+		po.gates[i] = gate.Gate{Server: serverName(i), MaxQueued: rushQueue}
 		po.gates[i].Reconfigure(sn, begin)
 		po.gates[i].Confirm(1, begin)
 	}
 	for e := range po.boards {
-		po.boards[e] = balance.Board{DataCentre: "dc"}
+		po.boards[e] = balance.Balancer{DataCentre: "dc"}
 		for i := range rushServers {
-			po.boards[e].Up(serverName(i), "dc")
+			po.boards[e].LinkUp(serverName(i), "dc")
 		}
 		po.boards[e].Reconfigure(sn)
 		po.budgets[e] = budget.Teams{Ratio: 0.1}
@@ -305,7 +305,7 @@
 }
 
 func (po *pool) arrive(st *stage, jo *job, now time.Time) {
-	po.budgets[jo.entry].Of(teamName(jo.team)).Earn(now)
+	po.budgets[jo.entry].For(teamName(jo.team)).Deposit(now)
 	po.send(st, jo, now)
 }
 
@@ -317,7 +317,7 @@
 	}
 	jo.tried = append(jo.tried, server)
 	jo.tries++
-	po.boards[jo.entry].Sent(server)
+	po.boards[jo.entry].AttemptSent(server)
 	po.stream++
 	key := gate.Key{Link: fmt.Sprint(jo.entry), Stream: po.stream}
 	po.jobs[key] = jo
@@ -328,7 +328,7 @@
 			return
 		}
 		at := &wire.Attempt{Team: teamName(jo.team), Version: "m@v1", WaitMS: max(0, jo.deadline.Sub(now).Milliseconds())}
-		po.act(st, i, po.gates[i].Open(key, at, now), now)
+		po.act(st, i, po.gates[i].Submit(key, at, now), now)
 		po.watch(st, i, jo)
 	})
 }
@@ -346,15 +346,15 @@
 	for _, ac := range acs {
 		jo := po.jobs[ac.Key()]
 		lo := po.gates[i].Load()
-		if ac.Do() == gate.Start {
+		if ac.Kind() == gate.Start {
 			st.began(jo, now)
-			st.at(now.Add(wireDelay), func(time.Time) { po.boards[jo.entry].Load(serverName(i), lo) })
+			st.at(now.Add(wireDelay), func(time.Time) { po.boards[jo.entry].SetLoad(serverName(i), lo) })
 			st.at(now.Add(jo.service), func(now time.Time) { po.ended(st, i, ac.Key(), now) })
 			continue
 		}
 		delete(po.jobs, ac.Key())
 		st.at(now.Add(wireDelay), func(now time.Time) {
-			po.boards[jo.entry].Load(serverName(i), lo)
+			po.boards[jo.entry].SetLoad(serverName(i), lo)
 			po.refused(st, jo, now)
 		})
 	}
@@ -365,14 +365,14 @@
 	delete(po.jobs, key)
 	po.act(st, i, po.gates[i].Ended(key, now), now)
 	lo := po.gates[i].Load()
-	st.at(now.Add(wireDelay), func(time.Time) { po.boards[jo.entry].Load(serverName(i), lo) })
+	st.at(now.Add(wireDelay), func(time.Time) { po.boards[jo.entry].SetLoad(serverName(i), lo) })
 }
 
 // maxTries is how often the route tries servers.
 const maxTries = 4
 
 func (po *pool) refused(st *stage, jo *job, now time.Time) {
-	if jo.tries >= maxTries || !now.Before(jo.deadline) || !po.budgets[jo.entry].Of(teamName(jo.team)).Take(now) {
+	if jo.tries >= maxTries || !now.Before(jo.deadline) || !po.budgets[jo.entry].For(teamName(jo.team)).Take(now) {
 		st.gaveUp(jo, now)
 		return
 	}
@@ -381,7 +381,7 @@
 
 func (po *pool) lose(_ *stage, i int, _ time.Time) {
 	for e := range po.boards {
-		po.boards[e].Down(serverName(i))
+		po.boards[e].LinkDown(serverName(i))
 	}
 }
 
@@ -390,6 +390,6 @@
 	po.gates[i].Tick(now)
 	po.gates[i].Confirm(1, now)
 	for e := range po.boards {
-		po.boards[e].Up(serverName(i), "dc")
+		po.boards[e].LinkUp(serverName(i), "dc")
 	}
 }
