--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -29,10 +29,10 @@
 	step   direct.Step
 	server directory.Server
 	began  time.Time
-	// offer is how the server was chosen. prompt is the prompt that the server has to read.
-	offer  pool.Selection
-	prompt pool.Prompt
-	cancel context.CancelFunc
+	// selection is how the server was chosen. prompt is the prompt that the server has to read.
+	selection pool.Selection
+	prompt    pool.Prompt
+	cancel    context.CancelFunc
 	// response is nil until its head has arrived.
 	response *Response
 	// body is the complete body of a response that is not a stream, or its first maxBufferedBytes.
@@ -47,8 +47,8 @@
 	record    *poison.Run
 	abandoned bool
 	// headDecided is set once, either when sendAttempt has received the response or by the timer that
-	// abandons the attempt. serverSilent is set if the timer did so because the server sent nothing on
-	// any connection.
+	// abandons the attempt. serverSilent is set if the timer did so because the server had sent no
+	// response to any attempt since this one began.
 	headDecided, serverSilent atomic.Bool
 	// stalled is set if the stream was abandoned because no events arrived.
 	stalled atomic.Bool
@@ -85,8 +85,8 @@
 	if ex.firstVersion == "" {
 		ex.firstVersion = listed.Version
 	}
-	se.offer, se.prompt = ex.offer, ex.prompt(step.Model())
-	ga.pool.Started(se.server.Key(), se.offer.PrefillTime(), now)
+	se.selection, se.prompt = ex.selection, ex.prompt(step.Model())
+	ga.pool.Started(se.server.Key(), se.selection.PrefillTime(), now)
 	ga.recordAttempt(se.server, ex.route.Name, now)
 	se.record = ga.runs.Sent(se.server.Key(), ex.fingerprint, ex.rq.ID, now)
 	ga.awaitingHead[se] = true
@@ -95,12 +95,12 @@
 	if step.Attempt() > 1 {
 		ex.logRetry(se)
 	}
-	headTimer := time.AfterFunc(step.SoftDeadline().Sub(now), se.onHeadTimeout)
+	headTimer := time.AfterFunc(step.SoftDeadline().Sub(now), se.onSoftDeadline)
 	se.callBackend(ctx)
 	headTimer.Stop()
 	se.abandoned = !se.headDecided.CompareAndSwap(false, true)
 	if se.abandoned && se.err == nil {
-		// The attempt was abandoned just as the head arrived, and the call is already cancelled.
+		// The attempt was abandoned just as the response arrived, and the call is already cancelled.
 		se.err = errAbandoned
 	}
 	se.recordHead(clock.Now())
@@ -110,10 +110,10 @@
 // errAbandoned means that the response arrived just after its attempt was abandoned.
 var errAbandoned = eris.New("attempt was abandoned before its response arrived")
 
-// onHeadTimeout abandons the attempt if its server has sent nothing on any connection since the
-// attempt began. Otherwise it waits until the final limit: such a server is slow rather than dead,
+// onSoftDeadline abandons the attempt if its server has sent no response to any attempt since this
+// one began. Otherwise it waits until the hard deadline: such a server is slow rather than dead,
 // and an attempt at another one would repeat the work. It runs on a timer.
-func (se *attemptState) onHeadTimeout() {
+func (se *attemptState) onSoftDeadline() {
 	ga, extra := se.ex.ga, se.step.HardDeadline().Sub(se.step.SoftDeadline())
 	ga.mu.Lock()
 	alive := ga.pool.LastResponse(se.server.Key()).After(se.began)
@@ -125,7 +125,7 @@
 	time.AfterFunc(extra, func() { se.abandon(false) })
 }
 
-// abandon cancels the call if no head has arrived.
+// abandon cancels the call if its response has not arrived.
 func (se *attemptState) abandon(silent bool) {
 	if se.headDecided.CompareAndSwap(false, true) {
 		se.serverSilent.Store(silent)
@@ -133,13 +133,13 @@
 	}
 }
 
-// recordHead records the time to the response head, or that the attempt was abandoned or failed
-// before it.
+// recordHead records the time to the response head. An attempt that failed at or after its soft
+// deadline counts with the time until then; an earlier failure does not count.
 func (se *attemptState) recordHead(now time.Time) {
 	ga, took := se.ex.ga, now.Sub(se.began)
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
-	ga.pool.PrefillDone(se.server.Key(), se.offer.PrefillTime())
+	ga.pool.PrefillDone(se.server.Key(), se.selection.PrefillTime())
 	delete(ga.awaitingHead, se)
 	if se.err == nil {
 		ga.pool.Responded(se.server.Key(), now)
@@ -150,12 +150,12 @@
 	}
 	name := se.ex.modelKey(se.step.Model())
 	if !ga.runsTrialVersion(se.server) {
-		ga.pace.Observe(name, took)
+		ga.headLatencies.Observe(name, took)
 	}
 	if se.err != nil {
 		return
 	}
-	ga.pool.HeadReceived(se.offer, se.prompt, took, now)
+	ga.pool.HeadReceived(se.selection, se.prompt, took, now)
 	failed := se.response.Status >= direct.FirstServerError
 	ga.observeOutcome(se.server, se.ex.route.Name, failed)
 	if !failed && !se.response.Stream {
@@ -192,7 +192,7 @@
 	if models := ex.request.Models; len(models) > 0 && step.Model() == models[0] {
 		return highestPriority
 	}
-	return highestPriority + 1 + ex.priority() + int(ex.offer.PrefillTime()/readTimePerRank)
+	return highestPriority + 1 + ex.priority() + int(ex.selection.PrefillTime()/readTimePerRank)
 }
 
 func (ex *exchange) priority() int {
--- a/internal/gateway/attempt_test.go
+++ b/internal/gateway/attempt_test.go
@@ -17,12 +17,12 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	se := &attemptState{ex: &exchange{ga: ga}, began: time.Now(), cancel: cancel}
 	require.True(t, se.headDecided.CompareAndSwap(false, true), "the response has arrived")
-	se.onHeadTimeout()
+	se.onSoftDeadline()
 	se.abandon(false)
 	require.NoError(t, ctx.Err())
 
 	late := &attemptState{ex: &exchange{ga: ga}, began: time.Now(), cancel: cancel}
-	late.onHeadTimeout()
+	late.onSoftDeadline()
 	require.Error(t, ctx.Err(), "an attempt without a response is cancelled")
 	require.True(t, late.serverSilent.Load())
 }
--- a/internal/gateway/blocks.go
+++ b/internal/gateway/blocks.go
@@ -32,7 +32,7 @@
 // reports of load, since each gateway sees only the ends under its own copies of a request. The lock
 // is held.
 func (ga *Gateway) applySuspicion(su poison.Suspicion, now time.Time) {
-	term := ga.cases.Record(su, now)
+	term := ga.crashDetector.Record(su, now)
 	if term == 0 || ga.blocks.Remaining(su.Fingerprint, now) > 0 {
 		return
 	}
@@ -43,7 +43,7 @@
 // takeBlock applies a block, whatever its source. Attempts that no server has begun are cancelled,
 // since they may still be in a server's queue. The lock is held.
 func (ga *Gateway) applyBlock(bl poison.Block, stored bool, now time.Time) {
-	if _, doubted := ga.doubts[bl.Fingerprint]; doubted || ga.cases.IsHarmless(bl.Fingerprint) {
+	if _, doubted := ga.doubts[bl.Fingerprint]; doubted || ga.crashDetector.IsHarmless(bl.Fingerprint) {
 		ga.contestBlock(bl.Fingerprint, stored, now)
 		return
 	}
@@ -54,7 +54,7 @@
 		ga.storeBlockAt[bl.Fingerprint] = ga.blockWriteTime(now.Add(watcherWriteDelay))
 	}
 	requestBlocks.Inc()
-	ga.Log.Warn().Int("event", int(event.RequestBlocked)).Str("print", bl.Fingerprint.String()).Int("servers", ga.cases.CrashedServers(bl.Fingerprint)).
+	ga.Log.Warn().Int("event", int(event.RequestBlocked)).Str("print", bl.Fingerprint.String()).Int("servers", ga.crashDetector.CrashedServers(bl.Fingerprint)).
 		Dur("for_ms", ga.blocks.Remaining(bl.Fingerprint, now)).Bool("stored", stored).Msg(event.Name(event.RequestBlocked))
 	for se := range ga.awaitingHead {
 		if se.ex.fingerprint == bl.Fingerprint {
@@ -115,7 +115,7 @@
 // unblock lifts a block here; the lock is held.
 func (ga *Gateway) unblock(pr poison.Fingerprint, why string) {
 	delete(ga.storeBlockAt, pr)
-	ga.cases.Forget(pr)
+	ga.crashDetector.Forget(pr)
 	if ga.blocks.Lift(pr) {
 		close(ga.blockLifted)
 		ga.blockLifted = make(chan struct{})
--- a/internal/gateway/deliver.go
+++ b/internal/gateway/deliver.go
@@ -134,8 +134,8 @@
 // if the stream broke.
 func (ex *exchange) relayEvents(se *attemptState) (events int, err error) {
 	stall := ex.stallTimeout()
-	watch := time.AfterFunc(stall, func() { ex.onStall(se) })
-	defer watch.Stop()
+	stallTimer := time.AfterFunc(stall, func() { ex.onStall(se) })
+	defer stallTimer.Stop()
 	re := sse.NewReader(se.response.Body)
 	for {
 		ev, err := re.Next()
@@ -145,7 +145,7 @@
 		if err != nil {
 			return events, err
 		}
-		watch.Reset(stall)
+		stallTimer.Reset(stall)
 		events++
 		if ex.alreadyDelivered(ev) {
 			continue
@@ -167,9 +167,9 @@
 	return defaultStall
 }
 
-// onStall abandons a stream without events if it can be resumed at another server; otherwise it keeps
-// waiting. It runs on a timer while relayEvents waits, during which the state of the request does not
-// change.
+// onStall abandons a stream without events if it can be resumed at another server. Otherwise it
+// keeps waiting, since a stall alone is no reason to end a stream. It runs on a timer while
+// relayEvents waits, during which the state of the request does not change.
 func (ex *exchange) onStall(se *attemptState) {
 	if ex.request.CanResume(clock.Now()) && ex.canRetryElsewhere(se) {
 		se.stalled.Store(true)
@@ -182,8 +182,8 @@
 	ga, now := ex.ga, clock.Now()
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
-	ask := ga.restrictVersion(pool.Query{Service: ex.service, Tried: []string{se.server.ID}, ColdLimit: ga.coldLimit(ex.service)}, ex, now)
-	_, ok := ga.pool.Pick(ask, 0, now)
+	query := ga.restrictVersion(pool.Query{Service: ex.service, Tried: []string{se.server.ID}, ColdLimit: ga.coldLimit(ex.service)}, ex, now)
+	_, ok := ga.pool.Pick(query, 0, now)
 	return ok && ga.window(ex.service).Remaining(now) >= 1
 }
 
--- a/internal/gateway/ends.go
+++ b/internal/gateway/ends.go
@@ -117,11 +117,11 @@
 func (ga *Gateway) updateRuns(ctx context.Context, now time.Time) {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
-	for _, pr := range ga.cases.Update(&ga.runs, now) {
+	for _, pr := range ga.crashDetector.Update(&ga.runs, now) {
 		ga.liftDisprovenBlock(pr, now)
 	}
 	suspected := func(pr poison.Fingerprint) bool {
-		return ga.cases.CrashedServers(pr) > 0 || ga.blocks.Remaining(pr, now) > 0
+		return ga.crashDetector.CrashedServers(pr) > 0 || ga.blocks.Remaining(pr, now) > 0
 	}
 	for _, key := range ga.runs.Unconfirmed(suspected, now) {
 		if se := ga.servers.ByKey(key); se != nil {
--- a/internal/gateway/fallback.go
+++ b/internal/gateway/fallback.go
@@ -24,11 +24,11 @@
 	case at == nil:
 	case step.Escalates():
 		ex.dropFallback()
-		ex.held = &fallbackAnswer{attempt: at, timer: time.AfterFunc(rejectionWindow, at.discard)}
+		ex.fallback = &fallbackAnswer{attempt: at, timer: time.AfterFunc(rejectionWindow, at.discard)}
 	default:
 		at.discard()
-		if ex.held != nil {
-			ex.held.timer.Reset(rejectionWindow)
+		if ex.fallback != nil {
+			ex.fallback.timer.Reset(rejectionWindow)
 		}
 	}
 }
@@ -36,10 +36,10 @@
 // checkHeld tells the request whether the answer before an escalation is still held, once the head of
 // the next answer came or will not come. If it is, it stays so until the next step.
 func (ex *exchange) checkFallback(at *attemptState) {
-	if ex.held == nil {
+	if ex.fallback == nil {
 		return
 	}
-	if at.response != nil || !ex.held.timer.Stop() {
+	if at.response != nil || !ex.fallback.timer.Stop() {
 		ex.dropFallback()
 		ex.request.FallbackDropped()
 	}
@@ -56,16 +56,16 @@
 
 // takeHeld returns the held answer.
 func (ex *exchange) takeFallback() *attemptState {
-	at := ex.held.attempt
-	ex.held = nil
+	at := ex.fallback.attempt
+	ex.fallback = nil
 	return at
 }
 
 // dropHeld drops the held answer if there is one.
 func (ex *exchange) dropFallback() {
-	if ex.held == nil {
+	if ex.fallback == nil {
 		return
 	}
-	ex.held.timer.Stop()
+	ex.fallback.timer.Stop()
 	ex.takeFallback().discard()
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -146,8 +146,8 @@
 	otherReadyAt time.Time
 	// storeAvailable receives a value when another gateway reports that it is ready after none did.
 	storeAvailable chan struct{}
-	// pace tracks the usual time to the response head by service and model.
-	pace latency.Meter
+	// headLatencies tracks the usual time to the response head by service and model.
+	headLatencies latency.Meter
 	// promptSizes tracks the usual size of prompts by route and by service, modelGains by how much more
 	// confident each model is than the smallest one.
 	promptSizes promptSizes
@@ -169,9 +169,9 @@
 	// each server instance whether it still accepts connections.
 	runs   poison.Runs
 	probes map[string]*probe
-	// cases holds the suspicions against requests, blocks the requests that must not be sent.
-	cases  poison.Detector
-	blocks poison.Blocks
+	// crashDetector holds the suspicions against requests, blocks the requests that must not be sent.
+	crashDetector poison.Detector
+	blocks        poison.Blocks
 	// blockLifted is closed and replaced when a block is lifted.
 	blockLifted chan struct{}
 	// awaitingHead holds the attempts whose response head has not arrived. storeBlockAt holds when to
@@ -185,7 +185,7 @@
 	doubts map[poison.Fingerprint]time.Time
 }
 
-// Run keeps the state in step with the key-value service until the context ends.
+// Run synchronizes the state with the key-value service until the context ends.
 func (ga *Gateway) Run(ctx context.Context) error {
 	ga.prepare()
 	if err := clock.Err(); err != nil {
@@ -216,7 +216,7 @@
 	ga.demands = map[string]*rate.Meter{}
 	ga.backlogTrends = map[string]*latency.Smoother{}
 	ga.probes = map[string]*probe{}
-	ga.cases = poison.Detector{MinCrashes: poison.MinCrashes}
+	ga.crashDetector = poison.Detector{MinCrashes: poison.MinCrashes}
 	ga.awaitingHead = map[*attemptState]bool{}
 	ga.storeBlockAt = map[poison.Fingerprint]time.Time{}
 	ga.deleteBlockAt = map[poison.Fingerprint]time.Time{}
--- a/internal/gateway/loads.go
+++ b/internal/gateway/loads.go
@@ -122,7 +122,7 @@
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
 	var next uint64
-	re.Suspicions, next = ga.cases.Since(heard, clock.Now())
+	re.Suspicions, next = ga.crashDetector.Since(heard, clock.Now())
 	return re, next
 }
 
--- a/internal/gateway/models.go
+++ b/internal/gateway/models.go
@@ -104,7 +104,7 @@
 			continue
 		}
 		op.Price, op.TimeToHead = ex.relativeCost(i), noServerDelay
-		if of, ok := ga.pool.Pick(ex.poolRequest(model, nil, now), 0, now); ok {
+		if of, ok := ga.pool.Pick(ex.poolQuery(model, nil, now), 0, now); ok {
 			op.TimeToHead = of.TimeToHead()
 			op.RelativeWork = of.PrefillTime().Seconds() / usual.Seconds()
 		}
--- a/internal/gateway/poison_test.go
+++ b/internal/gateway/poison_test.go
@@ -295,7 +295,7 @@
 				})
 				for _, ga := range sc.gateways {
 					ga.mu.Lock()
-					ga.cases.MinCrashes = wa.ends
+					ga.crashDetector.MinCrashes = wa.ends
 					ga.mu.Unlock()
 				}
 				sc.sendTraffic(0, poisonPath, 20*time.Second)
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -93,14 +93,14 @@
 	attempts map[int]*attemptState
 	// firstVersion is the version of the server that received the first attempt, empty before that.
 	firstVersion string
-	// offer is the server that was chosen last.
-	offer pool.Selection
+	// selection is the server that was chosen last.
+	selection pool.Selection
 	// choice describes the last choice of a model. smallestConfidence is the confidence of the smallest
 	// model's response.
 	choice             modelChoice
 	smallestConfidence int
-	// held is the response before an escalation, nil once it is not needed any more.
-	held *fallbackAnswer
+	// fallback is the response before an escalation, nil once it is not needed any more.
+	fallback *fallbackAnswer
 	// finalAttempt is the attempt whose response the caller receives, nil before there is one.
 	finalAttempt *attemptState
 	// deliveredID is the id of the last event that the caller received.
@@ -111,7 +111,7 @@
 	configAge time.Duration
 }
 
-// admit checks everything that the head of the request suffices for.
+// admit checks what can be checked from the head of the request, before its body is read.
 func (ex *exchange) admit(now time.Time) result.Code {
 	ga := ex.ga
 	ex.table = ga.table.Load()
@@ -187,13 +187,13 @@
 	ga := ex.ga
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
-	of, ok := ga.pool.Pick(ex.poolRequest(model, tried, now), rand.Uint64(), now)
+	sel, ok := ga.pool.Pick(ex.poolQuery(model, tried, now), rand.Uint64(), now)
 	if !ok {
 		return "", false
 	}
-	ga.pool.Reserve(of, now)
-	ex.offer = of
-	return of.Server().ID, true
+	ga.pool.Reserve(sel, now)
+	ex.selection = sel
+	return sel.Server().ID, true
 }
 
 // Wait returns the time until a server accepts an attempt again if the limits of servers are the only
@@ -201,17 +201,17 @@
 func (ex *exchange) Wait(model string, tried []string, now time.Time) time.Duration {
 	ex.ga.mu.Lock()
 	defer ex.ga.mu.Unlock()
-	return ex.ga.pool.RetryAfter(ex.poolRequest(model, tried, now), now)
+	return ex.ga.pool.RetryAfter(ex.poolQuery(model, tried, now), now)
 }
 
-// poolRequest returns the requirements of an attempt on its server. The lock is held.
-func (ex *exchange) poolRequest(model string, tried []string, now time.Time) pool.Query {
-	ask := pool.Query{
+// poolQuery returns the requirements of an attempt on its server. The lock is held.
+func (ex *exchange) poolQuery(model string, tried []string, now time.Time) pool.Query {
+	query := pool.Query{
 		Service: ex.service, Tried: tried, Prompt: ex.prompt(model), ColdLimit: ex.ga.coldLimit(ex.service), PreferIdle: ex.trial,
 		// Only first attempts probe, since a request that was rejected once would be rejected again.
 		Probe: len(ex.attempts) == 0,
 	}
-	return ex.ga.restrictVersion(ask, ex, now)
+	return ex.ga.restrictVersion(query, ex, now)
 }
 
 // Take consumes a retry of the service's window if there is one.
@@ -250,11 +250,11 @@
 func (ex *exchange) Usual(model string) time.Duration {
 	ex.ga.mu.Lock()
 	defer ex.ga.mu.Unlock()
-	usual := ex.ga.pace.Usual(ex.modelKey(model))
+	usual := ex.ga.headLatencies.Usual(ex.modelKey(model))
 	if model == "" {
 		return usual
 	}
-	return max(usual, expectedHeadFactor*ex.offer.TimeToHead())
+	return max(usual, expectedHeadFactor*ex.selection.TimeToHead())
 }
 
 // run executes the request's steps until it has its outcome.
--- a/internal/gateway/servers_test.go
+++ b/internal/gateway/servers_test.go
@@ -154,7 +154,7 @@
 		}
 	}
 	ex := &exchange{ga: ga, rq: &Request{}, route: &routing.Route{Name: "r"}, service: "s", session: "any"}
-	ask := ex.poolRequest("", nil, now)
+	ask := ex.poolQuery("", nil, now)
 	require.True(t, ask.OnlyVersion)
 	require.Equal(t, "v2", ask.Version)
 }
--- a/internal/gateway/trials.go
+++ b/internal/gateway/trials.go
@@ -52,7 +52,7 @@
 func (ga *Gateway) startTrial(ex *exchange, now time.Time) bool {
 	pr := ex.fingerprint
 	trial, due := ga.blocks.DueTrial(pr, now)
-	if trial == 0 || !ga.isTrialTurn(pr, trial, due) || !ga.pool.HasIdle(ex.poolRequest("", nil, now), now) {
+	if trial == 0 || !ga.isTrialTurn(pr, trial, due) || !ga.pool.HasIdle(ex.poolQuery("", nil, now), now) {
 		return false
 	}
 	ga.blocks.RecordTrial(pr, trial, now)
