--- a/internal/gateway/relay_test.go
+++ b/internal/gateway/relay_test.go
@@ -302,7 +302,7 @@
 	require.True(t, up.Unknown, "a gateway without requests for changes keeps no history")
 }
 
-// A gateway whose watchers have ended receives the next change from the service, and its
+// A gateway whose watchers no longer answer receives the next change from the service, and its
 // configuration stays recent enough to accept keys.
 func TestGatewayStaysCurrentWhenItsWatchersFail(t *testing.T) {
 	re := newRelayCluster(t)
@@ -336,14 +336,14 @@
 // With a bound of 2 s on the age of the configuration, changes that came through a watcher were too
 // old to accept keys for a third of the time in the soak test.
 func TestGatewayWatchesTheServiceUnderATightKeyAgeBound(t *testing.T) {
-	for revoke, relayed := range map[time.Duration]bool{2 * time.Second: false, 3 * time.Second: false, 5 * time.Second: true, 0: true} {
-		ga := &Gateway{Log: zerolog.Nop(), Box: "c", DataCentre: "dc", Bounds: Bounds{MaxConfigAge: revoke}}
+	for maxAge, relayed := range map[time.Duration]bool{2 * time.Second: false, 3 * time.Second: false, 5 * time.Second: true, 0: true} {
+		ga := &Gateway{Log: zerolog.Nop(), Box: "c", DataCentre: "dc", Bounds: Bounds{MaxConfigAge: maxAge}}
 		ga.prepare()
 		for _, box := range []string{"a", "b"} {
 			ga.memberJoined(relay.Member{Box: box, DataCentre: "dc", Address: "127.0.0.1:1"})
 		}
 		_, ok := ga.watcher(time.Now())
-		require.Equal(t, relayed, ok, revoke)
+		require.Equal(t, relayed, ok, maxAge)
 	}
 }
 
