--- a/internal/gateway/blocks.go
+++ b/internal/gateway/blocks.go
@@ -13,24 +13,24 @@
 )
 
 const (
-	// storeSpread is the longest delay before a gateway stores a block of its own, so that few of
-	// those that made it together write it.
+	// blockWriteJitter is the longest random delay before a gateway writes a block. Of the gateways
+	// that create a block at the same time, few then write it.
 	blockWriteJitter = 300 * time.Millisecond
-	// storeWatchers is the delay after which a watcher stores another gateway's block, in case that
-	// gateway was lost before it wrote.
+	// watcherWriteDelay is the delay after which a watcher writes another gateway's block, in case
+	// that gateway was lost before it wrote.
 	watcherWriteDelay = 500 * time.Millisecond
-	// storeOthers is that delay at other gateways.
+	// nonWatcherWriteDelay is the least additional delay at other gateways, and their jitter.
 	nonWatcherWriteDelay = 2 * time.Second
-	// storeAgain is the pause after a write that failed.
+	// blockWriteRetryDelay is the pause after a write that failed.
 	blockWriteRetryDelay = time.Second
-	// doubtKept is how long a doubt is propagated. It is remembered for twice as long, so that it
+	// doubtTTL is how long a doubt is propagated. It is remembered for twice as long, so that it
 	// does not circulate.
 	doubtTTL = 3 * time.Second
 )
 
-// accuse applies a suspicion, this gateway's or another one's. Suspicions are propagated with the
-// reports of load, since each gateway sees only the ends under its own copies of a request. The lock
-// is held.
+// applySuspicion applies a suspicion of this gateway or another one. Suspicions are propagated with
+// the load reports, since each gateway only sees the servers that end under its own copies of a
+// request. The lock is held.
 func (ga *Gateway) applySuspicion(su poison.Suspicion, now time.Time) {
 	term := ga.cases.Accuse(su, now)
 	if term == 0 || ga.blocks.Left(su.Print, now) > 0 {
@@ -40,8 +40,8 @@
 	ga.applyBlock(poison.NewBlock(su.Print, term, clock.Day()), false, now)
 }
 
-// takeBlock applies a block, whatever its source. Attempts that no server has begun are cancelled,
-// since they may still be in a server's queue. The lock is held.
+// applyBlock applies a block, whatever its source. Attempts that no server has answered yet are
+// cancelled, since they may still be in a server's queue. The lock is held.
 func (ga *Gateway) applyBlock(bl poison.Block, stored bool, now time.Time) {
 	if _, doubted := ga.doubts[bl.Print]; doubted || ga.cases.IsSound(bl.Print) {
 		ga.contestBlock(bl.Print, stored, now)
@@ -63,9 +63,9 @@
 	}
 }
 
-// object contradicts another gateway's block: the doubt is propagated and the stored block removed. A
-// gateway that has just started may block a common request because it has seen no answer to it yet.
-// The lock is held.
+// contestBlock contradicts another gateway's block: the doubt is propagated and the stored block
+// removed. A gateway that has just started may block a common request because it has seen no answer
+// to it yet. The lock is held.
 func (ga *Gateway) contestBlock(pr poison.Print, stored bool, now time.Time) {
 	if _, due := ga.objecting[pr]; !due && stored {
 		ga.objecting[pr] = ga.blockWriteTime(now)
@@ -75,21 +75,21 @@
 	}
 }
 
-// acquit lifts a block everywhere, since a server answered the request and did not end. The lock is
-// held.
+// liftDisprovenBlock lifts a block at all gateways after a server answered the request and did not
+// end. The lock is held.
 func (ga *Gateway) liftDisprovenBlock(pr poison.Print, now time.Time) {
 	if ga.blocks.Left(pr, now) == 0 {
 		return
 	}
 	stored := ga.blocks.IsStored(pr)
-	ga.unblock(pr, "a server answered it and lives on")
+	ga.unblock(pr, "a server answered the request and is still running")
 	ga.addDoubt(pr, now)
 	if stored {
 		ga.objecting[pr] = ga.blockWriteTime(now)
 	}
 }
 
-// doubt records a doubt to be propagated. It reports whether it is new. The lock is held.
+// addDoubt records a doubt to be propagated. It reports whether the doubt is new. The lock is held.
 func (ga *Gateway) addDoubt(pr poison.Print, now time.Time) bool {
 	if _, ok := ga.doubts[pr]; ok {
 		return false
@@ -98,8 +98,8 @@
 	return true
 }
 
-// turn returns when this gateway writes a key that any gateway can write; watchers are first. The
-// lock is held.
+// blockWriteTime returns when this gateway writes or removes a block that any gateway can write.
+// Watchers are first. The lock is held.
 func (ga *Gateway) blockWriteTime(now time.Time) time.Time {
 	if ga.plan.Watches(ga.memberList()) {
 		return now.Add(rand.N(blockWriteJitter))
@@ -107,39 +107,39 @@
 	return nonWatcherWriteTime(now)
 }
 
-// othersTurn returns when a gateway writes what another one should have written before.
+// nonWatcherWriteTime returns when a gateway that is not a watcher writes or removes a block.
 func nonWatcherWriteTime(now time.Time) time.Time {
 	return now.Add(nonWatcherWriteDelay + rand.N(nonWatcherWriteDelay))
 }
 
-// unblock lifts a block here; the lock is held.
-func (ga *Gateway) unblock(pr poison.Print, why string) {
+// unblock lifts a block at this gateway. The lock is held.
+func (ga *Gateway) unblock(pr poison.Print, reason string) {
 	delete(ga.storing, pr)
 	ga.cases.Forget(pr)
 	if ga.blocks.Lift(pr) {
 		close(ga.lifted)
 		ga.lifted = make(chan struct{})
-		ga.logUnblocked(pr, why)
+		ga.logUnblocked(pr, reason)
 	}
 }
 
-// notKept lifts a block that was removed from the key-value service; the lock is held.
+// blockRemoved lifts a block that was removed from the key-value service. The lock is held.
 func (ga *Gateway) blockRemoved(pr poison.Print) {
 	delete(ga.objecting, pr)
-	ga.unblock(pr, "it is not kept any more")
+	ga.unblock(pr, "removed from the key-value service")
 }
 
-func (ga *Gateway) logUnblocked(pr poison.Print, why string) {
-	ga.Log.Info().Int("event", int(event.RequestUnblocked)).Str("print", pr.String()).Str("detail", why).
+func (ga *Gateway) logUnblocked(pr poison.Print, reason string) {
+	ga.Log.Info().Int("event", int(event.RequestUnblocked)).Str("print", pr.String()).Str("detail", reason).
 		Msg(event.Name(event.RequestUnblocked))
 }
 
-// liftOthers lifts the stored blocks that a whole state does not hold any more. Those that a restored
-// service has lost are stored again. The lock is held.
-func (ga *Gateway) reconcileBlocks(named map[poison.Print]bool, restored bool, now time.Time) {
+// reconcileBlocks lifts the stored blocks that a whole state does not contain. Those that a restored
+// key-value service has lost are stored again instead. The lock is held.
+func (ga *Gateway) reconcileBlocks(listed map[poison.Print]bool, restored bool, now time.Time) {
 	for _, bl := range ga.blocks.Stored() {
 		switch {
-		case named[bl.Print]:
+		case listed[bl.Print]:
 		case restored:
 			ga.blocks.Lost(bl.Print)
 			ga.storing[bl.Print] = ga.blockWriteTime(now)
@@ -149,14 +149,14 @@
 	}
 }
 
-// receiveBlocks applies another gateway's suspicions, doubts and blocks; the lock is held.
+// receiveBlocks applies another gateway's suspicions, doubts and blocks. The lock is held.
 func (ga *Gateway) receiveBlocks(re relay.Report, now time.Time) {
 	for _, su := range re.Suspicions {
 		ga.applySuspicion(su, now)
 	}
 	for _, pr := range re.Doubts {
 		if ga.addDoubt(pr, now) {
-			ga.unblock(pr, "another gateway sees it answered")
+			ga.unblock(pr, "another gateway received an answer to the request")
 		}
 	}
 	for _, bl := range re.Blocks {
@@ -164,7 +164,7 @@
 	}
 }
 
-// addBlocks adds recent blocks and doubts to a report; the lock is held.
+// addBlocks adds recent blocks and doubts to a report. The lock is held.
 func (ga *Gateway) addBlocks(re relay.Report, now time.Time) relay.Report {
 	re.Blocks = ga.blocks.News(now)
 	for pr, since := range ga.doubts {
@@ -175,7 +175,7 @@
 	return re
 }
 
-// keepBlocks stores and removes the blocks that are due, and drops expired ones.
+// maintainBlocks stores and removes the blocks that are due, and drops expired ones.
 func (ga *Gateway) maintainBlocks(ctx context.Context, now time.Time) {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
@@ -192,13 +192,13 @@
 		}
 	}
 	maps.DeleteFunc(ga.doubts, func(_ poison.Print, since time.Time) bool { return now.Sub(since) >= 2*doubtTTL })
-	over := ga.blocks.Expire(now)
-	for _, pr := range over {
+	expired := ga.blocks.Expire(now)
+	for _, pr := range expired {
 		delete(ga.storing, pr)
-		ga.logUnblocked(pr, "its time is over")
+		ga.logUnblocked(pr, "expired")
 	}
-	if len(over) > 0 && ga.plan.Watches(ga.memberList()) {
-		go ga.removeBlocks(ctx, over)
+	if len(expired) > 0 && ga.plan.Watches(ga.memberList()) {
+		go ga.removeBlocks(ctx, expired)
 	}
 }
 
@@ -214,8 +214,8 @@
 	ga.blocks.Add(bl, bl.Left(clock.Day()), true, clock.Now())
 }
 
-func (ga *Gateway) removeBlocks(ctx context.Context, over []poison.Print) {
-	for _, pr := range over {
+func (ga *Gateway) removeBlocks(ctx context.Context, prints []poison.Print) {
+	for _, pr := range prints {
 		err := ga.Source.Unblock(ctx, pr)
 		ga.mu.Lock()
 		if err != nil {
@@ -227,6 +227,6 @@
 	}
 }
 
-func (ga *Gateway) logBlockCallFailure(pr poison.Print, why error) {
-	ga.Log.Warn().Int("event", int(event.StoreCallFailed)).Str("print", pr.String()).Err(why).Msg(event.Name(event.StoreCallFailed))
+func (ga *Gateway) logBlockCallFailure(pr poison.Print, err error) {
+	ga.Log.Warn().Int("event", int(event.StoreCallFailed)).Str("print", pr.String()).Err(err).Msg(event.Name(event.StoreCallFailed))
 }
--- a/internal/gateway/ends.go
+++ b/internal/gateway/ends.go
@@ -12,31 +12,31 @@
 )
 
 const (
-	// probeTimeout bounds the question whether a server still listens: one that has ended
-	// refuses within a round trip of some milliseconds.
+	// probeTimeout bounds a probe whether a server still listens. The machine of a server that has
+	// ended refuses the connection within a round trip of a few milliseconds.
 	probeTimeout = 400 * time.Millisecond
-	// probeWait is how long a request whose connection broke off waits for the answer before
-	// it goes on elsewhere: some round trips, and far less than a caller notices.
+	// probeWait is how long a request whose connection broke waits for the result before it
+	// continues elsewhere: a few round trips, and far less than a caller notices.
 	probeWait = 50 * time.Millisecond
-	// probeAgain is how long one answer is used for others: with a server all its connections
-	// break off within some milliseconds.
+	// probeReuse is how long a probe serves further requests: when a server ends, all its
+	// connections break within a few milliseconds.
 	probeReuse = 100 * time.Millisecond
-	// mostSuspects is how many suspects a line of the log names.
+	// maxLoggedSuspects bounds the suspects in a log line.
 	maxLoggedSuspects = 8
 )
 
-// probe is a question whether a server still listens.
+// probe is a check whether a server still listens.
 type probe struct {
 	at time.Time
-	// done is closed when the answer is known.
+	// done is closed when the result is known.
 	done chan struct{}
 }
 
-// brokeOff finds out whether a server has ended that broke a connection off, and waits a
-// moment for it: what is decided next may depend on it.
+// connectionLost checks whether a server has ended after one of its connections broke, and waits for
+// the result for up to probeWait, since the next step may depend on it.
 func (ga *Gateway) connectionLost(ctx context.Context, se directory.Server) {
 	if ctx.Err() != nil {
-		return // the caller left or the time is over: this says nothing of the server
+		return // the caller left or the deadline passed: this is no evidence on the server
 	}
 	now := clock.Now()
 	ga.mu.Lock()
@@ -52,8 +52,8 @@
 	}
 }
 
-// probe asks whether a server still listens, or returns the question that was just asked. The
-// lock is held.
+// probe starts a probe of a server, or returns one that was started within probeReuse. The lock is
+// held.
 func (ga *Gateway) probe(ctx context.Context, se directory.Server, now time.Time) *probe {
 	pr := ga.probes[se.Key()]
 	if pr != nil && now.Sub(pr.at) < probeReuse {
@@ -75,22 +75,22 @@
 		defer ga.mu.Unlock()
 		ga.runs.Alive(se.Key(), clock.Now())
 	case errors.Is(err, ErrUnreachable):
-		ga.recordServerEnd(se, "it broke off and takes no connection")
+		ga.recordServerEnd(se, "a connection broke and the server accepts no new one")
 	default:
 		ga.Log.Info().Int("event", int(event.ServerUnclear)).Str("server", se.Key()).Err(err).Msg(event.Name(event.ServerUnclear))
 	}
 }
 
-// serverEnded notes that a server's process is gone.
-func (ga *Gateway) recordServerEnd(se directory.Server, why string) {
+// recordServerEnd records that a server's process has ended.
+func (ga *Gateway) recordServerEnd(se directory.Server, reason string) {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
-	ga.applyServerEnd(se.Key(), why, clock.Now())
+	ga.applyServerEnd(se.Key(), reason, clock.Now())
 }
 
-// noteEnded takes the end of a server's life, the first time that it is noticed. The lock is
-// held.
-func (ga *Gateway) applyServerEnd(key, why string, now time.Time) {
+// applyServerEnd records the end of a server's life and suspects the requests that it was running,
+// the first time that the end is noticed. The lock is held.
+func (ga *Gateway) applyServerEnd(key, reason string, now time.Time) {
 	if !ga.runs.Has(key) {
 		return
 	}
@@ -100,10 +100,10 @@
 		ga.applySuspicion(ru.Suspicion(key, at, now), now)
 	}
 	ga.Log.Info().Int("event", int(event.ServerEnded)).Str("server", key).Int("suspects", len(suspects)).
-		Strs("prints", suspectNames(suspects)).Str("detail", why).Msg(event.Name(event.ServerEnded))
+		Strs("prints", suspectNames(suspects)).Str("detail", reason).Msg(event.Name(event.ServerEnded))
 }
 
-// prints names suspects for the log, the first of many.
+// suspectNames returns the names of the first maxLoggedSuspects suspects for the log.
 func suspectNames(suspects []*poison.Run) []string {
 	names := make([]string, 0, maxLoggedSuspects)
 	for _, ru := range suspects[:min(maxLoggedSuspects, len(suspects))] {
@@ -112,8 +112,8 @@
 	return names
 }
 
-// settleRuns forgets what is over for long, and lifts the blocks of what servers are known to
-// have answered and lived on; it asks those of which that is not known yet.
+// updateRuns drops old runs and lifts the blocks of requests that servers have answered without
+// ending. It probes the servers that have answered and are not known to be still running.
 func (ga *Gateway) updateRuns(ctx context.Context, now time.Time) {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
--- a/internal/gateway/fallback.go
+++ b/internal/gateway/fallback.go
@@ -7,18 +7,19 @@
 	"github.com/linnetrudder/linnetrudder/internal/event"
 )
 
-// rejectionTime is how long an answer is held after an escalation from it: servers reject an attempt
-// within some round trips.
+// rejectionWindow is how long the previous answer is kept after an escalation. Servers reject an
+// attempt within a few round trips.
 const rejectionWindow = 20 * time.Millisecond
 
-// heldAnswer is an answer that is dropped after rejectionTime unless the caller needs it after all.
+// fallbackAnswer is the answer before an escalation. It is dropped after rejectionWindow unless the
+// caller needs it after all.
 type fallbackAnswer struct {
 	attempt *sent
 	timer   *time.Timer
 }
 
-// replace frees the attempt before a step. The answer that an escalation is to improve on is held for
-// a moment: the larger model's server may reject the attempt while no retry is left.
+// releasePrevious frees the attempt before a step. The answer that an escalation is to improve on is
+// kept for rejectionWindow: the larger model's server may reject the attempt when no retry is left.
 func (ex *exchange) releasePrevious(at *sent, step direct.Step) {
 	switch {
 	case at == nil:
@@ -33,8 +34,9 @@
 	}
 }
 
-// checkHeld tells the request whether the answer before an escalation is still held, once the head of
-// the next answer came or will not come. If it is, it stays so until the next step.
+// checkFallback tells the request if the answer before an escalation is no longer available, once
+// the head of the next answer has arrived or will not arrive. If the answer is still available, it
+// is kept until the next step.
 func (ex *exchange) checkFallback(at *sent) {
 	if ex.held == nil {
 		return
@@ -45,23 +47,24 @@
 	}
 }
 
-// fallBack frees the attempt that was to improve on the held answer, and returns the latter's.
+// useFallback frees the attempt that was to improve on the fallback answer, and returns the attempt
+// that gave the latter.
 func (ex *exchange) useFallback(at *sent) *sent {
 	at.drop()
-	held := ex.takeFallback()
-	ex.ga.Log.Info().Int("event", int(event.RequestFellBack)).Str("request", ex.as.ID).Str("server", held.server.ID).
-		Str("model", held.step.Model()).Str("before", at.server.ID).Err(at.err).Msg(event.Name(event.RequestFellBack))
-	return held
+	fallback := ex.takeFallback()
+	ex.ga.Log.Info().Int("event", int(event.RequestFellBack)).Str("request", ex.as.ID).Str("server", fallback.server.ID).
+		Str("model", fallback.step.Model()).Str("before", at.server.ID).Err(at.err).Msg(event.Name(event.RequestFellBack))
+	return fallback
 }
 
-// takeHeld returns the held answer.
+// takeFallback returns the attempt with the fallback answer and stops tracking it.
 func (ex *exchange) takeFallback() *sent {
 	at := ex.held.attempt
 	ex.held = nil
 	return at
 }
 
-// dropHeld drops the held answer if there is one.
+// dropFallback drops the fallback answer if there is one.
 func (ex *exchange) dropFallback() {
 	if ex.held == nil {
 		return
--- a/internal/gateway/follow.go
+++ b/internal/gateway/follow.go
@@ -213,7 +213,7 @@
 		switch {
 		case ch.Server != nil:
 			listed[ch.Server.ID] = true
-			if restored && ga.isRevived(*ch.Server, now) {
+			if restored && ga.deferRevived(*ch.Server, now) {
 				continue
 			}
 		case ch.Leaving != "":
--- a/internal/gateway/health.go
+++ b/internal/gateway/health.go
@@ -8,8 +8,8 @@
 	"github.com/linnetrudder/linnetrudder/internal/event"
 )
 
-// judge notes what an attempt says of its server. What ended because the
-// caller left, or its time, says nothing.
+// recordHealth records the result of an attempt for the health of its server. Attempts that ended
+// because the caller left or the deadline passed do not count.
 func (ga *Gateway) recordHealth(ctx context.Context, se *sent, good bool, now time.Time) {
 	if ctx.Err() != nil && !good {
 		return
@@ -18,17 +18,17 @@
 	defer ga.mu.Unlock()
 	if good {
 		if ga.pool.Succeeded(se.server.Key()) {
-			ga.logServer(event.ServerReturned, se.server.ID, "it answered again")
+			ga.logServer(event.ServerReturned, se.server.ID, "answered again")
 			ga.markCold(&se.server, ga.coldFor(se.server.Service), now)
 		}
 		return
 	}
 	if ga.pool.Failed(se.server.Key(), now) {
-		ga.logServer(event.ServerEjected, se.server.ID, "its answers failed")
+		ga.logServer(event.ServerEjected, se.server.ID, "answers failed")
 	}
 }
 
-// leaveServer takes a server out of use for a while that takes no connection.
+// ejectUnreachable takes a server out of use for a while that accepts no connections.
 func (ga *Gateway) ejectUnreachable(ctx context.Context, se *sent, now time.Time) {
 	if ctx.Err() != nil {
 		return
@@ -36,11 +36,11 @@
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
 	if ga.pool.Unreachable(se.server.Key(), now) {
-		ga.logServer(event.ServerEjected, se.server.ID, "it takes no connection")
+		ga.logServer(event.ServerEjected, se.server.ID, "accepts no connections")
 	}
 }
 
-// forgetServer takes a server out of use whose address another one has.
+// removeReplacedServer takes a server out of use whose address now belongs to another one.
 func (ex *exchange) removeReplacedServer(se *sent) {
 	ex.ga.mu.Lock()
 	defer ex.ga.mu.Unlock()
--- a/internal/gateway/limits.go
+++ b/internal/gateway/limits.go
@@ -25,9 +25,9 @@
 	}
 }
 
-// noteLimit logs a changed limit and the gateway that propagated it, "" for the server itself. The
+// logLimitChange logs a changed limit and the gateway that reported it, "" for the server itself. The
 // lock is held.
-func (ga *Gateway) logLimitChange(ch backpressure.Change, server string, sent int, lasts time.Duration, by string) {
+func (ga *Gateway) logLimitChange(ch backpressure.Change, server string, sent int, lasts time.Duration, gateway string) {
 	id, le := event.ServerUnlimited, ga.Log.Info()
 	switch ch {
 	case backpressure.Unchanged:
@@ -37,5 +37,5 @@
 		perSecond, _ := ga.pool.Limits.PerSecond(server)
 		id, le = event.ServerLimited, ga.Log.Warn().Float64("per_second", perSecond)
 	}
-	le.Int("event", int(id)).Str("server", server).Str("told_by", by).Int("sent", sent).Dur("for_ms", lasts).Msg(event.Name(id))
+	le.Int("event", int(id)).Str("server", server).Str("told_by", gateway).Int("sent", sent).Dur("for_ms", lasts).Msg(event.Name(id))
 }
--- a/internal/gateway/loads.go
+++ b/internal/gateway/loads.go
@@ -14,29 +14,31 @@
 )
 
 const (
-	// loadEvery is the pause between two reports of load, a fraction of a prompt's reading time.
+	// loadReportInterval is the pause between two load reports, a fraction of the time that a
+	// server takes to read a prompt.
 	loadReportInterval = 100 * time.Millisecond
-	// loadServers is how many servers a report names at the most, the busiest: at some
-	// 8 B each 8 KB a second, of the 12 that control may take (letter 1).
+	// maxLoadServers bounds the servers in a report, which are the busiest ones. At some 8 B each
+	// they take 8 KB/s of the 12 KB/s that the users' requirements allow for control traffic.
 	maxLoadServers = 100
-	// loadKept is how long a report is used: some may be late.
+	// loadReportTTL is how long a report is used. It spans several intervals since reports may be
+	// late.
 	loadReportTTL = 5 * loadReportInterval
-	// loadTimeout bounds one exchange, which takes some milliseconds and on a busy box
-	// some tens; loadAgain is the pause after one that failed.
+	// loadExchangeTimeout bounds one exchange, which takes a few milliseconds and some tens of
+	// milliseconds on a busy box. loadRetryDelay is the pause after an exchange that failed.
 	loadExchangeTimeout = 300 * time.Millisecond
 	loadRetryDelay      = time.Second
-	// peersEvery is how often the choice of whom to report to is made anew.
+	// loadPeersInterval is how often the gateways to report to are chosen again.
 	loadPeersInterval = 500 * time.Millisecond
 )
 
 // loadPeer is a gateway to report to.
 type loadPeer struct {
 	member relay.Member
-	// asCollector is set if the report is on all gateways that report to this one.
+	// asCollector is set if the report covers all gateways that report to this one.
 	asCollector bool
 }
 
-// shareLoad exchanges loads with the gateways that the plan names.
+// runLoadExchange exchanges load reports with the gateways that the plan selects.
 func (ga *Gateway) runLoadExchange(ctx context.Context) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
@@ -72,13 +74,13 @@
 	return peers
 }
 
-// exchangeLoads reports to one gateway again and again until the context ends.
+// exchangeLoads reports to one gateway repeatedly until the context ends.
 func (ga *Gateway) exchangeLoads(ctx context.Context, to loadPeer) {
 	cl := relay.Client{Address: to.member.Address, Slack: loadExchangeTimeout, HTTP: ga.RelayHTTP}
 	defer cl.Close()
-	failed, heard := false, uint64(0)
+	failed, from := false, uint64(0)
 	for ctx.Err() == nil {
-		re, next := ga.reportSince(to.asCollector, heard)
+		re, next := ga.reportSince(to.asCollector, from)
 		answer, err := cl.Exchange(ctx, re)
 		if ctx.Err() != nil {
 			return
@@ -92,41 +94,41 @@
 			sleep(ctx, loadRetryDelay)
 			continue
 		}
-		heard = next
+		from = next
 		ga.reportAccepted(re, clock.Now())
 		ga.applyReportAnswer(answer, clock.Now())
 		sleep(ctx, loadReportInterval)
 	}
 }
 
-// notePeer logs that a gateway does not take reports, or does again.
-func (ga *Gateway) logPeerState(to relay.Member, why error) {
-	if why != nil {
-		ga.Log.Warn().Int("event", int(event.LoadPeerLost)).Str("peer", to.Box).Err(why).Msg(event.Name(event.LoadPeerLost))
+// logPeerState logs that a gateway no longer accepts reports, or accepts them again.
+func (ga *Gateway) logPeerState(to relay.Member, err error) {
+	if err != nil {
+		ga.Log.Warn().Int("event", int(event.LoadPeerLost)).Str("peer", to.Box).Err(err).Msg(event.Name(event.LoadPeerLost))
 		return
 	}
 	ga.Log.Info().Int("event", int(event.LoadPeerRegained)).Str("peer", to.Box).Msg(event.Name(event.LoadPeerRegained))
 }
 
-// leavePeer notes that a gateway did not take a report.
+// markPeerFailed records that a gateway did not accept a report.
 func (ga *Gateway) markPeerFailed(to relay.Member) {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
 	ga.loadPlan.Failed(to.Box, clock.Now())
 }
 
-// reportSince returns this gateway's report to one that has heard the suspicions before a
-// number, and the number that it has heard then.
-func (ga *Gateway) reportSince(collector bool, heard uint64) (relay.Report, uint64) {
+// reportSince returns this gateway's report with the suspicions from a sequence number on, and the
+// sequence number of the first suspicion after it.
+func (ga *Gateway) reportSince(collector bool, from uint64) (relay.Report, uint64) {
 	re := ga.report(collector)
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
 	var next uint64
-	re.Suspicions, next = ga.cases.Since(heard, clock.Now())
+	re.Suspicions, next = ga.cases.Since(from, clock.Now())
 	return re, next
 }
 
-// report returns this gateway's report.
+// report returns this gateway's load report.
 func (ga *Gateway) report(collector bool) relay.Report {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
@@ -148,7 +150,7 @@
 	return ga.addBlocks(re, now)
 }
 
-// tookReport notes that a collector has this gateway's report.
+// reportAccepted records that a collector received this gateway's report.
 func (ga *Gateway) reportAccepted(re relay.Report, now time.Time) {
 	if re.Collector {
 		return
@@ -159,7 +161,7 @@
 	ga.clearReported()
 }
 
-// takeRest takes the answer to a report.
+// applyReportAnswer applies the answer to a report.
 func (ga *Gateway) applyReportAnswer(answer relay.Report, now time.Time) {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
@@ -169,15 +171,15 @@
 	ga.receiveNotices(answer, now)
 }
 
-// takeGroup takes the report of several gateways; the lock is held.
+// applyGroupReport applies a report that covers several gateways. The lock is held.
 func (ga *Gateway) applyGroupReport(re relay.Report, now time.Time) {
 	ga.loads.TakeGroup(re.Box, re.Work, now)
 	ga.loads.CountGroup(re.Box, re.Gateways)
 	ga.updateSize()
 }
 
-// resize takes the number of gateways that are known. While a report is missing, as when a
-// collector has gone, the others are taken to be there still. The lock is held.
+// updateSize updates the number of gateways. While a report is missing, for instance after a
+// collector failed, the gateways it covered are still counted. The lock is held.
 func (ga *Gateway) updateSize() {
 	known := max(len(ga.members), 1+ga.loads.Others())
 	if known >= ga.size || ga.loads.Known() {
@@ -186,7 +188,7 @@
 	}
 }
 
-// heardOf notes whether another gateway is ready; the lock is held.
+// recordReadiness records whether another gateway is ready. The lock is held.
 func (ga *Gateway) recordReadiness(re relay.Report, now time.Time) {
 	if !re.Ready {
 		return
@@ -200,14 +202,14 @@
 	ga.otherReady = now
 }
 
-// elsewhere reports whether another gateway has just said that it is ready.
+// otherGatewayReady reports whether another gateway reported within loadReportTTL that it is ready.
 func (ga *Gateway) otherGatewayReady(now time.Time) bool {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
 	return now.Sub(ga.otherReady) < loadReportTTL
 }
 
-// Reported takes another gateway's report.
+// Reported applies another gateway's load report and returns this gateway's answer.
 func (ga *Gateway) Reported(re relay.Report) relay.Report {
 	now := clock.Now()
 	ga.mu.Lock()
@@ -235,7 +237,7 @@
 	return ga.addBlocks(answer, now)
 }
 
-// expireLoads drops reports that are too old to help.
+// expireLoads drops reports older than loadReportTTL.
 func (ga *Gateway) expireLoads(now time.Time) {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
--- a/internal/gateway/models.go
+++ b/internal/gateway/models.go
@@ -12,20 +12,21 @@
 )
 
 const (
-	// largestPrice is the cost of an answer of the largest model as a part of its value. The costs of
-	// the others are in proportion to the operators' figures.
+	// largestModelCost is the cost of an answer of the largest model as a fraction of the answer's
+	// value. The costs of the other models are in proportion to the operators' figures.
 	largestModelCost = 0.15
-	// smallestPerToken is how long the smallest model takes for a token until answers
-	// tell: 5 to 8 us on the users' servers. Larger ones are taken to be slower as they
-	// cost more.
+	// defaultTimePerToken is the smallest model's reading time per token until answers give a
+	// measured one: 5 to 8 us on the users' servers. Larger models are assumed to be slower in
+	// proportion to their cost.
 	defaultTimePerToken = 10 * time.Microsecond
-	// meanStep is the weight of the newest request in the usual size of a prompt.
+	// promptSizeSmoothing is the weight of the newest request in the mean size of a prompt.
 	promptSizeSmoothing = 0.02
-	// unreachable is the time to the head of a model that no server can run now.
+	// noServerDelay is the assumed time to the head of an answer of a model that no server can run
+	// now.
 	noServerDelay = time.Hour
 )
 
-// sizes knows the usual size of prompts by name, in tokens. The zero value knows none.
+// promptSizes holds the mean size of prompts by name, in tokens. The zero value holds none.
 type promptSizes struct{ means map[string]float64 }
 
 func (si *promptSizes) observe(name string, tokens int) {
@@ -39,13 +40,13 @@
 	si.means[name] = mean + promptSizeSmoothing*(float64(tokens)-mean)
 }
 
-// modelChoice is what a model was last chosen by, for the log.
+// modelChoice holds the inputs of the last choice of a model, for the log.
 type modelChoice struct {
 	state   cascade.State
 	options []cascade.Option
 }
 
-// describe adds to a line of the log what a model was chosen by.
+// addLogFields adds the inputs of the choice of a model to a log line.
 func (mc *modelChoice) addLogFields(le *zerolog.Event) *zerolog.Event {
 	if len(mc.options) == 0 {
 		return le
@@ -54,8 +55,8 @@
 		Dur("largest_ms", mc.options[len(mc.options)-1].Head)
 }
 
-// First returns the model to ask first. A caller that resumes a stream may have
-// a part of it from the largest model.
+// First returns the model to ask first. A caller that resumes a stream may have received the
+// beginning from the largest model.
 func (ex *exchange) First(time.Time) int {
 	if ex.as.LastEvent != "" {
 		return len(ex.request.Models) - 1
@@ -63,14 +64,14 @@
 	return 0
 }
 
-// Next returns the model to ask instead of keeping an answer.
+// Next returns the model to escalate to instead of delivering an answer.
 func (ex *exchange) Next(place, confidence int, now time.Time) (int, bool) {
 	ex.observeGain(place, confidence)
 	ex.evaluateModels(place, now)
 	return ex.choice.state.Next(place, confidence, ex.choice.options)
 }
 
-// learnGain notes by how much an answer's confidence is above the smallest model's.
+// observeGain records by how much an answer's confidence exceeds that of the smallest model.
 func (ex *exchange) observeGain(place, confidence int) {
 	if place == 0 {
 		ex.smallest = confidence
@@ -81,7 +82,7 @@
 	ex.ga.gains.Observe(ex.modelKey(ex.request.Models[place]), ex.smallest, confidence)
 }
 
-// considerModels takes what a model above the one at a place is chosen by now.
+// evaluateModels computes the inputs for the choice of a model above the one at a place.
 func (ex *exchange) evaluateModels(place int, now time.Time) {
 	ga := ex.ga
 	ga.mu.Lock()
@@ -94,7 +95,7 @@
 		},
 		options: make([]cascade.Option, len(ex.request.Models)),
 	}
-	usual := ex.referenceReadTime()
+	reference := ex.referenceReadTime()
 	for i, model := range ex.request.Models {
 		op := &ex.choice.options[i]
 		if i > 0 {
@@ -106,12 +107,12 @@
 		op.Price, op.Head = ex.relativeCost(i), noServerDelay
 		if of, ok := ga.pool.Pick(ex.askFor(model, nil, now), 0, now); ok {
 			op.Head = of.Head()
-			op.Load = of.Read().Seconds() / usual.Seconds()
+			op.Load = of.Read().Seconds() / reference.Seconds()
 		}
 	}
 }
 
-// backlog returns the trend of a service's backlog; the lock is held.
+// backlogTrend returns the trend of a service's backlog. The lock is held.
 func (ga *Gateway) backlogTrend(service string) *pace.Trend {
 	tr := ga.backlogs[service]
 	if tr == nil {
@@ -121,8 +122,8 @@
 	return tr
 }
 
-// price returns what an answer of the model at a place costs, as a part of what a good
-// one is worth. Where the operators name no figures, larger models cost evenly more.
+// relativeCost returns the cost of an answer of the model at a place, as a fraction of the value of a
+// good answer. If the operators give no figures, cost increases linearly with the place.
 func (ex *exchange) relativeCost(place int) float64 {
 	models := ex.request.Models
 	if most := ex.cost(models[len(models)-1]); most > 0 {
@@ -131,7 +132,7 @@
 	return largestModelCost * float64(place) / float64(max(1, len(models)-1))
 }
 
-// cost returns the operators' figure for what a model costs, zero if there is none.
+// cost returns the operators' cost figure of a model, zero if there is none.
 func (ex *exchange) cost(model string) float64 {
 	if sv := ex.table.Service(ex.service); sv != nil {
 		return sv.Costs[model]
@@ -139,19 +140,20 @@
 	return 0
 }
 
-// usualRead returns how long the largest model reads a prompt between this one's size and the mean of
-// its route. Larger prompts have more value, but each kind of request counts alike. The lock is held.
+// referenceReadTime returns how long the largest model takes to read a prompt with a size between
+// this one's and the mean of its route. Larger prompts have more value, but each kind of request
+// counts alike. The lock is held.
 func (ex *exchange) referenceReadTime() time.Duration {
 	ga, models := ex.ga, ex.request.Models
-	own := promptSizeWeight*float64(ex.as.PromptTokens) + (1-promptSizeWeight)*ga.prompts.means[ex.route.Name]
-	tokens := math.Sqrt(max(1, own) * max(1, ga.prompts.means[ex.service]))
+	weighted := promptSizeWeight*float64(ex.as.PromptTokens) + (1-promptSizeWeight)*ga.prompts.means[ex.route.Name]
+	tokens := math.Sqrt(max(1, weighted) * max(1, ga.prompts.means[ex.service]))
 	return max(time.Microsecond, ga.pool.ReadTime(ex.prompt(models[len(models)-1]), tokens))
 }
 
-// ownPart is the part of a prompt's worth that grows with its size, by the users' rules.
+// promptSizeWeight is the fraction of a prompt's value that grows with its size, by the users' rules.
 const promptSizeWeight = 0.7
 
-// prompt returns what a model is to read, the zero value for a plain service.
+// prompt returns the prompt that a model reads, the zero value for a plain service.
 func (ex *exchange) prompt(model string) pool.Prompt {
 	as := ex.as
 	start, shared := as.shared()
@@ -168,10 +170,10 @@
 	return pr
 }
 
-// modelKey names a model of a service in what is known of models.
+// modelKey returns the key of a service's model in the statistics on models.
 func (ex *exchange) modelKey(model string) string { return ex.service + "\x00" + model }
 
-// perToken returns how long a model takes for a token as long as answers do not tell.
+// perToken returns the assumed reading time per token of a model while no answers have given one.
 func (ex *exchange) perToken(model string) time.Duration {
 	if len(ex.route.Models) == 0 {
 		return defaultTimePerToken
--- a/internal/gateway/restored.go
+++ b/internal/gateway/restored.go
@@ -7,12 +7,12 @@
 	"github.com/linnetrudder/linnetrudder/internal/revision"
 )
 
-// rewriteGrace is how long what a restored service has lost stays in force until whoever wrote it
-// has written it again.
+// rewriteGrace is how long what a restored key-value service has lost stays in force, so that its
+// owner can write it again.
 const rewriteGrace = 5 * time.Second
 
-// restoredSince reports whether the service was restored since this gateway has read the whole
-// state last. The lock is held.
+// restoredSince reports whether the key-value service was restored since this gateway last read the
+// whole state. The lock is held.
 func (ga *Gateway) restoredSince(to revision.Revision, now time.Time) bool {
 	storeEra.Set(float64(to.Era))
 	before := ga.history.Revision()
@@ -28,12 +28,12 @@
 	return true
 }
 
-// endedReported is how long a whole state names the servers that have ended: for a gateway that comes
-// from an older era, others that are not listed may have been lost.
+// endedServersTTL is how long a whole state names the servers that have ended. A gateway that comes
+// from an older era could otherwise not tell them from servers whose entries were lost.
 const endedServersTTL = 30 * time.Second
 
-// endedFrom returns the moment from which on ended servers are named to others: what ended before
-// the restore may be listed again. The lock is held.
+// endedServersSince returns the time since which ended servers are named to others. The restored
+// service may list again what ended before the restore. The lock is held.
 func (ga *Gateway) endedServersSince(now time.Time) time.Time {
 	if from := now.Add(-endedServersTTL); from.After(ga.eraSince) {
 		return from
@@ -41,24 +41,24 @@
 	return ga.eraSince
 }
 
-// losePhases notes the phases that a restored service does not hold, so that they are stored
-// again. The lock is held.
+// markPhasesLost marks the phases that a restored key-value service does not contain, so that they
+// are stored again. The lock is held.
 func (ga *Gateway) markPhasesLost(st State) {
-	held := map[string]bool{}
+	stored := map[string]bool{}
 	for _, ch := range st.Changes {
 		if ch.Phase != nil {
-			held[ch.Phase.Service] = true
+			stored[ch.Phase.Service] = true
 		}
 	}
 	for service, ph := range ga.phases {
-		if !held[service] {
+		if !stored[service] {
 			ph.Revision = revision.Revision{Era: st.Revision.Era}
 			ga.phases[service] = ph
 		}
 	}
 }
 
-// dropLost drops what a restored service has lost and nobody has written again.
+// expireLost drops what a restored key-value service has lost and nobody wrote again in time.
 func (ga *Gateway) expireLost(now time.Time) {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
--- a/internal/gateway/rollouts.go
+++ b/internal/gateway/rollouts.go
@@ -14,45 +14,45 @@
 )
 
 const (
-	// writeEvery is the least time between two tries to store a phase.
+	// phaseWriteInterval is the least time between two attempts to store a phase.
 	phaseWriteInterval = 300 * time.Millisecond
-	// mostWriteEvery is that time after failed tries: a gateway that gets no changes compares with
-	// old revisions.
+	// maxPhaseWriteInterval is that time after repeated failures: a gateway that receives no changes
+	// compares with outdated revisions, so that its writes fail.
 	maxPhaseWriteInterval = 1200 * time.Millisecond
 )
 
-// timedRollout is the newest roll-out of a service.
+// rolloutState is the newest roll-out of a service.
 type rolloutState struct {
 	order Order
-	// before is the service's order before this one, nil if it is not known.
+	// previous is the service's order before this one, nil if it is unknown.
 	previous *Order
 	canary   rollout.Canary
-	// withdrawn holds the versions of earlier orders that get nothing.
+	// withdrawn holds the versions of earlier orders that get no requests.
 	withdrawn []string
-	// due is the phase that is to be stored, dueSince when it became so.
+	// due is the phase to be stored, dueSince when it became due.
 	due      rollout.Phase
 	dueSince time.Time
-	// tried is when the phase was last tried to be stored, pause the least time until the
-	// next try.
+	// lastWrite is when this gateway last tried to store a phase, writePause the least time until
+	// the next attempt.
 	lastWrite  time.Time
 	writePause time.Duration
-	// toldBad and toldTried are the bad answers and outcomes that the other
-	// gateways were told of, at toldAt.
+	// publishedBad and publishedTried are the bad outcomes and all outcomes that were published to
+	// the other gateways at publishedAt.
 	publishedBad, publishedTried int
 	publishedAt                  time.Time
-	// outbox is the own tally that the others are still to hear of, handed the one in the
-	// last report.
+	// pending is this gateway's tally that is not published yet, reported the one in the last load
+	// report.
 	pending, reported *Tally
-	// gathered holds the tallies of gateways that report to this one, by process; more is
-	// set if some came since they were written last, at wroteAt.
+	// collected holds the tallies of gateways that report to this one, by process. collectedNew is
+	// set if any arrived since they were last written, at writtenAt.
 	collected    map[string]Tally
 	collectedNew bool
 	writtenAt    time.Time
-	// storing is true while a call is in progress.
+	// storing is set while a call to store a phase is in progress.
 	storing bool
 }
 
-// ordered takes an operator's order; the lock is held.
+// applyOrder applies an operator's order. The lock is held.
 func (ga *Gateway) applyOrder(or Order) {
 	old := ga.rollouts[or.Plan.Service]
 	if old != nil && !or.Revision.After(old.order.Revision) {
@@ -77,23 +77,22 @@
 	}
 }
 
-// orderBefore returns the order of a roll-out, nil if there is none.
+// previousOrder returns the order of a roll-out, nil if there is none.
 func previousOrder(ro *rolloutState) *Order {
 	if ro == nil {
 		return nil
 	}
-	before := ro.order
-	return &before
+	order := ro.order
+	return &order
 }
 
-// resendOutcomes sends all outcomes to the other gateways once more.
+// resendOutcomes makes all outcomes due to be published again.
 func (ro *rolloutState) resendOutcomes() {
 	ro.publishedBad, ro.publishedTried, ro.publishedAt = 0, 0, time.Time{}
 }
 
-// ownExtra returns this gateway's part of the requests that a bad version may get
-// besides its share; none where it does not know how many gateways there are. The lock
-// is held.
+// extraPerGateway returns this gateway's share of the requests that a bad version may get beyond
+// its fraction, zero while the number of gateways is unknown. The lock is held.
 func (ga *Gateway) extraPerGateway() float64 {
 	if ga.size == 0 {
 		return 0
@@ -101,26 +100,26 @@
 	return ga.Bounds.CanaryExtra / float64(ga.size)
 }
 
-// withdrawnFor returns the versions that get nothing while an order is carried out
-// that follows another one. A process that was not there before goes by what is kept.
-// The lock is held.
+// withdrawnVersions returns the versions that get no requests while an order is carried out that
+// follows another one. A process without state of the earlier roll-out uses the stored phase. The
+// lock is held.
 func (ga *Gateway) withdrawnVersions(old *rolloutState, or Order) []string {
-	kept := ga.phases[or.Plan.Service]
-	if kept.belongsTo(or) {
-		return kept.Withdrawn
+	stored := ga.phases[or.Plan.Service]
+	if stored.belongsTo(or) {
+		return stored.Withdrawn
 	}
-	version, ph, before := kept.Version, kept.Phase, kept.Withdrawn
+	version, ph, withdrawn := stored.Version, stored.Phase, stored.Withdrawn
 	if old != nil {
-		version, ph, before = old.order.Plan.Version, old.canary.Phase(), old.withdrawn
+		version, ph, withdrawn = old.order.Plan.Version, old.canary.Phase(), old.withdrawn
 	}
 	var listed []string
 	for _, se := range ga.servers.Servers(or.Plan.Service) {
 		listed = append(listed, se.Version)
 	}
-	return rollout.Withdraw(before, version, ph, listed, or.Plan.Version)
+	return rollout.Withdraw(withdrawn, version, ph, listed, or.Plan.Version)
 }
 
-// stored takes a phase that was kept by any gateway; the lock is held.
+// applyStoredPhase applies a phase that any gateway stored. The lock is held.
 func (ga *Gateway) applyStoredPhase(ph StoredPhase) {
 	if !ph.Revision.After(ga.phases[ph.Service].Revision) {
 		return
@@ -132,7 +131,7 @@
 	}
 }
 
-// take takes what is kept of a roll-out.
+// restorePhase applies the stored state of a roll-out.
 func (ga *Gateway) restorePhase(ro *rolloutState, ph StoredPhase) {
 	ro.canary.Try(ph.Shares, ph.Burst)
 	ro.canary.BeganBefore(clock.Now().Add(-ph.Elapsed))
@@ -143,7 +142,7 @@
 	ga.logPhase(ro)
 }
 
-// noteEntered logs the phase that a roll-out has entered here.
+// logPhase logs the phase that a roll-out has entered at this gateway.
 func (ga *Gateway) logPhase(ro *rolloutState) {
 	ph, id := ro.canary.Phase(), event.RolloutStep
 	if ph == rollout.Failed {
@@ -154,8 +153,8 @@
 		Str("phase", string(ph)).Int("tried_here", tried).Int("bad_here", bad).Msg(event.Name(id))
 }
 
-// restrict narrows an attempt to the version that its session belongs to, or for
-// a request without one to the version that it drew. The lock is held.
+// restrictVersion restricts an attempt to the version that its session is assigned to, or the
+// version drawn for a request without a session. The lock is held.
 func (ga *Gateway) restrictVersion(ask pool.Ask, ex *exchange, now time.Time) pool.Ask {
 	ro := ga.rollouts[ask.Service]
 	if ro == nil {
@@ -168,7 +167,7 @@
 		return ask
 	}
 	if !ga.pool.Any(ask) {
-		// No server of that version is there (yet or any more).
+		// That version has no server (yet or any more).
 		ask.Only, ask.Except = ask.Except, ask.Only
 	}
 	if ask.Only && ro.canary.Phase() == rollout.Trying {
@@ -177,7 +176,7 @@
 	return ask
 }
 
-// goesToNew reports whether a request's next attempt goes to the new version.
+// useNewVersion reports whether a request's next attempt goes to the new version.
 func (ro *rolloutState) useNewVersion(ex *exchange, now time.Time) bool {
 	switch {
 	case ex.begun != "":
@@ -189,15 +188,14 @@
 	}
 }
 
-// isNew reports whether a server runs a version that is being tried. The lock is
-// held.
+// runsTrialVersion reports whether a server runs a version on trial. The lock is held.
 func (ga *Gateway) runsTrialVersion(se directory.Server) bool {
 	ro := ga.rollouts[se.Service]
 	return ro != nil && ro.canary.Phase() == rollout.Trying && se.Version == ro.order.Plan.Version
 }
 
-// settle leaves a version that counts as bad, whether the store can be reached or
-// not. The lock is held.
+// applyVerdict ends the use of a version that counts as bad, whether the key-value service is
+// reachable or not. The lock is held.
 func (ga *Gateway) applyVerdict(ro *rolloutState, now time.Time) {
 	if ro.canary.Settle(now) {
 		ga.logPhase(ro)
@@ -205,7 +203,7 @@
 	}
 }
 
-// over reports whether the roll-out has ended.
+// ended reports whether the roll-out has ended.
 func (ro *rolloutState) ended() bool {
 	return ro.canary.Phase() == rollout.Complete || ro.canary.Phase() == rollout.Failed
 }
@@ -226,34 +224,34 @@
 	}
 }
 
-// inTurn reports whether it is this gateway's turn to store a phase that is due; the
-// lock is held.
+// isWriteTurn reports whether it is this gateway's turn to store a phase that is due. The lock is
+// held.
 func (ga *Gateway) isWriteTurn(ro *rolloutState, ph rollout.Phase, now time.Time) bool {
 	if ro.due != ph {
 		ro.due, ro.dueSince = ph, now
 	}
-	if kept := ga.phases[ro.order.Plan.Service]; kept.Order == ro.order.Revision && kept.Phase == ph {
-		// Nothing waits for the time that has passed.
+	if stored := ga.phases[ro.order.Plan.Service]; stored.Order == ro.order.Revision && stored.Phase == ph {
+		// Only the elapsed time would be written, which is not urgent.
 		ph = rollout.Waiting
 	}
 	boxes := slices.Collect(maps.Keys(ga.members))
 	return now.Sub(ro.dueSince) >= rollout.Turn(ga.Box, boxes, ga.size, ro.order.Revision.Number, ph)
 }
 
-// elapsedEvery is how often the elapsed time of a trial is stored. A process that starts in the middle
-// of a roll-out goes on from there.
+// elapsedWriteInterval is how often the elapsed time of a trial is stored. A process that starts in
+// the middle of a roll-out continues from it.
 const elapsedWriteInterval = 2 * time.Second
 
-// dueFor returns the phase to store: the next one, one that this gateway is in and that
-// is not kept yet, or the present one with the time that has passed.
+// phaseToStore returns the phase to store: the next one, the present one if it is not stored yet, or
+// the present one with a newer elapsed time.
 func (ga *Gateway) phaseToStore(ro *rolloutState, now time.Time) (StoredPhase, bool) {
-	kept := ga.phases[ro.order.Plan.Service]
-	known := kept.Order == ro.order.Revision && !kept.lost()
-	if known && (kept.Phase == rollout.Complete || kept.Phase == rollout.Failed) {
+	stored := ga.phases[ro.order.Plan.Service]
+	known := stored.Order == ro.order.Revision && !stored.lost()
+	if known && (stored.Phase == rollout.Complete || stored.Phase == rollout.Failed) {
 		return StoredPhase{}, false
 	}
 	next := StoredPhase{
-		Service: ro.order.Plan.Service, Order: ro.order.Revision, Phase: ro.canary.Phase(), Revision: kept.Revision,
+		Service: ro.order.Plan.Service, Order: ro.order.Revision, Phase: ro.canary.Phase(), Revision: stored.Revision,
 		Version: ro.order.Plan.Version, Withdrawn: ro.withdrawn, Shares: ro.canary.Shares(), Burst: ro.canary.Burst(), Elapsed: now.Sub(ro.canary.Began),
 	}
 	ph, due := ro.canary.Due(now)
@@ -265,27 +263,27 @@
 		plan.Servers = ga.pool.Count(pool.Ask{Service: plan.Service, Version: plan.Version, Only: true})
 		next.Shares, next.Burst = plan.Shares(ga.demand(plan.Service).All(now))
 	}
-	return next, due || !known || kept.Phase != next.Phase || ga.elapsedIsStale(ro, kept, next, now)
+	return next, due || !known || stored.Phase != next.Phase || ga.elapsedIsStale(ro, stored, next, now)
 }
 
-// isOld reports whether what is kept of the time that has passed is to be renewed here. Near
-// a decision it is not: two writes at once, and the decision would have to wait. Of many
-// gateways the watchers renew it, which hear first whether one of them has, and while the
-// service does not answer nobody does.
-func (ga *Gateway) elapsedIsStale(ro *rolloutState, kept, next StoredPhase, now time.Time) bool {
+// elapsedIsStale reports whether this gateway should store the elapsed time again. It should not near
+// a decision, which would have to wait for that write. Of many gateways only the watchers do so,
+// since they are the first to learn that one of them has, and none does while the key-value service
+// does not answer.
+func (ga *Gateway) elapsedIsStale(ro *rolloutState, stored, next StoredPhase, now time.Time) bool {
 	tried := next.Phase == rollout.Waiting || next.Phase == rollout.Trying
-	if !tried || next.Elapsed-kept.Elapsed < elapsedWriteInterval || ro.canary.Deciding(now) {
+	if !tried || next.Elapsed-stored.Elapsed < elapsedWriteInterval || ro.canary.Deciding(now) {
 		return false
 	}
 	return !ga.fresh.Failing() && ga.plan.Watches(ga.memberList())
 }
 
 func (ga *Gateway) storePhase(ctx context.Context, ro *rolloutState, ph StoredPhase) {
-	kept, err := ga.Source.Store(ctx, ro.order, ph)
+	stored, err := ga.Source.Store(ctx, ro.order, ph)
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
 	ro.storing = false
-	if !kept {
+	if !stored {
 		ro.writePause = min(maxPhaseWriteInterval, 2*max(phaseWriteInterval, ro.writePause))
 	}
 	level := ga.Log.Info()
@@ -293,5 +291,5 @@
 		level = ga.Log.Warn().Err(err)
 	}
 	level.Int("event", int(event.PhaseStored)).Str("service", ph.Service).Str("phase", string(ph.Phase)).
-		Stringer("compared", ph.Revision).Bool("kept", kept).Msg(event.Name(event.PhaseStored))
+		Stringer("compared", ph.Revision).Bool("kept", stored).Msg(event.Name(event.PhaseStored))
 }
--- a/internal/gateway/selfreports.go
+++ b/internal/gateway/selfreports.go
@@ -27,7 +27,7 @@
 	return selfreport.Report{}, false
 }
 
-// applySelfReport records what an attempt's server reported about itself.
+// applySelfReport applies what an attempt's server reported about itself.
 func (ga *Gateway) applySelfReport(se *sent, now time.Time) {
 	re, ok := se.selfReport()
 	if !ok {
@@ -58,7 +58,7 @@
 	}
 }
 
-// pauseServer sends a server nothing for as long as it asked for. The lock is held.
+// pauseServer sends a server no requests for as long as it asked for. The lock is held.
 func (ga *Gateway) pauseServer(key string, lasts time.Duration, now time.Time) {
 	if !ga.pool.Pauses.Begin(key, lasts, now) {
 		return
@@ -68,15 +68,15 @@
 	ga.Log.Info().Int("event", int(event.ServerPaused)).Str("server", key).Dur("for_ms", lasts).Msg(event.Name(event.ServerPaused))
 }
 
-// noteUnreadable logs a report that could not be read, and counts all of them.
-func (ga *Gateway) logUnreadableReport(key string, why error) {
+// logUnreadableReport counts a report that could not be read, and logs a sample of them.
+func (ga *Gateway) logUnreadableReport(key string, err error) {
 	reportsUnreadable.Inc()
 	lo := ga.Log.Sample(&ga.unreadable)
-	lo.Warn().Int("event", int(event.ReportUnreadable)).Str("server", key).Err(why).Msg(event.Name(event.ReportUnreadable))
+	lo.Warn().Int("event", int(event.ReportUnreadable)).Str("server", key).Err(err).Msg(event.Name(event.ReportUnreadable))
 }
 
-// serverLeaves takes a server out of use that announced its shutdown, and propagates that to other
-// gateways. The lock is held.
+// markLeaving takes a server out of use that announced its shutdown, and propagates the announcement
+// to other gateways. The lock is held.
 func (ga *Gateway) markLeaving(key string, at time.Time, hops uint8, detail string) {
 	if !ga.servers.Leave(key, at) {
 		return
@@ -91,7 +91,7 @@
 	ga.receiveLimitNotices(re, now)
 	for _, no := range re.Leaving {
 		if no.Valid() {
-			ga.markLeaving(no.Server, now.Add(-no.Age), no.Hops+1, "announced to "+re.Box)
+			ga.markLeaving(no.Server, now.Add(-no.Age), no.Hops+1, "announced to gateway "+re.Box)
 		}
 	}
 	for _, no := range re.Pauses {
@@ -116,8 +116,8 @@
 	}
 }
 
-// noteUnwanted logs an attempt that is sent although its server asked for none. The lock is
-// held.
+// logUnwantedAttempt logs an attempt that is sent although its server is leaving or asked for a
+// pause. The lock is held.
 func (ga *Gateway) logUnwantedAttempt(se *sent, now time.Time) {
 	key := se.server.Key()
 	since, leaving := ga.servers.LeavingSince(key)
@@ -134,7 +134,7 @@
 	le.Msg(event.Name(event.AttemptUnwanted))
 }
 
-// endPauses logs the pauses of servers that are over.
+// expirePauses ends and logs the pauses of servers that have run out.
 func (ga *Gateway) expirePauses(now time.Time) {
 	for _, en := range ga.pool.Pauses.Tick(now) {
 		ga.Log.Info().Int("event", int(event.ServerResumed)).Str("server", en.Server).Int("sent", en.Sent).
--- a/internal/gateway/servers.go
+++ b/internal/gateway/servers.go
@@ -11,11 +11,11 @@
 	"github.com/linnetrudder/linnetrudder/internal/warmup"
 )
 
-// mostUnusable is how many ids of unusable entries are kept: who writes more of them fills
-// neither the memory nor the log.
+// maxUnusableIDs bounds the ids of unusable entries that are remembered, so that a writer of many such
+// entries fills neither the memory nor the log.
 const maxUnusableIDs = 256
 
-// putServer takes a server's entry; the lock is held.
+// putServer applies a server's entry. The lock is held.
 func (ga *Gateway) putServer(se directory.Server, now time.Time) {
 	var old directory.Server
 	known := ga.servers.Get(se.ID)
@@ -30,7 +30,7 @@
 	case known == nil:
 		ga.logServer(event.ServerListed, se.ID, se.Service+" "+se.Version+" "+se.Address)
 	case se.Born != old.Born:
-		ga.applyServerEnd(old.Key(), "it has started again", now)
+		ga.applyServerEnd(old.Key(), "the server has restarted", now)
 		ga.pool.ForgetLife(old.Key())
 		ga.logServer(event.ServerRestarted, se.ID, se.Service+" "+se.Version+" "+se.Address)
 	case se.Draining && !old.Draining:
@@ -39,22 +39,22 @@
 	ga.markCold(&se, se.ColdFor, now)
 }
 
-// serverGone takes the end of a server's entry; the lock is held.
+// removeServer removes a server whose entry ended. The lock is held.
 func (ga *Gateway) removeServer(id string, now time.Time) {
 	key := ga.serverKey(id)
 	if se := ga.servers.Get(id); se != nil && !ga.servers.Drains(se) && ga.runs.Broken(key, now) {
-		// A machine that is gone with its server refuses no connection.
-		ga.applyServerEnd(key, "it broke off and its entry ended", now)
+		// If the machine has failed together with its server, nothing refuses a connection.
+		ga.applyServerEnd(key, "a connection broke and the server's entry ended", now)
 	}
 	ga.servers.Remove(id, now)
 	if ga.servers.Get(id) == nil {
 		ga.pool.Forget(key)
-		ga.logServer(event.ServerGone, id, "its entry ended")
+		ga.logServer(event.ServerGone, id, "entry ended")
 	}
 }
 
-// entryUnusable takes a server out of use whose entry does not name one any more. The
-// server writes its own again within seconds if it lives. The lock is held.
+// dropUnusableServer takes a server out of use whose entry no longer describes a usable one. If the
+// server still runs, it writes its entry again within seconds. The lock is held.
 func (ga *Gateway) dropUnusableServer(un UnusableServer) {
 	unusableEntries.Inc()
 	key, listed := ga.serverKey(un.ID), ga.servers.Get(un.ID) != nil
@@ -67,8 +67,8 @@
 	ga.logServer(event.ServerUnusable, un.ID, un.Reason)
 }
 
-// keepServers removes the servers that a whole state does not list, at once unless a restored
-// service may have lost their entries. The lock is held.
+// reconcileServers removes the servers that a whole state does not list, at once unless a restored
+// key-value service may have lost their entries. The lock is held.
 func (ga *Gateway) reconcileServers(listed map[string]bool, restored bool, now time.Time) {
 	for _, se := range ga.servers.Listed() {
 		switch {
@@ -81,9 +81,9 @@
 	}
 }
 
-// revives reports whether a restored service lists a server that has ended, which is not used for
-// a while. The lock is held.
-func (ga *Gateway) isRevived(se directory.Server, now time.Time) bool {
+// deferRevived reports whether a restored key-value service lists a server that has ended, and keeps
+// such a server out of use for a while. The lock is held.
+func (ga *Gateway) deferRevived(se directory.Server, now time.Time) bool {
 	if !ga.servers.Revive(se, now) {
 		return false
 	}
@@ -91,18 +91,16 @@
 	return true
 }
 
-// evacuate takes a data centre's servers out of use: whatever is sent from now on, a first
-// attempt or a later one, goes elsewhere, and what runs there comes to its end. The lock is
-// held.
+// evacuate takes a data centre's servers out of use. First and later attempts go to other data
+// centres from now on, attempts in progress there complete. The lock is held.
 func (ga *Gateway) evacuate(dataCentre string) {
 	if ga.servers.Evacuate(dataCentre) {
 		ga.logDataCentre(event.CentreEvacuated, dataCentre)
 	}
 }
 
-// restore takes a data centre's servers into use again, at first as cold ones: they may
-// have become cold shortly before, and what they said of it may not have come yet. The lock
-// is held.
+// endEvacuation takes a data centre's servers into use again, as cold ones at first: they may have
+// become cold shortly before, and their reports of it may not have arrived yet. The lock is held.
 func (ga *Gateway) endEvacuation(dataCentre string, now time.Time) {
 	if !ga.servers.IsEvacuated(dataCentre) {
 		return
@@ -113,8 +111,8 @@
 	ga.logDataCentre(event.CentreRestored, dataCentre)
 }
 
-// keepEvacuated gives the data centres back that a whole state does not name. Where a restored
-// service may have lost the evacuation, its operator gets time to write it again. The lock is held.
+// reconcileEvacuations ends the evacuations that a whole state does not contain. If a restored
+// key-value service may have lost one, its operator gets time to write it again. The lock is held.
 func (ga *Gateway) reconcileEvacuations(evacuated map[string]bool, restored bool, now time.Time) {
 	for _, dataCentre := range ga.servers.Evacuated() {
 		switch {
@@ -127,15 +125,15 @@
 	}
 }
 
-// cool notes for how long a server is cold; the lock is held.
+// markCold records for how long a server is cold. The lock is held.
 func (ga *Gateway) markCold(se *directory.Server, left time.Duration, now time.Time) {
 	if ga.pool.Warmup.Cool(se.Key(), left, now) {
 		ga.logServer(event.ServerCold, se.Key(), strconv.FormatInt(left.Milliseconds(), 10)+" ms")
 	}
 }
 
-// coldLimit returns what a cold server of a service bears, coldFor how long it is cold after a
-// start; the lock is held.
+// coldLimit returns the request limit of a service's cold servers, coldFor how long a server is cold
+// after its start. The lock is held.
 func (ga *Gateway) coldLimit(service string) quota.Limit {
 	sv := ga.serviceConfig(service)
 	if sv == nil {
@@ -153,7 +151,8 @@
 	return 0
 }
 
-// configured returns a service of the configuration in force, nil if it has none of the name.
+// serviceConfig returns a service of the configuration in force, nil if it does not contain the
+// service.
 func (ga *Gateway) serviceConfig(service string) *routing.Service {
 	ta := ga.table.Load()
 	if ta == nil {
@@ -162,8 +161,8 @@
 	return ta.Service(service)
 }
 
-// watchServers notes which servers are warm again and how many gateways may send to those
-// that are not.
+// tickServers updates the time-dependent state of servers: warm-up, pauses, notices to propagate and
+// the number of gateways that may send to cold servers.
 func (ga *Gateway) tickServers(now time.Time) {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
@@ -177,14 +176,14 @@
 	ga.updateFleet(now)
 }
 
-// countFleet takes how many gateways there may be; the lock is held.
+// updateFleet updates the highest possible number of gateways. The lock is held.
 func (ga *Gateway) updateFleet(now time.Time) {
 	ga.fleet.Observe(ga.size, now)
 	ga.pool.Fleet = ga.fleet.Most(now)
 }
 
-// dropMissing drops the servers whose entries did not come back, and lists those whose entries
-// stayed after a restored service had listed them again.
+// dropMissing drops the servers whose entries did not return in time, and lists those whose entries
+// remained after a restored key-value service listed them again.
 func (ga *Gateway) dropMissing(now time.Time) {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
@@ -193,12 +192,12 @@
 	}
 	for _, se := range ga.servers.Tick(now) {
 		ga.pool.Forget(se.Key())
-		ga.logServer(event.ServerGone, se.ID, "its entry did not come back")
+		ga.logServer(event.ServerGone, se.ID, "entry did not return")
 	}
 }
 
-// keyOf returns the name of a server's present life, that of one that never started again
-// if it is not listed. The lock is held.
+// serverKey returns the key of a server's current life, or that of its first life if it is not
+// listed. The lock is held.
 func (ga *Gateway) serverKey(id string) string {
 	if se := ga.servers.Get(id); se != nil {
 		return se.Key()
--- a/internal/gateway/tallies.go
+++ b/internal/gateway/tallies.go
@@ -12,22 +12,24 @@
 )
 
 const (
-	// badTallyInterval is the least time between two tallies with bad answers: each costs a
-	// write, and a bad version may be used for seconds after its 50th bad answer.
+	// badTallyInterval is the least time between two tallies that report new bad outcomes: each
+	// tally costs a write, and a bad version may stay in use for seconds after its 50th bad
+	// outcome.
 	badTallyInterval = 500 * time.Millisecond
-	// decideEvery is that time for tallies without, while the next decision is near.
+	// decisionTallyInterval is that time for tallies without new bad outcomes while the next
+	// decision is near.
 	decisionTallyInterval = 1500 * time.Millisecond
-	// tellSpacing is that time for each member, where that is longer: all gateways may
-	// have something to tell at once, and the service bears 400 writes a second.
+	// tallySpacing is that time per gateway. It applies where the product is longer: all gateways
+	// may have outcomes to publish at once, and the key-value service supports 400 writes a second.
 	tallySpacing = 5 * time.Millisecond
-	// answerEvery is the least time between two tallies without: from the third
-	// bad answer known, all gateways tell what they have, so that the good answers
-	// count as well.
+	// goodTallyInterval is the least time between two tallies without new bad outcomes otherwise.
+	// They are published once goodTallyMinBad bad outcomes are known, so that the good outcomes of
+	// all gateways count as well.
 	goodTallyInterval = 5 * time.Second
 	goodTallyMinBad   = 3
 )
 
-// mayTell reports whether the other gateways should hear of outcomes now. The lock is
+// tallyDue reports whether outcomes should be published to the other gateways now. The lock is
 // held.
 func (ga *Gateway) tallyDue(ro *rolloutState, now time.Time) bool {
 	_, bad := ro.canary.Counts()
@@ -44,9 +46,9 @@
 	}
 }
 
-// tell lets the other gateways know of outcomes. One that reports to a collector leaves it
-// to that, which writes the tallies of all its gateways at once: 103 gateways made 332
-// calls for a roll-out, each for itself. The lock is held.
+// publishTallies publishes this gateway's outcomes to the other gateways. A gateway that reports
+// to a collector leaves that to the collector, which writes the tallies of all its gateways at
+// once: 103 gateways that wrote one by one made 332 calls for a roll-out. The lock is held.
 func (ga *Gateway) publishTallies(ctx context.Context, ro *rolloutState, now time.Time) {
 	if ro.ended() {
 		ro.pending, ro.collectedNew = nil, false
@@ -58,7 +60,7 @@
 		ro.pending = ga.ownTally(ro)
 	}
 	if now.Sub(ga.reported) < loadReportTTL {
-		return // it goes with the next report
+		return // sent with the next load report
 	}
 	if ro.pending == nil && (!ro.collectedNew || now.Sub(ro.writtenAt) < badTallyInterval) {
 		return
@@ -72,14 +74,14 @@
 	}()
 }
 
-// ownTally returns what this gateway tells of a roll-out; the lock is held.
+// ownTally returns this gateway's tally of a roll-out. The lock is held.
 func (ga *Gateway) ownTally(ro *rolloutState) *Tally {
 	return &Tally{
 		Service: ro.order.Plan.Service, Order: ro.order.Revision, Version: ro.order.Plan.Version, Box: ga.Box, Life: ga.life, Outcomes: ro.canary.Own(),
 	}
 }
 
-// tallied takes what another gateway tells of a new version; the lock is held.
+// receiveTally applies another gateway's tally of a new version. The lock is held.
 func (ga *Gateway) receiveTally(ta Tally) {
 	ro := ga.rollouts[ta.Service]
 	if ro == nil || !ta.belongsTo(ro.order) || ta.Box == ga.Box && ta.Life == ga.life || ro.ended() {
@@ -88,7 +90,7 @@
 	ro.canary.Merge(ta.teller(), ta.Outcomes)
 }
 
-// outgoing returns the tallies that go with a report; the lock is held.
+// pendingTallies encodes the tallies to send with a load report. The lock is held.
 func (ga *Gateway) pendingTallies() []byte {
 	var tallies []Tally
 	for _, ro := range ga.rollouts {
@@ -107,8 +109,8 @@
 	return data
 }
 
-// handedOver notes that a collector has the tallies of the last report; one that came since
-// is kept. The lock is held.
+// clearReported drops the pending tallies that a collector received with the last report, but not
+// those created since. The lock is held.
 func (ga *Gateway) clearReported() {
 	for _, ro := range ga.rollouts {
 		if ro.pending == ro.reported {
@@ -117,7 +119,8 @@
 	}
 }
 
-// gather takes the tallies of a gateway that reports to this one; the lock is held.
+// collectTallies applies the tallies of a gateway that reports to this one, and stores them to be
+// written with this gateway's own. The lock is held.
 func (ga *Gateway) collectTallies(data []byte) {
 	if len(data) == 0 {
 		return
--- a/internal/gateway/trials.go
+++ b/internal/gateway/trials.go
@@ -12,11 +12,12 @@
 	"github.com/linnetrudder/linnetrudder/internal/rendezvous"
 )
 
-// freshWaitPart is the part of the target latency for which a request waits while its block is fresh.
+// freshWaitFraction is the fraction of the target latency for which a request waits while its block
+// is fresh.
 const freshWaitFraction = 0.25
 
-// awaitVerdict delays a request while its block is fresh. The request becomes a trial if one is due and
-// this gateway's.
+// awaitTrial delays a request while its block is fresh. The request becomes a trial if one is due
+// and it is this gateway's turn.
 func (ex *exchange) awaitTrial(ctx context.Context) {
 	ga := ex.ga
 	until := ex.as.Received.Add(time.Duration(freshWaitFraction * float64(ex.route.Target)))
@@ -43,12 +44,12 @@
 	}
 }
 
-// trialCheck is how often a waiting request checks whether a trial is due.
+// trialPollInterval is how often a waiting request checks whether a trial is due.
 const trialPollInterval = 50 * time.Millisecond
 
-// takeTrial reports whether this gateway sends a copy of a blocked request as a trial, and records it.
-// A trial needs a server that runs nothing else, so that its end has one suspect only. The lock is
-// held.
+// startTrial reports whether this gateway sends a copy of a blocked request as a trial, and records
+// the trial. A trial needs a server that runs nothing else, so that the request is the only suspect
+// if the server ends. The lock is held.
 func (ga *Gateway) startTrial(ex *exchange, now time.Time) bool {
 	pr := ex.print
 	trial, due := ga.blocks.Trial(pr, now)
@@ -61,21 +62,21 @@
 	return true
 }
 
-// trialTurn is the time for which a due trial is reserved for one gateway before the next may make it.
-// It exceeds the time for propagating that it was made.
+// trialSlot is the time for which a due trial is reserved for one gateway before the next one may
+// make it. It exceeds the time that gateways need to propagate that the trial was made.
 const trialSlot = 700 * time.Millisecond
 
-// trialsApart is the number of offsets within trialTurn at which trials begin, by fingerprint, so that
-// requests that were blocked together are not tried together.
+// trialOffsets is the number of offsets within trialSlot at which trials begin. The fingerprint
+// selects the offset, so that requests that were blocked together are not tried together.
 const trialOffsets = 4
 
-// triesFor reports whether it is this gateway's turn to make a trial. The lock is held.
+// isTrialTurn reports whether it is this gateway's turn to make a trial. The lock is held.
 func (ga *Gateway) isTrialTurn(pr poison.Print, trial int, due time.Duration) bool {
 	boxes := make([]string, 0, len(ga.members))
 	for box := range ga.members {
 		boxes = append(boxes, box)
 	}
-	place := slices.Index(rendezvous.Rank(pr.String()+strconv.Itoa(trial), boxes), ga.Box)
-	apart := time.Duration(pr[0]%trialOffsets) * trialSlot / trialOffsets
-	return place >= 0 && due >= apart+time.Duration(place)*trialSlot
+	rank := slices.Index(rendezvous.Rank(pr.String()+strconv.Itoa(trial), boxes), ga.Box)
+	offset := time.Duration(pr[0]%trialOffsets) * trialSlot / trialOffsets
+	return rank >= 0 && due >= offset+time.Duration(rank)*trialSlot
 }
