--- a/internal/gateway/common_test.go
+++ b/internal/gateway/common_test.go
@@ -16,40 +16,40 @@
 	"github.com/linnetrudder/linnetrudder/internal/revision"
 )
 
-// rev returns a revision of a service that names no era.
+// rev returns a revision without an era.
 func rev(number uint64) revision.Revision { return revision.Revision{Number: number} }
 
-// commonPlay is one play of a harmless request that all callers ask alike beside a deadly one,
-// both ten times a second, at gateways that have just started.
+// mixedLoad is a load of a harmless request that all callers send alike, and of a request under
+// which servers end, each ten times a second, at gateways that have just started.
 type mixedLoad struct {
 	gateways  int
 	endsAfter time.Duration
-	// replaced is how often a gateway is lost and replaced; zero for never.
+	// replaceEvery is how often a gateway fails and is replaced, zero for never.
 	replaceEvery time.Duration
 }
 
-// outcome is what callers got of a play.
+// mixedLoadResult is the result of a mixedLoad.
 type mixedLoadResult struct {
-	// served is the part of the harmless requests that were answered, blocked the part that was
-	// refused as blocked, tooMany the copies of the deadly one that reached servers too late, ends
-	// the servers that ended.
+	// served is the fraction of the harmless requests that were answered, blocked the fraction that
+	// was refused as blocked, tooMany the copies of the other request that reached servers too late,
+	// ends the number of servers that ended.
 	served, blocked float64
 	tooMany, ends   int
 }
 
-func (cp mixedLoad) run(t *testing.T, lasts time.Duration) (out mixedLoadResult) {
+func (ml mixedLoad) run(t *testing.T, lasts time.Duration) (out mixedLoadResult) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		sc := newScene(t, cp.gateways)
-		sc.servers.endsAfter = cp.endsAfter
-		next := time.Now().Add(cp.replaceEvery)
+		sc := newScene(t, ml.gateways)
+		sc.servers.endsAfter = ml.endsAfter
+		next := time.Now().Add(ml.replaceEvery)
 		for n := range int(lasts / (100 * time.Millisecond)) {
-			sc.ask(n%cp.gateways, "/menu/other", fmt.Sprint("other-", n))
-			sc.ask((n+1)%cp.gateways, poisonPath, fmt.Sprint("copy-", n))
+			sc.ask(n%ml.gateways, "/menu/other", fmt.Sprint("other-", n))
+			sc.ask((n+1)%ml.gateways, poisonPath, fmt.Sprint("copy-", n))
 			time.Sleep(100 * time.Millisecond)
-			if cp.replaceEvery > 0 && !time.Now().Before(next) {
-				next = next.Add(cp.replaceEvery)
-				sc.replace(n % cp.gateways)
+			if ml.replaceEvery > 0 && !time.Now().Before(next) {
+				next = next.Add(ml.replaceEvery)
+				sc.replace(n % ml.gateways)
 			}
 		}
 		sc.callers.Wait()
@@ -68,7 +68,7 @@
 	return out
 }
 
-// commonPlays returns the plays of the story, those at many gateways only if all are wanted.
+// mixedLoads returns the loads to test, those with many gateways only if all is set.
 func mixedLoads(all bool) []mixedLoad {
 	var list []mixedLoad
 	sizes := []int{2, 8}
@@ -85,40 +85,40 @@
 	return list
 }
 
-// What callers saw: boxes had just started, one caller's request ended servers, and what all
-// others asked alike was refused on every box for five minutes, 4 to 25 of 400 served, though no
-// server ever ended under it. Order of events: both were with each of the first three servers
-// that ended; no server had answered the common one as a whole and something more half a second
-// later, so that nothing spoke for it; once it was blocked, nothing was sent that could. Cause: a
-// block left no way to learn that it was wrong. What proved it: with six seconds of the common
-// request alone before, 0.97 and more were served in 30 of 30 plays, without them in 18 of 30.
+// Guards against a harmless request being blocked for good. Gateways had just started, one caller's
+// request ended servers, and the request that all other callers sent alike was refused on every box
+// for five minutes, with 4 to 25 of 400 served, although no server had ever ended under it. Both
+// requests were running on each of the first three servers that ended. As no server had completed
+// the common request and was still running half a second later, nothing cleared it, and once it was
+// blocked nothing was sent that could. With six seconds of the common request alone beforehand,
+// 0.97 and more were served in 30 of 30 runs, without them in 18 of 30.
 //
-// LINNETRUDDER_ALL_PLAYS=N plays all sizes N times.
+// LINNETRUDDER_ALL_PLAYS=N runs the loads of all sizes N times.
 func TestACommonRequestIsServedBesideOneUnderWhichServersEnd(t *testing.T) {
-	plays, times := mixedLoads(false), 1
+	loads, times := mixedLoads(false), 1
 	if text := os.Getenv("LINNETRUDDER_ALL_PLAYS"); text != "" {
-		plays = mixedLoads(true)
+		loads = mixedLoads(true)
 		_, err := fmt.Sscan(text, &times)
 		require.NoError(t, err)
 	}
 	short, ends, most := 0, 0, 0
 	for range times {
-		for _, cp := range plays {
-			out := cp.run(t, 40*time.Second)
+		for _, ml := range loads {
+			out := ml.run(t, 40*time.Second)
 			ends += out.ends
 			most = max(most, out.ends)
 			if out.served < 0.97 || out.tooMany > 3 {
 				short++
-				t.Logf("%+v: %+v", cp, out)
+				t.Logf("%+v: %+v", ml, out)
 			}
 		}
 	}
-	t.Logf("%d of %d plays fell short; %.1f servers ended in the mean, %d at the most",
-		short, times*len(plays), float64(ends)/float64(times*len(plays)), most)
+	t.Logf("%d of %d runs fell short; %.1f servers ended in the mean, %d at most",
+		short, times*len(loads), float64(ends)/float64(times*len(loads)), most)
 	require.Zero(t, short)
 }
 
-// block lets the key-value service hold a block of what is asked with a path.
+// storeBlock adds a block of the requests with a path to the key-value service.
 func (sc *scene) storeBlock(path string) {
 	bl := poison.NewBlock(poison.PrintOf(poison.Request{
 		Method: http.MethodPost, Host: "h", Target: path, Body: []byte(path),
@@ -126,9 +126,9 @@
 	sc.servers.kept.add(Change{Blocked: &bl})
 }
 
-// A request that was blocked wrongly, before any server has answered it, is tried by one gateway
-// and served by all soon after; a stream or a plain call that may run once only.
-func TestABlockedRequestGetsItsChance(t *testing.T) {
+// A request that was blocked wrongly, before any server has answered it, is tried by one gateway and
+// served by all gateways soon after, both streams and plain calls that may run only once.
+func TestWronglyBlockedRequestIsTriedAndUnblocked(t *testing.T) {
 	for _, gateways := range []int{1, 4, 23} {
 		for _, path := range []string{"/menu/other", "/cards/other"} {
 			synctest.Test(t, func(t *testing.T) {
@@ -146,7 +146,7 @@
 				for _, ca := range sc.others {
 					if !ca.answered {
 						require.Equal(t, result.RequestBlocked, ca.code)
-						require.Less(t, ca.after, 3*time.Second, "it is worth coming back soon")
+						require.Less(t, ca.after, 3*time.Second, "the caller is asked to retry soon")
 					}
 				}
 				ask(3 * time.Second)
@@ -162,15 +162,15 @@
 					ga.mu.Lock()
 					doubts := len(ga.doubts)
 					ga.mu.Unlock()
-					require.Zero(t, doubts, "a doubt that all told each other again and again would let nothing be blocked")
+					require.Zero(t, doubts, "doubts must not circulate, or nothing could be blocked")
 				}
 			})
 		}
 	}
 }
 
-// One under which servers do end stays blocked, whoever is lost meanwhile.
-func TestADeadlyRequestIsTriedTwiceAtTheMost(t *testing.T) {
+// A request under which servers do end stays blocked, even if gateways are replaced meanwhile.
+func TestRequestThatEndsServersIsTriedAtMostTwice(t *testing.T) {
 	for _, gateways := range []int{1, 4, 23} {
 		for _, path := range []string{poisonPath, plainPoison} {
 			synctest.Test(t, func(t *testing.T) {
--- a/internal/gateway/limits.go
+++ b/internal/gateway/limits.go
@@ -25,8 +25,8 @@
 	}
 }
 
-// logLimitChange logs a changed limit and the gateway that reported it, "" for the server itself. The
-// lock is held.
+// logLimitChange logs a changed limit and the gateway that reported it, "" for the server itself.
+// The lock is held.
 func (ga *Gateway) logLimitChange(ch backpressure.Change, server string, sent int, lasts time.Duration, gateway string) {
 	id, le := event.ServerUnlimited, ga.Log.Info()
 	switch ch {
--- a/internal/gateway/limits_test.go
+++ b/internal/gateway/limits_test.go
@@ -14,18 +14,18 @@
 )
 
 const (
-	// namedLimit is what a server in need takes, in requests a second.
+	// reportedLimit is the limit that an overloaded server reports, in requests a second.
 	reportedLimit = 1.6
-	// holdWithin is how long gateways may take until all of them hold to it: the users allow
-	// 3 s, and half a second to each that has passed on such an answer.
+	// limitWithin is how long gateways may take until all of them comply with it. The users allow
+	// 3 s, and half a second to a gateway that has passed such an answer on.
 	limitWithin = time.Second
-	// limitSpan is the span in which requests are counted, mostInSpan what may come in it: one
-	// and a half times what the limit allows and five more.
+	// limitWindow is the window in which requests are counted, maxInWindow the most that may arrive
+	// in it: one and a half times what the limit allows, and five more.
 	limitWindow = 4 * time.Second
 	maxInWindow = 14
 )
 
-// nameLimit lets a server name a limit from now on, or none for zero.
+// setLimit makes a server report a limit from now on, or none for zero.
 func (cr *crashing) setLimit(id string, perSecond float64) {
 	cr.mu.Lock()
 	defer cr.mu.Unlock()
@@ -39,14 +39,14 @@
 	cr.limits[id] = perSecond
 }
 
-// arrivals returns when requests reached a server after a time.
+// arrivals returns when requests reached a server, after a time.
 func (cr *crashing) arrivals(id string, after time.Time) []time.Time {
 	cr.mu.Lock()
 	defer cr.mu.Unlock()
 	return slices.DeleteFunc(slices.Clone(cr.arrived[id]), func(at time.Time) bool { return !at.After(after) })
 }
 
-// most returns the most requests that a server got in a span, of those after a time.
+// mostInWindow returns the most requests that a server received in a window, of those after a time.
 func (cr *crashing) mostInWindow(id string, after time.Time) int {
 	list, most := cr.arrivals(id, after), 0
 	for i, at := range list {
@@ -61,7 +61,7 @@
 	return most
 }
 
-// press sends a hundred requests a second to all gateways in turn; each asks two servers.
+// sendLoad sends a hundred requests a second to all gateways in turn; each asks two servers.
 func (sc *scene) sendLoad(lasts time.Duration) {
 	for n := range int(lasts / (10 * time.Millisecond)) {
 		id := fmt.Sprint("press-", time.Now().UnixNano())
@@ -70,39 +70,38 @@
 	}
 }
 
-// What users saw: two servers of a pool of 21 asked for no more than 1.7 and 2.3 requests a
-// second from all gateways together and went on to get six, as all others did. Order of events:
-// both named their limit in each answer, all four gateways had passed such answers on after three
-// seconds, and nothing changed until the end. Cause: gateways took a server's own word of what it
-// bears from its entry only (cold servers); what its answers say of it was passed on to callers
-// and not read. What proved it: the rates before and after it were the same (5.1 and 6.6, 6.5 and
-// 5.7 a second), whatever the limit, from each gateway. It holds since each gateway takes its part of
-// what is named from the first answer on, its own or another gateway's, and counts what it sent
-// just before.
-func TestAServerGetsWhatItNames(t *testing.T) {
+// Guards against limits that servers report being ignored. On the users' boxes two servers of a
+// pool of 21 asked for no more than 1.7 and 2.3 requests a second from all gateways together and
+// still received six, as all others did. Both reported their limit in each answer, and all four
+// gateways had passed such answers on after three seconds: gateways read limits only from the
+// entries of cold servers, and passed those in answers on to callers unread. The rates before and
+// after were the same at each gateway (5.1 and 6.6, 6.5 and 5.7 a second), whatever the limit. Now
+// each gateway applies its share of the limit from the first answer on, its own or another
+// gateway's, and counts what it sent shortly before.
+func TestReportedLimitIsEnforced(t *testing.T) {
 	for _, gateways := range []int{1, 4, 23} {
 		t.Run(fmt.Sprint(gateways), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				sc := newScene(t, gateways)
 				sc.sendLoad(6 * time.Second)
-				named := time.Now()
-				needy := []string{"s3", "s9"}
-				for _, id := range needy {
+				limitedAt := time.Now()
+				limited := []string{"s3", "s9"}
+				for _, id := range limited {
 					sc.servers.setLimit(id, reportedLimit)
 				}
 				sc.sendLoad(20 * time.Second)
-				for _, id := range needy {
-					require.LessOrEqual(t, sc.servers.mostInWindow(id, named.Add(limitWithin)), maxInWindow, id)
-					require.NotEmpty(t, sc.servers.arrivals(id, named.Add(limitWithin)), "%s is used all the same", id)
+				for _, id := range limited {
+					require.LessOrEqual(t, sc.servers.mostInWindow(id, limitedAt.Add(limitWithin)), maxInWindow, id)
+					require.NotEmpty(t, sc.servers.arrivals(id, limitedAt.Add(limitWithin)), "%s is still used", id)
 				}
-				for _, id := range needy {
+				for _, id := range limited {
 					sc.servers.setLimit(id, 0)
 				}
 				sc.sendLoad(6 * time.Second)
 				ended := time.Now()
 				sc.sendLoad(6 * time.Second)
-				for _, id := range needy {
-					require.Greater(t, len(sc.servers.arrivals(id, ended)), 12, "%s is used as before", id)
+				for _, id := range limited {
+					require.Greater(t, len(sc.servers.arrivals(id, ended)), 12, "%s gets its usual share again", id)
 				}
 				sc.callers.Wait()
 				for _, ca := range sc.others {
@@ -113,15 +112,16 @@
 	}
 }
 
-// A whole pool in need: all that it takes is used, and who can't be served is told so at once.
-func TestAPoolInNeedIsUsedForWhatItTakes(t *testing.T) {
+// If all servers of a pool report limits, all that they allow is used, and callers that can't be
+// served are refused without delay.
+func TestLimitedPoolIsUsedUpToItsLimits(t *testing.T) {
 	for gateways, least := range map[int]float64{1: 0.9, 4: 0.9, 12: 0.8} {
 		t.Run(fmt.Sprint(gateways), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				sc := newScene(t, gateways)
-				time.Sleep(40 * time.Second) // until all know how many gateways there are
+				time.Sleep(40 * time.Second) // until all gateways know how many there are
 				sc.sendLoad(2 * time.Second)
-				named := time.Now()
+				limitedAt := time.Now()
 				for _, se := range sc.servers.all() {
 					sc.servers.setLimit(se.listed.ID, reportedLimit)
 				}
@@ -132,8 +132,8 @@
 				sc.callers.Wait()
 				used := 0
 				for _, se := range sc.servers.all() {
-					require.LessOrEqual(t, sc.servers.mostInWindow(se.listed.ID, named.Add(limitWithin)), maxInWindow, se.listed.ID)
-					used += len(sc.servers.arrivals(se.listed.ID, named.Add(5*time.Second)))
+					require.LessOrEqual(t, sc.servers.mostInWindow(se.listed.ID, limitedAt.Add(limitWithin)), maxInWindow, se.listed.ID)
+					used += len(sc.servers.arrivals(se.listed.ID, limitedAt.Add(5*time.Second)))
 				}
 				require.Greater(t, float64(used), least*reportedLimit*poolSize*14)
 				refused := 0
@@ -144,7 +144,7 @@
 					refused++
 					require.Equal(t, result.Overloaded, ca.code)
 					require.Positive(t, ca.after)
-					require.Less(t, ca.took, 10*time.Millisecond, "at once")
+					require.Less(t, ca.took, 10*time.Millisecond, "refused without delay")
 				}
 				require.Positive(t, refused)
 			})
@@ -152,11 +152,10 @@
 	}
 }
 
-// What was seen in a review: the entry of a server that named a limit lapsed for a moment (another
-// writer's entry, an outage of the key-value service), and on its return the server got everything
-// that callers sent until its next answer. Cause: what a server had said of itself was forgotten with
-// its entry, although its life went on.
-func TestLimitOutlastsTheEntry(t *testing.T) {
+// Guards against a server's limit being forgotten together with its entry. A server whose entry
+// lapsed for a moment (another writer's entry, an outage of the key-value service) received all
+// requests on its return, until its next answer, although its process had not ended.
+func TestLimitSurvivesEntryLapse(t *testing.T) {
 	for name, lapse := range map[string]func(ga *Gateway, now time.Time){
 		"unusable entry": func(ga *Gateway, _ time.Time) { ga.dropUnusableServer(UnusableServer{ID: "x1"}) },
 		"no entry":       func(ga *Gateway, now time.Time) { ga.removeServer("x1", now) },
@@ -180,7 +179,7 @@
 			require.Nil(t, ga.servers.Get("x1"))
 			ga.change(serverChange("x1", "dc1"))
 			_, ok = ex.Pick("", []string{"x0", "x2"}, now)
-			require.False(t, ok, "it has had what it takes for now")
+			require.False(t, ok, "the limit is used up for now")
 			_, ok = ex.Pick("", []string{"x0", "x2"}, now.Add(time.Second))
 			require.True(t, ok)
 		})
--- a/internal/gateway/loads_test.go
+++ b/internal/gateway/loads_test.go
@@ -12,8 +12,8 @@
 	"github.com/linnetrudder/linnetrudder/internal/relay"
 )
 
-// othersWork returns what a gateway knows of the others' attempts at the server s, or
-// false if it gets no reports.
+// reportedWork returns the number of other gateways' attempts at the server s that a gateway knows
+// of, or false if it receives no reports.
 func (re *relaying) reportedWork(box string) (uint32, bool) {
 	ga := re.gateways[box]
 	ga.mu.Lock()
@@ -21,7 +21,7 @@
 	return ga.loads.On("s"), ga.loads.Known()
 }
 
-// start notes attempts of a gateway at the server s.
+// startAttempts starts attempts of a gateway at the server s.
 func (re *relaying) startAttempts(box string, attempts int) {
 	ga := re.gateways[box]
 	ga.mu.Lock()
@@ -31,7 +31,7 @@
 	}
 }
 
-func TestEachGatewayHearsOfTheOthersWork(t *testing.T) {
+func TestEachGatewayReceivesOtherGatewaysLoad(t *testing.T) {
 	re := newRelaying(t)
 	re.startAttempts("a", 1)
 	re.startAttempts("b", 2)
@@ -44,12 +44,12 @@
 	}
 }
 
-// A gateway that nobody reports to estimates the others' work again instead of
-// believing what it heard last.
-func TestOldReportsAreNotBelieved(t *testing.T) {
+// A gateway that receives no reports any more estimates the other gateways' work again instead of
+// using old reports.
+func TestOldLoadReportsExpire(t *testing.T) {
 	re := newRelaying(t)
 	re.startAttempts("a", 1)
-	re.eventually(t, "c hears of it", func() bool {
+	re.eventually(t, "c receives the report", func() bool {
 		known, _ := re.reportedWork("c")
 		return known == 1
 	})
@@ -57,15 +57,15 @@
 		re.deafen(box)
 	}
 	began := time.Now()
-	re.eventually(t, "c forgets it", func() bool {
+	re.eventually(t, "c drops the report", func() bool {
 		_, ok := re.reportedWork("c")
 		return !ok
 	})
 	require.Less(t, time.Since(began), 3*time.Second)
 }
 
-// However many servers there are, a report stays small enough to come often.
-func TestReportsNameTheBusiestServers(t *testing.T) {
+// A report is bounded in size, however many servers there are, so that it can be sent often.
+func TestLoadReportsListBusiestServers(t *testing.T) {
 	ga := &Gateway{Box: "a"}
 	ga.prepare()
 	for i := range 1500 {
@@ -84,9 +84,9 @@
 	}
 }
 
-// A gateway that becomes a collector reports as one from then on, also to the gateway
-// that it reported to before.
-func TestAGatewayThatBecomesACollectorReportsAsOne(t *testing.T) {
+// A gateway that becomes a collector reports as one from then on, also to the gateway that it
+// reported to before.
+func TestNewCollectorReportsAsCollector(t *testing.T) {
 	ga := &Gateway{Log: zerolog.Nop(), Box: "a", DataCentre: "dc"}
 	ga.prepare()
 	member := func(box string, link int) relay.Member {
--- a/internal/gateway/models.go
+++ b/internal/gateway/models.go
@@ -122,8 +122,8 @@
 	return tr
 }
 
-// relativeCost returns the cost of an answer of the model at a place, as a fraction of the value of a
-// good answer. If the operators give no figures, cost increases linearly with the place.
+// relativeCost returns the cost of an answer of the model at a place, as a fraction of the value of
+// a good answer. If the operators give no figures, cost increases linearly with the place.
 func (ex *exchange) relativeCost(place int) float64 {
 	models := ex.request.Models
 	if most := ex.cost(models[len(models)-1]); most > 0 {
@@ -150,7 +150,8 @@
 	return max(time.Microsecond, ga.pool.ReadTime(ex.prompt(models[len(models)-1]), tokens))
 }
 
-// promptSizeWeight is the fraction of a prompt's value that grows with its size, by the users' rules.
+// promptSizeWeight is the fraction of a prompt's value that grows with its size, by the users'
+// rules.
 const promptSizeWeight = 0.7
 
 // prompt returns the prompt that a model reads, the zero value for a plain service.
--- a/internal/gateway/outcomes.go
+++ b/internal/gateway/outcomes.go
@@ -16,8 +16,8 @@
 }
 
 // demandDecay is the time constant with which the request rates of a service decay: long enough for
-// some tens of requests of the rarest kind of a small service (7 a second on the users' sites), short
-// enough to follow a burst.
+// some tens of requests of the rarest kind of a small service (7 a second on the users' sites),
+// short enough to follow a burst.
 const demandDecay = 4 * time.Second
 
 // demand returns the rates at which attempts are sent to a service, by route. The lock
@@ -31,10 +31,11 @@
 	return me
 }
 
-// slowEventFactor and slowAnswerFactor are the multiples of the old version's best time that count as
-// slow, between two events of a stream and for a whole answer. On the users' sites a slow version's
-// events come 4 to 5.5 times later than the old version's fastest, those of a good version on idle
-// servers up to 1.4 times. Whole answers of a plain service differ by a factor of up to 4.
+// slowEventFactor and slowAnswerFactor are the multiples of the old version's best time that count
+// as slow, between two events of a stream and for a whole answer. On the users' sites a slow
+// version's events come 4 to 5.5 times later than the old version's fastest, those of a good
+// version on idle servers up to 1.4 times. Whole answers of a plain service differ by a factor of
+// up to 4.
 const (
 	slowEventFactor  = 3
 	slowAnswerFactor = 5
@@ -49,9 +50,9 @@
 	}
 }
 
-// observeDuration records for the roll-out of the server's service whether an answer was slow: whether
-// it took more than factor times the old version's best time. name separates answers whose durations
-// are not comparable. The lock is held.
+// observeDuration records for the roll-out of the server's service whether an answer was slow:
+// whether it took more than factor times the old version's best time. name separates answers whose
+// durations are not comparable. The lock is held.
 func (ga *Gateway) observeDuration(se directory.Server, name string, took time.Duration, factor float64, now time.Time) {
 	ro := ga.rollouts[se.Service]
 	isNew := ro != nil && se.Version == ro.order.Plan.Version
--- a/internal/gateway/poison_test.go
+++ b/internal/gateway/poison_test.go
@@ -16,17 +16,17 @@
 	"github.com/linnetrudder/linnetrudder/internal/result"
 )
 
-// What users saw: for half a minute at a time the model service's servers ended one after the
-// other, 141 in a day, and a tenth and more of all streams broke off. Order of events: one
-// request's first token came from a small model that was not sure, so that a larger one was
-// asked elsewhere and the first run dropped; 0.1 s later the first server ended, then the second
-// and the third, to which the stream was moved. The caller's retry and later copies of the
-// request began anew at other gateways. Cause: an attempt that its server ended under was
-// repeated like one whose connection was lost, and no gateway remembered anything of it. What
-// proved it: 14 copies in the logs of all four gateways, 41 runs, none of which came to its end,
-// and each server named there ended within 0.2 s of a first token. Of 13 of them one run had
-// been dropped before its server ended: to look at broken connections only finds them late.
-func TestARequestUnderWhichServersEndIsNotSentToMore(t *testing.T) {
+// Guards against a request under which servers end being sent to one server after another. On the
+// users' boxes such requests ended 141 of the model service's servers in a day, for half a minute
+// at a time, and a tenth and more of all streams broke. A request's first token came from a small
+// model of low confidence, so a larger model was asked elsewhere and the first run dropped. The
+// first server ended 0.1 s later, then the second and third, to which the stream was moved, and the
+// caller's retry and later copies started again at other gateways. Attempts whose server ended were
+// repeated like those whose connection was lost, and no gateway remembered them: 14 copies had 41
+// runs at four gateways, none completed, and each server ended within 0.2 s of a first token. In 13
+// of the copies a run had been dropped before its server ended, so that broken connections alone
+// reveal it late.
+func TestRequestThatEndsServersIsBlocked(t *testing.T) {
 	for _, silent := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			sc := newScene(t, 4)
@@ -37,7 +37,7 @@
 			ends := sc.servers.ends()
 			require.Less(t, ends, 10)
 
-			// All gateways are lost at once, and others begin.
+			// All gateways fail at once, and others start.
 			sc.stop()
 			sc.addGateway()
 			sc.addGateway()
@@ -45,12 +45,12 @@
 			sc.copies = nil
 			sc.play(4, poisonPath, 5*time.Second)
 			sc.callers.Wait()
-			require.Equal(t, ends, sc.servers.ends(), "what was known is kept")
+			require.Equal(t, ends, sc.servers.ends(), "the block is stored")
 			require.NotEmpty(t, sc.copies)
 			for _, ca := range sc.copies {
 				require.Equal(t, result.DidNotRun, result.Of(ca.code).Run())
 				require.Positive(t, ca.after)
-				require.Less(t, ca.took, 10*time.Millisecond, "at once")
+				require.Less(t, ca.took, 10*time.Millisecond, "refused without delay")
 			}
 			served := 0
 			for _, ca := range sc.others {
@@ -58,19 +58,19 @@
 					served++
 				}
 			}
-			require.Greater(t, served, 98*len(sc.others)/100, "of %d others", len(sc.others))
+			require.Greater(t, served, 98*len(sc.others)/100, "of %d other requests", len(sc.others))
 		})
 	}
 }
 
-// A request that may run once only meets one server a copy, and each gateway sees one end.
-func TestAPlainRequestUnderWhichServersEndIsFoundTogether(t *testing.T) {
+// A request that may run only once reaches one server per copy, so each gateway sees a single end.
+func TestPlainRequestThatEndsServersIsBlocked(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sc := newScene(t, 12)
 		sc.play(0, plainPoison, 20*time.Second)
 		sc.callers.Wait()
-		require.LessOrEqual(t, sc.servers.ends(), 6+2, "six, and one a trial")
-		require.LessOrEqual(t, sc.servers.tooMany(), 1, "the second trial, of three sends that the users bear")
+		require.LessOrEqual(t, sc.servers.ends(), 6+2, "six, and one for each trial")
+		require.LessOrEqual(t, sc.servers.tooMany(), 1, "the second trial; the users accept three")
 		refused := 0
 		for _, ca := range sc.copies {
 			if result.Of(ca.code).Run() == result.DidNotRun {
@@ -81,9 +81,9 @@
 	})
 }
 
-// A request that takes the whole machine with it: nobody refuses a connection there, and the
-// server's entry runs out some seconds later.
-func TestARequestUnderWhichMachinesEndIsFoundAsWell(t *testing.T) {
+// A request that crashes the whole machine: nothing refuses connections there, and the server's
+// entry expires a few seconds later.
+func TestRequestThatEndsMachinesIsBlocked(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sc := newSceneWith(t, 4, func(sc *scene) { sc.servers.withMachine = true })
 		sc.play(0, poisonPath, 20*time.Second)
@@ -94,9 +94,9 @@
 	})
 }
 
-// A third of the servers ends at the same moment, again and again, each time under everything
-// that is in progress there.
-func TestServersThatEndTogetherBlockNothing(t *testing.T) {
+// A third of the servers ends at the same time, repeatedly, each time with all requests in progress
+// there.
+func TestServersThatEndSimultaneouslyBlockNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sc := newScene(t, 4)
 		for range 6 {
@@ -122,9 +122,9 @@
 	})
 }
 
-// Four such requests at once, of which two are plain, while the key-value service is away for
-// four seconds and half of the gateways are lost and replaced in the middle of it.
-func TestSeveralSuchRequestsBesideOtherTrouble(t *testing.T) {
+// Four such requests at once, two of them plain, while the key-value service is unreachable for four
+// seconds and half of the gateways are replaced in the middle of the outage.
+func TestSeveralRequestsThatEndServersDuringOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sc := newScene(t, 8)
 		paths := []string{"/menu/a/poison", "/menu/b/poison", "/cards/a/poison", "/cards/b/poison"}
@@ -146,11 +146,12 @@
 		}
 		time.Sleep(2 * time.Second)
 		sc.cutAll(false)
-		back := time.Now()
+		regained := time.Now()
 		callers.Wait()
 		sc.callers.Wait()
-		// Nobody can be told anything while both the service and a gateway's memory are gone.
-		known := back.Add(tellWithin)
+		// A gateway can't learn of blocks while the service is unreachable and its own state is
+		// lost.
+		known := regained.Add(tellWithin)
 		sc.servers.mu.Lock()
 		defer sc.servers.mu.Unlock()
 		for _, path := range paths {
@@ -161,9 +162,10 @@
 	})
 }
 
-// What all callers ask alike is with each server that ends. A gateway that has just started
-// knows of no whole answer to it and blocks it; the others know better.
-func TestABlockOfWhatOthersAnswerIsEnded(t *testing.T) {
+// A request that all callers send alike is running on each server that ends. A gateway that has just
+// started knows of no complete answer to it and blocks it. The other gateways know of answers and
+// lift the block.
+func TestBlockOfRequestAnsweredElsewhereIsLifted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sc := newScene(t, 4)
 		common := func(gateways int) {
@@ -190,7 +192,7 @@
 			time.Sleep(150 * time.Millisecond)
 		}
 		sc.callers.Wait()
-		require.LessOrEqual(t, sc.blocked(), 1, "the new one alone")
+		require.LessOrEqual(t, sc.blocked(), 1, "at the new gateway only")
 		time.Sleep(3 * time.Second)
 		require.Zero(t, sc.blocked())
 		require.Contains(t, newestLog.String(), event.Name(event.RequestBlocked))
@@ -199,7 +201,7 @@
 	})
 }
 
-// lockedLog is a log that may be read while it is written.
+// lockedLog is a log that may be read while it is being written.
 type lockedLog struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
@@ -217,8 +219,9 @@
 	return lo.buf.String()
 }
 
-// Without the key-value service blocks go with the reports, and are kept once it is back.
-func TestBlocksAreToldWhileTheKeyValueServiceIsAway(t *testing.T) {
+// Without the key-value service blocks are propagated with load reports, and stored once it is
+// reachable.
+func TestBlocksArePropagatedWithoutKeyValueService(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sc := newScene(t, 8)
 		cut := func(cut bool) {
@@ -243,9 +246,9 @@
 	})
 }
 
-// An operator ends a block by removing what is kept of it; one that is over ends by itself and
-// is taken off.
-func TestABlockEndsEverywhere(t *testing.T) {
+// An operator ends a block by removing its stored entry. A block that has expired ends by itself,
+// and its entry is removed.
+func TestBlockEndsAtAllGateways(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sc := newScene(t, 4)
 		sc.play(0, poisonPath, 5*time.Second)
@@ -265,24 +268,24 @@
 		require.Zero(t, sc.blocked())
 		st, _, err := view{kept: sc.servers.kept}.since(rev(0))
 		require.NoError(t, err)
-		require.NotNil(t, st.Changes[len(st.Changes)-1].Unblocked, "taken off by a watcher")
+		require.NotNil(t, st.Changes[len(st.Changes)-1].Unblocked, "removed by a watcher")
 	})
 }
 
-// Ways to learn of a request under which servers end, over the same 20 s: each gateway for
-// itself, through the key-value service only, and with the reports; from two, three and four
-// ends on. The table is in the page on it.
-func TestWaysToFindARequestUnderWhichServersEnd(t *testing.T) {
-	type way struct {
-		name         string
-		told, stored bool
-		ends         int
+// Compares ways to propagate requests under which servers end, over the same 20 s: each gateway on
+// its own, through the key-value service only, and with load reports; with blocks after two, three
+// and four ends. The documentation on such requests has the table.
+func TestPropagationOfRequestsThatEndServers(t *testing.T) {
+	type method struct {
+		name            string
+		reports, stored bool
+		ends            int
 	}
 	ended := map[string]int{}
 	for _, gateways := range []int{4, 23} {
-		for _, wa := range []way{
+		for _, me := range []method{
 			{"nothing is remembered", false, false, 1 << 20},
-			{"each for itself", false, false, 3},
+			{"each gateway on its own", false, false, 3},
 			{"blocks through the service", false, true, 3},
 			{"suspicions and blocks with reports", true, true, 2},
 			{"suspicions and blocks with reports", true, true, 3},
@@ -290,12 +293,12 @@
 		} {
 			synctest.Test(t, func(t *testing.T) {
 				sc := newSceneWith(t, gateways, func(sc *scene) {
-					sc.network.cut.Store(!wa.told)
-					sc.servers.kept.noBlocks = !wa.stored
+					sc.network.cut.Store(!me.reports)
+					sc.servers.kept.noBlocks = !me.stored
 				})
 				for _, ga := range sc.gateways {
 					ga.mu.Lock()
-					ga.cases.Ends = wa.ends
+					ga.cases.Ends = me.ends
 					ga.mu.Unlock()
 				}
 				sc.play(0, poisonPath, 20*time.Second)
@@ -306,14 +309,14 @@
 						served++
 					}
 				}
-				name := fmt.Sprint(wa.name, ", from ", wa.ends, " ends")
+				name := fmt.Sprint(me.name, ", from ", me.ends, " ends")
 				ended[fmt.Sprint(gateways, name)] = sc.servers.ends()
-				t.Logf("%d gateways, %s: %d servers ended, %d copies too many, %.3f of the others served",
+				t.Logf("%d gateways, %s: %d servers ended, %d copies too many, %.3f of the other requests served",
 					gateways, name, sc.servers.ends(), sc.servers.tooMany(), float64(served)/float64(len(sc.others)))
 			})
 		}
 		taken := ended[fmt.Sprint(gateways, "suspicions and blocks with reports, from 3 ends")]
-		require.Less(t, taken, ended[fmt.Sprint(gateways, "each for itself, from 3 ends")])
+		require.Less(t, taken, ended[fmt.Sprint(gateways, "each gateway on its own, from 3 ends")])
 		require.LessOrEqual(t, taken, 10)
 	}
 }
--- a/internal/gateway/restored_history_test.go
+++ b/internal/gateway/restored_history_test.go
@@ -13,7 +13,7 @@
 	"github.com/linnetrudder/linnetrudder/internal/routing"
 )
 
-// happening is what happens at one moment of a history.
+// eventKind is the kind of an event of a history.
 type eventKind string
 
 const (
@@ -21,30 +21,30 @@
 	serverStops     eventKind = "server ends"
 	serverStarts    eventKind = "server starts"
 	centreEvacuated eventKind = "data centre evacuated"
-	centreRestored  eventKind = "data centre given back"
-	configWritten   eventKind = "configuration"
-	storeCopied     eventKind = "copy"
-	storeRestored   eventKind = "restore"
-	storeLost       eventKind = "store away"
-	storeRegained   eventKind = "store back"
+	centreRestored  eventKind = "evacuation ended"
+	configWritten   eventKind = "configuration written"
+	storeCopied     eventKind = "store copied"
+	storeRestored   eventKind = "store restored"
+	storeLost       eventKind = "store unreachable"
+	storeRegained   eventKind = "store reachable"
 	gatewayReplaced eventKind = "gateway replaced"
 )
 
-// step is a happening after a pause; which names a server, a data centre or a gateway.
+// historyStep is an event after a pause; index selects a server, a data centre or a gateway.
 type historyStep struct {
 	pause time.Duration
-	what  eventKind
+	kind  eventKind
 	index int
 }
 
-// history is what happens to a store that several gateways share.
+// history is a sequence of events at a key-value service that several gateways share.
 type history struct {
 	gateways int
 	steps    []historyStep
-	// rewriteAfter is how long after a restore operators and servers write again what was lost.
+	// rewriteAfter is how long after a restore operators and servers write lost entries again.
 	rewriteAfter time.Duration
-	// silent is set if the store does not say that it went back.
-	silent bool
+	// restoreHidden is set if the store's answers do not reveal that it was restored.
+	restoreHidden bool
 }
 
 func drawHistory(rt *rapid.T) history {
@@ -55,122 +55,122 @@
 	for range rapid.IntRange(3, 14).Draw(rt, "steps") {
 		hi.steps = append(hi.steps, historyStep{
 			pause: time.Duration(rapid.IntRange(0, 1500).Draw(rt, "pause ms")) * time.Millisecond,
-			what: rapid.SampledFrom([]eventKind{
+			kind: rapid.SampledFrom([]eventKind{
 				serverDrains, serverStops, serverStarts, centreEvacuated, centreRestored, configWritten,
 				storeCopied, storeCopied, storeRestored, storeRestored, storeLost, storeRegained, gatewayReplaced,
-			}).Draw(rt, "what"),
-			index: rapid.IntRange(0, poolSize-1).Draw(rt, "which"),
+			}).Draw(rt, "kind"),
+			index: rapid.IntRange(0, poolSize-1).Draw(rt, "index"),
 		})
 	}
 	return hi
 }
 
-// truth is what operators and servers have written, whether or not the store holds it.
+// expectedState is what operators and servers have written, whether or not the store contains it.
 type expectedState struct {
 	draining, ended map[string]time.Time
 	evacuated       map[string]bool
 	version         uint64
-	// stable is when gateways could last hear of what was written before, back when the store
-	// came back after an outage.
+	// stable is when the last disturbance ended after which gateways need time to learn of earlier
+	// writes, regained when the store was reachable again after an outage.
 	stable, regained time.Time
 }
 
-// play is a history while it is played.
+// historyRun is the state of a history that is being executed.
 type historyRun struct {
 	*scene
 
 	expected expectedState
-	// copy is how many changes the store's newest copy holds.
+	// copy is the number of changes in the store's newest copy.
 	copy      int
 	storeDown bool
-	// rewriteAt is when what was lost is written again, zero if nothing was.
+	// rewriteAt is when lost entries are written again, zero if none were lost.
 	rewriteAt time.Time
-	// wrong says what was seen that must not be.
+	// violations describes the violations that were observed.
 	violations []string
 }
 
-// run plays a history and returns what was seen that must not be.
-func (hi history) run(t *testing.T) (wrong []string) {
+// run executes a history and returns the violations that were observed.
+func (hi history) run(t *testing.T) (violations []string) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		pl := &historyRun{scene: newScene(t, hi.gateways), expected: expectedState{
+		hr := &historyRun{scene: newScene(t, hi.gateways), expected: expectedState{
 			draining: map[string]time.Time{}, ended: map[string]time.Time{}, evacuated: map[string]bool{}, version: 1,
 		}}
-		pl.servers.kept.silent = hi.silent
-		pl.copy = pl.servers.kept.changeCount()
+		hr.servers.kept.silent = hi.restoreHidden
+		hr.copy = hr.servers.kept.changeCount()
 		for _, st := range hi.steps {
-			pl.watch(st.pause)
-			pl.do(st, hi.rewriteAfter)
+			hr.advance(st.pause)
+			hr.apply(st, hi.rewriteAfter)
 		}
-		pl.do(historyStep{what: storeRegained}, 0)
-		pl.watch(hi.rewriteAfter + rewriteGrace + 2*restoredWithin)
-		pl.checkEnd()
-		wrong = pl.violations
+		hr.apply(historyStep{kind: storeRegained}, 0)
+		hr.advance(hi.rewriteAfter + rewriteGrace + 2*restoredWithin)
+		hr.checkEnd()
+		violations = hr.violations
 	})
-	return wrong
+	return violations
 }
 
-// watch lets time pass, writes again what was lost, and looks at what gateways do.
-func (pl *historyRun) watch(lasts time.Duration) {
+// advance lets time pass, writes lost entries again when that is due, and checks the gateways.
+func (hr *historyRun) advance(lasts time.Duration) {
 	const every = 100 * time.Millisecond
 	for until := time.Now().Add(lasts); time.Now().Before(until); time.Sleep(every) {
-		if !pl.rewriteAt.IsZero() && !time.Now().Before(pl.rewriteAt) && !pl.storeDown {
-			pl.rewrite()
+		if !hr.rewriteAt.IsZero() && !time.Now().Before(hr.rewriteAt) && !hr.storeDown {
+			hr.rewriteLost()
 		}
-		pl.check()
+		hr.check()
 	}
 }
 
-func (pl *historyRun) do(st historyStep, rewriteAfter time.Duration) {
-	ke, now := pl.servers.kept, time.Now()
+func (hr *historyRun) apply(st historyStep, rewriteAfter time.Duration) {
+	ke, now := hr.servers.kept, time.Now()
 	id, dataCentre := fmt.Sprint("s", st.index+1), fmt.Sprint("dc", st.index%3)
-	_, ended := pl.expected.ended[id]
+	_, ended := hr.expected.ended[id]
 	switch {
-	case st.what == storeRegained:
-		pl.cutAll(false)
-		if pl.storeDown {
-			pl.expected.regained = now
+	case st.kind == storeRegained:
+		hr.cutAll(false)
+		if hr.storeDown {
+			hr.expected.regained = now
 		}
-		pl.storeDown, pl.expected.stable = false, now
-	case pl.storeDown && st.what != gatewayReplaced && st.what != storeRestored:
-	case st.what == storeLost:
-		pl.cutAll(true)
-		pl.storeDown = true
-	case st.what == storeCopied:
-		pl.copy = ke.changeCount()
-	case st.what == storeRestored:
-		ke.restore(pl.copy)
-		pl.rewriteAt = now.Add(rewriteAfter)
-	case st.what == gatewayReplaced:
-		pl.replace(st.index % len(pl.gateways))
-		pl.expected.stable = now
-	case st.what == configWritten:
-		pl.expected.version++
-		pl.writeDocument()
-	case st.what == serverStarts:
-		pl.servers.start()
-	case st.what == centreEvacuated && len(pl.expected.evacuated) == 0:
-		pl.expected.evacuated[dataCentre] = true
+		hr.storeDown, hr.expected.stable = false, now
+	case hr.storeDown && st.kind != gatewayReplaced && st.kind != storeRestored:
+	case st.kind == storeLost:
+		hr.cutAll(true)
+		hr.storeDown = true
+	case st.kind == storeCopied:
+		hr.copy = ke.changeCount()
+	case st.kind == storeRestored:
+		ke.restore(hr.copy)
+		hr.rewriteAt = now.Add(rewriteAfter)
+	case st.kind == gatewayReplaced:
+		hr.replace(st.index % len(hr.gateways))
+		hr.expected.stable = now
+	case st.kind == configWritten:
+		hr.expected.version++
+		hr.writeDocument()
+	case st.kind == serverStarts:
+		hr.servers.start()
+	case st.kind == centreEvacuated && len(hr.expected.evacuated) == 0:
+		hr.expected.evacuated[dataCentre] = true
 		ke.add(Change{Evacuated: dataCentre})
-	case st.what == centreRestored && pl.expected.evacuated[dataCentre]:
-		delete(pl.expected.evacuated, dataCentre)
+	case st.kind == centreRestored && hr.expected.evacuated[dataCentre]:
+		delete(hr.expected.evacuated, dataCentre)
 		ke.add(Change{Restored: dataCentre})
-	case st.what == serverDrains && !ended:
-		pl.servers.drainServer(id)
-		pl.expected.draining[id] = now
-	case st.what == serverStops && !ended:
+	case st.kind == serverDrains && !ended:
+		hr.servers.drainServer(id)
+		hr.expected.draining[id] = now
+	case st.kind == serverStops && !ended:
 		ke.add(Change{Gone: id})
-		pl.expected.ended[id] = now
-		if after := pl.expected.regained.Add(tellWithin); after.After(now) {
-			pl.expected.ended[id] = after // it may be a lapse
+		hr.expected.ended[id] = now
+		if after := hr.expected.regained.Add(tellWithin); after.After(now) {
+			hr.expected.ended[id] = after // it may count as a lapse of the store
 		}
 	}
 }
 
-func (pl *historyRun) writeDocument() {
-	doc := pl.servers.document()
-	doc.Version = pl.expected.version
-	pl.servers.kept.add(Change{Document: &doc})
+func (hr *historyRun) writeDocument() {
+	doc := hr.servers.document()
+	doc.Version = hr.expected.version
+	hr.servers.kept.add(Change{Document: &doc})
 }
 
 // document returns the newest configuration that was ever written.
@@ -180,25 +180,25 @@
 	return *cr.kept.changes[0].Document
 }
 
-// rewrite lets operators and servers write again what they had written.
-func (pl *historyRun) rewrite() {
-	ke := pl.servers.kept
-	pl.rewriteAt, pl.expected.stable = time.Time{}, time.Now()
-	pl.writeDocument()
-	for _, se := range pl.servers.all() {
+// rewriteLost makes operators and servers write again what they had written.
+func (hr *historyRun) rewriteLost() {
+	ke := hr.servers.kept
+	hr.rewriteAt, hr.expected.stable = time.Time{}, time.Now()
+	hr.writeDocument()
+	for _, se := range hr.servers.all() {
 		id := se.listed.ID
-		if _, ended := pl.expected.ended[id]; ended {
+		if _, ended := hr.expected.ended[id]; ended {
 			ke.add(Change{Gone: id})
 			continue
 		}
-		if _, draining := pl.expected.draining[id]; draining {
-			pl.servers.drainServer(id)
+		if _, draining := hr.expected.draining[id]; draining {
+			hr.servers.drainServer(id)
 			continue
 		}
 		ke.add(Change{Server: &se.listed})
 	}
 	for _, dataCentre := range []string{"dc0", "dc1", "dc2"} {
-		if pl.expected.evacuated[dataCentre] {
+		if hr.expected.evacuated[dataCentre] {
 			ke.add(Change{Evacuated: dataCentre})
 		} else {
 			ke.add(Change{Restored: dataCentre})
@@ -206,83 +206,84 @@
 	}
 }
 
-// check looks for gateways that send to servers which left or ended long enough ago.
-func (pl *historyRun) check() {
-	if pl.storeDown || !pl.rewriteAt.IsZero() {
+// check looks for gateways that send to servers that left or ended long enough ago.
+func (hr *historyRun) check() {
+	if hr.storeDown || !hr.rewriteAt.IsZero() {
 		return
 	}
 	bound := time.Now().Add(-tellWithin)
-	if pl.expected.stable.After(bound) {
+	if hr.expected.stable.After(bound) {
 		return
 	}
-	for _, left := range []map[string]time.Time{pl.expected.draining, pl.expected.ended} {
+	for _, left := range []map[string]time.Time{hr.expected.draining, hr.expected.ended} {
 		for id, at := range left {
-			for i, ga := range pl.gateways {
+			for i, ga := range hr.gateways {
 				if at.Before(bound) && ga.sendsTo(id) {
-					pl.violations = append(pl.violations, fmt.Sprintf("gateway %d sends to %s, which left %s ago", i, id, time.Since(at)))
+					hr.violations = append(hr.violations, fmt.Sprintf("gateway %d sends to %s, which left %s ago", i, id, time.Since(at)))
 				}
 			}
 		}
 	}
 }
 
-// checkEnd compares what each gateway does in the end with what was written.
-func (pl *historyRun) checkEnd() {
-	for i, ga := range pl.gateways {
-		if got := ga.Table().Version(); got != pl.expected.version {
-			pl.violations = append(pl.violations, fmt.Sprintf("gateway %d has version %d in force, not %d", i, got, pl.expected.version))
+// checkEnd compares the final behaviour of each gateway with what was written.
+func (hr *historyRun) checkEnd() {
+	for i, ga := range hr.gateways {
+		if got := ga.Table().Version(); got != hr.expected.version {
+			hr.violations = append(hr.violations, fmt.Sprintf("gateway %d has version %d in force, not %d", i, got, hr.expected.version))
 		}
-		for _, se := range pl.servers.all() {
+		for _, se := range hr.servers.all() {
 			id := se.listed.ID
-			_, draining := pl.expected.draining[id]
-			_, ended := pl.expected.ended[id]
-			want := !draining && !ended && !pl.expected.evacuated[se.listed.DataCentre]
+			_, draining := hr.expected.draining[id]
+			_, ended := hr.expected.ended[id]
+			want := !draining && !ended && !hr.expected.evacuated[se.listed.DataCentre]
 			if got := ga.sendsTo(id); got != want {
-				pl.violations = append(pl.violations, fmt.Sprintf("gateway %d sends to %s: %t", i, id, got))
+				hr.violations = append(hr.violations, fmt.Sprintf("gateway %d sends to %s: %t", i, id, got))
 			}
 		}
 	}
 }
 
-// fewHistories is how many histories are played unless LINNETRUDDER_ALL_PLAYS is set.
+// defaultHistories is how many histories are executed unless LINNETRUDDER_ALL_PLAYS is set.
 const defaultHistories = 15
 
-// Whenever the store goes back, and whatever else happens: no gateway sends to a server that left,
-// and in the end each works from what operators and servers have written.
+// Whatever happens before and after the store is restored, no gateway sends to a server that has
+// left, and in the end each gateway acts on what operators and servers have written.
 func TestHistoriesWithRestoredStores(t *testing.T) {
-	played, all := 0, os.Getenv("LINNETRUDDER_ALL_PLAYS") != ""
+	executed, all := 0, os.Getenv("LINNETRUDDER_ALL_PLAYS") != ""
 	rapid.Check(t, func(rt *rapid.T) {
 		hi := drawHistory(rt)
-		if played++; played > defaultHistories && !all {
+		if executed++; executed > defaultHistories && !all {
 			return
 		}
-		if wrong := hi.run(t); len(wrong) > 0 {
-			rt.Fatalf("%+v:\n%s (%d in all)", hi, wrong[0], len(wrong))
+		if violations := hi.run(t); len(violations) > 0 {
+			rt.Fatalf("%+v:\n%s (%d in total)", hi, violations[0], len(violations))
 		}
 	})
 }
 
-// The naive gateway compares revisions by their number.
-func TestANaiveGatewayMissesWhatIsWrittenAfterARestore(t *testing.T) {
-	hi := history{gateways: 23, steps: []historyStep{{what: storeCopied}}}
+// A gateway that can't detect a restore, and so compares revisions by number only, must fail the
+// check.
+func TestChangesAfterUndetectedRestoreAreMissed(t *testing.T) {
+	hi := history{gateways: 23, steps: []historyStep{{kind: storeCopied}}}
 	for range 3 * poolSize {
-		hi.steps = append(hi.steps, historyStep{what: configWritten})
+		hi.steps = append(hi.steps, historyStep{kind: configWritten})
 	}
-	hi.steps = append(hi.steps, historyStep{pause: 2 * time.Second, what: storeRestored}, historyStep{what: serverDrains})
+	hi.steps = append(hi.steps, historyStep{pause: 2 * time.Second, kind: storeRestored}, historyStep{kind: serverDrains})
 	require.Empty(t, hi.run(t))
-	hi.silent = true
+	hi.restoreHidden = true
 	require.NotEmpty(t, hi.run(t))
 }
 
-func TestServerThatEndsRightAfterARestoreIsDropped(t *testing.T) {
+func TestServerThatEndsRightAfterRestoreIsDropped(t *testing.T) {
 	hi := history{gateways: 7, rewriteAfter: 3 * time.Millisecond, steps: []historyStep{
-		{pause: 3 * time.Millisecond, what: configWritten},
-		{pause: 224 * time.Millisecond, what: storeCopied},
-		{pause: 4 * time.Millisecond, what: storeRestored},
-		{what: gatewayReplaced, index: 8},
-		{pause: 23 * time.Millisecond, what: serverStops},
-		{what: gatewayReplaced, index: 2},
-		{what: gatewayReplaced, index: 9},
+		{pause: 3 * time.Millisecond, kind: configWritten},
+		{pause: 224 * time.Millisecond, kind: storeCopied},
+		{pause: 4 * time.Millisecond, kind: storeRestored},
+		{kind: gatewayReplaced, index: 8},
+		{pause: 23 * time.Millisecond, kind: serverStops},
+		{kind: gatewayReplaced, index: 2},
+		{kind: gatewayReplaced, index: 9},
 	}}
 	for range 10 {
 		require.Empty(t, hi.run(t))
--- a/internal/gateway/restored_test.go
+++ b/internal/gateway/restored_test.go
@@ -15,24 +15,25 @@
 	"github.com/linnetrudder/linnetrudder/internal/rollout"
 )
 
-// restoredWithin is how long after the store's return every gateway works from the restored state.
+// restoredWithin is how long after the store is reachable again every gateway uses the restored
+// state.
 const restoredWithin = 2 * time.Second
 
-// position returns how many changes the key-value service holds.
+// changeCount returns how many changes the key-value service contains.
 func (ke *keptState) changeCount() int {
 	ke.mu.Lock()
 	defer ke.mu.Unlock()
 	return len(ke.changes)
 }
 
-// drain lets a server write that it leaves.
+// drainServer makes a server write that it is draining.
 func (cr *crashing) drainServer(id string) {
 	se := cr.server(id).listed
 	se.Draining, se.Seq = true, 2
 	cr.kept.add(Change{Server: &se})
 }
 
-// sends reports whether a gateway may send requests to a server.
+// sendsTo reports whether a gateway may send requests to a server.
 func (ga *Gateway) sendsTo(id string) bool {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
@@ -44,7 +45,7 @@
 	return false
 }
 
-func TestEachGatewayWorksFromTheRestoredState(t *testing.T) {
+func TestEachGatewayUsesRestoredState(t *testing.T) {
 	for _, gateways := range []int{1, 4, 23, 60} {
 		for _, outage := range []time.Duration{0, 50 * time.Millisecond, 3 * time.Second} {
 			synctest.Test(t, func(t *testing.T) {
@@ -69,14 +70,14 @@
 	}
 }
 
-// known reports whether a gateway knows a server.
+// lists reports whether a gateway lists a server.
 func (ga *Gateway) lists(id string) bool {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
 	return ga.servers.Get(id) != nil
 }
 
-func TestServersOutlastARestoredStore(t *testing.T) {
+func TestServersSurviveStoreRestore(t *testing.T) {
 	for _, gateways := range []int{1, 4, 23} {
 		synctest.Test(t, func(t *testing.T) {
 			sc := newScene(t, gateways)
@@ -91,24 +92,24 @@
 			time.Sleep(restoredWithin)
 
 			ke.restore(copied)
-			all := func(after string, want map[string]bool) {
+			requireSends := func(after string, want map[string]bool) {
 				for i, ga := range sc.gateways {
-					for id, sent := range want {
-						require.Equal(t, sent, ga.sendsTo(id), "%s after the restore: %s at gateway %d of %d", after, id, i, gateways)
+					for id, sends := range want {
+						require.Equal(t, sends, ga.sendsTo(id), "%s after the restore: %s at gateway %d of %d", after, id, i, gateways)
 					}
 				}
 			}
 			time.Sleep(200 * time.Millisecond)
-			all("0.2 s", map[string]bool{"s1": false, "s2": false, "s3": true, rewritten: true, lost: true})
+			requireSends("0.2 s", map[string]bool{"s1": false, "s2": false, "s3": true, rewritten: true, lost: true})
 			ke.add(Change{Server: &sc.servers.server(rewritten).listed})
 			sc.servers.drainServer("s1")
 			time.Sleep(restoredWithin)
-			all("2.2 s", map[string]bool{"s1": false, "s2": false, "s3": true, rewritten: true})
+			requireSends("2.2 s", map[string]bool{"s1": false, "s2": false, "s3": true, rewritten: true})
 			ke.add(Change{Gone: "s2"})
 			time.Sleep(2 * restoredWithin)
-			all("6.2 s", map[string]bool{"s1": false, "s2": false, "s3": true, rewritten: true, lost: false})
+			requireSends("6.2 s", map[string]bool{"s1": false, "s2": false, "s3": true, rewritten: true, lost: false})
 			for _, ga := range sc.gateways {
-				require.False(t, ga.lists(lost), "whose entry is not written again")
+				require.False(t, ga.lists(lost), "its entry is not written again")
 			}
 		})
 	}
@@ -117,17 +118,17 @@
 // inEra returns a revision of an era.
 func inEra(era, number uint64) revision.Revision { return revision.Revision{Era: era, Number: number} }
 
-// orderAt returns an order of a version as it stands at a revision.
+// orderAt returns an order of a version that was written at a revision.
 func orderAt(at revision.Revision, version string) Change {
 	return Change{Order: &Order{Revision: at, Plan: rollout.Plan{Service: "s", Version: version, Within: 20 * time.Second}}}
 }
 
-// phaseAt returns a phase of an order of v2 as it stands at a revision.
+// phaseAt returns a phase of an order of v2 that was written at a revision.
 func phaseAt(at, order revision.Revision, ph rollout.Phase) Change {
 	return Change{Phase: &StoredPhase{Service: "s", Order: order, Phase: ph, Version: "v2", Revision: at}}
 }
 
-// inRollout returns a gateway that has read an order of v2 and a phase in the first era.
+// newGatewayInPhase returns a gateway that has read an order of v2 and a phase in the first era.
 func newGatewayInPhase(t *testing.T, ph rollout.Phase) *Gateway {
 	t.Helper()
 	ga := &Gateway{Log: zerolog.Nop(), Bounds: Bounds{CanaryShare: 0.15}}
@@ -139,13 +140,13 @@
 	return ga
 }
 
-// restored lets a gateway read everything from a service that went back.
+// readRestored makes a gateway read the whole state of a key-value service that was restored.
 func (ga *Gateway) readRestored(t *testing.T, changes ...Change) {
 	t.Helper()
 	require.NoError(t, ga.takeRead(State{Revision: inEra(2, 25), Changes: changes}, time.Now()))
 }
 
-func TestRolloutGoesOnAfterItsOrderIsRestored(t *testing.T) {
+func TestRolloutContinuesAfterItsOrderIsRestored(t *testing.T) {
 	for name, order := range map[string]revision.Revision{"in the copy": inEra(2, 20), "written again": inEra(2, 23), "written again later": inEra(2, 90)} {
 		for _, ph := range []rollout.Phase{rollout.Trying, rollout.Shifting, rollout.Complete, rollout.Failed} {
 			ga := newGatewayInPhase(t, ph)
@@ -155,7 +156,7 @@
 			require.Equal(t, ph, ro.canary.Phase(), name)
 			require.Equal(t, began, ro.canary.Began, name)
 			next, due := ga.phaseToStore(ro, time.Now())
-			require.True(t, due, "what was lost is stored again")
+			require.True(t, due, "a lost phase is stored again")
 			require.Equal(t, ph, next.Phase)
 			require.Equal(t, order, next.Order)
 			require.Equal(t, inEra(2, 21), next.Revision)
@@ -163,7 +164,7 @@
 			fresh := &Gateway{Log: zerolog.Nop()}
 			fresh.prepare()
 			fresh.readRestored(t, phaseAt(inEra(2, 24), inEra(1, 20), ph), orderAt(order, "v2"))
-			require.Equal(t, ph, fresh.rollouts["s"].canary.Phase(), "a gateway that starts")
+			require.Equal(t, ph, fresh.rollouts["s"].canary.Phase(), "a gateway that starts after the restore")
 		}
 	}
 }
@@ -180,7 +181,7 @@
 	require.False(t, due)
 }
 
-func TestOrderBeforeTheLostOneIsNotCarriedOutAgain(t *testing.T) {
+func TestOrderBeforeLostOrderIsNotRepeated(t *testing.T) {
 	ga := &Gateway{Log: zerolog.Nop()}
 	ga.prepare()
 	require.NoError(t, ga.takeRead(State{Revision: inEra(1, 12), Changes: []Change{orderAt(inEra(1, 10), "v1")}}, time.Now()))
@@ -190,19 +191,19 @@
 	require.Equal(t, "v2", ga.rollouts["s"].order.Plan.Version)
 	require.Equal(t, rollout.Failed, ga.rollouts["s"].canary.Phase())
 	ga.change(orderAt(inEra(2, 22), "v2"))
-	require.Equal(t, rollout.Failed, ga.rollouts["s"].canary.Phase(), "it is written again")
+	require.Equal(t, rollout.Failed, ga.rollouts["s"].canary.Phase(), "the same order is written again")
 	ga.change(phaseAt(inEra(2, 30), inEra(2, 22), rollout.Failed))
 	ga.change(orderAt(inEra(2, 40), "v2"))
-	require.Equal(t, rollout.Waiting, ga.rollouts["s"].canary.Phase(), "it is ordered again")
+	require.Equal(t, rollout.Waiting, ga.rollouts["s"].canary.Phase(), "the version is ordered again")
 }
 
-func TestOrderOfARestoredStoreIsCarriedOut(t *testing.T) {
+func TestOrderFromRestoredStoreIsCarriedOut(t *testing.T) {
 	ga := newGatewayInPhase(t, rollout.Trying)
 	ga.readRestored(t, orderAt(inEra(2, 15), "v3"))
 	require.Equal(t, "v3", ga.rollouts["s"].order.Plan.Version, "whatever its revision")
 }
 
-func TestOutcomesAreToldAgainAfterARestore(t *testing.T) {
+func TestOutcomesArePublishedAgainAfterRestore(t *testing.T) {
 	ga := newGatewayInPhase(t, rollout.Trying)
 	ga.observeOutcome(directory.Server{ID: "x", Service: "s", Version: "v2"}, "r", true)
 	ro := ga.rollouts["s"]
@@ -215,11 +216,11 @@
 	other := newGatewayInPhase(t, rollout.Trying)
 	other.readRestored(t, orderAt(inEra(2, 21), "v2"))
 	other.receiveTally(tally)
-	require.Equal(t, 1, other.rollouts["s"].canary.BadKnown(), "told before the order was written again")
+	require.Equal(t, 1, other.rollouts["s"].canary.BadKnown(), "published before the order was written again")
 	tally.Version = "v1"
 	tally.Box = "b"
 	other.receiveTally(tally)
-	require.Equal(t, 1, other.rollouts["s"].canary.BadKnown(), "of an earlier order")
+	require.Equal(t, 1, other.rollouts["s"].canary.BadKnown(), "tally of an earlier order")
 }
 
 // firstJoin returns how many changes there were before the first gateway joined.
@@ -229,7 +230,7 @@
 	return slices.IndexFunc(ke.changes, func(ch Change) bool { return ch.Member != nil })
 }
 
-// joinedSince returns the boxes that have joined since a number of changes.
+// joinedSince returns the boxes that have joined after a number of changes.
 func (ke *keptState) joinedSince(changes int) []string {
 	ke.mu.Lock()
 	defer ke.mu.Unlock()
@@ -243,7 +244,7 @@
 	return boxes
 }
 
-func TestMembersJoinAgainAfterAStoreLostTheirKeys(t *testing.T) {
+func TestMembersRejoinAfterStoreLostTheirKeys(t *testing.T) {
 	for _, gateways := range []int{1, 4, 23, 60} {
 		synctest.Test(t, func(t *testing.T) {
 			sc := newScene(t, gateways)
@@ -287,7 +288,7 @@
 	}
 }
 
-func TestLostEvacuationHoldsUntilItIsWrittenAgain(t *testing.T) {
+func TestLostEvacuationStaysInForceUntilRewritten(t *testing.T) {
 	for _, rewritten := range []bool{true, false} {
 		for _, gateways := range []int{1, 4, 23} {
 			synctest.Test(t, func(t *testing.T) {
@@ -296,30 +297,30 @@
 				copied := ke.changeCount()
 				ke.add(Change{Evacuated: "dc1"})
 				time.Sleep(restoredWithin)
-				evacuated := func(want bool, when string) {
+				requireEvacuated := func(want bool, when string) {
 					for i, ga := range sc.gateways {
 						require.Equal(t, !want, ga.sendsTo("s1"), "gateway %d of %d %s", i, gateways, when)
 						require.True(t, ga.sendsTo("s2"))
 					}
 				}
-				evacuated(true, "before the restore")
+				requireEvacuated(true, "before the restore")
 				ke.restore(copied)
 				time.Sleep(restoredWithin)
-				evacuated(true, "before it is written again")
+				requireEvacuated(true, "before it is written again")
 				if rewritten {
 					ke.add(Change{Evacuated: "dc1"})
 				}
 				time.Sleep(3 * restoredWithin)
-				evacuated(rewritten, "8 s after the restore")
+				requireEvacuated(rewritten, "8 s after the restore")
 				ke.add(Change{Restored: "dc1"})
 				time.Sleep(restoredWithin)
-				evacuated(false, "after its end")
+				requireEvacuated(false, "after its end")
 			})
 		}
 	}
 }
 
-// calls returns how many whole reads and watches there were.
+// callCounts returns the numbers of whole reads and watches.
 func (ke *keptState) callCounts() (reads, watches int) {
 	ke.mu.Lock()
 	defer ke.mu.Unlock()
@@ -329,7 +330,7 @@
 	return ke.reads, watches
 }
 
-func TestFewGatewaysReadARestoredStore(t *testing.T) {
+func TestFewGatewaysReadRestoredStore(t *testing.T) {
 	for gateways, outages := range map[int][]time.Duration{23: {0, 500 * time.Millisecond, 8 * time.Second}, 300: {500 * time.Millisecond}} {
 		for _, outage := range outages {
 			synctest.Test(t, func(t *testing.T) {
--- a/internal/gateway/rollouts.go
+++ b/internal/gateway/rollouts.go
@@ -266,10 +266,10 @@
 	return next, due || !known || stored.Phase != next.Phase || ga.elapsedIsStale(ro, stored, next, now)
 }
 
-// elapsedIsStale reports whether this gateway should store the elapsed time again. It should not near
-// a decision, which would have to wait for that write. Of many gateways only the watchers do so,
-// since they are the first to learn that one of them has, and none does while the key-value service
-// does not answer.
+// elapsedIsStale reports whether this gateway should store the elapsed time again. It should not
+// near a decision, which would have to wait for that write. Of many gateways only the watchers do
+// so, since they are the first to learn that one of them has, and none does while the key-value
+// service does not answer.
 func (ga *Gateway) elapsedIsStale(ro *rolloutState, stored, next StoredPhase, now time.Time) bool {
 	tried := next.Phase == rollout.Waiting || next.Phase == rollout.Trying
 	if !tried || next.Elapsed-stored.Elapsed < elapsedWriteInterval || ro.canary.Deciding(now) {
--- a/internal/gateway/rollouts_test.go
+++ b/internal/gateway/rollouts_test.go
@@ -18,7 +18,7 @@
 	"github.com/linnetrudder/linnetrudder/internal/routing"
 )
 
-// rolling returns a gateway with a version that is being tried.
+// newTrialGateway returns a gateway with a version on trial.
 func newTrialGateway(t *testing.T) (*Gateway, *rolloutState) {
 	t.Helper()
 	ga, ro := newOrderedGateway(t)
@@ -26,7 +26,7 @@
 	return ga, ro
 }
 
-// ordered returns a gateway that has just heard of an order.
+// newOrderedGateway returns a gateway that has just received an order.
 func newOrderedGateway(t *testing.T) (*Gateway, *rolloutState) {
 	t.Helper()
 	ga := &Gateway{Log: zerolog.Nop(), Bounds: Bounds{CanaryShare: 0.15}}
@@ -35,14 +35,14 @@
 	return ga, ga.rollouts["s"]
 }
 
-// settle lets the time pass after which a version that counts as bad is left.
+// awaitVerdict lets the time pass after which a version that counts as bad is no longer used.
 func awaitVerdict(ga *Gateway, ro *rolloutState) {
 	now := time.Now()
 	ga.applyVerdict(ro, now)
 	ga.applyVerdict(ro, now.Add(5*time.Second))
 }
 
-func TestANewOrderIsStoredAsWaiting(t *testing.T) {
+func TestNewOrderIsStoredAsWaiting(t *testing.T) {
 	ga, ro := newOrderedGateway(t)
 	ph, due := ga.phaseToStore(ro, time.Now())
 	require.True(t, due)
@@ -54,7 +54,7 @@
 	require.False(t, due)
 }
 
-func TestABadVersionIsLeftAtOnceAndTheVerdictIsStored(t *testing.T) {
+func TestBadVersionFailsAndFailureIsStored(t *testing.T) {
 	ga, ro := newTrialGateway(t)
 	ga.applyStoredPhase(StoredPhase{Service: "s", Order: rev(7), Phase: rollout.Trying, Revision: rev(9)})
 	for i := range 20 {
@@ -69,9 +69,9 @@
 	}, ph)
 }
 
-// Once a roll-out is finished its old servers are stopped: a verdict of one
-// gateway that comes later must neither be stored nor acted on.
-func TestAVerdictAfterTheEndIsNotStored(t *testing.T) {
+// After a roll-out is complete the old version's servers are stopped, so a later verdict of one
+// gateway must be neither stored nor acted on.
+func TestFailureAfterCompletionIsNotStored(t *testing.T) {
 	ga, ro := newTrialGateway(t)
 	for i := range 20 {
 		ga.observeOutcome(directory.Server{ID: fmt.Sprint(i), Service: "s", Version: "v2"}, "r", true)
@@ -82,16 +82,16 @@
 	require.False(t, due)
 }
 
-func TestAPhaseOfAnOlderOrderSaysNothing(t *testing.T) {
+func TestPhaseOfOlderOrderIsIgnored(t *testing.T) {
 	ga, ro := newTrialGateway(t)
 	ga.applyStoredPhase(StoredPhase{Service: "s", Order: rev(3), Phase: rollout.Complete, Revision: rev(5)})
 	require.Equal(t, rollout.Trying, ro.canary.Phase())
 	ph, due := ga.phaseToStore(ro, time.Now())
 	require.True(t, due)
-	require.Equal(t, rev(5), ph.Revision, "the older phase is what the write is compared with")
+	require.Equal(t, rev(5), ph.Revision, "the write is compared with the older phase")
 }
 
-func TestASlowVersionIsBad(t *testing.T) {
+func TestSlowVersionFails(t *testing.T) {
 	ga, ro := newTrialGateway(t)
 	for i := range 40 {
 		ga.observeDuration(directory.Server{ID: fmt.Sprint("o", i%9), Service: "s", Version: "v1"}, "pace", time.Second, slowEventFactor, time.Now())
@@ -103,9 +103,9 @@
 	require.Equal(t, rollout.Failed, ro.canary.Phase())
 }
 
-// The time to a head depends on the prompts that a server holds, of which a new
-// one holds none; it is no measure of a version.
-func TestAnAnswerWhoseTimeSaysNothingIsNotSlow(t *testing.T) {
+// The time to a head depends on the prompts that a server has cached, and a new server has none, so
+// it must not be used to compare versions.
+func TestAnswerWithoutComparableDurationIsNotSlow(t *testing.T) {
 	ga, ro := newTrialGateway(t)
 	ga.best.Observe("pace", time.Second)
 	for i := range 100 {
@@ -114,7 +114,7 @@
 	require.Equal(t, rollout.Trying, ro.canary.Phase())
 }
 
-func TestGatewaysFindABadVersionTogether(t *testing.T) {
+func TestTalliesOfOtherGatewaysRevealBadVersion(t *testing.T) {
 	ga, ro := newTrialGateway(t)
 	ga.Box = "own"
 	bad := Tally{Service: "s", Order: rev(7), Box: "other", Outcomes: rollout.Outcomes{
@@ -124,7 +124,7 @@
 	own.Box, own.Life = "own", ga.life
 	ga.receiveTally(own)
 	awaitVerdict(ga, ro)
-	require.Equal(t, rollout.Trying, ro.canary.Phase(), "what it told itself is not counted twice")
+	require.Equal(t, rollout.Trying, ro.canary.Phase(), "the gateway's own tally is not counted twice")
 	older := bad
 	older.Order = rev(3)
 	ga.receiveTally(older)
@@ -135,7 +135,7 @@
 	require.Equal(t, rollout.Failed, ro.canary.Phase())
 }
 
-// versionsPicked returns the versions that requests of many sessions go to.
+// versionsPicked returns the versions that requests of many sessions are sent to.
 func versionsPicked(ga *Gateway) map[string]bool {
 	picked := map[string]bool{}
 	for i := range 400 {
@@ -155,21 +155,22 @@
 	}
 }
 
-// Seen as PINNED, eight times, in a hunted day of Quito: a version was ordered two
-// thirds of a second after another one had failed, whose servers were still listed
-// and were taken for the old version's.
-func TestAFailedVersionGetsNothingUnderTheNextOrder(t *testing.T) {
+// Guards against a new version receiving sessions in the first half of its roll-out. It happened
+// when a version was ordered 0.7 s after another one had failed, whose servers were still listed
+// and were taken for the old version's: eight PINNED errors in one simulated day.
+func TestFailedVersionIsNotUsedUnderNextOrder(t *testing.T) {
 	ga, ro := newTrialGateway(t)
 	putServers(ga, "v1", "v2", "v3")
 	ga.applyStoredPhase(StoredPhase{Service: "s", Order: rev(7), Phase: rollout.Failed, Revision: rev(9), Version: "v2"})
 	require.Equal(t, rollout.Failed, ro.canary.Phase())
 	ga.applyOrder(Order{Revision: rev(10), Plan: rollout.Plan{Service: "s", Version: "v3", Within: 20 * time.Second}})
-	require.Equal(t, map[string]bool{"v1": true}, versionsPicked(ga), "none of them is old enough to move")
+	require.Equal(t, map[string]bool{"v1": true}, versionsPicked(ga), "no session may move yet")
 	ph, due := ga.phaseToStore(ga.rollouts["s"], time.Now())
 	require.True(t, due)
 	require.Equal(t, []string{"v2"}, ph.Withdrawn)
 
-	// A process that starts now goes by what is kept, before and after the new phase.
+	// A process that starts now uses the stored phase, both before and after the new phase is
+	// stored.
 	for _, kept := range []StoredPhase{
 		{Service: "s", Order: rev(7), Phase: rollout.Failed, Revision: rev(9), Version: "v2"},
 		{Service: "s", Order: rev(10), Phase: rollout.Trying, Revision: rev(11), Version: "v3", Withdrawn: []string{"v2"}},
@@ -183,12 +184,12 @@
 	}
 
 	ga.applyOrder(Order{Revision: rev(12), Plan: rollout.Plan{Service: "s", Version: "v2", Within: 20 * time.Second}})
-	require.NotContains(t, ga.rollouts["s"].withdrawn, "v2", "it was ordered again")
+	require.NotContains(t, ga.rollouts["s"].withdrawn, "v2", "a version that is ordered again is not withdrawn")
 }
 
-// Seen as LOST on a day with a hundred gateways: streams that had begun on the old version
-// were continued on one on trial, which failed until no run was left.
-func TestWhatBeganOnTheOldVersionIsNoSubjectForATrial(t *testing.T) {
+// Guards against streams that began on the old version being continued on a version on trial. There
+// they failed until no attempt was left, which was seen as LOST errors with a hundred gateways.
+func TestRequestBegunOnOldVersionIsNotTried(t *testing.T) {
 	ga, ro := newTrialGateway(t)
 	ro.canary.Try(rollout.Shares{rollout.AnyRoute: 1}, 0)
 	putServers(ga, "v1", "v2")
@@ -199,36 +200,36 @@
 		return of.Server().Version
 	}
 	ex := &exchange{ga: ga, route: &routing.Route{Name: "r"}, service: "s", session: "a"}
-	require.Equal(t, "v2", version(ex), "all sessions are tried")
+	require.Equal(t, "v2", version(ex), "the trial covers all sessions")
 	ex.begun = "v1"
-	require.Equal(t, "v1", version(ex), "a retry stays where the request began")
+	require.Equal(t, "v1", version(ex), "a retry stays on the version that the request began on")
 	ex.begun = "v2"
-	require.Equal(t, "v2", version(ex), "also on the version on trial, so that its session stays")
+	require.Equal(t, "v2", version(ex), "a retry stays on the version on trial, so that its session does")
 
 	for _, id := range []string{"v1-0", "v1-1", "v1-2"} {
 		ga.servers.Remove(id, now)
 	}
 	ex.begun = "v1"
-	require.Equal(t, "v2", version(ex), "nothing else is there")
+	require.Equal(t, "v2", version(ex), "the old version has no server left")
 
 	ro.canary.Enter(rollout.Shifting)
 	putServers(ga, "v1")
-	require.Equal(t, "v2", version(ex), "everything moves")
+	require.Equal(t, "v2", version(ex), "all requests move")
 }
 
-// A process that starts in the middle of a roll-out goes on from what is kept: it
-// finishes in time, and sessions that had moved stay where they are.
-func TestARolloutGoesOnAfterARestart(t *testing.T) {
+// A process that starts in the middle of a roll-out continues from the stored phase: it finishes in
+// time, and sessions that had moved stay on their version.
+func TestRolloutContinuesAfterRestart(t *testing.T) {
 	ga, ro := newOrderedGateway(t)
 	ph, due := ga.phaseToStore(ro, ro.canary.Began.Add(10*time.Second))
 	require.True(t, due)
 	require.Equal(t, rollout.Trying, ph.Phase)
 	ph.Revision = rev(9)
-	again := &Gateway{Log: zerolog.Nop(), Bounds: ga.Bounds}
-	again.prepare()
-	again.applyStoredPhase(ph)
-	again.applyOrder(ro.order)
-	rest := again.rollouts["s"]
+	restarted := &Gateway{Log: zerolog.Nop(), Bounds: ga.Bounds}
+	restarted.prepare()
+	restarted.applyStoredPhase(ph)
+	restarted.applyOrder(ro.order)
+	rest := restarted.rollouts["s"]
 	require.Equal(t, ph.Shares, rest.canary.Shares())
 	require.InDelta(t, 10, time.Since(rest.canary.Began).Seconds(), 0.5)
 	moved := 0
@@ -238,19 +239,19 @@
 		}
 	}
 	require.InDelta(t, 10_000*ph.Shares.Of("r"), moved, 150)
-	_, due = again.phaseToStore(rest, time.Now())
+	_, due = restarted.phaseToStore(rest, time.Now())
 	require.False(t, due)
-	next, due := again.phaseToStore(rest, time.Now().Add(elapsedWriteInterval))
-	require.True(t, due, "what is kept grows old")
+	next, due := restarted.phaseToStore(rest, time.Now().Add(elapsedWriteInterval))
+	require.True(t, due, "the stored elapsed time is outdated")
 	require.Greater(t, next.Elapsed, ph.Elapsed)
-	late, due := again.phaseToStore(rest, rest.canary.Began.Add(17500*time.Millisecond))
+	late, due := restarted.phaseToStore(rest, rest.canary.Began.Add(17500*time.Millisecond))
 	require.False(t, due, "no write just before the shift: %v", late)
 }
 
-// What gateways tell of a new version is written by their collector, for all of them.
-func TestACollectorWritesTheTalliesOfItsGateways(t *testing.T) {
+// A collector writes the tallies of all gateways that report to it.
+func TestCollectorWritesTalliesOfItsGateways(t *testing.T) {
 	te := &tallyRecorder{}
-	collector, of := newTrialGateway(t)
+	collector, collectorRo := newTrialGateway(t)
 	collector.Source, collector.Box = te, "a"
 	leaf, ro := newTrialGateway(t)
 	leaf.Source, leaf.Box = te, "b"
@@ -259,30 +260,30 @@
 	leaf.observeOutcome(directory.Server{ID: "x", Service: "s", Version: "v2"}, "r", true)
 	leaf.publishTallies(t.Context(), ro, now)
 	re := leaf.report(false)
-	require.NotEmpty(t, re.Tallies, "it goes with the report")
+	require.NotEmpty(t, re.Tallies, "sent with the load report")
 	collector.Reported(re)
 	leaf.reportAccepted(re, now)
-	require.Empty(t, leaf.report(false).Tallies, "once")
-	require.Equal(t, 1, of.canary.BadKnown(), "the collector knows at once")
+	require.Empty(t, leaf.report(false).Tallies, "sent once")
+	require.Equal(t, 1, collectorRo.canary.BadKnown(), "the collector applies the tally at once")
 
-	collector.publishTallies(t.Context(), of, now.Add(time.Second))
+	collector.publishTallies(t.Context(), collectorRo, now.Add(time.Second))
 	require.Eventually(t, func() bool { return len(te.recorded()) == 2 }, 5*time.Second, time.Millisecond)
-	third, by := newTrialGateway(t)
+	third, thirdRo := newTrialGateway(t)
 	for _, ta := range te.recorded() {
 		third.receiveTally(ta)
 	}
-	require.Equal(t, 1, by.canary.BadKnown())
+	require.Equal(t, 1, thirdRo.canary.BadKnown())
 	third.receiveTally(Tally{Service: "s", Order: rev(7), Box: "b", Life: leaf.life})
 	third.receiveTally(te.recorded()[0])
-	require.Equal(t, 1, by.canary.BadKnown(), "what is older, or came on another way, is not counted again")
+	require.Equal(t, 1, thirdRo.canary.BadKnown(), "older tallies and duplicates are not counted again")
 
 	leaf.reported = now.Add(-time.Minute)
 	leaf.observeOutcome(directory.Server{ID: "y", Service: "s", Version: "v2"}, "r", true)
 	leaf.publishTallies(t.Context(), ro, now.Add(time.Minute))
-	require.Eventually(t, func() bool { return len(te.recorded()) == 3 }, 5*time.Second, time.Millisecond, "without a collector it writes itself")
+	require.Eventually(t, func() bool { return len(te.recorded()) == 3 }, 5*time.Second, time.Millisecond, "without a collector the gateway writes")
 }
 
-// told is a source that remembers what it was told.
+// tallyRecorder is a Source that records the tallies it receives.
 type tallyRecorder struct {
 	script
 	mu      sync.Mutex
@@ -302,32 +303,33 @@
 	return slices.Clone(te.tallies)
 }
 
-// At 400 gateways that all have something to tell, the store must bear it.
-func TestTalliesOfAllGatewaysStayWithinWhatTheStoreBears(t *testing.T) {
+// 400 gateways that all have outcomes to publish must not exceed the write rate that the key-value
+// service supports.
+func TestTallyWritesStayWithinStoreCapacity(t *testing.T) {
 	for _, n := range []int{3, 30, 400} {
 		ga, ro := newTrialGateway(t)
 		for i := range n {
 			box := fmt.Sprint("box", i)
 			ga.joined(relay.Member{Box: box})
 		}
-		now, told := time.Now(), 0
+		now, published := time.Now(), 0
 		for range 1000 {
 			now = now.Add(10 * time.Millisecond)
 			ga.observeOutcome(directory.Server{ID: "a", Service: "s", Version: "v2"}, "r", true)
 			if ga.tallyDue(ro, now) {
 				ro.publishedAt, ro.publishedTried = now, ro.canary.OwnTried()
 				_, ro.publishedBad = ro.canary.Counts()
-				told++
+				published++
 			}
 		}
-		require.LessOrEqual(t, told*n, 10*220, "%d gateways in 10 s", n)
-		require.GreaterOrEqual(t, told, 5)
+		require.LessOrEqual(t, published*n, 10*220, "%d gateways in 10 s", n)
+		require.GreaterOrEqual(t, published, 5)
 	}
 }
 
-// Seen with a hundred gateways of which a third were cut off: each of them tried to renew
-// the time that had passed three times a second.
-func TestWhatCanNotBeStoredIsTriedLessOften(t *testing.T) {
+// Guards against gateways without connection to the key-value service trying to store the elapsed
+// time three times a second each, as a third of a hundred gateways did.
+func TestFailedPhaseWritesBackOff(t *testing.T) {
 	ga, ro := newTrialGateway(t)
 	ga.applyStoredPhase(StoredPhase{Service: "s", Order: rev(7), Phase: rollout.Trying, Revision: rev(9)})
 	old := ro.canary.Began.Add(4 * elapsedWriteInterval)
@@ -335,7 +337,7 @@
 	require.True(t, due)
 	ga.fresh.Failed()
 	_, due = ga.phaseToStore(ro, old)
-	require.False(t, due, "the service does not answer")
+	require.False(t, due, "the key-value service does not answer")
 
 	ga.Source = &script{cut: true}
 	for want := 2 * phaseWriteInterval; want <= 2*maxPhaseWriteInterval; want *= 2 {
@@ -343,11 +345,11 @@
 		require.Equal(t, min(want, maxPhaseWriteInterval), ro.writePause)
 	}
 	ga.applyStoredPhase(StoredPhase{Service: "s", Order: rev(7), Phase: rollout.Trying, Revision: rev(10)})
-	require.Equal(t, phaseWriteInterval, ro.writePause, "news of others")
+	require.Equal(t, phaseWriteInterval, ro.writePause, "reset after another gateway's write")
 }
 
-// An order that came while watches heard nothing may be a second old when it is read.
-func TestAnOrderThatAWholeReadBringsMayBeOlder(t *testing.T) {
+// An order written while no watch received changes may be up to a second old when it is read.
+func TestOrderFromWholeReadMayBeOlder(t *testing.T) {
 	order := Change{Order: &Order{Revision: rev(4), Plan: rollout.Plan{Service: "s", Version: "v2", Within: 24 * time.Second}}}
 	for _, tc := range []struct {
 		silent, older time.Duration
@@ -364,5 +366,5 @@
 	now := time.Now()
 	require.NoError(t, ga.takeRead(State{Revision: rev(2)}, now.Add(-time.Second)))
 	ga.apply(State{Revision: rev(9), Changes: []Change{order}}, now, time.Second, now)
-	require.False(t, ga.rollouts["s"].canary.Began.Before(now), "a watch tells at once")
+	require.False(t, ga.rollouts["s"].canary.Began.Before(now), "a watch reports changes at once")
 }
--- a/internal/gateway/selfreports.go
+++ b/internal/gateway/selfreports.go
@@ -101,7 +101,8 @@
 	}
 }
 
-// addNotices adds notices of what servers reported to a report for another gateway. The lock is held.
+// addNotices adds notices of what servers reported to a report for another gateway. The lock is
+// held.
 func (ga *Gateway) addNotices(re *relay.Report, to gossip.Peer, now time.Time) {
 	re.Limits = ga.pool.Limits.Notices(to, now)
 	for _, fa := range ga.leavingNews.Due(to, now) {
--- a/internal/gateway/selfreports_test.go
+++ b/internal/gateway/selfreports_test.go
@@ -19,28 +19,28 @@
 )
 
 const (
-	// leaveWithin is how long after a server's announcement requests may still reach it.
+	// leavingWithin is how long after a server's announcement requests may still reach it.
 	leavingWithin = 2 * time.Second
-	// pauseSlack is how long after a server asked for a pause requests may still reach it that
-	// were sent before, mostInPause how many may come later.
+	// pauseGrace is how long after a server asked for a pause earlier requests may still reach it,
+	// maxDuringPause how many may arrive later during the pause.
 	pauseGrace     = 500 * time.Millisecond
 	maxDuringPause = 2
 	// askedPause is the pause that servers ask for.
 	askedPause = 3 * time.Second
-	// silentRejection stands for a rejection that names no time.
+	// rejectionWithoutPause stands for rejections that ask for no pause.
 	rejectionWithoutPause = -1
 )
 
-// boxServer is one box's view of a server.
+// boxServer identifies a server as seen by one box.
 type boxServer struct{ box, server string }
 
-// rejection is one attempt that a server rejected.
+// rejection is an attempt that a server rejected.
 type rejection struct {
 	by boxServer
 	at time.Time
 }
 
-// boxBackend calls the servers of a scene for one box.
+// boxBackend calls the servers of a scene on behalf of one box.
 type boxBackend struct {
 	*crashing
 	box string
@@ -60,7 +60,7 @@
 	cr.received[from] = append(cr.received[from], time.Now())
 }
 
-// leave lets a server announce its shutdown from now on.
+// announceShutdown makes a server announce its shutdown from now on.
 func (cr *crashing) announceShutdown(id string) {
 	cr.mu.Lock()
 	defer cr.mu.Unlock()
@@ -76,7 +76,7 @@
 	return cr.leaving[se.listed.ID]
 }
 
-// shed lets a server reject everything and ask for a pause, zero to end that.
+// rejectAll makes a server reject everything and ask for a pause; zero ends that.
 func (cr *crashing) rejectAll(id string, pause time.Duration) {
 	cr.mu.Lock()
 	defer cr.mu.Unlock()
@@ -90,7 +90,8 @@
 	cr.pauses[id] = pause
 }
 
-// reject returns the pause that a server asks for which rejects an attempt.
+// rejection returns the pause that a server asks for when it rejects an attempt, false if it
+// accepts it.
 func (cr *crashing) rejection(at *Attempt, box string) (time.Duration, bool) {
 	cr.mu.Lock()
 	defer cr.mu.Unlock()
@@ -101,8 +102,8 @@
 	return pause, ok
 }
 
-// mostInPauses returns the most requests that a box sent to a server during a pause that the
-// server had asked it for, those not counted that were on their way.
+// mostDuringPause returns the most requests that a box sent to a server during a pause that the
+// server had asked it for, without those sent before it knew of the pause.
 func (cr *crashing) mostDuringPause(pause time.Duration) int {
 	cr.mu.Lock()
 	defer cr.mu.Unlock()
@@ -119,17 +120,17 @@
 	return most
 }
 
-// What users saw: a model server announced in its answers that it was leaving, and 11 s later a
-// gateway that had delivered such an answer still sent it first attempts and escalations (2 s are
-// allowed). Order of events: the key-value service stops answering; the server begins to leave and
-// can't publish that; a gateway delivers an answer with the announcement; the service is back; the
-// gateway sends requests to the server until its entry changes. Cause: that a server leaves was known
-// from its entry alone; what its answers say of it was passed on and not read. Evidence: the server
-// received as many requests as all others before and after the announcement, on all ways of sending,
-// and event 532 followed each event 531 as soon as answers were decoded. The mend holds since the
-// directory, from which every choice of a server is made, leaves an announced server out for the rest
-// of its life, whatever its entry says, and gateways tell each other along the reports of load.
-func TestLeavingServerGetsNothingNew(t *testing.T) {
+// Guards against requests to a server that has announced its shutdown. On the users' boxes a
+// gateway that had delivered such an answer still sent first attempts and escalations to the server
+// 11 s later, where 2 s are allowed. The key-value service stopped answering, so that the server
+// could not publish that it was leaving. After the service was back, gateways sent requests to the
+// server until its entry changed: they knew of leaving servers from entries only, and passed
+// announcements in answers on unread. The server received as many requests as all others before and
+// after the announcement, on all ways of sending, and event 532 followed each event 531 once
+// answers were decoded. Now the directory, from which every server is chosen, excludes an announced
+// server for the rest of its life whatever its entry says, and gateways propagate announcements
+// with load reports.
+func TestLeavingServerGetsNoNewRequests(t *testing.T) {
 	for _, gateways := range []int{1, 4, 23} {
 		t.Run(fmt.Sprint(gateways), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -155,17 +156,17 @@
 	}
 }
 
-// What users saw: during a burst model servers rejected requests and asked for a pause of 3 s, and
-// the same gateways sent them up to 26 more requests within it (two are allowed after the first half
-// second). Callers paid a round trip for each rejection, and up to a tenth of them were refused
-// after two or three. Order of events: load rises; a server rejects an attempt with a pause; the
-// gateway goes on with another server, and sends the next caller's attempt to the first one again.
-// Cause: the pause was handed to a caller that was refused in the end, and not remembered for the
-// server, which looks idle while it rejects everything and is preferred. Evidence: a rejecting server
-// received 19 requests a second, 5 before; event 530 counted them, and events 529 of a server followed
-// each other without a gap. The mend holds since each way of sending asks the pool, which sends a
-// paused server nothing until the end of its pause, whether its entry lapses or not.
-func TestPausedServerGetsNothing(t *testing.T) {
+// Guards against requests to a server that has asked for a pause. During a burst on the users'
+// boxes model servers rejected requests and asked for a pause of 3 s, and the same gateways sent
+// them up to 26 more requests within it, where two are allowed after the first half second. Callers
+// paid a round trip for each rejection, and up to a tenth of them were refused after two or three.
+// A gateway continued with another server, and sent the next caller's attempt to the first one
+// again: the pause was only passed to callers that were refused in the end, and a server that
+// rejects everything looks idle and is preferred. A rejecting server received 19 requests a second,
+// 5 before; event 530 counted them, and events 529 of a server followed each other without a gap.
+// Now each way of sending asks the pool, which sends a paused server nothing until its pause ends,
+// whether its entry lapses or not.
+func TestPausedServerGetsNoRequests(t *testing.T) {
 	for _, gateways := range []int{1, 4, 23} {
 		t.Run(fmt.Sprint(gateways), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -178,7 +179,7 @@
 				sc.sendLoad(askedPause)
 				sc.callers.Wait()
 				for _, ca := range sc.others {
-					// Until a gateway knows of rejections, escalations leave no retries for them.
+					// Until a gateway knows of rejections, escalations use the retries up.
 					require.True(t, ca.answered || ca.refusedImmediately(), "%+v", ca)
 				}
 				sc.others = nil
@@ -191,7 +192,7 @@
 				used := time.Now()
 				sc.sendLoad(6 * time.Second)
 				for _, id := range shedding {
-					require.Greater(t, len(sc.servers.arrivals(id, used)), 12, "%s is used as before", id)
+					require.Greater(t, len(sc.servers.arrivals(id, used)), 12, "%s gets its usual share again", id)
 				}
 				sc.callers.Wait()
 				for _, ca := range sc.others {
@@ -202,9 +203,9 @@
 	}
 }
 
-// What users saw: half of the servers rejected everything for 9 s without naming a time, and up to a
-// tenth of the callers were refused although the others had room. Cause: a server that rejects
-// everything looks idle and was preferred by every request.
+// Guards against servers that reject everything without asking for a pause being preferred because
+// they look idle. On the users' boxes half of the servers did so for 9 s, and up to a tenth of the
+// callers were refused although the other servers had capacity.
 func TestServersThatRejectEverythingAreAvoided(t *testing.T) {
 	for _, gateways := range []int{1, 4, 23} {
 		t.Run(fmt.Sprint(gateways), func(t *testing.T) {
@@ -231,14 +232,15 @@
 	}
 }
 
-// refusedAtOnce reports whether a caller was told at once that nothing ran, and when to retry.
+// refusedImmediately reports whether a caller was refused without delay, with the information that
+// nothing ran and when to retry.
 func (ca *caller) refusedImmediately() bool {
 	return ca.code == result.Overloaded && ca.after > 0 && ca.took < 10*time.Millisecond
 }
 
-// Callers of a pool whose servers all asked for a pause are refused at once with the time after
-// which one of them accepts requests.
-func TestCallersOfAPausedPoolAreRefusedAtOnce(t *testing.T) {
+// Callers of a pool whose servers have all asked for a pause are refused without delay, with the
+// time after which one of the servers accepts requests.
+func TestCallersOfPausedPoolAreRefusedImmediately(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sc := newScene(t, 4)
 		for _, se := range sc.servers.all() {
@@ -254,7 +256,7 @@
 			require.Equal(t, result.Overloaded, ca.code)
 			require.Positive(t, ca.after)
 			require.LessOrEqual(t, ca.after, askedPause)
-			require.Less(t, ca.took, 10*time.Millisecond, "at once")
+			require.Less(t, ca.took, 10*time.Millisecond, "refused without delay")
 		}
 		for _, se := range sc.servers.all() {
 			sc.servers.rejectAll(se.listed.ID, 0)
@@ -269,8 +271,9 @@
 	})
 }
 
-// An announcement counts in every kind of answer, also in those that no caller gets.
-func TestSelfReportIsTakenFromEveryKindOfAnswer(t *testing.T) {
+// An announcement counts in every kind of answer, including those that are not delivered to a
+// caller.
+func TestSelfReportIsAppliedFromEveryKindOfAnswer(t *testing.T) {
 	leaving := selfreport.Report{Leaving: true}
 	for name, se := range map[string]*sent{
 		"answer":               {answer: &Answer{Report: leaving}},
@@ -299,7 +302,7 @@
 	}
 }
 
-// A gateway that starts learns from a watcher which servers leave.
+// A gateway that starts learns from a watcher which servers are leaving.
 func TestWholeStateNamesLeavingServers(t *testing.T) {
 	now := clock.Now()
 	wa, _ := newServingGateway(Change{Member: &relay.Member{Box: "a", DataCentre: "dc0", Address: "127.0.0.1:1"}})
@@ -320,9 +323,9 @@
 	require.Equal(t, map[string]bool{"x0": true, "x1": true}, pickedServers(ga, now))
 }
 
-// Retries, resumed streams and trials of blocked requests spare leaving and paused servers as first
-// attempts do: servers crash meanwhile under requests that all callers send.
-func TestEveryWayOfSendingSparesLeavingAndPausedServers(t *testing.T) {
+// Retries, resumed streams and trials of blocked requests avoid leaving and paused servers as first
+// attempts do, while servers crash under requests that all callers send.
+func TestAllAttemptsAvoidLeavingAndPausedServers(t *testing.T) {
 	for _, gateways := range []int{2, 4, 8} {
 		t.Run(fmt.Sprint(gateways), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -341,7 +344,7 @@
 				sc.play(0, poisonPath, 6*time.Second)
 				for _, id := range leaving {
 					late := sc.servers.arrivals(id, announced.Add(leavingWithin))
-					require.LessOrEqual(t, len(late), 1, "%s: only the gateway that started anew may send one", id)
+					require.LessOrEqual(t, len(late), 1, "%s: only the replaced gateway may send one", id)
 				}
 				require.LessOrEqual(t, sc.servers.mostDuringPause(askedPause), maxDuringPause)
 			})
--- a/internal/gateway/servers.go
+++ b/internal/gateway/servers.go
@@ -11,8 +11,8 @@
 	"github.com/linnetrudder/linnetrudder/internal/warmup"
 )
 
-// maxUnusableIDs bounds the ids of unusable entries that are remembered, so that a writer of many such
-// entries fills neither the memory nor the log.
+// maxUnusableIDs bounds the ids of unusable entries that are remembered, so that a writer of many
+// such entries fills neither the memory nor the log.
 const maxUnusableIDs = 256
 
 // putServer applies a server's entry. The lock is held.
--- a/internal/gateway/servers_test.go
+++ b/internal/gateway/servers_test.go
@@ -16,8 +16,8 @@
 	"github.com/linnetrudder/linnetrudder/internal/routing"
 )
 
-// coldDocument is a configuration with a service whose servers bear little while they are
-// cold.
+// coldDocument returns a configuration with a service whose servers have a low request limit while
+// they are cold.
 func coldDocument() *routing.Document {
 	return &routing.Document{
 		Version: 1,
@@ -34,8 +34,8 @@
 	return Change{Server: &directory.Server{ID: id, Service: "s", DataCentre: dataCentre, Address: "127.0.0.1:1"}}
 }
 
-// newServing returns a gateway that knows the configuration and a server in each of three
-// data centres, and its log.
+// newServingGateway returns a gateway with the configuration and a server in each of three data
+// centres, and its log.
 func newServingGateway(changes ...Change) (*Gateway, *bytes.Buffer) {
 	log := &bytes.Buffer{}
 	ga := &Gateway{
@@ -51,14 +51,14 @@
 	return ga, log
 }
 
-// newExchange returns a request of the only route.
+// newExchange returns a request on the only route.
 func newExchange(ga *Gateway, session string) *exchange {
 	ta := ga.Table()
 	return &exchange{ga: ga, as: &Ask{}, table: ta, route: ta.Route("h", "/r/"), service: "s", session: session}
 }
 
-// servedBy returns the servers that first attempts, repeated ones and later parts of
-// streams go to.
+// pickedServers returns the servers that are picked for first attempts, retries and later parts of
+// streams.
 func pickedServers(ga *Gateway, now time.Time) map[string]bool {
 	servers := map[string]bool{}
 	for i := range 60 {
@@ -76,7 +76,7 @@
 	return servers
 }
 
-// firstServers returns the servers that first attempts go to.
+// firstPicks returns the servers that are picked for first attempts.
 func firstPicks(ga *Gateway, now time.Time) map[string]bool {
 	servers := map[string]bool{}
 	for i := range 60 {
@@ -87,15 +87,15 @@
 	return servers
 }
 
-func TestNothingGoesToAnEvacuatedDataCentre(t *testing.T) {
+func TestEvacuatedDataCentreGetsNoRequests(t *testing.T) {
 	now := time.Now()
 	ga, log := newServingGateway()
 	require.Len(t, pickedServers(ga, now), 3)
 	ga.change(Change{Evacuated: "dc1"})
 	require.Equal(t, map[string]bool{"x0": true, "x2": true}, pickedServers(ga, now))
 	ga.change(Change{Evacuated: "dc0"})
-	ga.change(Change{Evacuated: "nobody knows"})
-	require.Equal(t, map[string]bool{"x2": true}, pickedServers(ga, now), "the gateway's own as well")
+	ga.change(Change{Evacuated: "unknown"})
+	require.Equal(t, map[string]bool{"x2": true}, pickedServers(ga, now), "a gateway's own data centre is evacuated as well")
 	ga.change(Change{Evacuated: "dc2"})
 	require.Empty(t, pickedServers(ga, now))
 	ga.change(Change{Restored: "dc2"})
@@ -104,12 +104,12 @@
 	require.Contains(t, log.String(), "data_centre_restored")
 }
 
-// An order that came or ended while a gateway could not hear is known from the whole state,
-// its own read or a watcher's.
-func TestAWholeStateTellsWhatIsEvacuated(t *testing.T) {
+// A gateway that missed the begin or the end of an evacuation learns of it from a whole state,
+// which it reads itself or receives from a watcher.
+func TestWholeStateContainsEvacuations(t *testing.T) {
 	now := time.Now()
 	wa, _ := newServingGateway(Change{Evacuated: "dc1"}, Change{Member: &relay.Member{Box: "a", DataCentre: "dc0", Address: "127.0.0.1:1"}})
-	require.NotContains(t, pickedServers(wa, now), "x1", "a gateway that starts during it")
+	require.NotContains(t, pickedServers(wa, now), "x1", "a gateway that starts during the evacuation")
 	ga, _ := newServingGateway(Change{Evacuated: "dc2"})
 	up := wa.Updates(t.Context(), relay.Request{After: rev(0)})
 	require.NotEmpty(t, up.Whole)
@@ -118,8 +118,8 @@
 	require.Equal(t, map[string]bool{"x0": true, "x2": true}, pickedServers(ga, now.Add(time.Minute)))
 }
 
-// What comes back may be cold before it says so.
-func TestADataCentreComesBackSlowly(t *testing.T) {
+// Servers of a data centre whose evacuation has ended may be cold before they report it.
+func TestServersAreColdAfterEvacuation(t *testing.T) {
 	now := time.Now()
 	ga, _ := newServingGateway(Change{Evacuated: "dc0"})
 	ga.endEvacuation("dc0", now)
@@ -131,7 +131,7 @@
 			sent++
 		}
 	}
-	require.Equal(t, 1, sent, "the next one waits for its turn")
+	require.Equal(t, 1, sent, "further requests exceed the cold limit")
 	for i := range 100 {
 		if _, ok := newExchange(ga, "").Pick("", []string{"x1", "x2"}, now.Add(time.Duration(i)*10*time.Millisecond)); ok {
 			sent++
@@ -142,8 +142,8 @@
 	require.True(t, ok)
 }
 
-// A version of which all servers are cold is there all the same: its sessions stay.
-func TestAColdVersionIsNotOneThatIsGone(t *testing.T) {
+// A version whose servers are all cold still exists, and its sessions stay on it.
+func TestColdVersionKeepsItsSessions(t *testing.T) {
 	now := time.Now()
 	ga, ro := newTrialGateway(t)
 	putServers(ga, "v1", "v2")
@@ -159,19 +159,19 @@
 	require.Equal(t, "v2", ask.Version)
 }
 
-func TestANewLifeOfAServerIsKnownByNothing(t *testing.T) {
+func TestRestartedServerHasNoHistory(t *testing.T) {
 	now := time.Now()
 	ga, log := newServingGateway(Change{Gone: "x0"})
-	born := serverChange("y0", "dc0")
-	born.Server.Born = 1000
-	ga.change(born)
+	entry := serverChange("y0", "dc0")
+	entry.Server.Born = 1000
+	ga.change(entry)
 	first := *ga.servers.Get("y0")
 	for range 5 {
 		ga.pool.Failed(first.Key(), now)
 	}
 	ga.pool.Started(first.Key(), time.Second, now)
 	ga.pool.Responded(first.Key(), now)
-	require.NotContains(t, firstPicks(ga, now), "y0", "it was ejected")
+	require.NotContains(t, firstPicks(ga, now), "y0", "the server is ejected")
 	again := serverChange("y0", "dc0")
 	again.Server.Born, again.Server.Address = 2000, "127.0.0.1:2"
 	ga.change(again)
@@ -180,33 +180,33 @@
 	require.True(t, ga.pool.LastResponse(second.Key()).IsZero())
 	ga.pool.Ended(first.Key())
 	ga.pool.Failed(first.Key(), now)
-	require.Contains(t, firstPicks(ga, now), "y0", "late answers of the old life")
-	ga.change(born)
-	require.Equal(t, "127.0.0.1:2", ga.servers.Get("y0").Address, "an old entry that comes late")
+	require.Contains(t, firstPicks(ga, now), "y0", "late answers of the previous process do not count")
+	ga.change(entry)
+	require.Equal(t, "127.0.0.1:2", ga.servers.Get("y0").Address, "a late entry of the previous process is ignored")
 	require.Equal(t, 1, strings.Count(log.String(), "server_restarted"))
 }
 
-func TestAnUnusableEntryTakesItsServerOutOfUse(t *testing.T) {
+func TestUnusableEntryTakesServerOutOfUse(t *testing.T) {
 	now := time.Now()
 	ga, log := newServingGateway()
 	ga.servers.StoreLost()
 	ga.change(Change{Unusable: &UnusableServer{ID: "x1", Reason: "a field is missing"}})
-	require.Equal(t, map[string]bool{"x0": true, "x2": true}, pickedServers(ga, now), "at once, whatever the store does")
+	require.Equal(t, map[string]bool{"x0": true, "x2": true}, pickedServers(ga, now), "at once, even while the store is lost")
 	for range 50 {
 		ga.change(Change{Unusable: &UnusableServer{ID: "x1", Reason: "a field is missing"}})
 		ga.change(Change{Unusable: &UnusableServer{ID: "forged", Reason: "a field is missing"}})
 	}
-	require.Equal(t, 2, strings.Count(log.String(), "server_unusable"), "each id is named once")
+	require.Equal(t, 2, strings.Count(log.String(), "server_unusable"), "each id is logged once")
 	for i := range 2 * maxUnusableIDs {
 		ga.change(Change{Unusable: &UnusableServer{ID: fmt.Sprint("forged-", i), Reason: "a field is missing"}})
 	}
 	require.LessOrEqual(t, strings.Count(log.String(), "server_unusable"), maxUnusableIDs+1)
 	ga.change(serverChange("x1", "dc1"))
-	require.Len(t, pickedServers(ga, now), 3, "the server writes its own again")
+	require.Len(t, pickedServers(ga, now), 3, "the server has written its entry again")
 }
 
-// Those that hear through a watcher must know as well that an entry names no server.
-func TestAnUnusableEntryIsPassedOn(t *testing.T) {
+// Gateways that receive changes through a watcher must learn of unusable entries as well.
+func TestUnusableEntryIsPropagated(t *testing.T) {
 	re := newRelaying(t)
 	re.kept.add(serverChange("x", "dc"))
 	listed := func(box string) func() bool {
@@ -235,10 +235,10 @@
 	}
 }
 
-// The load of a cold pool: 23 gateways before 42 cold servers, and more callers than these
-// bear. All that is allowed is used, the rest is refused at once, and no server gets more
-// than it may within any second.
-func TestAColdPoolIsUsedUpToItsLimit(t *testing.T) {
+// A cold pool under more load than it allows: 23 gateways send to 42 cold servers. The whole
+// allowance is used, all other requests are refused at once, and no server exceeds its limit within
+// any second.
+func TestColdPoolIsUsedUpToItsLimit(t *testing.T) {
 	const gateways, servers = 23, 42
 	fleet := make([]*Gateway, gateways)
 	began := time.Now()
