--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -18,133 +18,134 @@
 	"github.com/linnetrudder/linnetrudder/internal/result"
 )
 
-// wholeBytes is the longest answer of a plain service that is read whole
-// before it is delivered, so that a broken one can be repeated elsewhere.
-const wholeBytes = 1 << 20
+// maxBufferedBytes is the size up to which the response of a plain service is read completely
+// before it is delivered, so that an attempt with a truncated response can be repeated at another
+// server.
+const maxBufferedBytes = 1 << 20
 
-// sent is one attempt in progress or ended.
-type sent struct {
+// attemptState is an attempt in progress or ended.
+type attemptState struct {
 	ex     *exchange
 	step   direct.Step
 	server directory.Server
 	began  time.Time
-	// offer is how the server was chosen, prompt what it is to read.
-	offer  pool.Offer
+	// offer is how the server was chosen. prompt is the prompt that the server has to read.
+	offer  pool.Selection
 	prompt pool.Prompt
 	cancel context.CancelFunc
-	// answer is nil until the head came.
-	answer *Answer
-	// body is the whole body of an answer that is not a stream.
+	// response is nil until its head has arrived.
+	response *Response
+	// body is the complete body of a response that is not a stream, or its first maxBufferedBytes.
 	body []byte
-	// rest is what follows body of one that is longer than wholeBytes.
+	// rest is the remainder of a body that is longer than maxBufferedBytes.
 	rest io.Reader
 	err  error
-	// over is set once what the attempt holds was freed.
-	over atomic.Bool
-	// run is what is remembered of the attempt in case its server ends; nil if it was never
-	// sent. left is set if this gateway ended the attempt without an answer.
-	run  *poison.Run
-	left bool
-	// settled is set once by whichever is first: the head of the answer, or the
-	// timer that gives the attempt up. silent is set if the latter was because the
-	// server said nothing to anybody.
-	settled, silent atomic.Bool
-	// stalled is set if the stream was left because it was silent.
+	// released is set once the resources of the attempt have been freed.
+	released atomic.Bool
+	// record is kept of the attempt in case its server ends. It is nil if the attempt was never sent.
+	// abandoned is set if this gateway ended the attempt before the response arrived.
+	record    *poison.Run
+	abandoned bool
+	// headDecided is set once, either when sendAttempt has received the response or by the timer that
+	// abandons the attempt. serverSilent is set if the timer did so because the server sent nothing on
+	// any connection.
+	headDecided, serverSilent atomic.Bool
+	// stalled is set if the stream was abandoned because no events arrived.
 	stalled atomic.Bool
 }
 
-// attemptAnswered is the outcome of an attempt whose whole answer came.
+// attemptAnswered is the outcome of an attempt whose complete response arrived.
 const attemptAnswered = "answered"
 
-// status returns the status of the answer, zero if there is none.
-func (se *sent) status() int {
-	if se.answer == nil {
+// status returns the status of the response, zero if there is none.
+func (se *attemptState) status() int {
+	if se.response == nil {
 		return 0
 	}
-	return se.answer.Status
+	return se.response.Status
 }
 
-// open makes an attempt and waits for the head of its answer, for a plain
-// service for the whole.
-func (ex *exchange) open(ctx context.Context, step direct.Step) *sent {
+// sendAttempt makes an attempt and waits for the head of the response, for a plain service for all
+// of it.
+func (ex *exchange) sendAttempt(ctx context.Context, step direct.Step) *attemptState {
 	ga := ex.ga
 	now := clock.Now()
-	se := &sent{ex: ex, step: step, began: now}
+	se := &attemptState{ex: ex, step: step, began: now}
 	ex.attempts[step.Attempt()] = se
 	ctx, se.cancel = context.WithCancel(ctx)
 	ga.mu.Lock()
 	listed := ga.servers.Get(step.Server())
 	if listed == nil {
 		ga.mu.Unlock()
-		se.err = ErrUnsent
-		se.over.Store(true)
+		se.err = ErrNotSent
+		se.released.Store(true)
 		return se
 	}
 	se.server = *listed
-	if ex.begun == "" {
-		ex.begun = listed.Version
+	if ex.firstVersion == "" {
+		ex.firstVersion = listed.Version
 	}
 	se.offer, se.prompt = ex.offer, ex.prompt(step.Model())
-	ga.pool.Started(se.server.Key(), se.offer.Read(), now)
+	ga.pool.Started(se.server.Key(), se.offer.PrefillTime(), now)
 	ga.recordAttempt(se.server, ex.route.Name, now)
-	se.run = ga.runs.Sent(se.server.Key(), ex.print, ex.as.ID, now)
-	ga.waiting[se] = true
+	se.record = ga.runs.Sent(se.server.Key(), ex.fingerprint, ex.rq.ID, now)
+	ga.awaitingHead[se] = true
 	ga.logUnwantedAttempt(se, now)
 	ga.mu.Unlock()
 	if step.Attempt() > 1 {
-		ex.noteAttempt(se)
+		ex.logRetry(se)
 	}
-	patience := time.AfterFunc(step.Patience().Sub(now), se.impatient)
-	se.call(ctx)
-	patience.Stop()
-	se.left = !se.settled.CompareAndSwap(false, true)
-	if se.left && se.err == nil {
-		// Given up just as the head came: the call was cancelled already.
-		se.err = errGivenUp
+	headTimer := time.AfterFunc(step.SoftDeadline().Sub(now), se.onHeadTimeout)
+	se.callBackend(ctx)
+	headTimer.Stop()
+	se.abandoned = !se.headDecided.CompareAndSwap(false, true)
+	if se.abandoned && se.err == nil {
+		// The attempt was abandoned just as the head arrived, and the call is already cancelled.
+		se.err = errAbandoned
 	}
-	se.headCame(clock.Now())
+	se.recordHead(clock.Now())
 	return se
 }
 
-// errGivenUp means that an answer came just after its attempt was given up.
-var errGivenUp = eris.New("attempt was given up")
+// errAbandoned means that the response arrived just after its attempt was abandoned.
+var errAbandoned = eris.New("attempt was abandoned before its response arrived")
 
-// impatient gives the attempt up if its server has said nothing since, and
-// waits on for a last time if it has: such a server is slow and not dead, and to
-// ask another one would be the same work again. It runs on a timer of its own.
-func (se *sent) impatient() {
-	ga, more := se.ex.ga, se.step.Limit().Sub(se.step.Patience())
+// onHeadTimeout abandons the attempt if its server has sent nothing on any connection since the
+// attempt began. Otherwise it waits until the final limit: such a server is slow rather than dead,
+// and an attempt at another one would repeat the work. It runs on a timer.
+func (se *attemptState) onHeadTimeout() {
+	ga, extra := se.ex.ga, se.step.HardDeadline().Sub(se.step.SoftDeadline())
 	ga.mu.Lock()
 	alive := ga.pool.LastResponse(se.server.Key()).After(se.began)
 	ga.mu.Unlock()
-	if !alive || more <= 0 {
-		se.giveUp(true)
+	if !alive || extra <= 0 {
+		se.abandon(true)
 		return
 	}
-	time.AfterFunc(more, func() { se.giveUp(false) })
+	time.AfterFunc(extra, func() { se.abandon(false) })
 }
 
-// giveUp cancels the call if no head has come.
-func (se *sent) giveUp(silent bool) {
-	if se.settled.CompareAndSwap(false, true) {
-		se.silent.Store(silent)
+// abandon cancels the call if no head has arrived.
+func (se *attemptState) abandon(silent bool) {
+	if se.headDecided.CompareAndSwap(false, true) {
+		se.serverSilent.Store(silent)
 		se.cancel()
 	}
 }
 
-// headCame notes how long the head of an answer took, or that it was not waited
-// for any longer.
-func (se *sent) headCame(now time.Time) {
+// recordHead records the time to the response head, or that the attempt was abandoned or failed
+// before it.
+func (se *attemptState) recordHead(now time.Time) {
 	ga, took := se.ex.ga, now.Sub(se.began)
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
-	ga.pool.Read(se.server.Key(), se.offer.Read())
-	delete(ga.waiting, se)
+	ga.pool.PrefillDone(se.server.Key(), se.offer.PrefillTime())
+	delete(ga.awaitingHead, se)
 	if se.err == nil {
 		ga.pool.Responded(se.server.Key(), now)
-		ga.runs.Answered(se.run, now)
+		ga.runs.Answered(se.record, now)
 	}
-	if se.err != nil && now.Before(se.step.Patience()) {
+	if se.err != nil && now.Before(se.step.SoftDeadline()) {
 		return
 	}
 	name := se.ex.modelKey(se.step.Model())
@@ -154,143 +155,144 @@
 	if se.err != nil {
 		return
 	}
-	ga.pool.Took(se.offer, se.prompt, took, now)
-	failed := se.answer.Status >= direct.ServerFailed
+	ga.pool.HeadReceived(se.offer, se.prompt, took, now)
+	failed := se.response.Status >= direct.FirstServerError
 	ga.observeOutcome(se.server, se.ex.route.Name, failed)
-	if !failed && !se.answer.Stream {
+	if !failed && !se.response.Stream {
 		ga.observeDuration(se.server, "whole "+name+se.ex.route.Name, took, slowAnswerFactor, now)
 	}
 }
 
-func (se *sent) call(ctx context.Context) {
+func (se *attemptState) callBackend(ctx context.Context) {
 	ex := se.ex
-	se.answer, se.err = ex.ga.Backend.Call(ctx, &Attempt{
-		Ask: ex.as, Body: ex.body, Server: se.server, Team: ex.team(), Model: se.step.Model(),
-		Urgency: ex.urgency(se.step), Left: ex.left(clock.Now()), LastEvent: ex.lastEvent(se.step), Fresh: se.step.Last(),
+	se.response, se.err = ex.ga.Backend.Call(ctx, &Attempt{
+		Request: ex.rq, Body: ex.body, Server: se.server, Team: ex.team(), Model: se.step.Model(),
+		QueuePriority: ex.queuePriority(se.step), Timeout: ex.serverTimeout(clock.Now()), LastEventID: ex.lastEventID(se.step), NewConnection: se.step.FinalRun(),
 	})
 	ex.ga.applySelfReport(se, clock.Now())
-	if se.err != nil || se.answer.Stream {
+	if se.err != nil || se.response.Stream {
 		return
 	}
-	se.body, se.err = io.ReadAll(io.LimitReader(se.answer.Body, wholeBytes))
-	if se.err == nil && len(se.body) == wholeBytes {
-		se.rest = se.answer.Body
+	se.body, se.err = io.ReadAll(io.LimitReader(se.response.Body, maxBufferedBytes))
+	if se.err == nil && len(se.body) == maxBufferedBytes {
+		se.rest = se.response.Body
 	}
 }
 
-// mostUrgent is the rank of the smallest model's attempts, whose prompts are read quickly.
-const mostUrgent = 0
+// highestPriority is the queue priority of the smallest model's attempts, whose prompts are read
+// quickly.
+const highestPriority = 0
 
-// readRank is the reading time of a larger model's prompt that lowers an attempt's rank by one.
-const readRank = 200 * time.Millisecond
+// readTimePerRank is the time to read a larger model's prompt that lowers the attempt by one rank.
+const readTimePerRank = 200 * time.Millisecond
 
-// urgency ranks an attempt at a server of models; plain services take no ranks.
-func (ex *exchange) urgency(step direct.Step) int {
+// queuePriority returns the rank of an attempt in the queue of a model server. Plain services have
+// no such queue.
+func (ex *exchange) queuePriority(step direct.Step) int {
 	if models := ex.request.Models; len(models) > 0 && step.Model() == models[0] {
-		return mostUrgent
+		return highestPriority
 	}
-	return mostUrgent + 1 + ex.priority() + int(ex.offer.Read()/readRank)
+	return highestPriority + 1 + ex.priority() + int(ex.offer.PrefillTime()/readTimePerRank)
 }
 
 func (ex *exchange) priority() int {
-	if te := ex.holder; te != nil && te.Priority != nil {
+	if te := ex.keyTeam; te != nil && te.Priority != nil {
 		return *te.Priority
 	}
 	return ex.route.Priority
 }
 
-// left returns how long a server may work: what is left of the caller's time,
-// not the route's, since a server that stops early fails where a gateway would
-// still have delivered.
-func (ex *exchange) left(now time.Time) time.Duration {
-	if ex.as.Patience > 0 {
-		return max(time.Millisecond, ex.as.Received.Add(ex.as.Patience).Sub(now))
+// serverTimeout returns how long a server may work: the remainder of the caller's timeout rather
+// than the route's, since a server that stops early would fail a request that the gateway could
+// still have served.
+func (ex *exchange) serverTimeout(now time.Time) time.Duration {
+	if ex.rq.Timeout > 0 {
+		return max(time.Millisecond, ex.rq.Received.Add(ex.rq.Timeout).Sub(now))
 	}
 	return max(time.Millisecond, ex.request.Deadline.Sub(now))
 }
 
-func (ex *exchange) lastEvent(step direct.Step) string {
-	if step.Resume() && ex.delivered != "" {
-		return ex.delivered
+func (ex *exchange) lastEventID(step direct.Step) string {
+	if step.Resume() && ex.deliveredID != "" {
+		return ex.deliveredID
 	}
-	return ex.as.LastEvent
+	return ex.rq.LastEventID
 }
 
-// outcome tells the request what became of an attempt until the head of its
-// answer.
-func (ex *exchange) outcome(ctx context.Context, se *sent) direct.Step {
+// handleOutcome passes the outcome of an attempt up to the response head to the request, and
+// returns the next step.
+func (ex *exchange) handleOutcome(ctx context.Context, se *attemptState) direct.Step {
 	now := clock.Now()
-	var refusal *Refusal
+	var refusal *RefusedError
 	switch {
 	case errors.As(se.err, &refusal):
-		se.unsent("refused")
+		se.endNotSent("refused")
 		if refusal.Gone {
 			ex.removeReplacedServer(se)
 		}
 		return ex.request.Refused(now)
 	case errors.Is(se.err, ErrUnreachable):
-		se.unsent("unreachable")
-		ex.ga.recordServerEnd(se.server, "it takes no connection")
+		se.endNotSent("unreachable")
+		ex.ga.recordServerEnd(se.server, "it refuses connections")
 		ex.ga.ejectUnreachable(ctx, se, now)
 		return ex.request.Unsent(now)
-	case errors.Is(se.err, ErrUnsent):
-		se.unsent("unsent")
+	case errors.Is(se.err, ErrNotSent):
+		se.endNotSent("unsent")
 		ex.ga.recordHealth(ctx, se, false, now)
 		return ex.request.Unsent(now)
 	case se.err != nil:
 		se.end("lost")
-		if !se.left {
+		if !se.abandoned {
 			ex.ga.connectionLost(ctx, se.server)
 		}
-		if se.silent.Load() || !se.left {
+		if se.serverSilent.Load() || !se.abandoned {
 			ex.ga.recordHealth(ctx, se, false, now)
 		}
 		return ex.request.Lost(now)
 	}
-	good := se.answer.Status < direct.ServerFailed
-	if !good || !se.answer.Stream {
+	good := se.response.Status < direct.FirstServerError
+	if !good || !se.response.Stream {
 		ex.ga.recordHealth(ctx, se, good, now)
 	}
-	return ex.request.Answered(se.answer.Status, se.answer.Confidence, now)
+	return ex.request.Answered(se.response.Status, se.response.Confidence, now)
 }
 
-// end frees what the attempt holds.
-func (se *sent) end(outcome string) {
+// end frees the resources of the attempt and counts its outcome.
+func (se *attemptState) end(outcome string) {
 	se.cancel()
-	if !se.over.CompareAndSwap(false, true) {
+	if !se.released.CompareAndSwap(false, true) {
 		return
 	}
-	if se.answer != nil {
-		_ = se.answer.Body.Close()
+	if se.response != nil {
+		_ = se.response.Body.Close()
 	}
 	se.ex.ga.mu.Lock()
 	se.ex.ga.pool.Ended(se.server.Key())
-	se.run.Over(outcome == attemptAnswered, clock.Now())
+	se.record.Finish(outcome == attemptAnswered, clock.Now())
 	se.ex.ga.mu.Unlock()
 	countAttempt(se.server.Service, outcome)
 }
 
-// unsent ends an attempt that its server never began.
-func (se *sent) unsent(outcome string) {
-	if se.run != nil {
+// endNotSent ends an attempt that its server never started.
+func (se *attemptState) endNotSent(outcome string) {
+	if se.record != nil {
 		se.ex.ga.mu.Lock()
-		se.run.Unsent()
+		se.record.MarkUnsent()
 		se.ex.ga.mu.Unlock()
 	}
 	se.end(outcome)
 }
 
-// drop ends an attempt whose answer is not wanted any more.
-func (se *sent) drop() { se.end("dropped") }
+// discard ends an attempt whose response is not needed any more.
+func (se *attemptState) discard() { se.end("dropped") }
 
-// copyRest gives the caller what follows the part of a long answer that was
-// read before.
-func (se *sent) copyRest(an Responder) error {
+// copyRest sends the caller the remainder of a response whose start was buffered.
+func (se *attemptState) copyRest(rs Responder) error {
 	buf := make([]byte, 32<<10)
 	for {
 		n, err := se.rest.Read(buf)
 		if n > 0 {
-			if werr := an.Part(bytes.Clone(buf[:n])); werr != nil {
+			if werr := rs.WriteChunk(bytes.Clone(buf[:n])); werr != nil {
 				return werr
 			}
 		}
--- a/internal/gateway/blocks.go
+++ b/internal/gateway/blocks.go
@@ -32,33 +32,33 @@
 // the load reports, since each gateway only sees the servers that end under its own copies of a
 // request. The lock is held.
 func (ga *Gateway) applySuspicion(su poison.Suspicion, now time.Time) {
-	term := ga.cases.Accuse(su, now)
-	if term == 0 || ga.blocks.Left(su.Print, now) > 0 {
+	term := ga.cases.Record(su, now)
+	if term == 0 || ga.blocks.Remaining(su.Fingerprint, now) > 0 {
 		return
 	}
-	ga.storing[su.Print] = now.Add(rand.N(blockWriteJitter))
-	ga.applyBlock(poison.NewBlock(su.Print, term, clock.Day()), false, now)
+	ga.storeBlockAt[su.Fingerprint] = now.Add(rand.N(blockWriteJitter))
+	ga.applyBlock(poison.NewBlock(su.Fingerprint, term, clock.Day()), false, now)
 }
 
 // applyBlock applies a block, whatever its source. Attempts that no server has answered yet are
 // cancelled, since they may still be in a server's queue. The lock is held.
 func (ga *Gateway) applyBlock(bl poison.Block, stored bool, now time.Time) {
-	if _, doubted := ga.doubts[bl.Print]; doubted || ga.cases.IsSound(bl.Print) {
-		ga.contestBlock(bl.Print, stored, now)
+	if _, doubted := ga.doubts[bl.Fingerprint]; doubted || ga.cases.IsHarmless(bl.Fingerprint) {
+		ga.contestBlock(bl.Fingerprint, stored, now)
 		return
 	}
-	if !ga.blocks.Add(bl, bl.Left(clock.Day()), stored, now) {
+	if !ga.blocks.Add(bl, bl.Remaining(clock.Day()), stored, now) {
 		return
 	}
-	if _, own := ga.storing[bl.Print]; !own && !stored {
-		ga.storing[bl.Print] = ga.blockWriteTime(now.Add(watcherWriteDelay))
+	if _, own := ga.storeBlockAt[bl.Fingerprint]; !own && !stored {
+		ga.storeBlockAt[bl.Fingerprint] = ga.blockWriteTime(now.Add(watcherWriteDelay))
 	}
-	blocksBegun.Inc()
-	ga.Log.Warn().Int("event", int(event.RequestBlocked)).Str("print", bl.Print.String()).Int("servers", ga.cases.Servers(bl.Print)).
-		Dur("for_ms", ga.blocks.Left(bl.Print, now)).Bool("stored", stored).Msg(event.Name(event.RequestBlocked))
-	for se := range ga.waiting {
-		if se.ex.print == bl.Print {
-			se.giveUp(false)
+	requestBlocks.Inc()
+	ga.Log.Warn().Int("event", int(event.RequestBlocked)).Str("print", bl.Fingerprint.String()).Int("servers", ga.cases.CrashedServers(bl.Fingerprint)).
+		Dur("for_ms", ga.blocks.Remaining(bl.Fingerprint, now)).Bool("stored", stored).Msg(event.Name(event.RequestBlocked))
+	for se := range ga.awaitingHead {
+		if se.ex.fingerprint == bl.Fingerprint {
+			se.abandon(false)
 		}
 	}
 }
@@ -66,9 +66,9 @@
 // contestBlock contradicts another gateway's block: the doubt is propagated and the stored block
 // removed. A gateway that has just started may block a common request because it has seen no answer
 // to it yet. The lock is held.
-func (ga *Gateway) contestBlock(pr poison.Print, stored bool, now time.Time) {
-	if _, due := ga.objecting[pr]; !due && stored {
-		ga.objecting[pr] = ga.blockWriteTime(now)
+func (ga *Gateway) contestBlock(pr poison.Fingerprint, stored bool, now time.Time) {
+	if _, due := ga.deleteBlockAt[pr]; !due && stored {
+		ga.deleteBlockAt[pr] = ga.blockWriteTime(now)
 	}
 	if ga.addDoubt(pr, now) {
 		ga.Log.Warn().Int("event", int(event.BlockDoubted)).Str("print", pr.String()).Msg(event.Name(event.BlockDoubted))
@@ -77,20 +77,20 @@
 
 // liftDisprovenBlock lifts a block at all gateways after a server answered the request and did not
 // end. The lock is held.
-func (ga *Gateway) liftDisprovenBlock(pr poison.Print, now time.Time) {
-	if ga.blocks.Left(pr, now) == 0 {
+func (ga *Gateway) liftDisprovenBlock(pr poison.Fingerprint, now time.Time) {
+	if ga.blocks.Remaining(pr, now) == 0 {
 		return
 	}
 	stored := ga.blocks.IsStored(pr)
 	ga.unblock(pr, "a server answered the request and is still running")
 	ga.addDoubt(pr, now)
 	if stored {
-		ga.objecting[pr] = ga.blockWriteTime(now)
+		ga.deleteBlockAt[pr] = ga.blockWriteTime(now)
 	}
 }
 
 // addDoubt records a doubt to be propagated. It reports whether the doubt is new. The lock is held.
-func (ga *Gateway) addDoubt(pr poison.Print, now time.Time) bool {
+func (ga *Gateway) addDoubt(pr poison.Fingerprint, now time.Time) bool {
 	if _, ok := ga.doubts[pr]; ok {
 		return false
 	}
@@ -101,7 +101,7 @@
 // blockWriteTime returns when this gateway writes or removes a block that any gateway can write.
 // Watchers are first. The lock is held.
 func (ga *Gateway) blockWriteTime(now time.Time) time.Time {
-	if ga.plan.Watches(ga.memberList()) {
+	if ga.relayPlan.IsWatcher(ga.memberList()) {
 		return now.Add(rand.N(blockWriteJitter))
 	}
 	return nonWatcherWriteTime(now)
@@ -113,38 +113,38 @@
 }
 
 // unblock lifts a block at this gateway. The lock is held.
-func (ga *Gateway) unblock(pr poison.Print, reason string) {
-	delete(ga.storing, pr)
+func (ga *Gateway) unblock(pr poison.Fingerprint, reason string) {
+	delete(ga.storeBlockAt, pr)
 	ga.cases.Forget(pr)
 	if ga.blocks.Lift(pr) {
-		close(ga.lifted)
-		ga.lifted = make(chan struct{})
+		close(ga.blockLifted)
+		ga.blockLifted = make(chan struct{})
 		ga.logUnblocked(pr, reason)
 	}
 }
 
 // blockRemoved lifts a block that was removed from the key-value service. The lock is held.
-func (ga *Gateway) blockRemoved(pr poison.Print) {
-	delete(ga.objecting, pr)
+func (ga *Gateway) blockRemoved(pr poison.Fingerprint) {
+	delete(ga.deleteBlockAt, pr)
 	ga.unblock(pr, "removed from the key-value service")
 }
 
-func (ga *Gateway) logUnblocked(pr poison.Print, reason string) {
+func (ga *Gateway) logUnblocked(pr poison.Fingerprint, reason string) {
 	ga.Log.Info().Int("event", int(event.RequestUnblocked)).Str("print", pr.String()).Str("detail", reason).
 		Msg(event.Name(event.RequestUnblocked))
 }
 
 // reconcileBlocks lifts the stored blocks that a whole state does not contain. Those that a restored
 // key-value service has lost are stored again instead. The lock is held.
-func (ga *Gateway) reconcileBlocks(listed map[poison.Print]bool, restored bool, now time.Time) {
+func (ga *Gateway) reconcileBlocks(listed map[poison.Fingerprint]bool, restored bool, now time.Time) {
 	for _, bl := range ga.blocks.Stored() {
 		switch {
-		case listed[bl.Print]:
+		case listed[bl.Fingerprint]:
 		case restored:
-			ga.blocks.Lost(bl.Print)
-			ga.storing[bl.Print] = ga.blockWriteTime(now)
+			ga.blocks.MarkUnstored(bl.Fingerprint)
+			ga.storeBlockAt[bl.Fingerprint] = ga.blockWriteTime(now)
 		default:
-			ga.blockRemoved(bl.Print)
+			ga.blockRemoved(bl.Fingerprint)
 		}
 	}
 }
@@ -166,7 +166,7 @@
 
 // addBlocks adds recent blocks and doubts to a report. The lock is held.
 func (ga *Gateway) addBlocks(re relay.Report, now time.Time) relay.Report {
-	re.Blocks = ga.blocks.News(now)
+	re.Blocks = ga.blocks.Recent(now)
 	for pr, since := range ga.doubts {
 		if now.Sub(since) < doubtTTL {
 			re.Doubts = append(re.Doubts, pr)
@@ -180,53 +180,53 @@
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
 	for _, bl := range ga.blocks.Unstored() {
-		if !ga.fresh.Failing() && !now.Before(ga.storing[bl.Print]) {
-			ga.storing[bl.Print] = now.Add(blockWriteRetryDelay)
+		if !ga.freshness.Failing() && !now.Before(ga.storeBlockAt[bl.Fingerprint]) {
+			ga.storeBlockAt[bl.Fingerprint] = now.Add(blockWriteRetryDelay)
 			go ga.storeBlock(ctx, bl)
 		}
 	}
-	for pr, due := range ga.objecting {
-		if !ga.fresh.Failing() && !now.Before(due) {
-			ga.objecting[pr] = now.Add(blockWriteRetryDelay)
-			go ga.removeBlocks(ctx, []poison.Print{pr})
+	for pr, due := range ga.deleteBlockAt {
+		if !ga.freshness.Failing() && !now.Before(due) {
+			ga.deleteBlockAt[pr] = now.Add(blockWriteRetryDelay)
+			go ga.removeBlocks(ctx, []poison.Fingerprint{pr})
 		}
 	}
-	maps.DeleteFunc(ga.doubts, func(_ poison.Print, since time.Time) bool { return now.Sub(since) >= 2*doubtTTL })
+	maps.DeleteFunc(ga.doubts, func(_ poison.Fingerprint, since time.Time) bool { return now.Sub(since) >= 2*doubtTTL })
 	expired := ga.blocks.Expire(now)
 	for _, pr := range expired {
-		delete(ga.storing, pr)
+		delete(ga.storeBlockAt, pr)
 		ga.logUnblocked(pr, "expired")
 	}
-	if len(expired) > 0 && ga.plan.Watches(ga.memberList()) {
+	if len(expired) > 0 && ga.relayPlan.IsWatcher(ga.memberList()) {
 		go ga.removeBlocks(ctx, expired)
 	}
 }
 
 func (ga *Gateway) storeBlock(ctx context.Context, bl poison.Block) {
-	err := ga.Source.Block(ctx, bl)
+	err := ga.Store.StoreBlock(ctx, bl)
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
 	if err != nil {
-		ga.logBlockCallFailure(bl.Print, err)
+		ga.logBlockCallFailure(bl.Fingerprint, err)
 		return
 	}
-	delete(ga.storing, bl.Print)
-	ga.blocks.Add(bl, bl.Left(clock.Day()), true, clock.Now())
+	delete(ga.storeBlockAt, bl.Fingerprint)
+	ga.blocks.Add(bl, bl.Remaining(clock.Day()), true, clock.Now())
 }
 
-func (ga *Gateway) removeBlocks(ctx context.Context, prints []poison.Print) {
+func (ga *Gateway) removeBlocks(ctx context.Context, prints []poison.Fingerprint) {
 	for _, pr := range prints {
-		err := ga.Source.Unblock(ctx, pr)
+		err := ga.Store.DeleteBlock(ctx, pr)
 		ga.mu.Lock()
 		if err != nil {
 			ga.logBlockCallFailure(pr, err)
 		} else {
-			delete(ga.objecting, pr)
+			delete(ga.deleteBlockAt, pr)
 		}
 		ga.mu.Unlock()
 	}
 }
 
-func (ga *Gateway) logBlockCallFailure(pr poison.Print, err error) {
+func (ga *Gateway) logBlockCallFailure(pr poison.Fingerprint, err error) {
 	ga.Log.Warn().Int("event", int(event.StoreCallFailed)).Str("print", pr.String()).Err(err).Msg(event.Name(event.StoreCallFailed))
 }
--- a/internal/gateway/common_test.go
+++ b/internal/gateway/common_test.go
@@ -40,21 +40,21 @@
 func (ml mixedLoad) run(t *testing.T, lasts time.Duration) (out mixedLoadResult) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		sc := newScene(t, ml.gateways)
+		sc := newTestCluster(t, ml.gateways)
 		sc.servers.endsAfter = ml.endsAfter
 		next := time.Now().Add(ml.replaceEvery)
 		for n := range int(lasts / (100 * time.Millisecond)) {
-			sc.ask(n%ml.gateways, "/menu/other", fmt.Sprint("other-", n))
-			sc.ask((n+1)%ml.gateways, poisonPath, fmt.Sprint("copy-", n))
+			sc.send(n%ml.gateways, "/menu/other", fmt.Sprint("other-", n))
+			sc.send((n+1)%ml.gateways, poisonPath, fmt.Sprint("copy-", n))
 			time.Sleep(100 * time.Millisecond)
 			if ml.replaceEvery > 0 && !time.Now().Before(next) {
 				next = next.Add(ml.replaceEvery)
-				sc.replace(n % ml.gateways)
+				sc.replaceGateway(n % ml.gateways)
 			}
 		}
 		sc.callers.Wait()
 		served, blocked := 0, 0
-		for _, ca := range sc.others {
+		for _, ca := range sc.otherResponses {
 			switch {
 			case ca.answered:
 				served++
@@ -62,8 +62,8 @@
 				blocked++
 			}
 		}
-		all := float64(len(sc.others))
-		out = mixedLoadResult{float64(served) / all, float64(blocked) / all, sc.servers.tooMany(), sc.servers.ends()}
+		all := float64(len(sc.otherResponses))
+		out = mixedLoadResult{float64(served) / all, float64(blocked) / all, sc.servers.lateCopies(), sc.servers.endCount()}
 	})
 	return out
 }
@@ -119,11 +119,11 @@
 }
 
 // storeBlock adds a block of the requests with a path to the key-value service.
-func (sc *scene) storeBlock(path string) {
-	bl := poison.NewBlock(poison.PrintOf(poison.Request{
+func (sc *testCluster) storeBlock(path string) {
+	bl := poison.NewBlock(poison.FingerprintOf(poison.Request{
 		Method: http.MethodPost, Host: "h", Target: path, Body: []byte(path),
-	}), poison.FirstTerm, clock.Day())
-	sc.servers.kept.add(Change{Blocked: &bl})
+	}), poison.FirstBlockDuration, clock.Day())
+	sc.servers.store.add(Change{Blocked: &bl})
 }
 
 // A request that was blocked wrongly, before any server has answered it, is tried by one gateway and
@@ -132,31 +132,31 @@
 	for _, gateways := range []int{1, 4, 23} {
 		for _, path := range []string{"/menu/other", "/cards/other"} {
 			synctest.Test(t, func(t *testing.T) {
-				sc := newScene(t, gateways)
+				sc := newTestCluster(t, gateways)
 				sc.storeBlock(path)
 				time.Sleep(550 * time.Millisecond)
 				ask := func(lasts time.Duration) {
 					for n := range int(lasts / (50 * time.Millisecond)) {
-						sc.ask(n%gateways, path, fmt.Sprint(path, time.Now()))
+						sc.send(n%gateways, path, fmt.Sprint(path, time.Now()))
 						time.Sleep(50 * time.Millisecond)
 					}
 					sc.callers.Wait()
 				}
 				ask(2 * time.Second)
-				for _, ca := range sc.others {
+				for _, ca := range sc.otherResponses {
 					if !ca.answered {
 						require.Equal(t, result.RequestBlocked, ca.code)
 						require.Less(t, ca.after, 3*time.Second, "the caller is asked to retry soon")
 					}
 				}
 				ask(3 * time.Second)
-				sc.others = nil
+				sc.otherResponses = nil
 				ask(5 * time.Second)
-				for _, ca := range sc.others {
+				for _, ca := range sc.otherResponses {
 					require.True(t, ca.answered, "%d gateways, %s: %+v", gateways, path, ca)
 				}
-				require.Zero(t, sc.blocked())
-				require.Empty(t, sc.keptBlocks())
+				require.Zero(t, sc.blockCount())
+				require.Empty(t, sc.storedBlocks())
 				time.Sleep(3 * doubtTTL)
 				for _, ga := range sc.gateways {
 					ga.mu.Lock()
@@ -172,22 +172,22 @@
 // A request under which servers do end stays blocked, even if gateways are replaced meanwhile.
 func TestRequestThatEndsServersIsTriedAtMostTwice(t *testing.T) {
 	for _, gateways := range []int{1, 4, 23} {
-		for _, path := range []string{poisonPath, plainPoison} {
+		for _, path := range []string{poisonPath, plainPoisonPath} {
 			synctest.Test(t, func(t *testing.T) {
-				sc := newScene(t, gateways)
+				sc := newTestCluster(t, gateways)
 				sc.storeBlock(path)
 				time.Sleep(550 * time.Millisecond)
 				for n := range 900 {
-					sc.ask(n%gateways, path, fmt.Sprint(path, n))
+					sc.send(n%gateways, path, fmt.Sprint(path, n))
 					time.Sleep(100 * time.Millisecond)
 					if n%60 == 59 {
-						sc.replace(n / 60 % gateways)
+						sc.replaceGateway(n / 60 % gateways)
 					}
 				}
 				sc.callers.Wait()
 				require.LessOrEqual(t, len(sc.servers.sent), 2, "%d gateways, %s", gateways, path)
-				require.LessOrEqual(t, sc.servers.ends(), 2)
-				require.Len(t, sc.keptBlocks(), 1)
+				require.LessOrEqual(t, sc.servers.endCount(), 2)
+				require.Len(t, sc.storedBlocks(), 1)
 			})
 		}
 	}
--- a/internal/gateway/ends.go
+++ b/internal/gateway/ends.go
@@ -40,7 +40,7 @@
 	}
 	now := clock.Now()
 	ga.mu.Lock()
-	ga.runs.Broke(se.Key(), now)
+	ga.runs.Disconnected(se.Key(), now)
 	pr := ga.probe(ctx, se, now)
 	ga.mu.Unlock()
 	ti := time.NewTimer(probeWait)
@@ -69,7 +69,7 @@
 	defer close(pr.done)
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	switch err := ga.Backend.Reach(ctx, se); {
+	switch err := ga.Backend.CheckReachable(ctx, se); {
 	case err == nil:
 		ga.mu.Lock()
 		defer ga.mu.Unlock()
@@ -91,10 +91,10 @@
 // applyServerEnd records the end of a server's life and suspects the requests that it was running,
 // the first time that the end is noticed. The lock is held.
 func (ga *Gateway) applyServerEnd(key, reason string, now time.Time) {
-	if !ga.runs.Has(key) {
+	if !ga.runs.HasServer(key) {
 		return
 	}
-	suspects, at := ga.runs.Ended(key, now)
+	suspects, at := ga.runs.Crashed(key, now)
 	serverEnds.Inc()
 	for _, ru := range suspects {
 		ga.applySuspicion(ru.Suspicion(key, at, now), now)
@@ -107,7 +107,7 @@
 func suspectNames(suspects []*poison.Run) []string {
 	names := make([]string, 0, maxLoggedSuspects)
 	for _, ru := range suspects[:min(maxLoggedSuspects, len(suspects))] {
-		names = append(names, ru.Request()+" "+ru.Print().String())
+		names = append(names, ru.RequestID()+" "+ru.Fingerprint().String())
 	}
 	return names
 }
@@ -117,12 +117,14 @@
 func (ga *Gateway) updateRuns(ctx context.Context, now time.Time) {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
-	for _, pr := range ga.cases.Settle(&ga.runs, now) {
+	for _, pr := range ga.cases.Update(&ga.runs, now) {
 		ga.liftDisprovenBlock(pr, now)
 	}
-	suspected := func(pr poison.Print) bool { return ga.cases.Servers(pr) > 0 || ga.blocks.Left(pr, now) > 0 }
-	for _, key := range ga.runs.Unproven(suspected, now) {
-		if se := ga.servers.Life(key); se != nil {
+	suspected := func(pr poison.Fingerprint) bool {
+		return ga.cases.CrashedServers(pr) > 0 || ga.blocks.Remaining(pr, now) > 0
+	}
+	for _, key := range ga.runs.Unconfirmed(suspected, now) {
+		if se := ga.servers.ByKey(key); se != nil {
 			ga.probe(ctx, *se, now)
 		}
 	}
--- a/internal/gateway/fallback.go
+++ b/internal/gateway/fallback.go
@@ -14,20 +14,20 @@
 // fallbackAnswer is the answer before an escalation. It is dropped after rejectionWindow unless the
 // caller needs it after all.
 type fallbackAnswer struct {
-	attempt *sent
+	attempt *attemptState
 	timer   *time.Timer
 }
 
 // releasePrevious frees the attempt before a step. The answer that an escalation is to improve on is
 // kept for rejectionWindow: the larger model's server may reject the attempt when no retry is left.
-func (ex *exchange) releasePrevious(at *sent, step direct.Step) {
+func (ex *exchange) releasePrevious(at *attemptState, step direct.Step) {
 	switch {
 	case at == nil:
 	case step.Escalates():
 		ex.dropFallback()
-		ex.held = &fallbackAnswer{attempt: at, timer: time.AfterFunc(rejectionWindow, at.drop)}
+		ex.held = &fallbackAnswer{attempt: at, timer: time.AfterFunc(rejectionWindow, at.discard)}
 	default:
-		at.drop()
+		at.discard()
 		if ex.held != nil {
 			ex.held.timer.Reset(rejectionWindow)
 		}
@@ -37,28 +37,28 @@
 // checkFallback tells the request if the answer before an escalation is no longer available, once
 // the head of the next answer has arrived or will not arrive. If the answer is still available, it
 // is kept until the next step.
-func (ex *exchange) checkFallback(at *sent) {
+func (ex *exchange) checkFallback(at *attemptState) {
 	if ex.held == nil {
 		return
 	}
-	if at.answer != nil || !ex.held.timer.Stop() {
+	if at.response != nil || !ex.held.timer.Stop() {
 		ex.dropFallback()
-		ex.request.Released()
+		ex.request.FallbackDropped()
 	}
 }
 
 // useFallback frees the attempt that was to improve on the fallback answer, and returns the attempt
 // that gave the latter.
-func (ex *exchange) useFallback(at *sent) *sent {
-	at.drop()
+func (ex *exchange) useFallback(at *attemptState) *attemptState {
+	at.discard()
 	fallback := ex.takeFallback()
-	ex.ga.Log.Info().Int("event", int(event.RequestFellBack)).Str("request", ex.as.ID).Str("server", fallback.server.ID).
+	ex.ga.Log.Info().Int("event", int(event.RequestFellBack)).Str("request", ex.rq.ID).Str("server", fallback.server.ID).
 		Str("model", fallback.step.Model()).Str("before", at.server.ID).Err(at.err).Msg(event.Name(event.RequestFellBack))
 	return fallback
 }
 
 // takeFallback returns the attempt with the fallback answer and stops tracking it.
-func (ex *exchange) takeFallback() *sent {
+func (ex *exchange) takeFallback() *attemptState {
 	at := ex.held.attempt
 	ex.held = nil
 	return at
@@ -70,5 +70,5 @@
 		return
 	}
 	ex.held.timer.Stop()
-	ex.takeFallback().drop()
+	ex.takeFallback().discard()
 }
--- a/internal/gateway/health.go
+++ b/internal/gateway/health.go
@@ -10,7 +10,7 @@
 
 // recordHealth records the result of an attempt for the health of its server. Attempts that ended
 // because the caller left or the deadline passed do not count.
-func (ga *Gateway) recordHealth(ctx context.Context, se *sent, good bool, now time.Time) {
+func (ga *Gateway) recordHealth(ctx context.Context, se *attemptState, good bool, now time.Time) {
 	if ctx.Err() != nil && !good {
 		return
 	}
@@ -29,7 +29,7 @@
 }
 
 // ejectUnreachable takes a server out of use for a while that accepts no connections.
-func (ga *Gateway) ejectUnreachable(ctx context.Context, se *sent, now time.Time) {
+func (ga *Gateway) ejectUnreachable(ctx context.Context, se *attemptState, now time.Time) {
 	if ctx.Err() != nil {
 		return
 	}
@@ -41,7 +41,7 @@
 }
 
 // removeReplacedServer takes a server out of use whose address now belongs to another one.
-func (ex *exchange) removeReplacedServer(se *sent) {
+func (ex *exchange) removeReplacedServer(se *attemptState) {
 	ex.ga.mu.Lock()
 	defer ex.ga.mu.Unlock()
 	ex.ga.servers.Remove(se.server.ID, clock.Now())
--- a/internal/gateway/limits.go
+++ b/internal/gateway/limits.go
@@ -10,17 +10,17 @@
 
 // applyLimit records the limit that a server's answer reports, nil for none. The lock is held.
 func (ga *Gateway) applyLimit(server string, limit *float64, now time.Time) {
-	sent, lasts := ga.pool.Limits.Use(server, now)
+	sent, lasts := ga.pool.Limits.LimitUsage(server, now)
 	ga.logLimitChange(ga.pool.Limits.Report(server, limit, now), server, sent, lasts, "")
 }
 
 // receiveLimitNotices applies another gateway's notices of rate limits. The lock is held.
 func (ga *Gateway) receiveLimitNotices(re relay.Report, now time.Time) {
 	for _, no := range re.Limits {
-		if ga.servers.Life(no.Server) == nil {
+		if ga.servers.ByKey(no.Server) == nil {
 			continue
 		}
-		sent, lasts := ga.pool.Limits.Use(no.Server, now)
+		sent, lasts := ga.pool.Limits.LimitUsage(no.Server, now)
 		ga.logLimitChange(ga.pool.Limits.Receive(no, now), no.Server, sent, lasts, re.Box)
 	}
 }
@@ -33,7 +33,7 @@
 	case backpressure.Unchanged:
 		return
 	case backpressure.Limited:
-		limitsNamed.Inc()
+		serverLimits.Inc()
 		perSecond, _ := ga.pool.Limits.PerSecond(server)
 		id, le = event.ServerLimited, ga.Log.Warn().Float64("per_second", perSecond)
 	}
--- a/internal/gateway/limits_test.go
+++ b/internal/gateway/limits_test.go
@@ -26,7 +26,7 @@
 )
 
 // setLimit makes a server report a limit from now on, or none for zero.
-func (cr *crashing) setLimit(id string, perSecond float64) {
+func (cr *crashingBackend) setLimit(id string, perSecond float64) {
 	cr.mu.Lock()
 	defer cr.mu.Unlock()
 	if cr.limits == nil {
@@ -40,14 +40,14 @@
 }
 
 // arrivals returns when requests reached a server, after a time.
-func (cr *crashing) arrivals(id string, after time.Time) []time.Time {
+func (cr *crashingBackend) arrivals(id string, after time.Time) []time.Time {
 	cr.mu.Lock()
 	defer cr.mu.Unlock()
 	return slices.DeleteFunc(slices.Clone(cr.arrived[id]), func(at time.Time) bool { return !at.After(after) })
 }
 
 // mostInWindow returns the most requests that a server received in a window, of those after a time.
-func (cr *crashing) mostInWindow(id string, after time.Time) int {
+func (cr *crashingBackend) mostInWindow(id string, after time.Time) int {
 	list, most := cr.arrivals(id, after), 0
 	for i, at := range list {
 		n := 0
@@ -62,10 +62,10 @@
 }
 
 // sendLoad sends a hundred requests a second to all gateways in turn; each asks two servers.
-func (sc *scene) sendLoad(lasts time.Duration) {
+func (sc *testCluster) sendLoad(lasts time.Duration) {
 	for n := range int(lasts / (10 * time.Millisecond)) {
 		id := fmt.Sprint("press-", time.Now().UnixNano())
-		sc.ask(n%len(sc.gateways), "/menu/"+id, id)
+		sc.send(n%len(sc.gateways), "/menu/"+id, id)
 		time.Sleep(10 * time.Millisecond)
 	}
 }
@@ -82,7 +82,7 @@
 	for _, gateways := range []int{1, 4, 23} {
 		t.Run(fmt.Sprint(gateways), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				sc := newScene(t, gateways)
+				sc := newTestCluster(t, gateways)
 				sc.sendLoad(6 * time.Second)
 				limitedAt := time.Now()
 				limited := []string{"s3", "s9"}
@@ -104,7 +104,7 @@
 					require.Greater(t, len(sc.servers.arrivals(id, ended)), 12, "%s gets its usual share again", id)
 				}
 				sc.callers.Wait()
-				for _, ca := range sc.others {
+				for _, ca := range sc.otherResponses {
 					require.True(t, ca.answered, "%+v", ca)
 				}
 			})
@@ -118,7 +118,7 @@
 	for gateways, least := range map[int]float64{1: 0.9, 4: 0.9, 12: 0.8} {
 		t.Run(fmt.Sprint(gateways), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				sc := newScene(t, gateways)
+				sc := newTestCluster(t, gateways)
 				time.Sleep(40 * time.Second) // until all gateways know how many there are
 				sc.sendLoad(2 * time.Second)
 				limitedAt := time.Now()
@@ -127,7 +127,7 @@
 				}
 				sc.sendLoad(3 * time.Second)
 				sc.callers.Wait()
-				sc.others = nil
+				sc.otherResponses = nil
 				sc.sendLoad(16 * time.Second)
 				sc.callers.Wait()
 				used := 0
@@ -135,9 +135,9 @@
 					require.LessOrEqual(t, sc.servers.mostInWindow(se.listed.ID, limitedAt.Add(limitWithin)), maxInWindow, se.listed.ID)
 					used += len(sc.servers.arrivals(se.listed.ID, limitedAt.Add(5*time.Second)))
 				}
-				require.Greater(t, float64(used), least*reportedLimit*poolSize*14)
+				require.Greater(t, float64(used), least*reportedLimit*serverCount*14)
 				refused := 0
-				for _, ca := range sc.others {
+				for _, ca := range sc.otherResponses {
 					if ca.answered {
 						continue
 					}
@@ -160,9 +160,9 @@
 		"unusable entry": func(ga *Gateway, _ time.Time) { ga.dropUnusableServer(UnusableServer{ID: "x1"}) },
 		"no entry":       func(ga *Gateway, now time.Time) { ga.removeServer("x1", now) },
 		"lost in an outage": func(ga *Gateway, now time.Time) {
-			ga.servers.StoreLost()
+			ga.servers.StoreUnavailable()
 			ga.removeServer("x1", now)
-			ga.servers.StoreBack(now)
+			ga.servers.StoreAvailable(now)
 			ga.dropMissing(now.Add(time.Minute))
 		},
 	} {
@@ -177,7 +177,7 @@
 			require.Equal(t, "x1", id)
 			lapse(ga, now)
 			require.Nil(t, ga.servers.Get("x1"))
-			ga.change(serverChange("x1", "dc1"))
+			ga.applyChange(serverChange("x1", "dc1"))
 			_, ok = ex.Pick("", []string{"x0", "x2"}, now)
 			require.False(t, ok, "the limit is used up for now")
 			_, ok = ex.Pick("", []string{"x0", "x2"}, now.Add(time.Second))
--- a/internal/gateway/loads.go
+++ b/internal/gateway/loads.go
@@ -76,7 +76,7 @@
 
 // exchangeLoads reports to one gateway repeatedly until the context ends.
 func (ga *Gateway) exchangeLoads(ctx context.Context, to loadPeer) {
-	cl := relay.Client{Address: to.member.Address, Slack: loadExchangeTimeout, HTTP: ga.RelayHTTP}
+	cl := relay.Client{Address: to.member.Address, Timeout: loadExchangeTimeout, HTTP: ga.RelayHTTP}
 	defer cl.Close()
 	failed, from := false, uint64(0)
 	for ctx.Err() == nil {
@@ -134,14 +134,14 @@
 	defer ga.mu.Unlock()
 	re := relay.Report{Box: ga.Box, Collector: collector, Work: ga.pool.Work(), Gateways: 1}
 	if collector {
-		re.Work, re.Gateways = ga.loads.Group(re.Work), ga.loads.GroupSize()
+		re.Work, re.Gateways = ga.loads.GroupSum(re.Work), ga.loads.GroupSize()
 	}
 	if !collector {
 		re.Tallies = ga.pendingTallies()
 	}
 	re.Work = re.Work.Busiest(maxLoadServers)
 	now := clock.Now()
-	re.Ready = ga.isReady(now)
+	re.Ready = ga.readyLocked(now)
 	to := gossip.ToCollector
 	if collector {
 		to = gossip.BetweenCollectors
@@ -157,7 +157,7 @@
 	}
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
-	ga.reported = now
+	ga.lastReportCollected = now
 	ga.clearReported()
 }
 
@@ -173,17 +173,17 @@
 
 // applyGroupReport applies a report that covers several gateways. The lock is held.
 func (ga *Gateway) applyGroupReport(re relay.Report, now time.Time) {
-	ga.loads.TakeGroup(re.Box, re.Work, now)
-	ga.loads.CountGroup(re.Box, re.Gateways)
+	ga.loads.PutGroup(re.Box, re.Work, now)
+	ga.loads.SetGroupSize(re.Box, re.Gateways)
 	ga.updateSize()
 }
 
 // updateSize updates the number of gateways. While a report is missing, for instance after a
 // collector failed, the gateways it covered are still counted. The lock is held.
 func (ga *Gateway) updateSize() {
-	known := max(len(ga.members), 1+ga.loads.Others())
-	if known >= ga.size || ga.loads.Known() {
-		ga.size = known
+	known := max(len(ga.members), 1+ga.loads.OtherGateways())
+	if known >= ga.gatewayCount || ga.loads.HasReports() {
+		ga.gatewayCount = known
 		ga.pool.Members = known
 	}
 }
@@ -193,20 +193,20 @@
 	if !re.Ready {
 		return
 	}
-	if now.Sub(ga.otherReady) >= loadReportTTL {
+	if now.Sub(ga.otherReadyAt) >= loadReportTTL {
 		select {
-		case ga.back <- struct{}{}:
+		case ga.storeAvailable <- struct{}{}:
 		default:
 		}
 	}
-	ga.otherReady = now
+	ga.otherReadyAt = now
 }
 
 // otherGatewayReady reports whether another gateway reported within loadReportTTL that it is ready.
 func (ga *Gateway) otherGatewayReady(now time.Time) bool {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
-	return now.Sub(ga.otherReady) < loadReportTTL
+	return now.Sub(ga.otherReadyAt) < loadReportTTL
 }
 
 // Reported applies another gateway's load report and returns this gateway's answer.
@@ -223,15 +223,15 @@
 	if re.Collector {
 		to = gossip.BetweenCollectors
 		ga.applyGroupReport(re, now)
-		work, gateways = ga.loads.Group(ga.pool.Work()), ga.loads.GroupSize()
+		work, gateways = ga.loads.GroupSum(ga.pool.Work()), ga.loads.GroupSize()
 	} else {
-		ga.loads.TakeMember(re.Box, re.Work, now)
+		ga.loads.PutMember(re.Box, re.Work, now)
 		ga.updateSize()
 		ga.collectTallies(re.Tallies)
-		work, gateways = ga.loads.Rest(re.Box, ga.pool.Work()), ga.loads.Others()
+		work, gateways = ga.loads.SumExcept(re.Box, ga.pool.Work()), ga.loads.OtherGateways()
 	}
 	answer := relay.Report{
-		Box: ga.Box, Collector: true, Work: work.Busiest(maxLoadServers), Ready: ga.isReady(now), Gateways: gateways,
+		Box: ga.Box, Collector: true, Work: work.Busiest(maxLoadServers), Ready: ga.readyLocked(now), Gateways: gateways,
 	}
 	ga.addNotices(&answer, to, now)
 	return ga.addBlocks(answer, now)
--- a/internal/gateway/loads_test.go
+++ b/internal/gateway/loads_test.go
@@ -14,15 +14,15 @@
 
 // reportedWork returns the number of other gateways' attempts at the server s that a gateway knows
 // of, or false if it receives no reports.
-func (re *relaying) reportedWork(box string) (uint32, bool) {
+func (re *relayCluster) reportedWork(box string) (uint32, bool) {
 	ga := re.gateways[box]
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
-	return ga.loads.On("s"), ga.loads.Known()
+	return ga.loads.OnServer("s"), ga.loads.HasReports()
 }
 
 // startAttempts starts attempts of a gateway at the server s.
-func (re *relaying) startAttempts(box string, attempts int) {
+func (re *relayCluster) startAttempts(box string, attempts int) {
 	ga := re.gateways[box]
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
@@ -32,7 +32,7 @@
 }
 
 func TestEachGatewayReceivesOtherGatewaysLoad(t *testing.T) {
-	re := newRelaying(t)
+	re := newRelayCluster(t)
 	re.startAttempts("a", 1)
 	re.startAttempts("b", 2)
 	re.startAttempts("c", 4)
@@ -47,14 +47,14 @@
 // A gateway that receives no reports any more estimates the other gateways' work again instead of
 // using old reports.
 func TestOldLoadReportsExpire(t *testing.T) {
-	re := newRelaying(t)
+	re := newRelayCluster(t)
 	re.startAttempts("a", 1)
 	re.eventually(t, "c receives the report", func() bool {
 		known, _ := re.reportedWork("c")
 		return known == 1
 	})
 	for _, box := range []string{"a", "b"} {
-		re.deafen(box)
+		re.disableRelay(box)
 	}
 	began := time.Now()
 	re.eventually(t, "c drops the report", func() bool {
@@ -93,11 +93,11 @@
 		return relay.Member{Box: box, DataCentre: "dc", Address: "127.0.0.1:1", LinkMbps: link}
 	}
 	for box, link := range map[string]int{"a": 1, "b": 2, "c": 2} {
-		ga.joined(member(box, link))
+		ga.memberJoined(member(box, link))
 	}
 	before := ga.loadPeers(time.Now())
 	require.Len(t, before, 1)
 	require.False(t, before[0].asCollector)
-	ga.left("b")
+	ga.memberLeft("b")
 	require.Equal(t, []loadPeer{{member("c", 2), true}}, ga.loadPeers(time.Now()))
 }
--- a/internal/gateway/models.go
+++ b/internal/gateway/models.go
@@ -7,7 +7,7 @@
 	"github.com/rs/zerolog"
 
 	"github.com/linnetrudder/linnetrudder/internal/cascade"
-	"github.com/linnetrudder/linnetrudder/internal/pace"
+	"github.com/linnetrudder/linnetrudder/internal/latency"
 	"github.com/linnetrudder/linnetrudder/internal/pool"
 )
 
@@ -51,14 +51,14 @@
 	if len(mc.options) == 0 {
 		return le
 	}
-	return le.Dur("left_ms", mc.state.Left).Dur("backlog_ms", mc.state.Backlog).
-		Dur("largest_ms", mc.options[len(mc.options)-1].Head)
+	return le.Dur("left_ms", mc.state.Remaining).Dur("backlog_ms", mc.state.Backlog).
+		Dur("largest_ms", mc.options[len(mc.options)-1].TimeToHead)
 }
 
 // First returns the model to ask first. A caller that resumes a stream may have received the
 // beginning from the largest model.
 func (ex *exchange) First(time.Time) int {
-	if ex.as.LastEvent != "" {
+	if ex.rq.LastEventID != "" {
 		return len(ex.request.Models) - 1
 	}
 	return 0
@@ -74,12 +74,12 @@
 // observeGain records by how much an answer's confidence exceeds that of the smallest model.
 func (ex *exchange) observeGain(place, confidence int) {
 	if place == 0 {
-		ex.smallest = confidence
+		ex.smallestConfidence = confidence
 		return
 	}
 	ex.ga.mu.Lock()
 	defer ex.ga.mu.Unlock()
-	ex.ga.gains.Observe(ex.modelKey(ex.request.Models[place]), ex.smallest, confidence)
+	ex.ga.modelGains.Observe(ex.modelKey(ex.request.Models[place]), ex.smallestConfidence, confidence)
 }
 
 // evaluateModels computes the inputs for the choice of a model above the one at a place.
@@ -90,8 +90,8 @@
 	backlog := ga.pool.Backlog(ex.service)
 	ex.choice = modelChoice{
 		state: cascade.State{
-			Left: ex.request.Target.Sub(now), Target: ex.route.Target, Priority: ex.priority(),
-			Backlog: backlog, Lasting: ga.backlogTrend(ex.service).Follow(backlog, now),
+			Remaining: ex.request.Target.Sub(now), Target: ex.route.Target, Priority: ex.priority(),
+			Backlog: backlog, SmoothedBacklog: ga.backlogTrend(ex.service).Update(backlog, now),
 		},
 		options: make([]cascade.Option, len(ex.request.Models)),
 	}
@@ -99,25 +99,25 @@
 	for i, model := range ex.request.Models {
 		op := &ex.choice.options[i]
 		if i > 0 {
-			op.Gain = ga.gains.Of(ex.modelKey(model))
+			op.ConfidenceGain = ga.modelGains.Estimate(ex.modelKey(model))
 		}
 		if i <= place {
 			continue
 		}
-		op.Price, op.Head = ex.relativeCost(i), noServerDelay
-		if of, ok := ga.pool.Pick(ex.askFor(model, nil, now), 0, now); ok {
-			op.Head = of.Head()
-			op.Load = of.Read().Seconds() / reference.Seconds()
+		op.Price, op.TimeToHead = ex.relativeCost(i), noServerDelay
+		if of, ok := ga.pool.Pick(ex.poolRequest(model, nil, now), 0, now); ok {
+			op.TimeToHead = of.TimeToHead()
+			op.RelativeWork = of.PrefillTime().Seconds() / reference.Seconds()
 		}
 	}
 }
 
 // backlogTrend returns the trend of a service's backlog. The lock is held.
-func (ga *Gateway) backlogTrend(service string) *pace.Trend {
-	tr := ga.backlogs[service]
+func (ga *Gateway) backlogTrend(service string) *latency.Smoother {
+	tr := ga.backlogTrends[service]
 	if tr == nil {
-		tr = &pace.Trend{}
-		ga.backlogs[service] = tr
+		tr = &latency.Smoother{}
+		ga.backlogTrends[service] = tr
 	}
 	return tr
 }
@@ -145,9 +145,9 @@
 // counts alike. The lock is held.
 func (ex *exchange) referenceReadTime() time.Duration {
 	ga, models := ex.ga, ex.request.Models
-	weighted := promptSizeWeight*float64(ex.as.PromptTokens) + (1-promptSizeWeight)*ga.prompts.means[ex.route.Name]
-	tokens := math.Sqrt(max(1, weighted) * max(1, ga.prompts.means[ex.service]))
-	return max(time.Microsecond, ga.pool.ReadTime(ex.prompt(models[len(models)-1]), tokens))
+	weighted := promptSizeWeight*float64(ex.rq.PromptTokens) + (1-promptSizeWeight)*ga.promptSizes.means[ex.route.Name]
+	tokens := math.Sqrt(max(1, weighted) * max(1, ga.promptSizes.means[ex.service]))
+	return max(time.Microsecond, ga.pool.PrefillTime(ex.prompt(models[len(models)-1]), tokens))
 }
 
 // promptSizeWeight is the fraction of a prompt's value that grows with its size, by the users'
@@ -156,17 +156,17 @@
 
 // prompt returns the prompt that a model reads, the zero value for a plain service.
 func (ex *exchange) prompt(model string) pool.Prompt {
-	as := ex.as
-	start, shared := as.shared()
+	as := ex.rq
+	start, shared := as.sharedPrefix()
 	if start == "" {
 		return pool.Prompt{}
 	}
 	pr := pool.Prompt{
-		Model: ex.modelKey(model), PerToken: ex.perToken(model), Start: start,
-		Shared: shared, Own: max(0, as.PromptTokens-shared), KB: float64(len(ex.body)) / 1000,
+		Model: ex.modelKey(model), PrefillPerToken: ex.perToken(model), PrefixID: start,
+		PrefixTokens: shared, SuffixTokens: max(0, as.PromptTokens-shared), SizeKB: float64(len(ex.body)) / 1000,
 	}
 	if n := len(as.Prompt); n > 1 {
-		pr.Whole = as.Prompt[n-1].ID
+		pr.FullID = as.Prompt[n-1].ID
 	}
 	return pr
 }
--- a/internal/gateway/outcomes.go
+++ b/internal/gateway/outcomes.go
@@ -11,7 +11,7 @@
 func (ga *Gateway) recordAttempt(se directory.Server, route string, now time.Time) {
 	ga.demand(se.Service).Count(route, now)
 	if ro := ga.rollouts[se.Service]; ro != nil && !ro.ended() {
-		ro.canary.Sent(route, se.Version == ro.order.Plan.Version, now)
+		ro.canary.RecordSent(route, se.Version == ro.order.Plan.Version, now)
 	}
 }
 
@@ -25,7 +25,7 @@
 func (ga *Gateway) demand(service string) *rate.Meter {
 	me := ga.demands[service]
 	if me == nil {
-		me = &rate.Meter{Memory: demandDecay}
+		me = &rate.Meter{TimeConstant: demandDecay}
 		ga.demands[service] = me
 	}
 	return me
@@ -57,9 +57,9 @@
 	ro := ga.rollouts[se.Service]
 	isNew := ro != nil && se.Version == ro.order.Plan.Version
 	if !isNew {
-		ga.best.Observe(name, took)
+		ga.latencyFloors.Observe(name, took)
 	}
-	if best := ga.best.Floor(name); ro != nil && !ro.ended() && best > 0 {
-		ro.canary.ObservePace(se.Key(), isNew, float64(took) > factor*float64(best), now)
+	if best := ga.latencyFloors.Latency(name); ro != nil && !ro.ended() && best > 0 {
+		ro.canary.ObserveLatency(se.Key(), isNew, float64(took) > factor*float64(best), now)
 	}
 }
--- a/internal/gateway/restored_history_test.go
+++ b/internal/gateway/restored_history_test.go
@@ -59,7 +59,7 @@
 				serverDrains, serverStops, serverStarts, centreEvacuated, centreRestored, configWritten,
 				storeCopied, storeCopied, storeRestored, storeRestored, storeLost, storeRegained, gatewayReplaced,
 			}).Draw(rt, "kind"),
-			index: rapid.IntRange(0, poolSize-1).Draw(rt, "index"),
+			index: rapid.IntRange(0, serverCount-1).Draw(rt, "index"),
 		})
 	}
 	return hi
@@ -77,7 +77,7 @@
 
 // historyRun is the state of a history that is being executed.
 type historyRun struct {
-	*scene
+	*testCluster
 
 	expected expectedState
 	// copy is the number of changes in the store's newest copy.
@@ -93,11 +93,11 @@
 func (hi history) run(t *testing.T) (violations []string) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		hr := &historyRun{scene: newScene(t, hi.gateways), expected: expectedState{
+		hr := &historyRun{testCluster: newTestCluster(t, hi.gateways), expected: expectedState{
 			draining: map[string]time.Time{}, ended: map[string]time.Time{}, evacuated: map[string]bool{}, version: 1,
 		}}
-		hr.servers.kept.silent = hi.restoreHidden
-		hr.copy = hr.servers.kept.changeCount()
+		hr.servers.store.hidesEra = hi.restoreHidden
+		hr.copy = hr.servers.store.changeCount()
 		for _, st := range hi.steps {
 			hr.advance(st.pause)
 			hr.apply(st, hi.rewriteAfter)
@@ -122,19 +122,19 @@
 }
 
 func (hr *historyRun) apply(st historyStep, rewriteAfter time.Duration) {
-	ke, now := hr.servers.kept, time.Now()
+	ke, now := hr.servers.store, time.Now()
 	id, dataCentre := fmt.Sprint("s", st.index+1), fmt.Sprint("dc", st.index%3)
 	_, ended := hr.expected.ended[id]
 	switch {
 	case st.kind == storeRegained:
-		hr.cutAll(false)
+		hr.disconnectAll(false)
 		if hr.storeDown {
 			hr.expected.regained = now
 		}
 		hr.storeDown, hr.expected.stable = false, now
 	case hr.storeDown && st.kind != gatewayReplaced && st.kind != storeRestored:
 	case st.kind == storeLost:
-		hr.cutAll(true)
+		hr.disconnectAll(true)
 		hr.storeDown = true
 	case st.kind == storeCopied:
 		hr.copy = ke.changeCount()
@@ -142,7 +142,7 @@
 		ke.restore(hr.copy)
 		hr.rewriteAt = now.Add(rewriteAfter)
 	case st.kind == gatewayReplaced:
-		hr.replace(st.index % len(hr.gateways))
+		hr.replaceGateway(st.index % len(hr.gateways))
 		hr.expected.stable = now
 	case st.kind == configWritten:
 		hr.expected.version++
@@ -161,7 +161,7 @@
 	case st.kind == serverStops && !ended:
 		ke.add(Change{Gone: id})
 		hr.expected.ended[id] = now
-		if after := hr.expected.regained.Add(tellWithin); after.After(now) {
+		if after := hr.expected.regained.Add(propagationTime); after.After(now) {
 			hr.expected.ended[id] = after // it may count as a lapse of the store
 		}
 	}
@@ -170,19 +170,19 @@
 func (hr *historyRun) writeDocument() {
 	doc := hr.servers.document()
 	doc.Version = hr.expected.version
-	hr.servers.kept.add(Change{Document: &doc})
+	hr.servers.store.add(Change{Document: &doc})
 }
 
 // document returns the newest configuration that was ever written.
-func (cr *crashing) document() routing.Document {
-	cr.kept.mu.Lock()
-	defer cr.kept.mu.Unlock()
-	return *cr.kept.changes[0].Document
+func (cr *crashingBackend) document() routing.Document {
+	cr.store.mu.Lock()
+	defer cr.store.mu.Unlock()
+	return *cr.store.changes[0].Document
 }
 
 // rewriteLost makes operators and servers write again what they had written.
 func (hr *historyRun) rewriteLost() {
-	ke := hr.servers.kept
+	ke := hr.servers.store
 	hr.rewriteAt, hr.expected.stable = time.Time{}, time.Now()
 	hr.writeDocument()
 	for _, se := range hr.servers.all() {
@@ -211,7 +211,7 @@
 	if hr.storeDown || !hr.rewriteAt.IsZero() {
 		return
 	}
-	bound := time.Now().Add(-tellWithin)
+	bound := time.Now().Add(-propagationTime)
 	if hr.expected.stable.After(bound) {
 		return
 	}
@@ -266,7 +266,7 @@
 // check.
 func TestChangesAfterUndetectedRestoreAreMissed(t *testing.T) {
 	hi := history{gateways: 23, steps: []historyStep{{kind: storeCopied}}}
-	for range 3 * poolSize {
+	for range 3 * serverCount {
 		hi.steps = append(hi.steps, historyStep{kind: configWritten})
 	}
 	hi.steps = append(hi.steps, historyStep{pause: 2 * time.Second, kind: storeRestored}, historyStep{kind: serverDrains})
--- a/internal/gateway/restored_test.go
+++ b/internal/gateway/restored_test.go
@@ -20,17 +20,17 @@
 const restoredWithin = 2 * time.Second
 
 // changeCount returns how many changes the key-value service contains.
-func (ke *keptState) changeCount() int {
+func (ke *fakeStore) changeCount() int {
 	ke.mu.Lock()
 	defer ke.mu.Unlock()
 	return len(ke.changes)
 }
 
 // drainServer makes a server write that it is draining.
-func (cr *crashing) drainServer(id string) {
+func (cr *crashingBackend) drainServer(id string) {
 	se := cr.server(id).listed
 	se.Draining, se.Seq = true, 2
-	cr.kept.add(Change{Server: &se})
+	cr.store.add(Change{Server: &se})
 }
 
 // sendsTo reports whether a gateway may send requests to a server.
@@ -49,17 +49,17 @@
 	for _, gateways := range []int{1, 4, 23, 60} {
 		for _, outage := range []time.Duration{0, 50 * time.Millisecond, 3 * time.Second} {
 			synctest.Test(t, func(t *testing.T) {
-				sc := newScene(t, gateways)
-				copied := sc.servers.kept.changeCount()
+				sc := newTestCluster(t, gateways)
+				copied := sc.servers.store.changeCount()
 				for i := range 20 {
-					sc.servers.kept.add(Change{Server: &directory.Server{ID: fmt.Sprint("lost", i), Service: "other"}})
+					sc.servers.store.add(Change{Server: &directory.Server{ID: fmt.Sprint("lost", i), Service: "other"}})
 				}
 				time.Sleep(restoredWithin)
-				sc.cutAll(outage > 0)
+				sc.disconnectAll(outage > 0)
 				time.Sleep(outage)
-				sc.servers.kept.restore(copied)
+				sc.servers.store.restore(copied)
 				sc.servers.drainServer("s1")
-				sc.cutAll(false)
+				sc.disconnectAll(false)
 				time.Sleep(restoredWithin)
 				for i, ga := range sc.gateways {
 					require.False(t, ga.sendsTo("s1"), "gateway %d of %d after %s", i, gateways, outage)
@@ -80,15 +80,15 @@
 func TestServersSurviveStoreRestore(t *testing.T) {
 	for _, gateways := range []int{1, 4, 23} {
 		synctest.Test(t, func(t *testing.T) {
-			sc := newScene(t, gateways)
-			ke := sc.servers.kept
+			sc := newTestCluster(t, gateways)
+			ke := sc.servers.store
 			copied := ke.changeCount()
 			sc.servers.drainServer("s1")
 			ke.add(Change{Gone: "s2"})
 			sc.servers.start()
-			rewritten := fmt.Sprint("s", poolSize+1)
+			rewritten := fmt.Sprint("s", serverCount+1)
 			sc.servers.start()
-			lost := fmt.Sprint("s", poolSize+2)
+			lost := fmt.Sprint("s", serverCount+2)
 			time.Sleep(restoredWithin)
 
 			ke.restore(copied)
@@ -133,7 +133,7 @@
 	t.Helper()
 	ga := &Gateway{Log: zerolog.Nop(), Bounds: Bounds{CanaryShare: 0.15}}
 	ga.prepare()
-	require.NoError(t, ga.takeRead(State{Revision: inEra(1, 30), Changes: []Change{
+	require.NoError(t, ga.applyReadState(State{Revision: inEra(1, 30), Changes: []Change{
 		orderAt(inEra(1, 20), "v2"), phaseAt(inEra(1, 30), inEra(1, 20), ph),
 	}}, time.Now()))
 	require.Equal(t, ph, ga.rollouts["s"].canary.Phase())
@@ -143,18 +143,18 @@
 // readRestored makes a gateway read the whole state of a key-value service that was restored.
 func (ga *Gateway) readRestored(t *testing.T, changes ...Change) {
 	t.Helper()
-	require.NoError(t, ga.takeRead(State{Revision: inEra(2, 25), Changes: changes}, time.Now()))
+	require.NoError(t, ga.applyReadState(State{Revision: inEra(2, 25), Changes: changes}, time.Now()))
 }
 
 func TestRolloutContinuesAfterItsOrderIsRestored(t *testing.T) {
 	for name, order := range map[string]revision.Revision{"in the copy": inEra(2, 20), "written again": inEra(2, 23), "written again later": inEra(2, 90)} {
 		for _, ph := range []rollout.Phase{rollout.Trying, rollout.Shifting, rollout.Complete, rollout.Failed} {
 			ga := newGatewayInPhase(t, ph)
-			began := ga.rollouts["s"].canary.Began
+			began := ga.rollouts["s"].canary.OrderedAt
 			ga.readRestored(t, phaseAt(inEra(2, 21), inEra(1, 20), rollout.Waiting), orderAt(order, "v2"))
 			ro := ga.rollouts["s"]
 			require.Equal(t, ph, ro.canary.Phase(), name)
-			require.Equal(t, began, ro.canary.Began, name)
+			require.Equal(t, began, ro.canary.OrderedAt, name)
 			next, due := ga.phaseToStore(ro, time.Now())
 			require.True(t, due, "a lost phase is stored again")
 			require.Equal(t, ph, next.Phase)
@@ -184,16 +184,16 @@
 func TestOrderBeforeLostOrderIsNotRepeated(t *testing.T) {
 	ga := &Gateway{Log: zerolog.Nop()}
 	ga.prepare()
-	require.NoError(t, ga.takeRead(State{Revision: inEra(1, 12), Changes: []Change{orderAt(inEra(1, 10), "v1")}}, time.Now()))
-	ga.change(orderAt(inEra(1, 20), "v2"))
-	ga.change(phaseAt(inEra(1, 24), inEra(1, 20), rollout.Failed))
+	require.NoError(t, ga.applyReadState(State{Revision: inEra(1, 12), Changes: []Change{orderAt(inEra(1, 10), "v1")}}, time.Now()))
+	ga.applyChange(orderAt(inEra(1, 20), "v2"))
+	ga.applyChange(phaseAt(inEra(1, 24), inEra(1, 20), rollout.Failed))
 	ga.readRestored(t, orderAt(inEra(2, 10), "v1"))
 	require.Equal(t, "v2", ga.rollouts["s"].order.Plan.Version)
 	require.Equal(t, rollout.Failed, ga.rollouts["s"].canary.Phase())
-	ga.change(orderAt(inEra(2, 22), "v2"))
+	ga.applyChange(orderAt(inEra(2, 22), "v2"))
 	require.Equal(t, rollout.Failed, ga.rollouts["s"].canary.Phase(), "the same order is written again")
-	ga.change(phaseAt(inEra(2, 30), inEra(2, 22), rollout.Failed))
-	ga.change(orderAt(inEra(2, 40), "v2"))
+	ga.applyChange(phaseAt(inEra(2, 30), inEra(2, 22), rollout.Failed))
+	ga.applyChange(orderAt(inEra(2, 40), "v2"))
 	require.Equal(t, rollout.Waiting, ga.rollouts["s"].canary.Phase(), "the version is ordered again")
 }
 
@@ -216,22 +216,22 @@
 	other := newGatewayInPhase(t, rollout.Trying)
 	other.readRestored(t, orderAt(inEra(2, 21), "v2"))
 	other.receiveTally(tally)
-	require.Equal(t, 1, other.rollouts["s"].canary.BadKnown(), "published before the order was written again")
+	require.Equal(t, 1, other.rollouts["s"].canary.TotalBad(), "published before the order was written again")
 	tally.Version = "v1"
 	tally.Box = "b"
 	other.receiveTally(tally)
-	require.Equal(t, 1, other.rollouts["s"].canary.BadKnown(), "tally of an earlier order")
+	require.Equal(t, 1, other.rollouts["s"].canary.TotalBad(), "tally of an earlier order")
 }
 
 // firstJoin returns how many changes there were before the first gateway joined.
-func (ke *keptState) firstJoin() int {
+func (ke *fakeStore) firstJoin() int {
 	ke.mu.Lock()
 	defer ke.mu.Unlock()
 	return slices.IndexFunc(ke.changes, func(ch Change) bool { return ch.Member != nil })
 }
 
 // joinedSince returns the boxes that have joined after a number of changes.
-func (ke *keptState) joinedSince(changes int) []string {
+func (ke *fakeStore) joinedSince(changes int) []string {
 	ke.mu.Lock()
 	defer ke.mu.Unlock()
 	var boxes []string
@@ -247,8 +247,8 @@
 func TestMembersRejoinAfterStoreLostTheirKeys(t *testing.T) {
 	for _, gateways := range []int{1, 4, 23, 60} {
 		synctest.Test(t, func(t *testing.T) {
-			sc := newScene(t, gateways)
-			ke := sc.servers.kept
+			sc := newTestCluster(t, gateways)
+			ke := sc.servers.store
 			time.Sleep(restoredWithin)
 			copied := ke.firstJoin()
 			before := ke.joinedSince(copied)
@@ -273,17 +273,17 @@
 func TestLostBlockIsStoredAgain(t *testing.T) {
 	for _, gateways := range []int{1, 4, 23} {
 		synctest.Test(t, func(t *testing.T) {
-			sc := newScene(t, gateways)
-			copied := sc.servers.kept.changeCount()
+			sc := newTestCluster(t, gateways)
+			copied := sc.servers.store.changeCount()
 			sc.storeBlock(poisonPath)
 			time.Sleep(restoredWithin)
-			blocked := sc.blocked()
+			blocked := sc.blockCount()
 			require.Equal(t, gateways, blocked)
-			sc.servers.kept.restore(copied)
-			require.Empty(t, sc.keptBlocks())
+			sc.servers.store.restore(copied)
+			require.Empty(t, sc.storedBlocks())
 			time.Sleep(2 * restoredWithin)
-			require.Len(t, sc.keptBlocks(), 1, "%d gateways", gateways)
-			require.Equal(t, blocked, sc.blocked())
+			require.Len(t, sc.storedBlocks(), 1, "%d gateways", gateways)
+			require.Equal(t, blocked, sc.blockCount())
 		})
 	}
 }
@@ -292,8 +292,8 @@
 	for _, rewritten := range []bool{true, false} {
 		for _, gateways := range []int{1, 4, 23} {
 			synctest.Test(t, func(t *testing.T) {
-				sc := newScene(t, gateways)
-				ke := sc.servers.kept
+				sc := newTestCluster(t, gateways)
+				ke := sc.servers.store
 				copied := ke.changeCount()
 				ke.add(Change{Evacuated: "dc1"})
 				time.Sleep(restoredWithin)
@@ -321,7 +321,7 @@
 }
 
 // callCounts returns the numbers of whole reads and watches.
-func (ke *keptState) callCounts() (reads, watches int) {
+func (ke *fakeStore) callCounts() (reads, watches int) {
 	ke.mu.Lock()
 	defer ke.mu.Unlock()
 	for _, n := range ke.watches {
@@ -334,17 +334,17 @@
 	for gateways, outages := range map[int][]time.Duration{23: {0, 500 * time.Millisecond, 8 * time.Second}, 300: {500 * time.Millisecond}} {
 		for _, outage := range outages {
 			synctest.Test(t, func(t *testing.T) {
-				sc := newScene(t, gateways)
-				ke := sc.servers.kept
+				sc := newTestCluster(t, gateways)
+				ke := sc.servers.store
 				copied := ke.changeCount()
 				ke.add(Change{Server: &directory.Server{ID: "lost", Service: "other"}})
 				time.Sleep(restoredWithin)
-				sc.cutAll(outage > 0)
+				sc.disconnectAll(outage > 0)
 				time.Sleep(outage)
 				reads, watches := ke.callCounts()
 				ke.restore(copied)
 				sc.servers.drainServer("s1")
-				sc.cutAll(false)
+				sc.disconnectAll(false)
 				time.Sleep(restoredWithin)
 				for i, ga := range sc.gateways {
 					require.False(t, ga.sendsTo("s1"), "gateway %d of %d", i, gateways)
--- a/internal/gateway/rollouts.go
+++ b/internal/gateway/rollouts.go
@@ -58,16 +58,16 @@
 	if old != nil && !or.Revision.After(old.order.Revision) {
 		return
 	}
-	if old != nil && or.rewrites(old.order) {
+	if old != nil && or.isRewriteOf(old.order) {
 		old.order.Revision = or.Revision
 		old.resendOutcomes()
 		return
 	}
-	if old != nil && old.previous.rewrittenBy(or) {
+	if old != nil && old.previous.isRestoredAs(or) {
 		return
 	}
 	or.Plan.MostShare, or.Plan.MostExtra = ga.Bounds.CanaryShare, ga.extraPerGateway()
-	ro := &rolloutState{order: or, previous: previousOrder(old), canary: rollout.Canary{Plan: or.Plan, Began: clock.Now().Add(-ga.unseen)}}
+	ro := &rolloutState{order: or, previous: previousOrder(old), canary: rollout.Canary{Plan: or.Plan, OrderedAt: clock.Now().Add(-ga.maxChangeAge)}}
 	ro.withdrawn = ga.withdrawnVersions(old, or)
 	ga.rollouts[or.Plan.Service] = ro
 	ga.Log.Info().Int("event", int(event.RolloutOrdered)).Str("service", or.Plan.Service).
@@ -94,10 +94,10 @@
 // extraPerGateway returns this gateway's share of the requests that a bad version may get beyond
 // its fraction, zero while the number of gateways is unknown. The lock is held.
 func (ga *Gateway) extraPerGateway() float64 {
-	if ga.size == 0 {
+	if ga.gatewayCount == 0 {
 		return 0
 	}
-	return ga.Bounds.CanaryExtra / float64(ga.size)
+	return ga.Bounds.CanaryExtra / float64(ga.gatewayCount)
 }
 
 // withdrawnVersions returns the versions that get no requests while an order is carried out that
@@ -116,7 +116,7 @@
 	for _, se := range ga.servers.Servers(or.Plan.Service) {
 		listed = append(listed, se.Version)
 	}
-	return rollout.Withdraw(withdrawn, version, ph, listed, or.Plan.Version)
+	return rollout.WithdrawnVersions(withdrawn, version, ph, listed, or.Plan.Version)
 }
 
 // applyStoredPhase applies a phase that any gateway stored. The lock is held.
@@ -133,8 +133,8 @@
 
 // restorePhase applies the stored state of a roll-out.
 func (ga *Gateway) restorePhase(ro *rolloutState, ph StoredPhase) {
-	ro.canary.Try(ph.Shares, ph.Burst)
-	ro.canary.BeganBefore(clock.Now().Add(-ph.Elapsed))
+	ro.canary.SetShares(ph.Shares, ph.Burst)
+	ro.canary.OrderedNoLaterThan(clock.Now().Add(-ph.Elapsed))
 	if ro.canary.Phase() == ph.Phase {
 		return
 	}
@@ -155,23 +155,23 @@
 
 // restrictVersion restricts an attempt to the version that its session is assigned to, or the
 // version drawn for a request without a session. The lock is held.
-func (ga *Gateway) restrictVersion(ask pool.Ask, ex *exchange, now time.Time) pool.Ask {
+func (ga *Gateway) restrictVersion(ask pool.Query, ex *exchange, now time.Time) pool.Query {
 	ro := ga.rollouts[ask.Service]
 	if ro == nil {
 		return ask
 	}
-	ask.Version, ask.Without = ro.order.Plan.Version, ro.withdrawn
-	ask.Only = ro.useNewVersion(ex, now)
-	ask.Except = !ask.Only
+	ask.Version, ask.ExcludedVersions = ro.order.Plan.Version, ro.withdrawn
+	ask.OnlyVersion = ro.useNewVersion(ex, now)
+	ask.ExceptVersion = !ask.OnlyVersion
 	if ro.canary.Phase() == rollout.Failed {
 		return ask
 	}
-	if !ga.pool.Any(ask) {
+	if !ga.pool.HasEligible(ask) {
 		// That version has no server (yet or any more).
-		ask.Only, ask.Except = ask.Except, ask.Only
+		ask.OnlyVersion, ask.ExceptVersion = ask.ExceptVersion, ask.OnlyVersion
 	}
-	if ask.Only && ro.canary.Phase() == rollout.Trying {
-		ask.Few, ask.FewKey = ro.canary.TrialServers(ga.pool.Count(ask)), ro.order.Revision.Number
+	if ask.OnlyVersion && ro.canary.Phase() == rollout.Trying {
+		ask.SubsetSize, ask.SubsetKey = ro.canary.TrialServers(ga.pool.CountEligible(ask)), ro.order.Revision.Number
 	}
 	return ask
 }
@@ -179,12 +179,12 @@
 // useNewVersion reports whether a request's next attempt goes to the new version.
 func (ro *rolloutState) useNewVersion(ex *exchange, now time.Time) bool {
 	switch {
-	case ex.begun != "":
-		return ro.canary.Continues(ex.begun == ro.order.Plan.Version, ex.request.LastChance())
-	case ex.single:
-		return ro.canary.NewSingle(ex.route.Name, ex.draw, now)
+	case ex.firstVersion != "":
+		return ro.canary.RetriesOnNew(ex.firstVersion == ro.order.Plan.Version, ex.request.FinalRunLeft())
+	case ex.sessionless:
+		return ro.canary.SelectsRequest(ex.route.Name, ex.draw, now)
 	default:
-		return ro.canary.New(ex.session, ex.route.Name, now)
+		return ro.canary.SelectsSession(ex.session, ex.route.Name, now)
 	}
 }
 
@@ -197,7 +197,7 @@
 // applyVerdict ends the use of a version that counts as bad, whether the key-value service is
 // reachable or not. The lock is held.
 func (ga *Gateway) applyVerdict(ro *rolloutState, now time.Time) {
-	if ro.canary.Settle(now) {
+	if ro.canary.FailIfBad(now) {
 		ga.logPhase(ro)
 		ro.lastWrite = time.Time{}
 	}
@@ -235,7 +235,7 @@
 		ph = rollout.Waiting
 	}
 	boxes := slices.Collect(maps.Keys(ga.members))
-	return now.Sub(ro.dueSince) >= rollout.Turn(ga.Box, boxes, ga.size, ro.order.Revision.Number, ph)
+	return now.Sub(ro.dueSince) >= rollout.StoreDelay(ga.Box, boxes, ga.gatewayCount, ro.order.Revision.Number, ph)
 }
 
 // elapsedWriteInterval is how often the elapsed time of a trial is stored. A process that starts in
@@ -246,13 +246,13 @@
 // the present one with a newer elapsed time.
 func (ga *Gateway) phaseToStore(ro *rolloutState, now time.Time) (StoredPhase, bool) {
 	stored := ga.phases[ro.order.Plan.Service]
-	known := stored.Order == ro.order.Revision && !stored.lost()
+	known := stored.Order == ro.order.Revision && !stored.isMissing()
 	if known && (stored.Phase == rollout.Complete || stored.Phase == rollout.Failed) {
 		return StoredPhase{}, false
 	}
 	next := StoredPhase{
 		Service: ro.order.Plan.Service, Order: ro.order.Revision, Phase: ro.canary.Phase(), Revision: stored.Revision,
-		Version: ro.order.Plan.Version, Withdrawn: ro.withdrawn, Shares: ro.canary.Shares(), Burst: ro.canary.Burst(), Elapsed: now.Sub(ro.canary.Began),
+		Version: ro.order.Plan.Version, Withdrawn: ro.withdrawn, Shares: ro.canary.Shares(), Burst: ro.canary.Burst(), Elapsed: now.Sub(ro.canary.OrderedAt),
 	}
 	ph, due := ro.canary.Due(now)
 	if due {
@@ -260,7 +260,7 @@
 	}
 	if next.Phase == rollout.Trying && next.Shares == nil {
 		plan := ro.order.Plan
-		plan.Servers = ga.pool.Count(pool.Ask{Service: plan.Service, Version: plan.Version, Only: true})
+		plan.Servers = ga.pool.CountEligible(pool.Query{Service: plan.Service, Version: plan.Version, OnlyVersion: true})
 		next.Shares, next.Burst = plan.Shares(ga.demand(plan.Service).All(now))
 	}
 	return next, due || !known || stored.Phase != next.Phase || ga.elapsedIsStale(ro, stored, next, now)
@@ -272,14 +272,14 @@
 // service does not answer.
 func (ga *Gateway) elapsedIsStale(ro *rolloutState, stored, next StoredPhase, now time.Time) bool {
 	tried := next.Phase == rollout.Waiting || next.Phase == rollout.Trying
-	if !tried || next.Elapsed-stored.Elapsed < elapsedWriteInterval || ro.canary.Deciding(now) {
+	if !tried || next.Elapsed-stored.Elapsed < elapsedWriteInterval || ro.canary.DecisionImminent(now) {
 		return false
 	}
-	return !ga.fresh.Failing() && ga.plan.Watches(ga.memberList())
+	return !ga.freshness.Failing() && ga.relayPlan.IsWatcher(ga.memberList())
 }
 
 func (ga *Gateway) storePhase(ctx context.Context, ro *rolloutState, ph StoredPhase) {
-	stored, err := ga.Source.Store(ctx, ro.order, ph)
+	stored, err := ga.Store.StorePhase(ctx, ro.order, ph)
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
 	ro.storing = false
--- a/internal/gateway/rollouts_test.go
+++ b/internal/gateway/rollouts_test.go
@@ -107,7 +107,7 @@
 // it must not be used to compare versions.
 func TestAnswerWithoutComparableDurationIsNotSlow(t *testing.T) {
 	ga, ro := newTrialGateway(t)
-	ga.best.Observe("pace", time.Second)
+	ga.latencyFloors.Observe("pace", time.Second)
 	for i := range 100 {
 		ga.observeOutcome(directory.Server{ID: fmt.Sprint("n", i%9), Service: "s", Version: "v2"}, "r", false)
 	}
@@ -121,7 +121,7 @@
 		Routes: map[string]rollout.RouteOutcomes{"r": {Tried: 9, Bad: 8, Servers: []string{"a", "b", "c"}}},
 	}}
 	own := bad
-	own.Box, own.Life = "own", ga.life
+	own.Box, own.Life = "own", ga.instanceID
 	ga.receiveTally(own)
 	awaitVerdict(ga, ro)
 	require.Equal(t, rollout.Trying, ro.canary.Phase(), "the gateway's own tally is not counted twice")
@@ -140,7 +140,7 @@
 	picked := map[string]bool{}
 	for i := range 400 {
 		ex := &exchange{ga: ga, route: &routing.Route{Name: "r"}, service: "s", session: fmt.Sprint("session-", i)}
-		if of, ok := ga.pool.Pick(ga.restrictVersion(pool.Ask{Service: "s"}, ex, time.Now()), uint64(i), time.Now()); ok {
+		if of, ok := ga.pool.Pick(ga.restrictVersion(pool.Query{Service: "s"}, ex, time.Now()), uint64(i), time.Now()); ok {
 			picked[of.Server().Version] = true
 		}
 	}
@@ -191,25 +191,25 @@
 // they failed until no attempt was left, which was seen as LOST errors with a hundred gateways.
 func TestRequestBegunOnOldVersionIsNotTried(t *testing.T) {
 	ga, ro := newTrialGateway(t)
-	ro.canary.Try(rollout.Shares{rollout.AnyRoute: 1}, 0)
+	ro.canary.SetShares(rollout.Shares{rollout.AnyRoute: 1}, 0)
 	putServers(ga, "v1", "v2")
 	now := time.Now()
 	version := func(ex *exchange) string {
-		of, ok := ga.pool.Pick(ga.restrictVersion(pool.Ask{Service: "s"}, ex, now), 1, now)
+		of, ok := ga.pool.Pick(ga.restrictVersion(pool.Query{Service: "s"}, ex, now), 1, now)
 		require.True(t, ok)
 		return of.Server().Version
 	}
 	ex := &exchange{ga: ga, route: &routing.Route{Name: "r"}, service: "s", session: "a"}
 	require.Equal(t, "v2", version(ex), "the trial covers all sessions")
-	ex.begun = "v1"
+	ex.firstVersion = "v1"
 	require.Equal(t, "v1", version(ex), "a retry stays on the version that the request began on")
-	ex.begun = "v2"
+	ex.firstVersion = "v2"
 	require.Equal(t, "v2", version(ex), "a retry stays on the version on trial, so that its session does")
 
 	for _, id := range []string{"v1-0", "v1-1", "v1-2"} {
 		ga.servers.Remove(id, now)
 	}
-	ex.begun = "v1"
+	ex.firstVersion = "v1"
 	require.Equal(t, "v2", version(ex), "the old version has no server left")
 
 	ro.canary.Enter(rollout.Shifting)
@@ -221,7 +221,7 @@
 // time, and sessions that had moved stay on their version.
 func TestRolloutContinuesAfterRestart(t *testing.T) {
 	ga, ro := newOrderedGateway(t)
-	ph, due := ga.phaseToStore(ro, ro.canary.Began.Add(10*time.Second))
+	ph, due := ga.phaseToStore(ro, ro.canary.OrderedAt.Add(10*time.Second))
 	require.True(t, due)
 	require.Equal(t, rollout.Trying, ph.Phase)
 	ph.Revision = rev(9)
@@ -231,10 +231,10 @@
 	restarted.applyOrder(ro.order)
 	rest := restarted.rollouts["s"]
 	require.Equal(t, ph.Shares, rest.canary.Shares())
-	require.InDelta(t, 10, time.Since(rest.canary.Began).Seconds(), 0.5)
+	require.InDelta(t, 10, time.Since(rest.canary.OrderedAt).Seconds(), 0.5)
 	moved := 0
 	for i := range 10_000 {
-		if rest.canary.New(fmt.Sprint("session-", i), "r", time.Now()) {
+		if rest.canary.SelectsSession(fmt.Sprint("session-", i), "r", time.Now()) {
 			moved++
 		}
 	}
@@ -244,7 +244,7 @@
 	next, due := restarted.phaseToStore(rest, time.Now().Add(elapsedWriteInterval))
 	require.True(t, due, "the stored elapsed time is outdated")
 	require.Greater(t, next.Elapsed, ph.Elapsed)
-	late, due := restarted.phaseToStore(rest, rest.canary.Began.Add(17500*time.Millisecond))
+	late, due := restarted.phaseToStore(rest, rest.canary.OrderedAt.Add(17500*time.Millisecond))
 	require.False(t, due, "no write just before the shift: %v", late)
 }
 
@@ -252,11 +252,11 @@
 func TestCollectorWritesTalliesOfItsGateways(t *testing.T) {
 	te := &tallyRecorder{}
 	collector, collectorRo := newTrialGateway(t)
-	collector.Source, collector.Box = te, "a"
+	collector.Store, collector.Box = te, "a"
 	leaf, ro := newTrialGateway(t)
-	leaf.Source, leaf.Box = te, "b"
+	leaf.Store, leaf.Box = te, "b"
 	now := time.Now()
-	leaf.reported = now
+	leaf.lastReportCollected = now
 	leaf.observeOutcome(directory.Server{ID: "x", Service: "s", Version: "v2"}, "r", true)
 	leaf.publishTallies(t.Context(), ro, now)
 	re := leaf.report(false)
@@ -264,7 +264,7 @@
 	collector.Reported(re)
 	leaf.reportAccepted(re, now)
 	require.Empty(t, leaf.report(false).Tallies, "sent once")
-	require.Equal(t, 1, collectorRo.canary.BadKnown(), "the collector applies the tally at once")
+	require.Equal(t, 1, collectorRo.canary.TotalBad(), "the collector applies the tally at once")
 
 	collector.publishTallies(t.Context(), collectorRo, now.Add(time.Second))
 	require.Eventually(t, func() bool { return len(te.recorded()) == 2 }, 5*time.Second, time.Millisecond)
@@ -272,12 +272,12 @@
 	for _, ta := range te.recorded() {
 		third.receiveTally(ta)
 	}
-	require.Equal(t, 1, thirdRo.canary.BadKnown())
-	third.receiveTally(Tally{Service: "s", Order: rev(7), Box: "b", Life: leaf.life})
+	require.Equal(t, 1, thirdRo.canary.TotalBad())
+	third.receiveTally(Tally{Service: "s", Order: rev(7), Box: "b", Life: leaf.instanceID})
 	third.receiveTally(te.recorded()[0])
-	require.Equal(t, 1, thirdRo.canary.BadKnown(), "older tallies and duplicates are not counted again")
+	require.Equal(t, 1, thirdRo.canary.TotalBad(), "older tallies and duplicates are not counted again")
 
-	leaf.reported = now.Add(-time.Minute)
+	leaf.lastReportCollected = now.Add(-time.Minute)
 	leaf.observeOutcome(directory.Server{ID: "y", Service: "s", Version: "v2"}, "r", true)
 	leaf.publishTallies(t.Context(), ro, now.Add(time.Minute))
 	require.Eventually(t, func() bool { return len(te.recorded()) == 3 }, 5*time.Second, time.Millisecond, "without a collector the gateway writes")
@@ -285,12 +285,12 @@
 
 // tallyRecorder is a Source that records the tallies it receives.
 type tallyRecorder struct {
-	script
+	scriptedStore
 	mu      sync.Mutex
 	tallies []Tally
 }
 
-func (te *tallyRecorder) Tell(_ context.Context, _ string, tallies []Tally) error {
+func (te *tallyRecorder) StoreTallies(_ context.Context, _ string, tallies []Tally) error {
 	te.mu.Lock()
 	defer te.mu.Unlock()
 	te.tallies = append(te.tallies, tallies...)
@@ -310,14 +310,14 @@
 		ga, ro := newTrialGateway(t)
 		for i := range n {
 			box := fmt.Sprint("box", i)
-			ga.joined(relay.Member{Box: box})
+			ga.memberJoined(relay.Member{Box: box})
 		}
 		now, published := time.Now(), 0
 		for range 1000 {
 			now = now.Add(10 * time.Millisecond)
 			ga.observeOutcome(directory.Server{ID: "a", Service: "s", Version: "v2"}, "r", true)
 			if ga.tallyDue(ro, now) {
-				ro.publishedAt, ro.publishedTried = now, ro.canary.OwnTried()
+				ro.publishedAt, ro.publishedTried = now, ro.canary.OwnCount()
 				_, ro.publishedBad = ro.canary.Counts()
 				published++
 			}
@@ -332,14 +332,14 @@
 func TestFailedPhaseWritesBackOff(t *testing.T) {
 	ga, ro := newTrialGateway(t)
 	ga.applyStoredPhase(StoredPhase{Service: "s", Order: rev(7), Phase: rollout.Trying, Revision: rev(9)})
-	old := ro.canary.Began.Add(4 * elapsedWriteInterval)
+	old := ro.canary.OrderedAt.Add(4 * elapsedWriteInterval)
 	_, due := ga.phaseToStore(ro, old)
 	require.True(t, due)
-	ga.fresh.Failed()
+	ga.freshness.Failed()
 	_, due = ga.phaseToStore(ro, old)
 	require.False(t, due, "the key-value service does not answer")
 
-	ga.Source = &script{cut: true}
+	ga.Store = &scriptedStore{disconnected: true}
 	for want := 2 * phaseWriteInterval; want <= 2*maxPhaseWriteInterval; want *= 2 {
 		ga.storePhase(t.Context(), ro, StoredPhase{Service: "s"})
 		require.Equal(t, min(want, maxPhaseWriteInterval), ro.writePause)
@@ -353,18 +353,18 @@
 	order := Change{Order: &Order{Revision: rev(4), Plan: rollout.Plan{Service: "s", Version: "v2", Within: 24 * time.Second}}}
 	for _, tc := range []struct {
 		silent, older time.Duration
-	}{{300 * time.Millisecond, 300 * time.Millisecond}, {5 * time.Second, mostUnseen}} {
+	}{{300 * time.Millisecond, 300 * time.Millisecond}, {5 * time.Second, maxMissedChangeAge}} {
 		ga := &Gateway{Log: zerolog.Nop()}
 		ga.prepare()
 		now := time.Now()
-		require.NoError(t, ga.takeRead(State{Revision: rev(2)}, now.Add(-tc.silent)))
-		require.NoError(t, ga.takeRead(State{Revision: rev(9), Changes: []Change{order}}, now))
-		require.InDelta(t, float64(tc.older), float64(now.Sub(ga.rollouts["s"].canary.Began)), float64(50*time.Millisecond))
+		require.NoError(t, ga.applyReadState(State{Revision: rev(2)}, now.Add(-tc.silent)))
+		require.NoError(t, ga.applyReadState(State{Revision: rev(9), Changes: []Change{order}}, now))
+		require.InDelta(t, float64(tc.older), float64(now.Sub(ga.rollouts["s"].canary.OrderedAt)), float64(50*time.Millisecond))
 	}
 	ga := &Gateway{Log: zerolog.Nop()}
 	ga.prepare()
 	now := time.Now()
-	require.NoError(t, ga.takeRead(State{Revision: rev(2)}, now.Add(-time.Second)))
-	ga.apply(State{Revision: rev(9), Changes: []Change{order}}, now, time.Second, now)
-	require.False(t, ga.rollouts["s"].canary.Began.Before(now), "a watch reports changes at once")
+	require.NoError(t, ga.applyReadState(State{Revision: rev(2)}, now.Add(-time.Second)))
+	ga.applyWatch(State{Revision: rev(9), Changes: []Change{order}}, now, time.Second, now)
+	require.False(t, ga.rollouts["s"].canary.OrderedAt.Before(now), "a watch reports changes at once")
 }
--- a/internal/gateway/selfreports_test.go
+++ b/internal/gateway/selfreports_test.go
@@ -42,16 +42,16 @@
 
 // boxBackend calls the servers of a scene on behalf of one box.
 type boxBackend struct {
-	*crashing
+	*crashingBackend
 	box string
 }
 
-func (bb boxBackend) Call(ctx context.Context, at *Attempt) (*Answer, error) {
+func (bb boxBackend) Call(ctx context.Context, at *Attempt) (*Response, error) {
 	bb.recordReceived(boxServer{bb.box, at.Server.ID})
 	return bb.call(ctx, at, bb.box)
 }
 
-func (cr *crashing) recordReceived(from boxServer) {
+func (cr *crashingBackend) recordReceived(from boxServer) {
 	cr.mu.Lock()
 	defer cr.mu.Unlock()
 	if cr.received == nil {
@@ -61,7 +61,7 @@
 }
 
 // announceShutdown makes a server announce its shutdown from now on.
-func (cr *crashing) announceShutdown(id string) {
+func (cr *crashingBackend) announceShutdown(id string) {
 	cr.mu.Lock()
 	defer cr.mu.Unlock()
 	if cr.leaving == nil {
@@ -70,14 +70,14 @@
 	cr.leaving[id] = true
 }
 
-func (cr *crashing) isLeaving(se *fakeServer) bool {
+func (cr *crashingBackend) isLeaving(se *fakeServer) bool {
 	cr.mu.Lock()
 	defer cr.mu.Unlock()
 	return cr.leaving[se.listed.ID]
 }
 
 // rejectAll makes a server reject everything and ask for a pause; zero ends that.
-func (cr *crashing) rejectAll(id string, pause time.Duration) {
+func (cr *crashingBackend) rejectAll(id string, pause time.Duration) {
 	cr.mu.Lock()
 	defer cr.mu.Unlock()
 	if cr.pauses == nil {
@@ -92,7 +92,7 @@
 
 // rejection returns the pause that a server asks for when it rejects an attempt, false if it
 // accepts it.
-func (cr *crashing) rejection(at *Attempt, box string) (time.Duration, bool) {
+func (cr *crashingBackend) rejection(at *Attempt, box string) (time.Duration, bool) {
 	cr.mu.Lock()
 	defer cr.mu.Unlock()
 	pause, ok := cr.pauses[at.Server.ID]
@@ -104,7 +104,7 @@
 
 // mostDuringPause returns the most requests that a box sent to a server during a pause that the
 // server had asked it for, without those sent before it knew of the pause.
-func (cr *crashing) mostDuringPause(pause time.Duration) int {
+func (cr *crashingBackend) mostDuringPause(pause time.Duration) int {
 	cr.mu.Lock()
 	defer cr.mu.Unlock()
 	most := 0
@@ -134,21 +134,21 @@
 	for _, gateways := range []int{1, 4, 23} {
 		t.Run(fmt.Sprint(gateways), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				sc := newScene(t, gateways)
+				sc := newTestCluster(t, gateways)
 				sc.sendLoad(4 * time.Second)
-				sc.cutAll(true)
+				sc.disconnectAll(true)
 				leaving, announced := []string{"s3", "s9"}, time.Now()
 				for _, id := range leaving {
 					sc.servers.announceShutdown(id)
 				}
 				sc.sendLoad(8 * time.Second)
-				sc.cutAll(false)
+				sc.disconnectAll(false)
 				sc.sendLoad(4 * time.Second)
 				for _, id := range leaving {
 					require.Zero(t, len(sc.servers.arrivals(id, announced.Add(leavingWithin))), id)
 				}
 				sc.callers.Wait()
-				for _, ca := range sc.others {
+				for _, ca := range sc.otherResponses {
 					require.True(t, ca.answered, "%+v", ca)
 				}
 			})
@@ -170,7 +170,7 @@
 	for _, gateways := range []int{1, 4, 23} {
 		t.Run(fmt.Sprint(gateways), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				sc := newScene(t, gateways)
+				sc := newTestCluster(t, gateways)
 				sc.sendLoad(2 * time.Second)
 				shedding := []string{"s1", "s5", "s8", "s13"}
 				for _, id := range shedding {
@@ -178,11 +178,11 @@
 				}
 				sc.sendLoad(askedPause)
 				sc.callers.Wait()
-				for _, ca := range sc.others {
+				for _, ca := range sc.otherResponses {
 					// Until a gateway knows of rejections, escalations use the retries up.
 					require.True(t, ca.answered || ca.refusedImmediately(), "%+v", ca)
 				}
-				sc.others = nil
+				sc.otherResponses = nil
 				sc.sendLoad(7 * time.Second)
 				require.LessOrEqual(t, sc.servers.mostDuringPause(askedPause), maxDuringPause)
 				for _, id := range shedding {
@@ -195,7 +195,7 @@
 					require.Greater(t, len(sc.servers.arrivals(id, used)), 12, "%s gets its usual share again", id)
 				}
 				sc.callers.Wait()
-				for _, ca := range sc.others {
+				for _, ca := range sc.otherResponses {
 					require.True(t, ca.answered, "%+v", ca)
 				}
 			})
@@ -210,23 +210,23 @@
 	for _, gateways := range []int{1, 4, 23} {
 		t.Run(fmt.Sprint(gateways), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				sc := newScene(t, gateways)
+				sc := newTestCluster(t, gateways)
 				sc.sendLoad(5 * time.Second)
 				sc.callers.Wait()
-				sc.others = nil
-				for i := range poolSize / 2 {
+				sc.otherResponses = nil
+				for i := range serverCount / 2 {
 					sc.servers.rejectAll(fmt.Sprint("s", 2*i+1), rejectionWithoutPause)
 				}
 				sc.sendLoad(9 * time.Second)
 				sc.callers.Wait()
 				refused := 0
-				for _, ca := range sc.others {
+				for _, ca := range sc.otherResponses {
 					if !ca.answered {
 						refused++
 						require.True(t, ca.refusedImmediately(), "%+v", ca)
 					}
 				}
-				require.LessOrEqual(t, refused, len(sc.others)/20, "mostly before the servers are known to reject")
+				require.LessOrEqual(t, refused, len(sc.otherResponses)/20, "mostly before the servers are known to reject")
 			})
 		})
 	}
@@ -234,7 +234,7 @@
 
 // refusedImmediately reports whether a caller was refused without delay, with the information that
 // nothing ran and when to retry.
-func (ca *caller) refusedImmediately() bool {
+func (ca *recordingResponder) refusedImmediately() bool {
 	return ca.code == result.Overloaded && ca.after > 0 && ca.took < 10*time.Millisecond
 }
 
@@ -242,17 +242,17 @@
 // time after which one of the servers accepts requests.
 func TestCallersOfPausedPoolAreRefusedImmediately(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		sc := newScene(t, 4)
+		sc := newTestCluster(t, 4)
 		for _, se := range sc.servers.all() {
 			sc.servers.rejectAll(se.listed.ID, askedPause)
 		}
 		sc.sendLoad(2 * time.Second)
 		sc.callers.Wait()
-		sc.others = nil
+		sc.otherResponses = nil
 		sc.sendLoad(500 * time.Millisecond)
 		sc.callers.Wait()
-		require.NotEmpty(t, sc.others)
-		for _, ca := range sc.others {
+		require.NotEmpty(t, sc.otherResponses)
+		for _, ca := range sc.otherResponses {
 			require.Equal(t, result.Overloaded, ca.code)
 			require.Positive(t, ca.after)
 			require.LessOrEqual(t, ca.after, askedPause)
@@ -262,10 +262,10 @@
 			sc.servers.rejectAll(se.listed.ID, 0)
 		}
 		time.Sleep(askedPause)
-		sc.others = nil
+		sc.otherResponses = nil
 		sc.sendLoad(2 * time.Second)
 		sc.callers.Wait()
-		for _, ca := range sc.others {
+		for _, ca := range sc.otherResponses {
 			require.True(t, ca.answered, "%+v", ca)
 		}
 	})
@@ -275,17 +275,17 @@
 // caller.
 func TestSelfReportIsAppliedFromEveryKindOfAnswer(t *testing.T) {
 	leaving := selfreport.Report{Leaving: true}
-	for name, se := range map[string]*sent{
-		"answer":               {answer: &Answer{Report: leaving}},
-		"answer of a failure":  {answer: &Answer{Status: 500, Report: leaving}},
-		"answer given up":      {answer: &Answer{Report: leaving}, err: errGivenUp},
-		"answer that broke":    {answer: &Answer{Report: leaving}, err: io.ErrUnexpectedEOF},
-		"rejection":            {err: &Refusal{Report: leaving}},
-		"doubtful answer":      {err: &Doubt{Report: leaving}},
-		"wrapped rejection":    {err: eris.Wrap(&Refusal{Report: leaving}, "call")},
-		"another server's":     {err: &Refusal{Gone: true, Report: leaving}},
-		"no answer":            {err: ErrUnsent},
-		"answer of no concern": {answer: &Answer{}},
+	for name, se := range map[string]*attemptState{
+		"answer":               {response: &Response{Report: leaving}},
+		"answer of a failure":  {response: &Response{Status: 500, Report: leaving}},
+		"answer given up":      {response: &Response{Report: leaving}, err: errAbandoned},
+		"answer that broke":    {response: &Response{Report: leaving}, err: io.ErrUnexpectedEOF},
+		"rejection":            {err: &RefusedError{Report: leaving}},
+		"doubtful answer":      {err: &AmbiguousError{Report: leaving}},
+		"wrapped rejection":    {err: eris.Wrap(&RefusedError{Report: leaving}, "call")},
+		"another server's":     {err: &RefusedError{Gone: true, Report: leaving}},
+		"no answer":            {err: ErrNotSent},
+		"answer of no concern": {response: &Response{}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			now := clock.Now()
@@ -308,7 +308,7 @@
 	wa, _ := newServingGateway(Change{Member: &relay.Member{Box: "a", DataCentre: "dc0", Address: "127.0.0.1:1"}})
 	wa.markLeaving("x2", now, 0, "")
 	ga, _ := newServingGateway()
-	_, err := ga.takeWhole(wa.Updates(t.Context(), relay.Request{After: rev(0)}), now)
+	_, err := ga.applySnapshot(wa.Updates(t.Context(), relay.Request{After: rev(0)}), now)
 	require.NoError(t, err)
 	require.Equal(t, map[string]bool{"x0": true, "x1": true}, pickedServers(ga, now))
 }
@@ -318,7 +318,7 @@
 	now := clock.Now()
 	ga, _ := newServingGateway()
 	ga.Reported(relay.Report{Box: "b", Leaving: []gossip.Notice{
-		{Server: "x0", Hops: gossip.MostHops}, {Server: "x1", Age: -time.Second}, {}, {Server: "x2", Age: time.Hour},
+		{Server: "x0", Hops: gossip.MaxHops}, {Server: "x1", Age: -time.Second}, {}, {Server: "x2", Age: time.Hour},
 	}})
 	require.Equal(t, map[string]bool{"x0": true, "x1": true}, pickedServers(ga, now))
 }
@@ -329,8 +329,8 @@
 	for _, gateways := range []int{2, 4, 8} {
 		t.Run(fmt.Sprint(gateways), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				sc := newScene(t, gateways)
-				sc.play(0, "", 2*time.Second)
+				sc := newTestCluster(t, gateways)
+				sc.sendTraffic(0, "", 2*time.Second)
 				announced := time.Now()
 				leaving := []string{"s2", "s7"}
 				for _, id := range leaving {
@@ -339,9 +339,9 @@
 				for _, id := range []string{"s4", "s11"} {
 					sc.servers.rejectAll(id, askedPause)
 				}
-				sc.play(0, poisonPath, 6*time.Second)
-				sc.replace(gateways - 1)
-				sc.play(0, poisonPath, 6*time.Second)
+				sc.sendTraffic(0, poisonPath, 6*time.Second)
+				sc.replaceGateway(gateways - 1)
+				sc.sendTraffic(0, poisonPath, 6*time.Second)
 				for _, id := range leaving {
 					late := sc.servers.arrivals(id, announced.Add(leavingWithin))
 					require.LessOrEqual(t, len(late), 1, "%s: only the replaced gateway may send one", id)
--- a/internal/gateway/servers.go
+++ b/internal/gateway/servers.go
@@ -31,7 +31,7 @@
 		ga.logServer(event.ServerListed, se.ID, se.Service+" "+se.Version+" "+se.Address)
 	case se.Born != old.Born:
 		ga.applyServerEnd(old.Key(), "the server has restarted", now)
-		ga.pool.ForgetLife(old.Key())
+		ga.pool.ForgetInstance(old.Key())
 		ga.logServer(event.ServerRestarted, se.ID, se.Service+" "+se.Version+" "+se.Address)
 	case se.Draining && !old.Draining:
 		ga.logServer(event.ServerDraining, se.ID, se.Service)
@@ -42,7 +42,7 @@
 // removeServer removes a server whose entry ended. The lock is held.
 func (ga *Gateway) removeServer(id string, now time.Time) {
 	key := ga.serverKey(id)
-	if se := ga.servers.Get(id); se != nil && !ga.servers.Drains(se) && ga.runs.Broken(key, now) {
+	if se := ga.servers.Get(id); se != nil && !ga.servers.IsDraining(se) && ga.runs.IsDisconnected(key, now) {
 		// If the machine has failed together with its server, nothing refuses a connection.
 		ga.applyServerEnd(key, "a connection broke and the server's entry ended", now)
 	}
@@ -74,7 +74,7 @@
 		switch {
 		case listed[se.ID]:
 		case restored:
-			ga.servers.Lose(se.ID, now)
+			ga.servers.MarkLost(se.ID, now)
 		default:
 			ga.removeServer(se.ID, now)
 		}
@@ -84,7 +84,7 @@
 // deferRevived reports whether a restored key-value service lists a server that has ended, and keeps
 // such a server out of use for a while. The lock is held.
 func (ga *Gateway) deferRevived(se directory.Server, now time.Time) bool {
-	if !ga.servers.Revive(se, now) {
+	if !ga.servers.Quarantine(se, now) {
 		return false
 	}
 	ga.logServer(event.ServerRevived, se.ID, se.Service)
@@ -118,8 +118,8 @@
 		switch {
 		case evacuated[dataCentre]:
 		case restored:
-			ga.lostCentres.Hold(dataCentre, now.Add(rewriteGrace))
-		case !ga.lostCentres.Has(dataCentre):
+			ga.missingDataCentres.Hold(dataCentre, now.Add(rewriteGrace))
+		case !ga.missingDataCentres.Has(dataCentre):
 			ga.endEvacuation(dataCentre, now)
 		}
 	}
@@ -127,7 +127,7 @@
 
 // markCold records for how long a server is cold. The lock is held.
 func (ga *Gateway) markCold(se *directory.Server, left time.Duration, now time.Time) {
-	if ga.pool.Warmup.Cool(se.Key(), left, now) {
+	if ga.pool.Warmup.MarkCold(se.Key(), left, now) {
 		ga.logServer(event.ServerCold, se.Key(), strconv.FormatInt(left.Milliseconds(), 10)+" ms")
 	}
 }
@@ -140,7 +140,7 @@
 		return quota.Limit{}
 	}
 	return quota.Limit{
-		PerSecond: sv.ColdPerSecond, Most: sv.ColdPerSecond*ga.Bounds.ColdRatio + ga.Bounds.ColdExtra, Window: warmup.Window,
+		PerSecond: sv.ColdPerSecond, MaxInWindow: sv.ColdPerSecond*ga.Bounds.ColdRatio + ga.Bounds.ColdExtra, Window: warmup.Window,
 	}
 }
 
@@ -171,15 +171,15 @@
 	}
 	ga.pool.Tick(now)
 	ga.expirePauses(now)
-	ga.leavingNews.Tick(now)
-	ga.pauseNews.Tick(now)
+	ga.leavingGossip.Tick(now)
+	ga.pauseGossip.Tick(now)
 	ga.updateFleet(now)
 }
 
 // updateFleet updates the highest possible number of gateways. The lock is held.
 func (ga *Gateway) updateFleet(now time.Time) {
-	ga.fleet.Observe(ga.size, now)
-	ga.pool.Fleet = ga.fleet.Most(now)
+	ga.fleet.Observe(ga.gatewayCount, now)
+	ga.pool.MaxMembers = ga.fleet.Estimate(now)
 }
 
 // dropMissing drops the servers whose entries did not return in time, and lists those whose entries
@@ -187,7 +187,7 @@
 func (ga *Gateway) dropMissing(now time.Time) {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
-	for _, se := range ga.servers.Revived(now) {
+	for _, se := range ga.servers.ReleaseQuarantined(now) {
 		ga.putServer(se, now)
 	}
 	for _, se := range ga.servers.Tick(now) {
--- a/internal/gateway/servers_test.go
+++ b/internal/gateway/servers_test.go
@@ -43,9 +43,9 @@
 		Bounds: Bounds{RetryRatio: 1, RetryWindow: time.Second, ColdRatio: 1.5, ColdExtra: 5},
 	}
 	ga.prepare()
-	ga.pool.Fleet = 1
+	ga.pool.MaxMembers = 1
 	all := append([]Change{{Document: coldDocument()}, serverChange("x0", "dc0"), serverChange("x1", "dc1"), serverChange("x2", "dc2")}, changes...)
-	if err := ga.takeRead(State{Revision: rev(1), Changes: all}, time.Now()); err != nil {
+	if err := ga.applyReadState(State{Revision: rev(1), Changes: all}, time.Now()); err != nil {
 		panic(err)
 	}
 	return ga, log
@@ -54,7 +54,7 @@
 // newExchange returns a request on the only route.
 func newExchange(ga *Gateway, session string) *exchange {
 	ta := ga.Table()
-	return &exchange{ga: ga, as: &Ask{}, table: ta, route: ta.Route("h", "/r/"), service: "s", session: session}
+	return &exchange{ga: ga, rq: &Request{}, table: ta, route: ta.Route("h", "/r/"), service: "s", session: session}
 }
 
 // pickedServers returns the servers that are picked for first attempts, retries and later parts of
@@ -91,14 +91,14 @@
 	now := time.Now()
 	ga, log := newServingGateway()
 	require.Len(t, pickedServers(ga, now), 3)
-	ga.change(Change{Evacuated: "dc1"})
+	ga.applyChange(Change{Evacuated: "dc1"})
 	require.Equal(t, map[string]bool{"x0": true, "x2": true}, pickedServers(ga, now))
-	ga.change(Change{Evacuated: "dc0"})
-	ga.change(Change{Evacuated: "unknown"})
+	ga.applyChange(Change{Evacuated: "dc0"})
+	ga.applyChange(Change{Evacuated: "unknown"})
 	require.Equal(t, map[string]bool{"x2": true}, pickedServers(ga, now), "a gateway's own data centre is evacuated as well")
-	ga.change(Change{Evacuated: "dc2"})
+	ga.applyChange(Change{Evacuated: "dc2"})
 	require.Empty(t, pickedServers(ga, now))
-	ga.change(Change{Restored: "dc2"})
+	ga.applyChange(Change{Restored: "dc2"})
 	require.Equal(t, map[string]bool{"x2": true}, pickedServers(ga, now.Add(time.Minute)))
 	require.Contains(t, log.String(), "data_centre_evacuated")
 	require.Contains(t, log.String(), "data_centre_restored")
@@ -112,8 +112,8 @@
 	require.NotContains(t, pickedServers(wa, now), "x1", "a gateway that starts during the evacuation")
 	ga, _ := newServingGateway(Change{Evacuated: "dc2"})
 	up := wa.Updates(t.Context(), relay.Request{After: rev(0)})
-	require.NotEmpty(t, up.Whole)
-	_, err := ga.takeWhole(up, now)
+	require.NotEmpty(t, up.Snapshot)
+	_, err := ga.applySnapshot(up, now)
 	require.NoError(t, err)
 	require.Equal(t, map[string]bool{"x0": true, "x2": true}, pickedServers(ga, now.Add(time.Minute)))
 }
@@ -150,12 +150,12 @@
 	ro.canary.Enter("shifting")
 	for _, se := range ga.servers.Listed() {
 		if se.Version == "v2" {
-			ga.pool.Warmup.Cool(se.Key(), time.Minute, now)
+			ga.pool.Warmup.MarkCold(se.Key(), time.Minute, now)
 		}
 	}
-	ex := &exchange{ga: ga, as: &Ask{}, route: &routing.Route{Name: "r"}, service: "s", session: "any"}
-	ask := ex.askFor("", nil, now)
-	require.True(t, ask.Only)
+	ex := &exchange{ga: ga, rq: &Request{}, route: &routing.Route{Name: "r"}, service: "s", session: "any"}
+	ask := ex.poolRequest("", nil, now)
+	require.True(t, ask.OnlyVersion)
 	require.Equal(t, "v2", ask.Version)
 }
 
@@ -164,7 +164,7 @@
 	ga, log := newServingGateway(Change{Gone: "x0"})
 	entry := serverChange("y0", "dc0")
 	entry.Server.Born = 1000
-	ga.change(entry)
+	ga.applyChange(entry)
 	first := *ga.servers.Get("y0")
 	for range 5 {
 		ga.pool.Failed(first.Key(), now)
@@ -174,14 +174,14 @@
 	require.NotContains(t, firstPicks(ga, now), "y0", "the server is ejected")
 	again := serverChange("y0", "dc0")
 	again.Server.Born, again.Server.Address = 2000, "127.0.0.1:2"
-	ga.change(again)
+	ga.applyChange(again)
 	second := *ga.servers.Get("y0")
 	require.Contains(t, firstPicks(ga, now), "y0")
 	require.True(t, ga.pool.LastResponse(second.Key()).IsZero())
 	ga.pool.Ended(first.Key())
 	ga.pool.Failed(first.Key(), now)
 	require.Contains(t, firstPicks(ga, now), "y0", "late answers of the previous process do not count")
-	ga.change(entry)
+	ga.applyChange(entry)
 	require.Equal(t, "127.0.0.1:2", ga.servers.Get("y0").Address, "a late entry of the previous process is ignored")
 	require.Equal(t, 1, strings.Count(log.String(), "server_restarted"))
 }
@@ -189,26 +189,26 @@
 func TestUnusableEntryTakesServerOutOfUse(t *testing.T) {
 	now := time.Now()
 	ga, log := newServingGateway()
-	ga.servers.StoreLost()
-	ga.change(Change{Unusable: &UnusableServer{ID: "x1", Reason: "a field is missing"}})
+	ga.servers.StoreUnavailable()
+	ga.applyChange(Change{Unusable: &UnusableServer{ID: "x1", Reason: "a field is missing"}})
 	require.Equal(t, map[string]bool{"x0": true, "x2": true}, pickedServers(ga, now), "at once, even while the store is lost")
 	for range 50 {
-		ga.change(Change{Unusable: &UnusableServer{ID: "x1", Reason: "a field is missing"}})
-		ga.change(Change{Unusable: &UnusableServer{ID: "forged", Reason: "a field is missing"}})
+		ga.applyChange(Change{Unusable: &UnusableServer{ID: "x1", Reason: "a field is missing"}})
+		ga.applyChange(Change{Unusable: &UnusableServer{ID: "forged", Reason: "a field is missing"}})
 	}
 	require.Equal(t, 2, strings.Count(log.String(), "server_unusable"), "each id is logged once")
 	for i := range 2 * maxUnusableIDs {
-		ga.change(Change{Unusable: &UnusableServer{ID: fmt.Sprint("forged-", i), Reason: "a field is missing"}})
+		ga.applyChange(Change{Unusable: &UnusableServer{ID: fmt.Sprint("forged-", i), Reason: "a field is missing"}})
 	}
 	require.LessOrEqual(t, strings.Count(log.String(), "server_unusable"), maxUnusableIDs+1)
-	ga.change(serverChange("x1", "dc1"))
+	ga.applyChange(serverChange("x1", "dc1"))
 	require.Len(t, pickedServers(ga, now), 3, "the server has written its entry again")
 }
 
 // Gateways that receive changes through a watcher must learn of unusable entries as well.
 func TestUnusableEntryIsPropagated(t *testing.T) {
-	re := newRelaying(t)
-	re.kept.add(serverChange("x", "dc"))
+	re := newRelayCluster(t)
+	re.store.add(serverChange("x", "dc"))
 	listed := func(box string) func() bool {
 		return func() bool {
 			ga := re.gateways[box]
@@ -220,11 +220,11 @@
 	for _, box := range []string{"a", "b", "c"} {
 		re.eventually(t, box+" lists it", listed(box))
 	}
-	re.kept.add(Change{Unusable: &UnusableServer{ID: "x", Reason: "a field is missing"}})
+	re.store.add(Change{Unusable: &UnusableServer{ID: "x", Reason: "a field is missing"}})
 	for _, box := range []string{"a", "b", "c"} {
 		re.eventually(t, box+" does not use it", func() bool { return !listed(box)() })
 	}
-	re.kept.add(Change{Evacuated: "dc"})
+	re.store.add(Change{Evacuated: "dc"})
 	for _, box := range []string{"a", "b", "c"} {
 		re.eventually(t, box+" knows of the evacuation", func() bool {
 			ga := re.gateways[box]
@@ -244,7 +244,7 @@
 	began := time.Now()
 	for i := range fleet {
 		ga, _ := newServingGateway(Change{Gone: "x0"}, Change{Gone: "x1"}, Change{Gone: "x2"})
-		ga.Log, ga.Box, ga.pool.Box, ga.pool.Fleet = zerolog.Nop(), fmt.Sprint("box-", i), fmt.Sprint("box-", i), gateways
+		ga.Log, ga.Box, ga.pool.Box, ga.pool.MaxMembers = zerolog.Nop(), fmt.Sprint("box-", i), fmt.Sprint("box-", i), gateways
 		for s := range servers {
 			se := serverChange(fmt.Sprint("y", s), fmt.Sprint("dc", s%3))
 			se.Server.ColdFor = 3 * time.Second
--- a/internal/gateway/tallies.go
+++ b/internal/gateway/tallies.go
@@ -35,14 +35,14 @@
 	_, bad := ro.canary.Counts()
 	since := now.Sub(ro.publishedAt)
 	switch {
-	case ro.ended() || ro.canary.OwnTried() == ro.publishedTried:
+	case ro.ended() || ro.canary.OwnCount() == ro.publishedTried:
 		return false
 	case bad > ro.publishedBad:
-		return since >= max(badTallyInterval, tallySpacing*time.Duration(ga.size))
-	case ro.canary.Deciding(now):
-		return since >= max(decisionTallyInterval, tallySpacing*time.Duration(ga.size))
+		return since >= max(badTallyInterval, tallySpacing*time.Duration(ga.gatewayCount))
+	case ro.canary.DecisionImminent(now):
+		return since >= max(decisionTallyInterval, tallySpacing*time.Duration(ga.gatewayCount))
 	default:
-		return ro.canary.BadKnown() >= goodTallyMinBad && (ro.publishedTried == 0 || since >= goodTallyInterval)
+		return ro.canary.TotalBad() >= goodTallyMinBad && (ro.publishedTried == 0 || since >= goodTallyInterval)
 	}
 }
 
@@ -56,10 +56,10 @@
 	}
 	if ga.tallyDue(ro, now) {
 		_, bad := ro.canary.Counts()
-		ro.publishedBad, ro.publishedTried, ro.publishedAt = bad, ro.canary.OwnTried(), now
+		ro.publishedBad, ro.publishedTried, ro.publishedAt = bad, ro.canary.OwnCount(), now
 		ro.pending = ga.ownTally(ro)
 	}
-	if now.Sub(ga.reported) < loadReportTTL {
+	if now.Sub(ga.lastReportCollected) < loadReportTTL {
 		return // sent with the next load report
 	}
 	if ro.pending == nil && (!ro.collectedNew || now.Sub(ro.writtenAt) < badTallyInterval) {
@@ -68,7 +68,7 @@
 	tallies := append(slices.Collect(maps.Values(ro.collected)), *ga.ownTally(ro))
 	ro.pending, ro.collectedNew, ro.writtenAt = nil, false, now
 	go func() {
-		if err := ga.Source.Tell(ctx, ga.Box, tallies); err != nil {
+		if err := ga.Store.StoreTallies(ctx, ga.Box, tallies); err != nil {
 			ga.Log.Warn().Int("event", int(event.StoreCallFailed)).Str("service", ro.order.Plan.Service).Err(err).Msg(event.Name(event.StoreCallFailed))
 		}
 	}()
@@ -77,17 +77,17 @@
 // ownTally returns this gateway's tally of a roll-out. The lock is held.
 func (ga *Gateway) ownTally(ro *rolloutState) *Tally {
 	return &Tally{
-		Service: ro.order.Plan.Service, Order: ro.order.Revision, Version: ro.order.Plan.Version, Box: ga.Box, Life: ga.life, Outcomes: ro.canary.Own(),
+		Service: ro.order.Plan.Service, Order: ro.order.Revision, Version: ro.order.Plan.Version, Box: ga.Box, Life: ga.instanceID, Outcomes: ro.canary.Own(),
 	}
 }
 
 // receiveTally applies another gateway's tally of a new version. The lock is held.
 func (ga *Gateway) receiveTally(ta Tally) {
 	ro := ga.rollouts[ta.Service]
-	if ro == nil || !ta.belongsTo(ro.order) || ta.Box == ga.Box && ta.Life == ga.life || ro.ended() {
+	if ro == nil || !ta.belongsTo(ro.order) || ta.Box == ga.Box && ta.Life == ga.instanceID || ro.ended() {
 		return
 	}
-	ro.canary.Merge(ta.teller(), ta.Outcomes)
+	ro.canary.Merge(ta.processID(), ta.Outcomes)
 }
 
 // pendingTallies encodes the tallies to send with a load report. The lock is held.
@@ -139,7 +139,7 @@
 		if ro.collected == nil {
 			ro.collected = map[string]Tally{}
 		}
-		ro.collected[ta.teller()] = ta
+		ro.collected[ta.processID()] = ta
 		ro.collectedNew = true
 	}
 }
--- a/internal/gateway/trials.go
+++ b/internal/gateway/trials.go
@@ -20,13 +20,13 @@
 // and it is this gateway's turn.
 func (ex *exchange) awaitTrial(ctx context.Context) {
 	ga := ex.ga
-	until := ex.as.Received.Add(time.Duration(freshWaitFraction * float64(ex.route.Target)))
+	until := ex.rq.Received.Add(time.Duration(freshWaitFraction * float64(ex.route.Target)))
 	for {
 		now := clock.Now()
 		ga.mu.Lock()
-		lifted := ga.lifted
+		lifted := ga.blockLifted
 		ex.trial = ga.startTrial(ex, now)
-		wait := min(ga.blocks.Fresh(ex.print, now), until.Sub(now))
+		wait := min(ga.blocks.FreshFor(ex.fingerprint, now), until.Sub(now))
 		ga.mu.Unlock()
 		if ex.trial || wait <= 0 {
 			return
@@ -51,13 +51,13 @@
 // the trial. A trial needs a server that runs nothing else, so that the request is the only suspect
 // if the server ends. The lock is held.
 func (ga *Gateway) startTrial(ex *exchange, now time.Time) bool {
-	pr := ex.print
-	trial, due := ga.blocks.Trial(pr, now)
-	if trial == 0 || !ga.isTrialTurn(pr, trial, due) || !ga.pool.AnyIdle(ex.askFor("", nil, now), now) {
+	pr := ex.fingerprint
+	trial, due := ga.blocks.DueTrial(pr, now)
+	if trial == 0 || !ga.isTrialTurn(pr, trial, due) || !ga.pool.HasIdle(ex.poolRequest("", nil, now), now) {
 		return false
 	}
-	ga.blocks.Try(pr, trial, now)
-	ga.storing[pr] = now
+	ga.blocks.RecordTrial(pr, trial, now)
+	ga.storeBlockAt[pr] = now
 	ga.Log.Info().Int("event", int(event.BlockTried)).Str("print", pr.String()).Int("trial", trial).Msg(event.Name(event.BlockTried))
 	return true
 }
@@ -71,7 +71,7 @@
 const trialOffsets = 4
 
 // isTrialTurn reports whether it is this gateway's turn to make a trial. The lock is held.
-func (ga *Gateway) isTrialTurn(pr poison.Print, trial int, due time.Duration) bool {
+func (ga *Gateway) isTrialTurn(pr poison.Fingerprint, trial int, due time.Duration) bool {
 	boxes := make([]string, 0, len(ga.members))
 	for box := range ga.members {
 		boxes = append(boxes, box)
