--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -1,7 +1,6 @@
-// Package pool chooses the backend server for an attempt of a gateway: the one
-// that most likely holds the start of the prompt, as long as its load allows,
-// and otherwise the least loaded. It does no I/O and reads no clock; randomness
-// is an argument.
+// Package pool selects the backend server for an attempt of a gateway: the server that most likely
+// has the prompt's prefix cached, as long as its load allows, and otherwise the least loaded
+// server. It does no I/O and reads no clock; randomness is an argument.
 package pool
 
 import (
@@ -19,85 +18,87 @@
 )
 
 const (
-	// attemptWork is what an attempt in progress adds to its server's load besides its prompt.
+	// attemptWork is what an attempt in progress adds to its server's load besides the prefill
+	// time.
 	attemptWork = 500 * time.Microsecond
-	// crowdPart estimates others' load without reports: the part of the other processes that have as
-	// much work in progress on a server as this one.
-	crowdPart = 0.5
-	// remoteCost is the penalty of a server in another data centre, in attempts.
-	remoteCost = 2
-	// longestQuotaWait bounds the Retry-After for an exhausted quota share: another process may
-	// have a share left.
-	longestQuotaWait = time.Second
+	// loadedMemberShare estimates the load of the other processes while there are no reports: the
+	// fraction of them that have as much work in progress on a server as this process.
+	loadedMemberShare = 0.5
+	// remotePenalty is the number of attempts added to the load of a server in another data
+	// centre.
+	remotePenalty = 2
+	// maxQuotaRetryAfter bounds the Retry-After for an exhausted quota share: another process may
+	// have quota left.
+	maxQuotaRetryAfter = time.Second
 )
 
 // Query describes an attempt that needs a server.
 type Query struct {
 	Service string
-	// Version restricts the choice to servers of one version if Only is set,
-	// and to servers of any other version if Except is set.
+	// Version restricts the selection to servers of this version if OnlyVersion is set, and to
+	// servers of any other version if ExceptVersion is set.
 	Version                    string
 	OnlyVersion, ExceptVersion bool
-	// ExcludedVersions holds versions that are not used.
+	// ExcludedVersions lists versions whose servers are not eligible.
 	ExcludedVersions []string
-	// Prompt is what the server is to read, the zero value for a plain service.
+	// Prompt is the prompt to process, the zero value for a plain service.
 	Prompt Prompt
-	// Tried holds the ids of servers that are not to be chosen again.
+	// Tried lists the ids of servers that are not eligible because they were already tried.
 	Tried []string
-	// SubsetSize restricts the choice to that many servers, the same in all processes for the same key;
-	// zero for all.
+	// SubsetSize restricts the selection to a subset of this many servers, which is the same in
+	// all processes for the same SubsetKey; zero selects from all servers.
 	SubsetSize int
 	SubsetKey  uint64
-	// PreferIdle asks for a server that runs nothing else, if there is one.
+	// PreferIdle prefers a server without attempts in progress.
 	PreferIdle bool
-	// Probe allows a server that may still reject everything after its pause.
+	// Probe allows a server that may still reject all requests after its pause.
 	Probe bool
-	// ColdLimit is the rate limit of cold servers.
+	// ColdLimit is the rate limit for cold servers.
 	ColdLimit quota.Limit
 }
 
-// fits reports whether a server is eligible for an attempt, now or later.
-func (ask *Query) fits(se *directory.Server) bool {
+// matches reports whether a server is eligible for the attempt, now or later.
+func (qu *Query) matches(se *directory.Server) bool {
 	switch {
-	case slices.Contains(ask.Tried, se.ID), slices.Contains(ask.ExcludedVersions, se.Version):
+	case slices.Contains(qu.Tried, se.ID), slices.Contains(qu.ExcludedVersions, se.Version):
 		return false
-	case ask.OnlyVersion:
-		return se.Version == ask.Version
+	case qu.OnlyVersion:
+		return se.Version == qu.Version
 	default:
-		return !ask.ExceptVersion || se.Version != ask.Version
+		return !qu.ExceptVersion || se.Version != qu.Version
 	}
 }
 
-// Selection is a server for an attempt and the expected time to the head of its answer.
+// Selection is the server selected for an attempt and the expected time to its response head.
 type Selection struct {
 	server *directory.Server
 	// home is set if the server ranks first for the prompt by rendezvous hashing.
-	home       bool
-	wait, read time.Duration
+	home          bool
+	wait, prefill time.Duration
 }
 
-// Server returns the server.
-func (of Selection) Server() *directory.Server { return of.server }
+// Server returns the selected server.
+func (sel Selection) Server() *directory.Server { return sel.server }
 
-// PrefillTime returns the expected time for reading the prompt.
-func (of Selection) PrefillTime() time.Duration { return of.read }
+// PrefillTime returns the expected prefill time of the prompt.
+func (sel Selection) PrefillTime() time.Duration { return sel.prefill }
 
-// TimeToHead returns the expected time until the head of the answer, the server's backlog included.
-func (of Selection) TimeToHead() time.Duration { return of.wait + of.read + headOverhead }
+// TimeToHead returns the expected time until the response head, including the server's backlog.
+func (sel Selection) TimeToHead() time.Duration { return sel.wait + sel.prefill + headOverhead }
 
-// Pool is what one process knows of the backend servers. Its exported fields
-// are set before use; it is not safe for concurrent use.
+// Pool tracks the backend servers for one process. Its exported fields are set before use. It is
+// not safe for concurrent use.
 type Pool struct {
-	// Box is the process's own, DataCentre that of its data centre.
+	// Box and DataCentre identify where this process runs.
 	Box, DataCentre string
 	Directory       *directory.Directory
-	// Members is the number of processes that share the servers, this one included. It may
-	// change at any time.
+	// Members is the number of processes that share the servers, including this one. It may change
+	// at any time.
 	Members int
-	// MaxMembers is the most processes that there may be, recently unreachable ones included. It may
-	// change at any time.
+	// MaxMembers is the largest possible number of such processes, including recently unreachable
+	// ones. It may change at any time.
 	MaxMembers int
-	// Loads holds the work of the other processes.
+	// Loads holds the work in progress of the other processes.
 	Loads *load.Table
 	// Warmup tracks cold servers.
 	Warmup warmup.Tracker
@@ -107,31 +108,32 @@
 	Pauses backpressure.Pauses
 
 	outliers outlier.Detector
-	// speeds tracks how quickly models read.
+	// speeds tracks the prefill speed of models.
 	speeds   pace.Reading
-	holdings holdings
-	// The maps below are keyed by a server's life (directory.Server.Key).
+	prefixes prefixCache
+	// The maps below are keyed by server instance (directory.Server.Key).
 
 	// running counts this process's attempts in progress.
 	running map[string]int
-	// reading is the time for this process's prompts that servers have not read yet.
-	reading map[string]time.Duration
-	// responses holds when each server last answered.
+	// pendingPrefill is the expected time for this process's prompts that have not been processed
+	// yet.
+	pendingPrefill map[string]time.Duration
+	// responses holds when each server last responded.
 	responses map[string]time.Time
-	// usable, avoided and ejected are buffers of Pick.
+	// usable, avoided and ejected are buffers that Pick reuses.
 	usable, avoided, ejected []*directory.Server
 }
 
-// Pick returns a server for an attempt. If every server that fits is avoided or was ejected, it
-// returns one of them rather than none.
-func (po *Pool) Pick(ask Query, random uint64, now time.Time) (Selection, bool) {
+// Pick selects a server for an attempt. If every matching server is avoided or ejected, it returns
+// one of them rather than none.
+func (po *Pool) Pick(qu Query, random uint64, now time.Time) (Selection, bool) {
 	po.usable, po.avoided, po.ejected = po.usable[:0], po.avoided[:0], po.ejected[:0]
-	for _, se := range po.Directory.Servers(ask.Service) {
+	for _, se := range po.Directory.Servers(qu.Service) {
 		switch {
-		case !ask.fits(se), !po.accepts(se, ask.ColdLimit, now):
+		case !qu.matches(se), !po.maySend(se, qu.ColdLimit, now):
 		case !po.outliers.Usable(se.Key(), now):
 			po.ejected = append(po.ejected, se)
-		case po.avoids(se, ask.Probe, now):
+		case po.avoids(se, qu.Probe, now):
 			po.avoided = append(po.avoided, se)
 		default:
 			po.usable = append(po.usable, se)
@@ -147,45 +149,46 @@
 	if len(list) == 0 {
 		return Selection{}, false
 	}
-	if ask.SubsetSize > 0 && ask.SubsetSize < len(list) {
-		list = few(list, ask.SubsetSize, ask.SubsetKey)
+	if qu.SubsetSize > 0 && qu.SubsetSize < len(list) {
+		list = subset(list, qu.SubsetSize, qu.SubsetKey)
 	}
-	if se := po.silent(list, now); se != nil {
+	if se := po.limitedAndSilent(list, now); se != nil {
 		list = []*directory.Server{se}
 	}
-	if ask.PreferIdle {
+	if qu.PreferIdle {
 		list = po.idle(list)
 	}
-	if ask.Prompt.PrefixID != "" {
-		return po.holder(list, ask.Prompt, now), true
+	if qu.Prompt.PrefixID != "" {
+		return po.cheapestForPrompt(list, qu.Prompt, now), true
 	}
 	return Selection{server: po.leastLoaded(list, random)}, true
 }
 
-// waitFor returns how long this process has to wait before it may send to a server: for quotas that
-// all processes share, and for a pause that the server asked for. Every way of sending an attempt has
-// to check it, since a paused server looks idle.
+// waitFor returns how long this process has to wait before it may send to a server: because of
+// quotas that all processes share, and because of a pause that the server requested. Every code
+// path that sends an attempt has to check it, since a paused server looks idle.
 func (po *Pool) waitFor(se *directory.Server, cold quota.Limit, now time.Time) (quotas, pause time.Duration) {
 	gw := quota.Gateway{Box: po.Box, Fleet: po.MaxMembers}
 	quotas = max(po.Warmup.Wait(se.Key(), cold, gw, now), po.Limits.Wait(se.Key(), gw, now))
 	return quotas, po.Pauses.Left(se.Key(), now)
 }
 
-// accepts reports whether this process may send to a server now.
-func (po *Pool) accepts(se *directory.Server, cold quota.Limit, now time.Time) bool {
+// maySend reports whether this process may send to a server now.
+func (po *Pool) maySend(se *directory.Server, cold quota.Limit, now time.Time) bool {
 	quotas, pause := po.waitFor(se, cold, now)
 	return quotas == 0 && pause == 0
 }
 
-// avoids reports whether a server is used only if there is no other, since it may reject everything.
+// avoids reports whether a server is used only if there is no other, since it may reject all
+// requests.
 func (po *Pool) avoids(se *directory.Server, probe bool, now time.Time) bool {
 	avoid, free := po.Pauses.Avoid(se.Key(), now)
 	return avoid && (!probe || !free)
 }
 
-// silent returns a limited server that has not answered for a while, nil if there is none. It is
-// preferred, so that the end of its limit is noticed.
-func (po *Pool) silent(list []*directory.Server, now time.Time) *directory.Server {
+// limitedAndSilent returns a rate-limited server that has not responded for a while, or nil. Such a
+// server is preferred, so that the end of its limit is detected.
+func (po *Pool) limitedAndSilent(list []*directory.Server, now time.Time) *directory.Server {
 	for _, se := range list {
 		if po.Limits.Silent(se.Key(), now) {
 			return se
@@ -194,15 +197,16 @@
 	return nil
 }
 
-// RetryAfter returns the Retry-After if no eligible server may be sent to now, zero otherwise.
-func (po *Pool) RetryAfter(ask Query, now time.Time) time.Duration {
+// RetryAfter returns the Retry-After value if no eligible server accepts requests now, zero
+// otherwise.
+func (po *Pool) RetryAfter(qu Query, now time.Time) time.Duration {
 	least := time.Duration(0)
-	for _, se := range po.Directory.Servers(ask.Service) {
-		if !ask.fits(se) {
+	for _, se := range po.Directory.Servers(qu.Service) {
+		if !qu.matches(se) {
 			continue
 		}
-		quotas, pause := po.waitFor(se, ask.ColdLimit, now)
-		wait := max(pause, min(quotas, longestQuotaWait))
+		quotas, pause := po.waitFor(se, qu.ColdLimit, now)
+		wait := max(pause, min(quotas, maxQuotaRetryAfter))
 		if wait == 0 {
 			return 0
 		}
@@ -213,8 +217,8 @@
 	return least
 }
 
-// idle returns the servers of a list without known attempts in progress, the whole list if there is
-// none.
+// idle returns the servers of a list without known attempts in progress, or the whole list if there
+// are none.
 func (po *Pool) idle(list []*directory.Server) []*directory.Server {
 	var idle []*directory.Server
 	for _, se := range list {
@@ -228,55 +232,56 @@
 	return idle
 }
 
-// HasIdle reports whether an attempt may go to a server that runs nothing else.
-func (po *Pool) HasIdle(ask Query, now time.Time) bool {
-	return slices.ContainsFunc(po.Directory.Servers(ask.Service), func(se *directory.Server) bool {
-		return ask.fits(se) && po.attempts(se.Key()) == 0 && po.accepts(se, ask.ColdLimit, now) && po.outliers.Usable(se.Key(), now)
+// HasIdle reports whether there is a usable server without attempts in progress.
+func (po *Pool) HasIdle(qu Query, now time.Time) bool {
+	return slices.ContainsFunc(po.Directory.Servers(qu.Service), func(se *directory.Server) bool {
+		return qu.matches(se) && po.attempts(se.Key()) == 0 && po.maySend(se, qu.ColdLimit, now) && po.outliers.Usable(se.Key(), now)
 	})
 }
 
-// few returns the n servers of a list that rank first for a key.
-func few(list []*directory.Server, n int, key uint64) []*directory.Server {
+// subset returns the n servers of a list that rank first for a key.
+func subset(list []*directory.Server, n int, key uint64) []*directory.Server {
 	slices.SortFunc(list, func(a, b *directory.Server) int {
 		return cmp.Compare(mix(b.Hash()^key), mix(a.Hash()^key))
 	})
 	return list[:n]
 }
 
-// CountEligible returns the number of eligible servers, whether or not they may be sent to now.
-func (po *Pool) CountEligible(ask Query) int {
+// CountEligible returns the number of eligible servers, whether or not they accept requests now.
+func (po *Pool) CountEligible(qu Query) int {
 	n := 0
-	for _, se := range po.Directory.Servers(ask.Service) {
-		if ask.fits(se) {
+	for _, se := range po.Directory.Servers(qu.Service) {
+		if qu.matches(se) {
 			n++
 		}
 	}
 	return n
 }
 
-// HasEligible reports whether there is an eligible server, whether or not it may be sent to now.
-func (po *Pool) HasEligible(ask Query) bool {
-	return slices.ContainsFunc(po.Directory.Servers(ask.Service), ask.fits)
+// HasEligible reports whether there is an eligible server, whether or not it accepts requests now.
+func (po *Pool) HasEligible(qu Query) bool {
+	return slices.ContainsFunc(po.Directory.Servers(qu.Service), qu.matches)
 }
 
-// Reserve records that an attempt will be made at the server of an offer.
-func (po *Pool) Reserve(of Selection, now time.Time) {
-	po.Warmup.Sent(of.server.Key(), now)
-	po.Limits.Sent(of.server.Key(), now)
-	po.Pauses.Sent(of.server.Key(), now)
+// Reserve records that an attempt will be sent to the selected server.
+func (po *Pool) Reserve(sel Selection, now time.Time) {
+	po.Warmup.Sent(sel.server.Key(), now)
+	po.Limits.Sent(sel.server.Key(), now)
+	po.Pauses.Sent(sel.server.Key(), now)
 }
 
-// load returns the work in progress of all processes on a server, as time. Differences in speed
-// between servers are not included.
+// load returns the work in progress of all processes on a server, as time. It ignores differences
+// in speed between servers.
 func (po *Pool) load(id string) time.Duration {
-	own := po.reading[id] + attemptWork*time.Duration(po.running[id])
+	own := po.pendingPrefill[id] + attemptWork*time.Duration(po.running[id])
 	if po.Loads.HasReports() {
 		return own + attemptWork*time.Duration(po.Loads.OnServer(id))
 	}
-	return time.Duration(float64(own) * max(1, crowdPart*float64(po.Members)))
+	return time.Duration(float64(own) * max(1, loadedMemberShare*float64(po.Members)))
 }
 
-// PrefillTime returns how long a typical server reads that many tokens of a prompt's model.
+// PrefillTime returns the time that a typical server needs to process a number of tokens with the
+// prompt's model.
 func (po *Pool) PrefillTime(pr Prompt, tokens float64) time.Duration {
 	per, ok := po.speeds.PerToken(pr.Model)
 	if !ok {
@@ -285,7 +290,7 @@
 	return time.Duration(per * tokens)
 }
 
-// Backlog returns the mean work in progress of a service's servers, as time.
+// Backlog returns the mean work in progress on the servers of a service, as time.
 func (po *Pool) Backlog(service string) time.Duration {
 	list := po.Directory.Servers(service)
 	if len(list) == 0 {
@@ -301,26 +306,26 @@
 // attempts returns the known attempts in progress on a server.
 func (po *Pool) attempts(id string) int { return po.running[id] + int(po.Loads.OnServer(id)) }
 
-// Work returns this process's work in progress by server, for a report.
+// Work returns this process's work in progress by server, for a report to other processes.
 func (po *Pool) Work() load.Work {
 	wo := make(load.Work, len(po.running))
 	for id, running := range po.running {
-		wo[load.KeyOf(id)] = uint32(running) + uint32((po.reading[id]+attemptWork/2)/attemptWork)
+		wo[load.KeyOf(id)] = uint32(running) + uint32((po.pendingPrefill[id]+attemptWork/2)/attemptWork)
 	}
 	return wo
 }
 
-// leastLoaded returns the server with the fewest attempts, with a penalty for other data centres.
-// Ties are broken at random.
+// leastLoaded returns the server with the fewest attempts in progress, with a penalty for servers
+// in other data centres. Ties are broken at random.
 func (po *Pool) leastLoaded(list []*directory.Server, random uint64) *directory.Server {
-	start := int(random % uint64(len(list)))
+	offset := int(random % uint64(len(list)))
 	var best *directory.Server
 	least := 0
 	for i := range list {
-		se := list[(start+i)%len(list)]
+		se := list[(offset+i)%len(list)]
 		attempts := po.attempts(se.Key())
 		if se.DataCentre != po.DataCentre {
-			attempts += remoteCost
+			attempts += remotePenalty
 		}
 		if best == nil || attempts < least {
 			best, least = se, attempts
@@ -329,7 +334,7 @@
 	return best
 }
 
-// Tick drops expired state.
+// Tick removes the state of servers that no longer exist.
 func (po *Pool) Tick(now time.Time) {
 	po.Limits.Tick(func(id string) bool { return po.Directory.ByKey(id) != nil }, now)
 }
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -21,103 +21,104 @@
 	return po
 }
 
-// prompt returns one whose shared part takes so long to read, and whose own part a
+// prompt returns a prompt whose prefix takes the given time to process and whose suffix takes a
 // tenth of that.
-func prompt(start string, shared time.Duration) Prompt {
-	return Prompt{Model: "m", PrefillPerToken: time.Millisecond, PrefixID: start, PrefixTokens: int(shared.Milliseconds()), SuffixTokens: int(shared.Milliseconds() / 10)}
+func prompt(prefix string, prefill time.Duration) Prompt {
+	return Prompt{Model: "m", PrefillPerToken: time.Millisecond, PrefixID: prefix, PrefixTokens: int(prefill.Milliseconds()), SuffixTokens: int(prefill.Milliseconds() / 10)}
 }
 
-func pick(po *Pool, ask Query, random uint64) *directory.Server {
-	of, ok := po.Pick(ask, random, now)
+func pick(po *Pool, qu Query, random uint64) *directory.Server {
+	sel, ok := po.Pick(qu, random, now)
 	if !ok {
 		return nil
 	}
-	return of.Server()
+	return sel.Server()
 }
 
-func TestAPromptKeepsItsServerWhileTheLoadAllows(t *testing.T) {
+func TestPromptStaysOnItsServerUnlessOverloaded(t *testing.T) {
 	po := pool(6)
-	ask := Query{Service: "svc", Prompt: prompt("p", time.Second)}
-	home := pick(po, ask, 1)
+	qu := Query{Service: "svc", Prompt: prompt("p", time.Second)}
+	home := pick(po, qu, 1)
 	for range 3 {
-		require.Equal(t, home.ID, pick(po, ask, 2).ID)
+		require.Equal(t, home.ID, pick(po, qu, 2).ID)
 		po.Started(home.ID, 300*time.Millisecond, now)
 	}
 	po.Started(home.ID, 300*time.Millisecond, now)
-	other := pick(po, ask, 3)
-	require.NotEqual(t, home.ID, other.ID, "waiting there is longer than reading it elsewhere")
+	other := pick(po, qu, 3)
+	require.NotEqual(t, home.ID, other.ID, "the wait is longer than the prefill on another server")
 	po.PrefillDone(home.ID, time.Second)
-	require.Equal(t, home.ID, pick(po, ask, 4).ID)
+	require.Equal(t, home.ID, pick(po, qu, 4).ID)
 }
 
-func TestAShortStartHasAServerInEachDataCentre(t *testing.T) {
-	homes := map[string]bool{}
+func TestShortPrefixIsCachedInEachDataCentre(t *testing.T) {
+	prefixServers := map[string]bool{}
 	for _, dc := range []string{"dc0", "dc1", "dc2"} {
 		po := pool(9)
 		po.DataCentre = dc
 		se := pick(po, Query{Service: "svc", Prompt: Prompt{Model: "m", PrefillPerToken: time.Millisecond, PrefixID: "p", PrefixTokens: 100, SizeKB: 10}}, 1)
 		require.Equal(t, dc, se.DataCentre)
-		homes[pick(po, Query{Service: "svc", Prompt: Prompt{Model: "m", PrefillPerToken: time.Millisecond, PrefixID: "p", PrefixTokens: 5000, SizeKB: 10}}, 1).ID] = true
+		prefixServers[pick(po, Query{Service: "svc", Prompt: Prompt{Model: "m", PrefillPerToken: time.Millisecond, PrefixID: "p", PrefixTokens: 5000, SizeKB: 10}}, 1).ID] = true
 	}
-	require.Len(t, homes, 1, "a long one is read once")
+	require.Len(t, prefixServers, 1, "a long prefix is cached on one server")
 }
 
-func TestAServerThatHasReadAPromptIsAskedAgain(t *testing.T) {
+func TestServerWithCachedPrefixIsPreferred(t *testing.T) {
 	po := pool(9)
 	pr := prompt("p", time.Second)
 	home := pick(po, Query{Service: "svc", Prompt: pr}, 1)
-	of, _ := po.Pick(Query{Service: "svc", Prompt: pr, Tried: []string{home.ID}}, 1, now)
-	require.NotEqual(t, home.ID, of.Server().ID)
-	require.Greater(t, of.PrefillTime(), 300*time.Millisecond)
-	po.HeadReceived(of, pr, of.TimeToHead(), now)
+	sel, _ := po.Pick(Query{Service: "svc", Prompt: pr, Tried: []string{home.ID}}, 1, now)
+	require.NotEqual(t, home.ID, sel.Server().ID)
+	require.Greater(t, sel.PrefillTime(), 300*time.Millisecond)
+	po.HeadReceived(sel, pr, sel.TimeToHead(), now)
 	again, _ := po.Pick(Query{Service: "svc", Prompt: pr, Tried: []string{home.ID}}, 1, now)
-	require.Equal(t, of.Server().ID, again.Server().ID)
+	require.Equal(t, sel.Server().ID, again.Server().ID)
 	require.Equal(t, 100*time.Millisecond, again.PrefillTime())
-	later, _ := po.Pick(Query{Service: "svc", Prompt: pr, Tried: []string{home.ID}}, 1, now.Add(2*heldFor))
-	require.Greater(t, later.PrefillTime(), 300*time.Millisecond, "it may have given way to others")
+	later, _ := po.Pick(Query{Service: "svc", Prompt: pr, Tried: []string{home.ID}}, 1, now.Add(2*cacheTTL))
+	require.Greater(t, later.PrefillTime(), 300*time.Millisecond, "the prefix may have been evicted")
 }
 
-func TestASessionsPromptIsHeldWhole(t *testing.T) {
+func TestSessionPromptIsFullyCached(t *testing.T) {
 	po := pool(9)
 	pr := prompt("p", time.Second)
 	pr.FullID = "session"
-	of, _ := po.Pick(Query{Service: "svc", Prompt: pr}, 1, now)
-	po.HeadReceived(of, pr, of.TimeToHead(), now)
+	sel, _ := po.Pick(Query{Service: "svc", Prompt: pr}, 1, now)
+	po.HeadReceived(sel, pr, sel.TimeToHead(), now)
 	again, _ := po.Pick(Query{Service: "svc", Prompt: pr}, 1, now)
 	require.Zero(t, again.PrefillTime())
 	require.Equal(t, headOverhead, again.TimeToHead())
 }
 
-func TestTheHeadIsExpectedAfterWhatIsInProgress(t *testing.T) {
+func TestTimeToHeadIncludesBacklog(t *testing.T) {
 	po := pool(1)
 	po.Loads.PutGroup("b", nil, now)
-	of, _ := po.Pick(Query{Service: "svc", Prompt: prompt("p", time.Second)}, 1, now)
-	po.Started(of.Server().ID, of.PrefillTime(), now)
-	then, _ := po.Pick(Query{Service: "svc", Prompt: prompt("p", time.Second)}, 1, now)
-	require.Equal(t, of.TimeToHead()+of.PrefillTime()+attemptWork, then.TimeToHead())
-	require.Equal(t, of.PrefillTime()+attemptWork, po.Backlog("svc"))
+	sel, _ := po.Pick(Query{Service: "svc", Prompt: prompt("p", time.Second)}, 1, now)
+	po.Started(sel.Server().ID, sel.PrefillTime(), now)
+	second, _ := po.Pick(Query{Service: "svc", Prompt: prompt("p", time.Second)}, 1, now)
+	require.Equal(t, sel.TimeToHead()+sel.PrefillTime()+attemptWork, second.TimeToHead())
+	require.Equal(t, sel.PrefillTime()+attemptWork, po.Backlog("svc"))
 	require.Zero(t, po.Backlog("other"))
 }
 
-// How often servers hold what nothing is known of is learnt from how long they take.
-func TestTheChanceThatAServerHoldsAPromptIsLearnt(t *testing.T) {
-	for _, held := range []bool{true, false} {
+// Whether servers have prompts cached that this process knows nothing about is estimated from their
+// response times.
+func TestHitRateIsEstimatedFromResponseTimes(t *testing.T) {
+	for _, cached := range []bool{true, false} {
 		po := pool(6)
 		for i := range 200 {
 			pr := prompt(fmt.Sprint(i), time.Second)
-			of, _ := po.Pick(Query{Service: "svc", Prompt: pr}, 1, now)
+			sel, _ := po.Pick(Query{Service: "svc", Prompt: pr}, 1, now)
 			took := headOverhead + 100*time.Millisecond
-			if !held {
+			if !cached {
 				took += time.Second
 			}
-			po.HeadReceived(of, pr, took, now)
+			po.HeadReceived(sel, pr, took, now)
 		}
-		chance := po.holdings.chance(true)
-		require.Equal(t, held, chance > homeChance, chance)
+		hitRate := po.prefixes.hitRate(true)
+		require.Equal(t, cached, hitRate > initialHomeHitRate, hitRate)
 	}
 }
 
-func TestTheLeastLoadedOfTheOwnDataCentreIsChosen(t *testing.T) {
+func TestLeastLoadedServerOfOwnDataCentreIsPreferred(t *testing.T) {
 	po := pool(6)
 	for random := range uint64(20) {
 		se := pick(po, Query{Service: "svc"}, random)
@@ -131,7 +132,7 @@
 	require.NotEqual(t, "dc0", se.DataCentre)
 }
 
-func TestVersionsCanBeAskedForOrLeftOut(t *testing.T) {
+func TestVersionFilters(t *testing.T) {
 	po := pool(6)
 	for random := range uint64(20) {
 		se := pick(po, Query{Service: "svc", Version: "v2", OnlyVersion: true}, random)
@@ -141,7 +142,7 @@
 	}
 }
 
-func TestEjectedServersAreTheLastResort(t *testing.T) {
+func TestEjectedServersAreUsedOnlyIfThereIsNoOther(t *testing.T) {
 	po := pool(2)
 	for range 3 {
 		po.Failed("s0", now)
@@ -155,21 +156,21 @@
 	require.False(t, ok)
 }
 
-func TestTheWorkOfOthersCounts(t *testing.T) {
+func TestLoadIncludesOtherProcesses(t *testing.T) {
 	po := pool(6)
-	ask := Query{Service: "svc", Prompt: prompt("p", 500*time.Millisecond)}
-	home := pick(po, ask, 1)
-	const waits = uint32(time.Second / attemptWork)
-	po.Loads.PutGroup("b", load.Work{load.KeyOf(home.ID): waits + 100}, now)
-	require.NotEqual(t, home.ID, pick(po, ask, 1).ID)
-	po.Loads.PutGroup("b", load.Work{load.KeyOf(home.ID): waits - 100}, now)
-	require.Equal(t, home.ID, pick(po, ask, 1).ID)
-	po.Loads.PutGroup("b", load.Work{load.KeyOf("s0"): 3, load.KeyOf("s3"): 2 + remoteCost}, now)
+	qu := Query{Service: "svc", Prompt: prompt("p", 500*time.Millisecond)}
+	home := pick(po, qu, 1)
+	const attempts = uint32(time.Second / attemptWork)
+	po.Loads.PutGroup("b", load.Work{load.KeyOf(home.ID): attempts + 100}, now)
+	require.NotEqual(t, home.ID, pick(po, qu, 1).ID)
+	po.Loads.PutGroup("b", load.Work{load.KeyOf(home.ID): attempts - 100}, now)
+	require.Equal(t, home.ID, pick(po, qu, 1).ID)
+	po.Loads.PutGroup("b", load.Work{load.KeyOf("s0"): 3, load.KeyOf("s3"): 2 + remotePenalty}, now)
 	se := pick(po, Query{Service: "svc"}, 0)
 	require.NotEqual(t, "dc0", se.DataCentre, "a plain service's attempts count as well")
 }
 
-func TestOwnWorkIsReportedInAttempts(t *testing.T) {
+func TestWorkIsReportedInAttempts(t *testing.T) {
 	po := pool(2)
 	require.Empty(t, po.Work())
 	po.Started("s0", 10*attemptWork, now)
@@ -182,9 +183,9 @@
 	require.Empty(t, po.Work())
 }
 
-// A report is old when it comes. If every process sent to the server that it takes
-// for the least busy of all, they would all send to the same one.
-func TestNotAllPromptsGoToTheIdleServer(t *testing.T) {
+// Reports arrive with a delay. If every process sent to the server that it considers least loaded,
+// all of them would send to the same one.
+func TestPromptsDoNotAllGoToTheIdleServer(t *testing.T) {
 	po := pool(60)
 	wo := load.Work{}
 	for i := 1; i < 60; i++ {
@@ -198,17 +199,17 @@
 		}
 	}
 	require.Greater(t, idle, 0)
-	require.LessOrEqual(t, idle, 300*candidates/60+300*candidates/20, "20 of them are in the own data centre")
+	require.LessOrEqual(t, idle, 300*candidates/60+300*candidates/20, "20 of the servers are in the process's data centre")
 }
 
-// All processes rank servers alike, and each server is first for about as many prompts.
-func TestPromptsAreSpreadEvenlyAndAlike(t *testing.T) {
+// All processes rank servers identically, and each server ranks first for about as many prompts.
+func TestPromptsAreSpreadEvenlyAndIdentically(t *testing.T) {
 	a, b := pool(12), pool(12)
 	first := map[string]int{}
 	for i := range 1200 {
-		ask := Query{Service: "svc", Prompt: prompt(fmt.Sprint(i), time.Second)}
-		se := pick(a, ask, 1)
-		require.Equal(t, se.ID, pick(b, ask, 2).ID)
+		qu := Query{Service: "svc", Prompt: prompt(fmt.Sprint(i), time.Second)}
+		se := pick(a, qu, 1)
+		require.Equal(t, se.ID, pick(b, qu, 2).ID)
 		first[se.ID]++
 	}
 	require.Len(t, first, 12)
@@ -217,87 +218,87 @@
 	}
 }
 
-// The server for a prompt among 60: 13.1 us and 7 allocations while each server was ranked
-// by hashing its id for each prompt, 3.9 us and none now, 81 us among 1,500 (all beside
-// other load on the build machine; 1.4 us alone).
-func BenchmarkPickForAPrompt(b *testing.B) {
+// Selecting a server for a prompt among 60 took 13.1 us and 7 allocations when each server's id was
+// hashed for each prompt; it takes 3.9 us and none now, and 81 us among 1,500 (on a loaded build
+// machine; 1.4 us among 60 on an idle one).
+func BenchmarkPickForPrompt(b *testing.B) {
 	for _, servers := range []int{60, 1500} {
 		b.Run(fmt.Sprint(servers), func(b *testing.B) {
 			po := pool(servers)
 			po.Loads.PutGroup("b", load.Work{load.KeyOf("s1"): 10}, now)
-			ask := Query{Service: "svc", Prompt: prompt("p", time.Second)}
+			qu := Query{Service: "svc", Prompt: prompt("p", time.Second)}
 			b.ReportAllocs()
 			for b.Loop() {
-				po.Pick(ask, 1, now)
+				po.Pick(qu, 1, now)
 			}
 		})
 	}
 }
 
-// A version on trial is tried on the same few servers by all processes; one that fails is
+// All processes try a canary version on the same few servers. A server of the subset that fails is
 // replaced.
-func TestAFewServersAreTheSameForAll(t *testing.T) {
-	chosen := func(po *Pool, key uint64) map[string]bool {
+func TestSubsetIsTheSameInAllProcesses(t *testing.T) {
+	selected := func(po *Pool, key uint64) map[string]bool {
 		ids := map[string]bool{}
 		for i := range uint64(200) {
-			ask := Query{Service: "svc", Version: "v2", OnlyVersion: true, SubsetSize: 3, SubsetKey: key}
+			qu := Query{Service: "svc", Version: "v2", OnlyVersion: true, SubsetSize: 3, SubsetKey: key}
 			if i%2 == 0 {
-				ask.Prompt = prompt(fmt.Sprint(i), time.Second)
+				qu.Prompt = prompt(fmt.Sprint(i), time.Second)
 			}
-			ids[pick(po, ask, i).ID] = true
+			ids[pick(po, qu, i).ID] = true
 		}
 		return ids
 	}
 	a, b := pool(24), pool(24)
 	b.DataCentre = "dc1"
-	first := chosen(a, 7)
+	first := selected(a, 7)
 	require.Len(t, first, 3)
-	require.Equal(t, first, chosen(b, 7))
-	require.NotEqual(t, first, chosen(a, 8), "another order, other servers")
+	require.Equal(t, first, selected(b, 7))
+	require.NotEqual(t, first, selected(a, 8), "another key selects other servers")
 	for id := range first {
 		for range 3 {
 			a.Failed(id, now)
 		}
 		break
 	}
-	require.Len(t, chosen(a, 7), 3)
-	require.NotEqual(t, first, chosen(a, 7))
+	require.Len(t, selected(a, 7), 3)
+	require.NotEqual(t, first, selected(a, 7))
 	require.Equal(t, 12, a.CountEligible(Query{Service: "svc", Version: "v2", OnlyVersion: true}))
 }
 
-// A paused server is idle, and would be preferred.
-func TestPausedServersGetNothing(t *testing.T) {
+// A paused server is idle and would be preferred without the check for pauses.
+func TestPausedServersGetNoRequests(t *testing.T) {
 	po := pool(3)
 	po.Started("s2", 0, now)
 	require.True(t, po.Pauses.Begin("s1", 3*time.Second, now))
-	ask := Query{Service: "svc"}
+	qu := Query{Service: "svc"}
 	for i := range uint64(20) {
-		of, ok := po.Pick(ask, i, now)
+		sel, ok := po.Pick(qu, i, now)
 		require.True(t, ok)
-		require.NotEqual(t, "s1", of.Server().ID)
+		require.NotEqual(t, "s1", sel.Server().ID)
 	}
-	require.Zero(t, po.RetryAfter(ask, now), "others accept requests")
-	require.True(t, po.HasEligible(ask))
+	require.Zero(t, po.RetryAfter(qu, now), "others accept requests")
+	require.True(t, po.HasEligible(qu))
 
-	ask.Tried = nil
+	qu.Tried = nil
 	for _, se := range po.Directory.Servers("svc") {
 		if se.ID != "s1" {
-			ask.Tried = append(ask.Tried, se.ID)
+			qu.Tried = append(qu.Tried, se.ID)
 		}
 	}
-	_, ok := po.Pick(ask, 0, now)
+	_, ok := po.Pick(qu, 0, now)
 	require.False(t, ok)
-	require.False(t, po.HasIdle(ask, now))
-	require.Equal(t, 3*time.Second, po.RetryAfter(ask, now))
+	require.False(t, po.HasIdle(qu, now))
+	require.Equal(t, 3*time.Second, po.RetryAfter(qu, now))
 	po.Forget("s1")
-	require.Equal(t, time.Second, po.RetryAfter(ask, now.Add(2*time.Second)), "its entry says nothing about its pause")
-	_, ok = po.Pick(ask, 0, now.Add(3*time.Second))
+	require.Equal(t, time.Second, po.RetryAfter(qu, now.Add(2*time.Second)), "the end of a directory entry does not end the pause")
+	_, ok = po.Pick(qu, 0, now.Add(3*time.Second))
 	require.True(t, ok)
 }
 
-// Callers wait for the end of a pause, but not longer than a second for the own share of a quota:
-// another process may have a share left.
-func TestCallersAreToldWhenToRetry(t *testing.T) {
+// Callers wait for the end of a pause, but at most one second for this process's share of a quota,
+// since another process may have quota left.
+func TestRetryAfterForQuotasAndPauses(t *testing.T) {
 	po := pool(3)
 	po.MaxMembers = 1
 	rate := 0.1
@@ -305,15 +306,15 @@
 		po.Limits.Report(se.Key(), &rate, now)
 		po.Limits.Sent(se.Key(), now)
 	}
-	require.Equal(t, longestQuotaWait, po.RetryAfter(Query{Service: "svc"}, now))
+	require.Equal(t, maxQuotaRetryAfter, po.RetryAfter(Query{Service: "svc"}, now))
 	for _, se := range po.Directory.Servers("svc") {
 		po.Pauses.Begin(se.Key(), 2*time.Second, now)
 	}
 	require.Equal(t, 2*time.Second, po.RetryAfter(Query{Service: "svc"}, now))
 }
 
-// A server that asked another process for a pause is used if there is no other.
-func TestAvoidedServersAreUsedIfThereIsNoOther(t *testing.T) {
+// A server that has asked another process for a pause is used only if there is no other.
+func TestAvoidedServersAreUsedOnlyIfThereIsNoOther(t *testing.T) {
 	po := pool(3)
 	po.Pauses.Told("s0", 3*time.Second, now)
 	po.Pauses.Told("s1", 3*time.Second, now)
@@ -324,19 +325,20 @@
 	require.Zero(t, po.RetryAfter(Query{Service: "svc", Tried: []string{"s2"}}, now))
 }
 
-// After its pause one first attempt probes a server; requests that were rejected go elsewhere.
-func TestPausedServersAreProbedByFirstAttempts(t *testing.T) {
+// After a pause, a single first attempt probes the server. Retries of rejected requests go to other
+// servers.
+func TestPausedServersAreProbedByOneFirstAttempt(t *testing.T) {
 	po := pool(2)
 	po.Pauses.Begin("s1", time.Second, now.Add(-time.Second))
 	for range 3 {
 		po.Started("s0", 0, now)
 	}
 	require.Equal(t, "s0", pick(po, Query{Service: "svc"}, 0).ID)
-	of, ok := po.Pick(Query{Service: "svc", Probe: true}, 0, now)
+	sel, ok := po.Pick(Query{Service: "svc", Probe: true}, 0, now)
 	require.True(t, ok)
-	require.Equal(t, "s1", of.Server().ID)
-	po.Reserve(of, now)
-	require.Equal(t, "s0", pick(po, Query{Service: "svc", Probe: true}, 0).ID, "one at a time")
+	require.Equal(t, "s1", sel.Server().ID)
+	po.Reserve(sel, now)
+	require.Equal(t, "s0", pick(po, Query{Service: "svc", Probe: true}, 0).ID, "one probe at a time")
 	po.Pauses.Accepted("s1", now)
 	require.Equal(t, "s1", pick(po, Query{Service: "svc"}, 0).ID)
 }
--- a/internal/pool/prompt.go
+++ b/internal/pool/prompt.go
@@ -9,121 +9,124 @@
 )
 
 const (
-	// candidates is how many servers are compared for a prompt, of all and of those in the own data
-	// centre. With all of them, processes that share delayed reports would choose the same idle one.
+	// candidates is the number of servers that are compared for a prompt, among all servers and
+	// among those in the process's own data centre. If all servers were compared, processes that
+	// share the same delayed reports would all select the same idle server.
 	candidates = 3
-	// strangerCost is the weight of the shared part for a server that does not hold it: reading it
-	// also evicts other prompts.
-	strangerCost = 2
-	// nearRead is the reading time up to which a shared part is read once in each data centre.
-	nearRead = 200 * time.Millisecond
-	// wayCost is the cost of each KB of a request to another data centre.
-	wayCost = 5 * time.Millisecond
-	// headOverhead is the time to the head of an answer besides the prompt's.
+	// cacheMissWeight is the weight of a prefix's prefill time on a server without it: processing
+	// the prefix there also evicts other prompts from the cache.
+	cacheMissWeight = 2
+	// maxLocalPrefill is the prefill time up to which a prefix is cached once in each data centre
+	// rather than once in all.
+	maxLocalPrefill = 200 * time.Millisecond
+	// remoteCostPerKB is the cost of sending a KB of a request to another data centre.
+	remoteCostPerKB = 5 * time.Millisecond
+	// headOverhead is the part of the time to a response head that does not depend on the prompt.
 	headOverhead = 20 * time.Millisecond
 )
 
-// Prompt is what a model is to read. The zero value is that of a request without one.
+// Prompt describes the prompt of a request. The zero value means that the request has none.
 type Prompt struct {
-	// Model is the model that reads it.
+	// Model is the model that processes the prompt.
 	Model string
-	// PrefillPerToken is the assumed reading time of a token until answers of the model show it.
+	// PrefillPerToken is the assumed prefill time per token until responses of the model give an
+	// estimate.
 	PrefillPerToken time.Duration
-	// PrefixID names the part that other requests share, FullID all of it, which only later
-	// requests of the same session share.
+	// PrefixID identifies the prefix that other requests share, FullID the whole prompt, which
+	// only later requests of the same session share.
 	PrefixID, FullID string
-	// PrefixTokens and SuffixTokens are the tokens of the shared part and of the rest.
+	// PrefixTokens and SuffixTokens are the numbers of tokens in the prefix and in the rest.
 	PrefixTokens, SuffixTokens int
 	// SizeKB is the size of the request.
 	SizeKB float64
 }
 
-// start and whole hash a prompt's parts with its model, to which the cache belongs.
-func (pr Prompt) start() uint64 { return xxhash.Sum64String(pr.Model + "\x00" + pr.PrefixID) }
+// prefixHash and fullHash include the model, since each model has its own cache.
+func (pr Prompt) prefixHash() uint64 { return xxhash.Sum64String(pr.Model + "\x00" + pr.PrefixID) }
 
-func (pr Prompt) whole() uint64 { return xxhash.Sum64String(pr.Model + "\x01" + pr.FullID) }
+func (pr Prompt) fullHash() uint64 { return xxhash.Sum64String(pr.Model + "\x01" + pr.FullID) }
 
-// reading is how long a typical server reads the parts of a prompt.
-type reading struct{ shared, own time.Duration }
+// prefill is the time that a typical server needs to process the prefix and the rest of a prompt.
+type prefill struct{ prefix, suffix time.Duration }
 
-func (po *Pool) readingOf(pr Prompt) reading {
-	return reading{shared: po.PrefillTime(pr, float64(pr.PrefixTokens)), own: po.PrefillTime(pr, float64(pr.SuffixTokens))}
+func (po *Pool) prefillOf(pr Prompt) prefill {
+	return prefill{prefix: po.PrefillTime(pr, float64(pr.PrefixTokens)), suffix: po.PrefillTime(pr, float64(pr.SuffixTokens))}
 }
 
-// expected returns the expected reading time of a prompt on a server.
-func (po *Pool) expected(se *directory.Server, pr Prompt, re reading, home bool, now time.Time) time.Duration {
-	took := re.own
+// expectedPrefill returns the expected prefill time of a prompt on a server.
+func (po *Pool) expectedPrefill(se *directory.Server, pr Prompt, pf prefill, home bool, now time.Time) time.Duration {
+	took := pf.suffix
 	switch {
-	case pr.FullID != "" && po.holdings.has(se.Key(), pr.whole(), now):
+	case pr.FullID != "" && po.prefixes.has(se.Key(), pr.fullHash(), now):
 		return 0
-	case !po.holdings.has(se.Key(), pr.start(), now):
-		took += time.Duration((1 - po.holdings.chance(home)) * float64(re.shared))
+	case !po.prefixes.has(se.Key(), pr.prefixHash(), now):
+		took += time.Duration((1 - po.prefixes.hitRate(home)) * float64(pf.prefix))
 	}
 	return took
 }
 
-// holder returns the server with the least expected time for a prompt: its backlog, the parts that it
-// has to read, and the way to another data centre. Servers that rank first by rendezvous hashing most
-// likely hold the prompt's start.
-func (po *Pool) holder(list []*directory.Server, pr Prompt, now time.Time) Selection {
-	re, start := po.readingOf(pr), pr.start()
+// cheapestForPrompt returns the server with the lowest expected cost for a prompt: its backlog, the
+// prompt sections that it has to process, and the transfer to another data centre. Servers that
+// rank first by rendezvous hashing most likely have the prefix cached.
+func (po *Pool) cheapestForPrompt(list []*directory.Server, pr Prompt, now time.Time) Selection {
+	pf, key := po.prefillOf(pr), pr.prefixHash()
 	var best Selection
 	least := time.Duration(0)
-	weigh := func(se *directory.Server, home bool) {
-		of := Selection{server: se, home: home, wait: po.load(se.Key()), read: po.expected(se, pr, re, home, now)}
-		cost := of.wait + re.own
-		if !home && !po.holdings.has(se.Key(), start, now) {
-			cost += strangerCost * re.shared
+	consider := func(se *directory.Server, home bool) {
+		sel := Selection{server: se, home: home, wait: po.load(se.Key()), prefill: po.expectedPrefill(se, pr, pf, home, now)}
+		cost := sel.wait + pf.suffix
+		if !home && !po.prefixes.has(se.Key(), key, now) {
+			cost += cacheMissWeight * pf.prefix
 		}
 		if se.DataCentre != po.DataCentre {
-			cost += time.Duration(pr.SizeKB * float64(wayCost))
+			cost += time.Duration(pr.SizeKB * float64(remoteCostPerKB))
 		}
 		if best.server == nil || cost < least {
-			best, least = of, cost
+			best, least = sel, cost
 		}
 	}
-	var all, near leaders
+	var all, near topRanked
 	for _, se := range list {
-		weight := start ^ se.Hash()
-		all.add(se, weight)
+		hash := key ^ se.Hash()
+		all.add(se, hash)
 		if se.DataCentre == po.DataCentre {
-			near.add(se, weight)
+			near.add(se, hash)
 		}
 	}
 	for i, se := range all.servers() {
-		weigh(se, i == 0)
+		consider(se, i == 0)
 	}
 	for i, se := range near.servers() {
-		weigh(se, i == 0 && re.shared <= nearRead)
+		consider(se, i == 0 && pf.prefix <= maxLocalPrefill)
 	}
 	return best
 }
 
-// leaders holds the servers that rank first by rendezvous hashing, in order. The zero value holds
-// none.
-type leaders struct {
+// topRanked holds the servers that rank first by rendezvous hashing, in order. The zero value is
+// empty.
+type topRanked struct {
 	list  [candidates]*directory.Server
 	ranks [candidates]uint64
 	n     int
 }
 
-// add adds a server by the hash of its id and the key.
-func (le *leaders) add(se *directory.Server, hash uint64) {
+// add inserts a server by the hash of its id and the key.
+func (tr *topRanked) add(se *directory.Server, hash uint64) {
 	rank := mix(hash)
-	at := le.n
-	for at > 0 && rank > le.ranks[at-1] {
+	at := tr.n
+	for at > 0 && rank > tr.ranks[at-1] {
 		at--
 	}
 	if at == candidates {
 		return
 	}
-	le.n = min(le.n+1, candidates)
-	copy(le.list[at+1:le.n], le.list[at:])
-	copy(le.ranks[at+1:le.n], le.ranks[at:])
-	le.list[at], le.ranks[at] = se, rank
+	tr.n = min(tr.n+1, candidates)
+	copy(tr.list[at+1:tr.n], tr.list[at:])
+	copy(tr.ranks[at+1:tr.n], tr.ranks[at:])
+	tr.list[at], tr.ranks[at] = se, rank
 }
 
-func (le *leaders) servers() []*directory.Server { return le.list[:le.n] }
+func (tr *topRanked) servers() []*directory.Server { return tr.list[:tr.n] }
 
 // mix spreads the bits of a hash evenly: the finalizer of SplitMix64.
 func mix(x uint64) uint64 {
