--- a/internal/choice/choice.go
+++ b/internal/choice/choice.go
@@ -1,6 +1,6 @@
-// Package choice decides which version answers a request: the cheapest that
-// meets the quality target, tried before a stronger one where that costs
-// less. It does no I/O and reads no clock; randomness is an argument.
+// Package choice selects the versions that answer a request: the cheapest version that meets the
+// quality target, preceded by a first try on a cheaper version where that lowers the expected cost.
+// It does no I/O and reads no clock; randomness is an argument.
 package choice
 
 import (
@@ -11,39 +11,41 @@
 	"github.com/linnetrudder/linnetrudder/internal/result"
 )
 
-// Auto is the model name by which a caller leaves the choice to the system.
+// Auto is the model name with which a caller leaves the selection of the model to the system.
 const Auto = "auto"
 
-// Estimates is what has been learnt of the versions.
+// Estimates provides what has been learnt about versions and kinds of request.
 type Estimates interface {
-	// Quality returns the mean rating of a version's answers to requests of a
-	// kind and a bound that the true mean is above with high confidence.
+	// Quality returns the mean rating of a version's answers to requests of a kind, and a lower
+	// confidence bound of that mean.
 	Quality(team, kind string, ve *config.Version) (mean, lower float64)
-	// PassRate returns how often a first try of the version is good enough.
+	// PassRate returns the fraction of first tries of the version whose answers are good enough to
+	// accept.
 	PassRate(team, kind string, ve *config.Version) float64
-	// Tokens returns the expected prompt and completion tokens of the kind.
+	// Tokens returns the expected prompt and completion tokens of requests of the kind.
 	Tokens(kind string) (prompt, completion float64)
 }
 
-// Availability says which versions have a backend server.
+// Availability reports which versions have a backend server.
 type Availability interface {
-	// Has reports whether any usable server holds the version.
+	// Has reports whether any usable backend server provides the version.
 	Has(version string) bool
 }
 
-// Request is what is asked of a choice.
+// Request holds the properties of a request that the selection depends on.
 type Request struct {
-	// Team, Kind and Model are what the request named.
+	// Team, Kind and Model are named by the request.
 	Team, Kind, Model string
-	// Pinned is the version of the request's session, "" if it has none yet.
+	// Pinned is the version that the request's session is pinned to, "" if there is none yet.
 	Pinned string
-	// Draw is uniform over [0, 1); it divides new work by the versions' shares.
+	// Draw is uniform over [0, 1). It distributes new work according to the shares of the
+	// versions.
 	Draw float64
-	// Explore is uniform over [0, 1); it decides whether to learn instead.
+	// Explore is uniform over [0, 1). It decides whether the request is used for exploration.
 	Explore float64
 }
 
-// Candidate is one version that was weighed; explain shows the list.
+// Candidate is a version that was considered, with the result. The explain command lists them.
 type Candidate struct {
 	version     string
 	code        result.Code
@@ -51,10 +53,10 @@
 	cost        float64
 }
 
-// Version returns the full name.
+// Version returns the full name of the version.
 func (ca Candidate) Version() string { return ca.version }
 
-// Code says why the version is out; result.OK if it is not.
+// Code returns why the version is not eligible, result.OK if it is.
 func (ca Candidate) Code() result.Code { return ca.code }
 
 // Quality returns the estimated mean rating and its lower bound.
@@ -63,7 +65,7 @@
 // Cost returns the expected cost of a request.
 func (ca Candidate) Cost() float64 { return ca.cost }
 
-// Plan is the outcome: the versions to call in this order.
+// Plan is the result of a selection: the versions to call, in order.
 type Plan struct {
 	steps      []string
 	reason     string
@@ -71,76 +73,76 @@
 	code       result.Code
 }
 
-// Steps returns the versions to call; a second one only if the first falls
-// short.
+// Steps returns the versions to call. The second one is called only if the answer of the first is
+// not good enough.
 func (pl Plan) Steps() []string { return pl.steps }
 
-// Reason says in a few words why.
+// Reason returns a short explanation of the selection.
 func (pl Plan) Reason() string { return pl.reason }
 
-// Candidates returns all that was weighed.
+// Candidates returns all versions that were considered.
 func (pl Plan) Candidates() []Candidate { return pl.candidates }
 
-// Code is result.OK if there is at least one step.
+// Code returns result.OK if there is at least one step, and otherwise why there is none.
 func (pl Plan) Code() result.Code { return pl.code }
 
 const (
-	// leastExploration and mostExploration bound the part of requests on which
-	// a cheaper version is tried that may meet the target for all that is
-	// known. Between them, as much is tried as the version in use is better
-	// than it must be, if what is tried falls short by assumedShortfall.
-	leastExploration = 0.05
-	mostExploration  = 0.25
+	// minExploration and maxExploration bound the fraction of requests on which a cheaper version
+	// is tried whose confidence interval includes the target. Between the bounds, the fraction is
+	// such that the quality above the target of the version in use pays for the exploration if the
+	// explored versions fall short of it by assumedShortfall.
+	minExploration   = 0.05
+	maxExploration   = 0.25
 	assumedShortfall = 0.4
-	// tolerance is how far below the target a bound may be.
-	tolerance = 0.01
+	// targetTolerance is how far a lower bound may be below the target.
+	targetTolerance = 0.01
 )
 
-// Choose plans a request.
-func Choose(sn *config.Snapshot, ask Request, es Estimates, re Availability) Plan {
-	if ask.Pinned != "" {
-		return pinned(sn, ask, re)
+// Choose selects the versions for a request.
+func Choose(sn *config.Snapshot, req Request, es Estimates, av Availability) Plan {
+	if req.Pinned != "" {
+		return pinned(sn, req, av)
 	}
-	ki := sn.Kind(ask.Kind)
-	asked := askedFor(sn, ki, ask)
-	if len(asked) == 0 {
-		return Plan{code: result.UnknownModel, reason: "no such model"}
+	ki := sn.Kind(req.Kind)
+	versions := candidateVersions(sn, ki, req)
+	if len(versions) == 0 {
+		return Plan{code: result.UnknownModel, reason: "unknown model"}
 	}
 	var pl Plan
-	var open []*config.Version
-	for _, ve := range asked {
-		ca := weigh(sn, ask, ve, es, re)
+	var eligible []*config.Version
+	for _, ve := range versions {
+		ca := evaluate(sn, req, ve, es, av)
 		pl.candidates = append(pl.candidates, ca)
 		if ca.code == result.OK {
-			open = append(open, ve)
+			eligible = append(eligible, ve)
 		}
 	}
-	if len(open) == 0 {
-		pl.code = worstCode(pl.candidates)
-		pl.reason = "no version is open"
+	if len(eligible) == 0 {
+		pl.code = mostSpecificCode(pl.candidates)
+		pl.reason = "no eligible version"
 		return pl
 	}
 	pl.code = result.OK
-	pl.order(divide(open, ask.Draw), ki, ask, es)
+	pl.setSteps(onePerModel(eligible, req.Draw), ki, req, es)
 	return pl
 }
 
-// pinned keeps a session on its version, whatever else would be chosen.
-func pinned(sn *config.Snapshot, ask Request, re Availability) Plan {
-	pl := Plan{reason: "session keeps its version", code: sn.MayStart(ask.Team, ask.Pinned, true)}
-	if pl.code == result.OK && !re.Has(ask.Pinned) {
+// pinned keeps a session on its version, regardless of cost and quality.
+func pinned(sn *config.Snapshot, req Request, av Availability) Plan {
+	pl := Plan{reason: "session is pinned to its version", code: sn.MayStart(req.Team, req.Pinned, true)}
+	if pl.code == result.OK && !av.Has(req.Pinned) {
 		pl.code = result.NoServer
 	}
 	if pl.code == result.OK {
-		pl.steps = []string{ask.Pinned}
+		pl.steps = []string{req.Pinned}
 	}
 	return pl
 }
 
-// askedFor returns the versions that could answer, before any check.
-func askedFor(sn *config.Snapshot, ki *config.Kind, ask Request) []*config.Version {
-	list := slices.Clone(sn.VersionsOf(ask.Model))
-	if ask.Model != Auto && len(list) == 0 {
+// candidateVersions returns the versions that could answer the request, before any checks.
+func candidateVersions(sn *config.Snapshot, ki *config.Kind, req Request) []*config.Version {
+	list := slices.Clone(sn.VersionsOf(req.Model))
+	if req.Model != Auto && len(list) == 0 {
 		return nil
 	}
 	for _, ve := range sn.Substitutes(ki) {
@@ -148,7 +150,7 @@
 			list = append(list, ve)
 		}
 	}
-	if ask.Model == Auto && len(list) == 0 {
+	if req.Model == Auto && len(list) == 0 {
 		doc := sn.Document()
 		for i := range doc.Versions {
 			list = append(list, &doc.Versions[i])
@@ -157,13 +159,13 @@
 	return list
 }
 
-func weigh(sn *config.Snapshot, ask Request, ve *config.Version, es Estimates, re Availability) Candidate {
-	ca := Candidate{version: ve.ID(), code: sn.MayStart(ask.Team, ve.ID(), false)}
-	if ca.code == result.OK && !re.Has(ve.ID()) {
+func evaluate(sn *config.Snapshot, req Request, ve *config.Version, es Estimates, av Availability) Candidate {
+	ca := Candidate{version: ve.ID(), code: sn.MayStart(req.Team, ve.ID(), false)}
+	if ca.code == result.OK && !av.Has(ve.ID()) {
 		ca.code = result.NoServer
 	}
-	ca.mean, ca.lower = es.Quality(ask.Team, ask.Kind, ve)
-	ca.cost = Cost(ve, ask.Kind, es)
+	ca.mean, ca.lower = es.Quality(req.Team, req.Kind, ve)
+	ca.cost = Cost(ve, req.Kind, es)
 	return ca
 }
 
@@ -173,9 +175,10 @@
 	return prompt*float64(ve.InputPrice) + completion*float64(ve.OutputPrice)
 }
 
-// worstCode returns the code that says most: a version that is allowed and
-// only out of reach comes before one that is not allowed.
-func worstCode(cas []Candidate) result.Code {
+// mostSpecificCode returns the most informative code of a list: an allowed version without a server
+// takes precedence over a version that is withdrawn or takes no new work; otherwise the model counts
+// as unknown.
+func mostSpecificCode(cas []Candidate) result.Code {
 	best := result.UnknownModel
 	for _, ca := range cas {
 		switch ca.code {
@@ -188,24 +191,24 @@
 	return best
 }
 
-// divide keeps one version of each model: those rolling in take their shares
-// of new work, those serving share the rest evenly.
-func divide(open []*config.Version, draw float64) []*config.Version {
+// onePerModel selects one version of each model: versions that are being rolled in get their
+// configured shares of new work, and serving versions split the rest evenly.
+func onePerModel(eligible []*config.Version, draw float64) []*config.Version {
 	var list []*config.Version
 	models := map[string]bool{}
-	for _, ve := range open {
+	for _, ve := range eligible {
 		if models[ve.Model] {
 			continue
 		}
 		models[ve.Model] = true
-		list = append(list, draw1(ofModel(open, ve.Model), draw))
+		list = append(list, drawVersion(ofModel(eligible, ve.Model), draw))
 	}
 	return list
 }
 
-func ofModel(open []*config.Version, model string) []*config.Version {
+func ofModel(eligible []*config.Version, model string) []*config.Version {
 	var list []*config.Version
-	for _, ve := range open {
+	for _, ve := range eligible {
 		if ve.Model == model {
 			list = append(list, ve)
 		}
@@ -213,7 +216,7 @@
 	return list
 }
 
-func draw1(list []*config.Version, draw float64) *config.Version {
+func drawVersion(list []*config.Version, draw float64) *config.Version {
 	var serving []*config.Version
 	for _, ve := range list {
 		if ve.State == config.Serving {
@@ -232,78 +235,79 @@
 	return serving[min(max(i, 0), len(serving)-1)]
 }
 
-// order fills the steps from one version of each model.
-func (pl *Plan) order(list []*config.Version, ki *config.Kind, ask Request, es Estimates) {
+// setSteps sets the steps and the reason, given one version of each model.
+func (pl *Plan) setSteps(list []*config.Version, ki *config.Kind, req Request, es Estimates) {
 	slices.SortStableFunc(list, func(a, b *config.Version) int {
-		return cmp.Compare(Cost(a, ask.Kind, es), Cost(b, ask.Kind, es))
+		return cmp.Compare(Cost(a, req.Kind, es), Cost(b, req.Kind, es))
 	})
-	best, reason := target(list, ki, ask, es)
+	best, reason := targetVersion(list, ki, req, es)
 	pl.steps, pl.reason = []string{best.ID()}, reason
 	if !ki.Cascade {
 		return
 	}
-	if first := cascade(list, best, ki, ask, es); first != nil {
+	if first := firstTry(list, best, ki, req, es); first != nil {
 		pl.steps = []string{first.ID(), best.ID()}
-		pl.reason = "cheaper first try, then " + reason
+		pl.reason = "cheaper version first, then " + reason
 	}
 }
 
-// target returns the cheapest version that meets the kind's target with
-// confidence. Now and then it returns a cheaper one that may meet it, to learn;
-// the bounds come together as ratings come in, so that this ends by itself. If
-// none meets the target, it is the best there is.
-func target(list []*config.Version, ki *config.Kind, ask Request, es Estimates) (*config.Version, string) {
-	best, reason := list[0], "best quality, none surely meets the target"
+// targetVersion returns the cheapest version whose lower bound meets the kind's target. For a
+// fraction of the requests it returns a cheaper version that may meet the target, to learn its
+// quality; this ends by itself, since more ratings narrow the confidence interval. If no version
+// meets the target, it returns the one with the best mean rating.
+func targetVersion(list []*config.Version, ki *config.Kind, req Request, es Estimates) (*config.Version, string) {
+	best, reason := list[0], "best quality; no version meets the target with confidence"
 	bestMean, slack := -1.0, 0.0
-	var maybe []*config.Version
+	var uncertain []*config.Version
 	for _, ve := range list {
-		mean, lower := es.Quality(ask.Team, ask.Kind, ve)
-		if lower >= ki.Target-tolerance {
-			best, reason = ve, "cheapest that meets the target"
+		mean, lower := es.Quality(req.Team, req.Kind, ve)
+		if lower >= ki.Target-targetTolerance {
+			best, reason = ve, "cheapest version that meets the target"
 			slack = lower - ki.Target
 			break
 		}
 		if upper := 2*mean - lower; upper >= ki.Target {
-			maybe = append(maybe, ve)
+			uncertain = append(uncertain, ve)
 		}
 		if mean > bestMean {
 			best, bestMean = ve, mean
 		}
 	}
-	part := min(mostExploration, leastExploration+slack/assumedShortfall)
-	if len(maybe) > 0 && ask.Explore < part {
-		return maybe[int(ask.Explore/part*float64(len(maybe)))], "tried to learn its quality"
+	fraction := min(maxExploration, minExploration+slack/assumedShortfall)
+	if len(uncertain) > 0 && req.Explore < fraction {
+		return uncertain[int(req.Explore/fraction*float64(len(uncertain)))], "explored to learn its quality"
 	}
 	return best, reason
 }
 
-// cascade returns a cheaper version that is worth trying first: the try and
-// the part of requests that go on must cost less than going straight, and what
-// is kept must surely not pull the quality below the target. Now and then it is
-// enough that it may not, to learn.
-func cascade(list []*config.Version, best *config.Version, ki *config.Kind, ask Request, es Estimates) *config.Version {
-	straight := Cost(best, ask.Kind, es)
-	strong, _ := es.Quality(ask.Team, ask.Kind, best)
+// firstTry returns a cheaper version that is worth trying first, or nil. The cost of the try, plus
+// that of the requests that need a second step, must be lower than the cost of calling the best
+// version directly, and the accepted answers must not pull the quality below the target even at
+// their lower bound. For a fraction of the requests their upper bound is used instead, to learn
+// their quality.
+func firstTry(list []*config.Version, best *config.Version, ki *config.Kind, req Request, es Estimates) *config.Version {
+	direct := Cost(best, req.Kind, es)
+	bestMean, _ := es.Quality(req.Team, req.Kind, best)
 	var first *config.Version
-	least := straight
+	lowest := direct
 	for _, ve := range list {
 		if ve == best {
 			break
 		}
-		pass := es.PassRate(ask.Team, ask.Kind, ve)
-		kept, sure := es.Quality(ask.Team, AcceptedKind(ask.Kind), ve)
-		if ask.Explore < leastExploration {
-			sure = min(1, 2*kept-sure)
+		pass := es.PassRate(req.Team, req.Kind, ve)
+		mean, bound := es.Quality(req.Team, AcceptedKind(req.Kind), ve)
+		if req.Explore < minExploration {
+			bound = min(1, 2*mean-bound)
 		}
-		cost := Cost(ve, ask.Kind, es) + (1-pass)*straight
-		if cost < least && pass*sure+(1-pass)*strong >= ki.Target-tolerance {
-			first, least = ve, cost
+		cost := Cost(ve, req.Kind, es) + (1-pass)*direct
+		if cost < lowest && pass*bound+(1-pass)*bestMean >= ki.Target-targetTolerance {
+			first, lowest = ve, cost
 		}
 	}
 	return first
 }
 
-// AcceptedKind is the kind under which the ratings of first tries that were kept
-// are learnt. They were chosen for being good, so they say nothing of what the
-// version makes of all requests.
+// AcceptedKind returns the kind under which the ratings of accepted first tries are recorded. These
+// answers were selected for being good, so their ratings say nothing about the version's answers to
+// all requests of the kind.
 func AcceptedKind(kind string) string { return kind + "/kept" }
--- a/internal/choice/prior.go
+++ b/internal/choice/prior.go
@@ -2,16 +2,16 @@
 
 import "github.com/linnetrudder/linnetrudder/internal/config"
 
-// Prior is what the operators expect, for a system that has learnt nothing.
+// Prior provides the operators' configured expectations, for a system that has learnt nothing yet.
 type Prior struct{}
 
-// Quality returns the operators' expectation as both mean and bound.
+// Quality returns the configured quality as both the mean and the lower bound.
 func (Prior) Quality(_, _ string, ve *config.Version) (mean, lower float64) {
 	return ve.Quality, ve.Quality
 }
 
-// PassRate takes the expected rating for the rate of good answers.
+// PassRate returns the expected rating as the rate of good answers.
 func (Prior) PassRate(_, _ string, ve *config.Version) float64 { return ve.Quality }
 
-// Tokens returns a common shape of request.
+// Tokens returns the token counts of a typical request.
 func (Prior) Tokens(string) (prompt, completion float64) { return 500, 200 }
