--- a/internal/direct/direct_test.go
+++ b/internal/direct/direct_test.go
@@ -13,58 +13,58 @@
 
 var t0 = time.Unix(1000, 0)
 
-// servers picks the first that was not tried.
-type servers []string
+// serverList returns its servers in order.
+type serverList []string
 
-func (se servers) Pick(_ string, tried []string, _ time.Time) (string, bool) {
+func (se serverList) Pick(_ string, tried []string, _ time.Time) (string, bool) {
 	if len(tried) >= len(se) {
 		return "", false
 	}
 	return se[len(tried)], true
 }
 
-// purse allows a number of retries.
-type purse int
+// retryTokens allows a fixed number of retries.
+type retryTokens int
 
-func (pu *purse) Take(time.Time) bool {
-	*pu--
-	return *pu >= 0
+func (tokens *retryTokens) Take(time.Time) bool {
+	*tokens--
+	return *tokens >= 0
 }
 
-func (pu *purse) TakeSpare(now time.Time) bool { return pu.Take(now) }
+func (tokens *retryTokens) TakeSpare(now time.Time) bool { return tokens.Take(now) }
 
-// limitWait is how long the limits of servers keep an attempt from all that are left.
+// limitWait is the Retry-After value when rate limits exclude all remaining servers.
 var limitWait time.Duration
 
-func (servers) Wait(string, []string, time.Time) time.Duration { return limitWait }
+func (serverList) Wait(string, []string, time.Time) time.Duration { return limitWait }
 
-func (many) Wait(string, []string, time.Time) time.Duration { return 0 }
+func (unlimitedServers) Wait(string, []string, time.Time) time.Duration { return 0 }
 
-// threshold is a cascade of two models.
-type threshold int
+// thresholdCascade has two models and escalates below a confidence.
+type thresholdCascade int
 
-func (threshold) First(time.Time) int { return 0 }
+func (thresholdCascade) First(time.Time) int { return 0 }
 
-func (th threshold) Next(place, confidence int, _ time.Time) (int, bool) {
-	return 1, place == 0 && confidence < int(th)
+func (th thresholdCascade) Next(index, confidence int, _ time.Time) (int, bool) {
+	return 1, index == 0 && confidence < int(th)
 }
 
-// pace is the usual time of every model.
-type pace time.Duration
+// fixedLatency is the typical latency of every model.
+type fixedLatency time.Duration
 
-func (pa pace) Usual(string) time.Duration { return time.Duration(pa) }
+func (pa fixedLatency) Usual(string) time.Duration { return time.Duration(pa) }
 
-// blocks says for how long the request is not to be sent.
-type blocks time.Duration
+// blockedFor is the time for which the request is blocked.
+type blockedFor time.Duration
 
-func (bl *blocks) Blocked(time.Time) time.Duration { return time.Duration(*bl) }
+func (bl *blockedFor) Blocked(time.Time) time.Duration { return time.Duration(*bl) }
 
 func request(change func(re *Request)) *Request {
-	retries := purse(10)
+	retries := retryTokens(10)
 	re := &Request{
 		Idempotent: true, MaxRuns: 3, Received: t0, Target: t0.Add(time.Second), Deadline: t0.Add(4 * time.Second),
-		Picker: servers{"a", "b", "c", "d", "e", "f"}, RetryBudget: &retries, Cascade: threshold(50), Latency: pace(0),
-		Blocklist: new(blocks),
+		Picker: serverList{"a", "b", "c", "d", "e", "f"}, RetryBudget: &retries, Cascade: thresholdCascade(50), Latency: fixedLatency(0),
+		Blocklist: new(blockedFor),
 	}
 	if change != nil {
 		change(re)
@@ -72,12 +72,12 @@
 	return re
 }
 
-// Servers that may get nothing just now are not missing, and their callers know when to come
-// back.
-func TestARequestThatLimitsKeepFromAllServersIsRefusedAtOnce(t *testing.T) {
+// Servers that are excluded by rate limits are not missing: the code is Overloaded rather than
+// NoServer, and callers get a Retry-After value.
+func TestRateLimitedServersYieldOverloaded(t *testing.T) {
 	limitWait = 300 * time.Millisecond
 	t.Cleanup(func() { limitWait = 0 })
-	re := request(func(re *Request) { re.Picker = servers{} })
+	re := request(func(re *Request) { re.Picker = serverList{} })
 	st := re.Begin(t0)
 	require.Equal(t, Refuse, st.Op())
 	require.Equal(t, result.Overloaded, st.Code())
@@ -88,13 +88,13 @@
 		st = re.Refused(t0)
 	}
 	require.Equal(t, result.Overloaded, st.Code())
-	require.Equal(t, 2*time.Second, st.RetryAfter(), "also after the last attempt that is allowed")
+	require.Equal(t, 2*time.Second, st.RetryAfter(), "after the last allowed attempt as well")
 	limitWait = 0
-	re = request(func(re *Request) { re.Picker = servers{} })
+	re = request(func(re *Request) { re.Picker = serverList{} })
 	require.Equal(t, result.NoServer, re.Begin(t0).Code())
 }
 
-func TestAnUnsafeRequestIsNotRepeatedOnceItMayHaveRun(t *testing.T) {
+func TestUnsafeRequestIsNotRepeatedOnceItMayHaveRun(t *testing.T) {
 	re := request(func(re *Request) { re.Idempotent, re.MaxRuns = false, 1 })
 	require.Equal(t, Send, re.Begin(t0).Op())
 	st := re.Lost(t0)
@@ -102,32 +102,32 @@
 	require.Equal(t, result.MayHave, result.Of(st.Code()).Run())
 }
 
-func TestAnUnsafeRequestThatDidNotRunGoesElsewhere(t *testing.T) {
+func TestRejectedUnsafeRequestIsSentToAnotherServer(t *testing.T) {
 	re := request(func(re *Request) { re.Idempotent, re.MaxRuns = false, 1 })
 	require.Equal(t, "a", re.Begin(t0).Server())
 	require.Equal(t, "b", re.Refused(t0).Server())
 	require.Equal(t, "c", re.Unsent(t0).Server())
-	require.Equal(t, "d", re.Refused(t0).Server(), "b never had it")
+	require.Equal(t, "d", re.Refused(t0).Server(), "the attempt at b was not sent")
 	st := re.Refused(t0)
 	require.Equal(t, Refuse, st.Op())
 	require.Equal(t, result.DidNotRun, result.Of(st.Code()).Run())
 	require.Equal(t, time.Second, st.RetryAfter())
 }
 
-func TestAnUnsafeFailureIsTheCallersAnswer(t *testing.T) {
+func TestFailureOfAnUnsafeRequestIsDelivered(t *testing.T) {
 	re := request(func(re *Request) { re.Idempotent, re.MaxRuns = false, 1 })
 	re.Begin(t0)
 	require.Equal(t, Deliver, re.Answered(500, -1, t0).Op())
 }
 
-// What users saw: an answer was ready, a larger model was asked for a better one, its server rejected
-// the attempt, and with no retry left the caller got an error. Cause: the answer at hand was dropped
-// before the larger model's server had accepted anything.
-func TestHeldAnswerIsDeliveredIfTheLargerModelRejects(t *testing.T) {
+// Guards against an error after a failed escalation: the small model's answer was dropped before
+// the larger model's server had accepted the attempt, and when it rejected the attempt with no
+// retry left, the caller got an error.
+func TestFallbackIsDeliveredIfTheLargerModelRejects(t *testing.T) {
 	escalated := func(t *testing.T, retries int) *Request {
 		t.Helper()
-		pu := purse(retries)
-		re := request(func(re *Request) { re.Models, re.RetryBudget = []string{"small", "large"}, &pu })
+		tokens := retryTokens(retries)
+		re := request(func(re *Request) { re.Models, re.RetryBudget = []string{"small", "large"}, &tokens })
 		require.False(t, re.Begin(t0).Escalates())
 		st := re.Answered(200, 10, t0)
 		require.Equal(t, "large", st.Model())
@@ -136,7 +136,7 @@
 	}
 	for name, reject := range map[string]func(re *Request) Step{
 		"rejected": func(re *Request) Step { return re.Refused(t0) },
-		"unsent":   func(re *Request) Step { re.unused = -1; return re.Unsent(t0) },
+		"unsent":   func(re *Request) Step { re.unusedTokens = -1; return re.Unsent(t0) },
 		"lost":     func(re *Request) Step { return re.Lost(t0) },
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -153,12 +153,12 @@
 		})
 	}
 	st := escalated(t, 2).Refused(t0)
-	require.Equal(t, Send, st.Op(), "another server of the larger model comes first")
+	require.Equal(t, Send, st.Op(), "another server of the larger model is tried first")
 	require.False(t, st.Escalates())
 }
 
-func TestABlockedRequestIsRefusedAtOnce(t *testing.T) {
-	bl := blocks(time.Minute)
+func TestBlockedRequestIsRefusedAtOnce(t *testing.T) {
+	bl := blockedFor(time.Minute)
 	re := request(func(re *Request) { re.Blocklist = &bl })
 	st := re.Begin(t0)
 	require.Equal(t, Refuse, st.Op())
@@ -167,25 +167,25 @@
 	require.Equal(t, time.Minute, st.RetryAfter())
 }
 
-func TestARequestThatIsBlockedMeanwhileIsNotSentAgain(t *testing.T) {
-	for name, then := range map[string]func(re *Request) Step{
-		"lost":     func(re *Request) Step { return re.Lost(t0) },
-		"failed":   func(re *Request) Step { return re.Answered(500, -1, t0) },
-		"refused":  func(re *Request) Step { return re.Refused(t0) },
-		"unsent":   func(re *Request) Step { return re.Unsent(t0) },
-		"not sure": func(re *Request) Step { return re.Answered(200, 10, t0) },
+func TestRequestBlockedAfterAnAttemptIsNotSentAgain(t *testing.T) {
+	for name, outcome := range map[string]func(re *Request) Step{
+		"lost":           func(re *Request) Step { return re.Lost(t0) },
+		"failed":         func(re *Request) Step { return re.Answered(500, -1, t0) },
+		"refused":        func(re *Request) Step { return re.Refused(t0) },
+		"unsent":         func(re *Request) Step { return re.Unsent(t0) },
+		"low confidence": func(re *Request) Step { return re.Answered(200, 10, t0) },
 		"broken": func(re *Request) Step {
 			re.Answered(200, 90, t0)
 			return re.Broken(t0)
 		},
 	} {
-		var bl blocks
+		var bl blockedFor
 		re := request(func(re *Request) {
 			re.Blocklist, re.Models, re.Resumable = &bl, []string{"small", "large"}, true
 		})
 		require.Equal(t, Send, re.Begin(t0).Op())
-		bl = blocks(time.Minute)
-		st := then(re)
+		bl = blockedFor(time.Minute)
+		st := outcome(re)
 		require.NotEqual(t, Send, st.Op(), name)
 		if st.Op() == Refuse {
 			ran := name == "lost"
@@ -194,44 +194,44 @@
 	}
 }
 
-func TestASafeFailureIsRepeatedAsOftenAsAllowed(t *testing.T) {
+func TestFailureOfASafeRequestIsRetriedUpToMaxRuns(t *testing.T) {
 	re := request(nil)
 	re.Begin(t0)
 	require.Equal(t, "b", re.Answered(500, -1, t0).Server())
 	require.Equal(t, "c", re.Lost(t0).Server())
 	st := re.Answered(500, -1, t0)
-	require.Equal(t, Deliver, st.Op(), "three runs are the most")
+	require.Equal(t, Deliver, st.Op(), "MaxRuns is 3")
 }
 
-func TestTheRetryBudgetEndsARequest(t *testing.T) {
-	re := request(func(re *Request) { pu := purse(0); re.RetryBudget = &pu })
+func TestExhaustedRetryBudgetEndsTheRequest(t *testing.T) {
+	re := request(func(re *Request) { tokens := retryTokens(0); re.RetryBudget = &tokens })
 	re.Begin(t0)
 	st := re.Lost(t0)
 	require.Equal(t, Refuse, st.Op())
 	require.Equal(t, result.MayHave, result.Of(st.Code()).Run())
 }
 
-// Seen on a grown site: while two fifths of the servers were gone, connections that
-// no server took used the budget up, and requests failed after one attempt.
-func TestAnAttemptThatReachedNoServerLeavesItsRetryToTheNext(t *testing.T) {
-	re := request(func(re *Request) { pu := purse(0); re.RetryBudget = &pu })
+// Guards against connection failures that use up the retry budget: with two fifths of the servers
+// gone, requests failed after one attempt.
+func TestUnsentAttemptLeavesItsRetryTokenToTheNext(t *testing.T) {
+	re := request(func(re *Request) { tokens := retryTokens(0); re.RetryBudget = &tokens })
 	re.Begin(t0)
-	require.Equal(t, "b", re.Unsent(t0).Server(), "the first was never sent: this is no retry")
+	require.Equal(t, "b", re.Unsent(t0).Server(), "the first attempt was not sent, so this is not a retry")
 	require.Equal(t, "c", re.Unsent(t0).Server())
-	require.Equal(t, Refuse, re.Lost(t0).Op(), "this one would be")
+	require.Equal(t, Refuse, re.Lost(t0).Op(), "another attempt would be a retry")
 
-	re = request(func(re *Request) { pu := purse(1); re.RetryBudget, re.Resumable = &pu, true })
+	re = request(func(re *Request) { tokens := retryTokens(1); re.RetryBudget, re.Resumable = &tokens, true })
 	re.Begin(t0)
 	require.Equal(t, Deliver, re.Answered(200, 90, t0).Op())
 	require.Equal(t, "b", re.Broken(t0).Server())
-	require.Equal(t, "c", re.Unsent(t0).Server(), "the retry taken for b")
+	require.Equal(t, "c", re.Unsent(t0).Server(), "uses the retry token of the attempt at b")
 	require.Equal(t, Abort, re.Broken(t0).Op())
 }
 
-// Seen on grown sites where 20 to 29 servers crashed at once: requests met four in a row
-// that were gone and were refused after one run, with seconds of their time left.
-func TestServersThatAreGoneUseNoAttemptUp(t *testing.T) {
-	re := request(func(re *Request) { re.Picker = many{}; pu := purse(1); re.RetryBudget = &pu })
+// Guards against requests that fail with most of their time left: when 20 to 29 servers crash at
+// once, a request may select four failed servers in a row.
+func TestUnreachableServersDoNotCountAsAttempts(t *testing.T) {
+	re := request(func(re *Request) { re.Picker = unlimitedServers{}; tokens := retryTokens(1); re.RetryBudget = &tokens })
 	re.Begin(t0)
 	require.Equal(t, Send, re.Lost(t0).Op())
 	for range 10 {
@@ -239,25 +239,26 @@
 	}
 	require.Equal(t, Deliver, re.Answered(200, -1, t0).Op())
 
-	re = request(func(re *Request) { re.Picker = many{} })
+	re = request(func(re *Request) { re.Picker = unlimitedServers{} })
 	st := re.Begin(t0)
 	sends := 0
 	for ; st.Op() == Send; sends++ {
 		st = re.Unsent(t0)
 	}
-	require.Equal(t, mostSends, sends, "a pool that is gone as a whole is given up")
+	require.Equal(t, maxSends, sends, "the request ends if the whole pool is unreachable")
 	require.Equal(t, result.DidNotRun, result.Of(st.Code()).Run())
 }
 
-// many picks a new server each time.
-type many struct{}
+// unlimitedServers returns a new server each time.
+type unlimitedServers struct{}
 
-func (many) Pick(_ string, tried []string, _ time.Time) (string, bool) {
+func (unlimitedServers) Pick(_ string, tried []string, _ time.Time) (string, bool) {
 	return fmt.Sprint(len(tried)), true
 }
 
-// The last run that is left goes to a server that surely is there.
-func TestTheLastRunIsMadeOnANewConnection(t *testing.T) {
+// The last possible run is marked, so that it is sent on a new connection to a server that is known
+// to be reachable.
+func TestFinalRunIsMarked(t *testing.T) {
 	re := request(func(re *Request) { re.Resumable = true })
 	require.False(t, re.Begin(t0).FinalRun())
 	require.False(t, re.Lost(t0).FinalRun())
@@ -265,10 +266,10 @@
 	require.Equal(t, Deliver, st.Op())
 	require.True(t, re.Broken(t0).FinalRun())
 	unsafe := request(func(re *Request) { re.Idempotent, re.MaxRuns = false, 1 })
-	require.False(t, unsafe.Begin(t0).FinalRun(), "the first is not one after others")
+	require.False(t, unsafe.Begin(t0).FinalRun(), "the first attempt does not follow earlier runs")
 }
 
-func TestADoubtfulAnswerEscalatesOnce(t *testing.T) {
+func TestLowConfidenceEscalatesOnce(t *testing.T) {
 	re := request(func(re *Request) { re.Models = []string{"small", "large"} })
 	require.Equal(t, "small", re.Begin(t0).Model())
 	st := re.Answered(200, 10, t0)
@@ -277,16 +278,16 @@
 	require.Equal(t, Deliver, re.Answered(200, 10, t0).Op())
 }
 
-func TestAnAnswerIsKeptWhereNothingBetterCanBeHad(t *testing.T) {
+func TestAnswerIsAcceptedWithoutRetryBudget(t *testing.T) {
 	re := request(func(re *Request) {
-		pu := purse(0)
-		re.Models, re.RetryBudget = []string{"small", "large"}, &pu
+		tokens := retryTokens(0)
+		re.Models, re.RetryBudget = []string{"small", "large"}, &tokens
 	})
 	re.Begin(t0)
 	require.Equal(t, Deliver, re.Answered(200, 10, t0).Op())
 }
 
-func TestABrokenStreamGoesOnElsewhere(t *testing.T) {
+func TestBrokenStreamIsResumedOnAnotherServer(t *testing.T) {
 	re := request(func(re *Request) { re.Models, re.Resumable = []string{"small", "large"}, true })
 	re.Begin(t0)
 	require.Equal(t, Deliver, re.Answered(200, 90, t0).Op())
@@ -295,38 +296,38 @@
 	require.True(t, st.Resume())
 	require.Equal(t, "small", st.Model())
 	require.Equal(t, "b", st.Server())
-	require.Equal(t, Abort, request(nil).Broken(t0).Op(), "one that may not be resumed is broken off")
+	require.Equal(t, Abort, request(nil).Broken(t0).Op(), "a stream that is not resumable is aborted")
 }
 
-func TestTheLastChanceIsKnown(t *testing.T) {
+func TestFinalRunLeft(t *testing.T) {
 	re := request(func(re *Request) { re.Models, re.Resumable, re.MaxRuns = []string{"small"}, true, 2 })
 	re.Begin(t0)
 	require.False(t, re.FinalRunLeft(), "nothing was delivered")
 	require.Equal(t, Deliver, re.Answered(200, 90, t0).Op())
-	require.True(t, re.FinalRunLeft(), "one run is left for the rest")
+	require.True(t, re.FinalRunLeft(), "one run is left")
 }
 
-func TestPatienceLeavesTimeForASecondTry(t *testing.T) {
+func TestSoftDeadlineLeavesTimeForASecondAttempt(t *testing.T) {
 	re := request(func(re *Request) { re.MaxRuns = 2 })
 	require.Equal(t, t0.Add(600*time.Millisecond), re.Begin(t0).SoftDeadline())
-	require.Equal(t, re.Deadline, re.Lost(t0).SoftDeadline(), "the last try has all the time")
+	require.Equal(t, re.Deadline, re.Lost(t0).SoftDeadline(), "the last attempt has until the deadline")
 }
 
-func TestASlowPoolIsNotGivenUpOn(t *testing.T) {
-	re := request(func(re *Request) { re.Latency = pace(300 * time.Millisecond) })
+func TestDeadlinesScaleWithTypicalLatency(t *testing.T) {
+	re := request(func(re *Request) { re.Latency = fixedLatency(300 * time.Millisecond) })
 	st := re.Begin(t0)
 	require.Equal(t, t0.Add(1200*time.Millisecond), st.SoftDeadline())
-	require.Equal(t, t0.Add(3*time.Second), st.HardDeadline(), "where the server answers others")
-	re = request(func(re *Request) { re.Latency = pace(20 * time.Millisecond) })
+	require.Equal(t, t0.Add(3*time.Second), st.HardDeadline(), "if the server responds to others")
+	re = request(func(re *Request) { re.Latency = fixedLatency(20 * time.Millisecond) })
 	st = re.Begin(t0)
-	require.Equal(t, st.SoftDeadline(), st.HardDeadline(), "a quick pool has lost it by then")
-	re = request(func(re *Request) { re.Latency = pace(time.Minute) })
+	require.Equal(t, st.SoftDeadline(), st.HardDeadline(), "a fast server has lost the request by then")
+	re = request(func(re *Request) { re.Latency = fixedLatency(time.Minute) })
 	require.Equal(t, re.Deadline, re.Begin(t0).SoftDeadline())
 }
 
-// Whatever happens, no more attempts run than allowed, one that is not
-// idempotent runs once, and "did not run" is said only if nothing may have.
-func TestPromisesHoldForAnyOutcomes(t *testing.T) {
+// For any sequence of outcomes: no more attempts run than allowed, a request that is not idempotent
+// runs at most once, and "did not run" is reported only if no attempt may have run.
+func TestInvariantsHoldForAnyOutcomes(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		re := request(func(re *Request) {
 			re.Idempotent = rapid.Bool().Draw(rt, "idempotent")
@@ -347,11 +348,11 @@
 			switch {
 			case st.Op() == Refuse || st.Op() == Abort:
 				if result.Of(st.Code()).Run() == result.DidNotRun && ran > 0 {
-					rt.Fatal("said not run")
+					rt.Fatal("reported DidNotRun after a run")
 				}
 				return
 			case st.Op() == Deliver:
-				if !re.Resumable || rapid.Bool().Draw(rt, "whole") {
+				if !re.Resumable || rapid.Bool().Draw(rt, "complete") {
 					return
 				}
 				st = re.Broken(now)
@@ -373,7 +374,7 @@
 				ran++
 				st = re.Answered(200, rapid.IntRange(0, 100).Draw(rt, "confidence"), now)
 			}
-			if ran > re.MaxRuns || !re.Idempotent && ran > 1 || reached > re.MaxRuns+spareSends+re.MaxRuns || sent > mostSends {
+			if ran > re.MaxRuns || !re.Idempotent && ran > 1 || reached > re.MaxRuns+maxRejectedSends+re.MaxRuns || sent > maxSends {
 				rt.Fatal(fmt.Sprintf("%d runs, %d sends, %d reached a server", ran, sent, reached))
 			}
 		}
--- a/internal/direct/step.go
+++ b/internal/direct/step.go
@@ -6,71 +6,71 @@
 	"github.com/linnetrudder/linnetrudder/internal/result"
 )
 
-// Op is what the shell must do next.
+// Op is an operation that the gateway has to perform.
 type Op string
 
-// The things to do.
+// The operations.
 const (
-	// Send makes an attempt; one that is still open is dropped first.
+	// Send makes an attempt. An attempt that is still open is dropped first.
 	Send Op = "send"
-	// Deliver gives the caller the answer at hand.
+	// Deliver delivers the current answer to the caller.
 	Deliver Op = "deliver"
-	// Refuse ends the request with a code; nothing was delivered.
+	// Refuse ends the request with a code. Nothing was delivered.
 	Refuse Op = "refuse"
-	// Abort breaks the caller's answer off; a part of it was delivered.
+	// Abort interrupts the response to the caller. Part of it was delivered.
 	Abort Op = "abort"
 )
 
-// Step is one thing to do.
+// Step is an operation with its parameters.
 type Step struct {
-	do       Op
-	attempt  int
-	server   string
-	model    string
-	patience time.Time
-	limit    time.Time
-	resume   bool
-	last     bool
-	escalate bool
-	fallback bool
-	code     result.Code
-	after    time.Duration
+	op           Op
+	attempt      int
+	server       string
+	model        string
+	softDeadline time.Time
+	hardDeadline time.Time
+	resume       bool
+	finalRun     bool
+	escalate     bool
+	fallback     bool
+	code         result.Code
+	retryAfter   time.Duration
 }
 
-// Op returns what to do.
-func (st Step) Op() Op { return st.do }
+// Op returns the operation.
+func (st Step) Op() Op { return st.op }
 
-// Attempt returns the attempt's number, from 1.
+// Attempt returns the number of the attempt, starting at 1.
 func (st Step) Attempt() int { return st.attempt }
 
 // Server returns the id of the server to send to.
 func (st Step) Server() string { return st.server }
 
-// Model returns the model to ask, "" for a plain service.
+// Model returns the model to call, "" for a plain service.
 func (st Step) Model() string { return st.model }
 
-// SoftDeadline returns when an attempt without the head of an answer is given up.
-func (st Step) SoftDeadline() time.Time { return st.patience }
+// SoftDeadline returns when an attempt without a response head is abandoned.
+func (st Step) SoftDeadline() time.Time { return st.softDeadline }
 
-// HardDeadline returns when an attempt without the head of an answer is given up even
-// if its server has answered others meanwhile; it is not before Patience.
-func (st Step) HardDeadline() time.Time { return st.limit }
+// HardDeadline returns when an attempt without a response head is abandoned even if its server has
+// responded to other requests meanwhile. It is not before SoftDeadline.
+func (st Step) HardDeadline() time.Time { return st.hardDeadline }
 
-// Resume reports whether the attempt continues a stream.
+// Resume reports whether the attempt resumes a stream.
 func (st Step) Resume() bool { return st.resume }
 
-// FinalRun reports whether the attempt is the last that may run, after others that did.
-func (st Step) FinalRun() bool { return st.last }
+// FinalRun reports whether this is the last attempt that may run, after earlier ones that did.
+func (st Step) FinalRun() bool { return st.finalRun }
 
-// Escalates reports whether the attempt asks a larger model although an answer is at hand. The shell
-// holds that answer until the attempt's server had time to reject it.
+// Escalates reports whether the attempt calls a larger model although there is an answer. That
+// answer is kept until the attempt's server has had time to reject it.
 func (st Step) Escalates() bool { return st.escalate }
 
-// Fallback reports whether the answer to deliver is the one held since an escalation.
+// Fallback reports whether the answer to deliver is the one from before an escalation.
 func (st Step) Fallback() bool { return st.fallback }
 
-// Code returns the final code of a refusal.
+// Code returns the final result code of Refuse and Abort.
 func (st Step) Code() result.Code { return st.code }
 
-// RetryAfter returns when a refused caller may come back.
-func (st Step) RetryAfter() time.Duration { return st.after }
+// RetryAfter returns the Retry-After value of Refuse.
+func (st Step) RetryAfter() time.Duration { return st.retryAfter }
