--- a/internal/latency/latency.go
+++ b/internal/latency/latency.go
@@ -1,62 +1,60 @@
-// Package pace knows how long the head of an answer usually takes, so that an
-// attempt is not given up as dead only because everything is slow. It does no
-// I/O and reads no clock.
+// Package latency estimates the usual, lowest and smoothed latencies of answers, so that an attempt
+// is not abandoned only because all answers are slow. It does no I/O and reads no clock.
 package latency
 
 import "time"
 
-// smoothing is the weight of the newest answer in the usual time.
-const smoothing = 0.1
+// smoothingFactor is the weight of the latest sample in the moving average.
+const smoothingFactor = 0.1
 
-// Meter holds the usual time by name. The zero value knows none. It is not safe
-// for concurrent use.
-type Meter struct{ usual map[string]time.Duration }
+// Meter holds an exponential moving average of the time to the response header by name. The zero
+// value is empty. It is not safe for concurrent use.
+type Meter struct{ means map[string]time.Duration }
 
-// Observe notes the time to the head of an answer.
+// Observe records the time to a response header.
 func (me *Meter) Observe(name string, took time.Duration) {
-	if me.usual == nil {
-		me.usual = map[string]time.Duration{}
+	if me.means == nil {
+		me.means = map[string]time.Duration{}
 	}
-	old, ok := me.usual[name]
+	mean, ok := me.means[name]
 	if !ok {
-		old = took
+		mean = took
 	}
-	me.usual[name] = old + time.Duration(smoothing*float64(took-old))
+	me.means[name] = mean + time.Duration(smoothingFactor*float64(took-mean))
 }
 
 const (
-	// floorPart is the part of the times that are below the floor.
-	floorPart = 0.01
-	// floorStep is how fast the floor follows, as a part of itself: it rises by a
-	// thousandth with each slower answer, so that some seconds of load don't move it.
-	floorStep = 0.1
+	// baselineQuantile is the quantile of the latencies that the baseline estimates.
+	baselineQuantile = 0.01
+	// baselineStep is the relative step size of the estimate: it rises by 0.1 % with each slower
+	// answer, so that a few seconds of load do not shift it.
+	baselineStep = 0.1
 )
 
-// Baseline follows the time that only the quickest answers stay below, by name: how
-// long an answer takes when nothing is in its way. The zero value knows none. It
-// is not safe for concurrent use.
-type Baseline struct{ floor map[string]float64 }
+// Baseline estimates a low quantile of the latencies by name: the latency of an unloaded server.
+// The zero value is empty. It is not safe for concurrent use.
+type Baseline struct{ estimates map[string]float64 }
 
-// Observe notes a time.
-func (fl *Baseline) Observe(name string, took time.Duration) {
-	if fl.floor == nil {
-		fl.floor = map[string]float64{}
+// Observe records a latency.
+func (ba *Baseline) Observe(name string, took time.Duration) {
+	if ba.estimates == nil {
+		ba.estimates = map[string]float64{}
 	}
-	at, ok := fl.floor[name]
+	estimate, ok := ba.estimates[name]
 	switch {
 	case !ok:
-		at = float64(took)
-	case float64(took) < at:
-		at *= 1 - floorStep*(1-floorPart)
-		at = max(at, float64(took))
+		estimate = float64(took)
+	case float64(took) < estimate:
+		estimate *= 1 - baselineStep*(1-baselineQuantile)
+		estimate = max(estimate, float64(took))
 	default:
-		at *= 1 + floorStep*floorPart
+		estimate *= 1 + baselineStep*baselineQuantile
 	}
-	fl.floor[name] = at
+	ba.estimates[name] = estimate
 }
 
-// Latency returns the time, zero if none is known.
-func (fl *Baseline) Latency(name string) time.Duration { return time.Duration(fl.floor[name]) }
+// Latency returns the baseline, zero if there are no samples.
+func (ba *Baseline) Latency(name string) time.Duration { return time.Duration(ba.estimates[name]) }
 
-// Usual returns the usual time, zero if none is known.
-func (me *Meter) Usual(name string) time.Duration { return me.usual[name] }
+// Usual returns the moving average, zero if there are no samples.
+func (me *Meter) Usual(name string) time.Duration { return me.means[name] }
--- a/internal/latency/latency_test.go
+++ b/internal/latency/latency_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestTheUsualTimeFollowsWhatIsObserved(t *testing.T) {
+func TestMeterFollowsSamples(t *testing.T) {
 	var me Meter
 	require.Zero(t, me.Usual("m"))
 	me.Observe("m", time.Second)
@@ -21,63 +21,63 @@
 	require.Zero(t, me.Usual("other"))
 }
 
-func TestTheFloorIsNearTheQuickestAnswers(t *testing.T) {
+func TestBaselineIsNearTheLowestLatencies(t *testing.T) {
 	ra := rand.New(rand.NewPCG(1, 2))
-	var fl Baseline
-	require.Zero(t, fl.Latency("m"))
+	var ba Baseline
+	require.Zero(t, ba.Latency("m"))
 	for range 500 {
 		took := 10 * math.Exp(1.2*math.Abs(ra.NormFloat64()))
-		fl.Observe("m", time.Duration(took*float64(time.Millisecond)))
+		ba.Observe("m", time.Duration(took*float64(time.Millisecond)))
 	}
-	require.InDelta(t, 11, fl.Latency("m").Seconds()*1000, 3)
+	require.InDelta(t, 11, ba.Latency("m").Seconds()*1000, 3)
 }
 
-func TestABurstDoesNotMoveTheFloor(t *testing.T) {
-	var fl Baseline
+func TestBurstDoesNotShiftTheBaseline(t *testing.T) {
+	var ba Baseline
 	for range 200 {
-		fl.Observe("m", 20*time.Millisecond)
+		ba.Observe("m", 20*time.Millisecond)
 	}
-	before := fl.Latency("m")
+	before := ba.Latency("m")
 	for range 120 {
-		fl.Observe("m", 100*time.Millisecond)
+		ba.Observe("m", 100*time.Millisecond)
 	}
-	require.Less(t, fl.Latency("m"), before*5/4)
+	require.Less(t, ba.Latency("m"), before*5/4)
 }
 
-func TestTheReadingTimeIsThatOfAnIdleServer(t *testing.T) {
+func TestPromptTimeIsThatOfAnIdleServer(t *testing.T) {
 	ra := rand.New(rand.NewPCG(1, 2))
-	var re PromptTime
-	_, ok := re.PerToken("m")
+	var pt PromptTime
+	_, ok := pt.PerToken("m")
 	require.False(t, ok)
-	re.Observe("m", fewestTokens-1, time.Second)
-	_, ok = re.PerToken("m")
-	require.False(t, ok, "what a short prompt takes is overhead")
+	pt.Observe("m", minPromptTokens-1, time.Second)
+	_, ok = pt.PerToken("m")
+	require.False(t, ok, "overhead dominates short prompts")
 	for range 500 {
 		tokens := 1000 + ra.IntN(9000)
-		waits := 1 + ra.ExpFloat64()
-		re.Observe("m", tokens, time.Duration(waits*float64(tokens)*float64(50*time.Microsecond)))
+		slowdown := 1 + ra.ExpFloat64()
+		pt.Observe("m", tokens, time.Duration(slowdown*float64(tokens)*float64(50*time.Microsecond)))
 	}
-	per, _ := re.PerToken("m")
-	quickestTenth := 50_000 * (1 - math.Log(1-idlePart))
-	require.InDelta(t, quickestTenth, per, 10_000)
+	perToken, _ := pt.PerToken("m")
+	lowestTenth := 50_000 * (1 - math.Log(1-idleQuantile))
+	require.InDelta(t, lowestTenth, perToken, 10_000)
 }
 
-func TestATrendFollowsTheClock(t *testing.T) {
-	var tr Smoother
+func TestSmootherDependsOnElapsedTime(t *testing.T) {
+	var sm Smoother
 	now := time.Unix(1000, 0)
-	require.Equal(t, time.Second, tr.Update(time.Second, now))
-	require.Equal(t, time.Second, tr.Update(5*time.Second, now), "no time has passed")
-	require.InDelta(t, 5, tr.Update(5*time.Second, now.Add(5*trendMemory)).Seconds(), 0.05)
+	require.Equal(t, time.Second, sm.Update(time.Second, now))
+	require.Equal(t, time.Second, sm.Update(5*time.Second, now), "no time has passed")
+	require.InDelta(t, 5, sm.Update(5*time.Second, now.Add(5*smootherTimeConstant)).Seconds(), 0.05)
 }
 
-// After a start a first answer of a busy server stood for a model's time: the largest
-// model was asked too seldom for some ten seconds.
-func TestAFewTimesTellWhatAnIdleServerTakes(t *testing.T) {
-	var re PromptTime
+// With few samples the estimate must be their minimum. When the first sample after a start came
+// from a busy server, the largest model received too few requests for about ten seconds.
+func TestPromptTimeOfFewSamplesIsTheirMinimum(t *testing.T) {
+	var pt PromptTime
 	for _, took := range []time.Duration{900, 400, 600, 150, 500} {
-		re.Observe("m", 1000, took*time.Millisecond)
+		pt.Observe("m", 1000, took*time.Millisecond)
 	}
-	at, ok := re.PerToken("m")
+	perToken, ok := pt.PerToken("m")
 	require.True(t, ok)
-	require.InDelta(t, 150e3, at, 1)
+	require.InDelta(t, 150e3, perToken, 1)
 }
--- a/internal/latency/prompttime.go
+++ b/internal/latency/prompttime.go
@@ -6,54 +6,53 @@
 )
 
 const (
-	// fewestTokens is the least prompt whose time says something of a token's.
-	fewestTokens = 300
-	// idlePart is the part of the times that are taken for those of servers with nothing
-	// else to do.
-	idlePart = 0.1
-	// idleStep is how fast the estimate follows, as a part of itself.
+	// minPromptTokens is the minimum length of a prompt to sample: fixed overhead dominates shorter
+	// ones.
+	minPromptTokens = 300
+	// idleQuantile is the quantile of the samples that is attributed to idle servers.
+	idleQuantile = 0.1
+	// idleStep is the relative step size of the estimate.
 	idleStep = 0.1
-	// firstTimes is how many times are needed to follow them in steps: of fewer, the least
-	// is taken. A first time taken at a busy server would stand for the next twenty:
-	// 0.690 to 0.695 in worth over six days of a fleet of 32 gateways.
-	firstTimes = 10
+	// minSamples is the number of samples from which the estimate is adjusted in steps. Before that
+	// it is the minimum: a first sample from a busy server would distort the next twenty (a score
+	// of 0.690 instead of 0.695 over six simulated days with 32 gateways).
+	minSamples = 10
 )
 
-// PromptTime knows how long a model takes for each token of a prompt at a server that has
-// nothing else to do: most answers take longer. The zero value knows nothing. It is not
-// safe for concurrent use.
+// PromptTime estimates the time that a model takes per prompt token on an idle server; most answers
+// take longer. The zero value is empty. It is not safe for concurrent use.
 type PromptTime struct {
 	perToken map[string]float64
-	// times counts what was observed, by model.
-	times map[string]int
+	// samples counts the samples by model.
+	samples map[string]int
 }
 
-// Observe notes how long a model took for a prompt of which so many tokens were read.
-func (re *PromptTime) Observe(model string, tokens int, took time.Duration) {
-	if tokens < fewestTokens || took <= 0 {
+// Observe records the time that a model took for a prompt of a number of tokens.
+func (pt *PromptTime) Observe(model string, tokens int, took time.Duration) {
+	if tokens < minPromptTokens || took <= 0 {
 		return
 	}
-	if re.perToken == nil {
-		re.perToken, re.times = map[string]float64{}, map[string]int{}
+	if pt.perToken == nil {
+		pt.perToken, pt.samples = map[string]float64{}, map[string]int{}
 	}
 	sample := float64(took) / float64(tokens)
-	at := re.perToken[model]
-	re.times[model]++
-	switch n := re.times[model]; {
+	estimate := pt.perToken[model]
+	pt.samples[model]++
+	switch n := pt.samples[model]; {
 	case n == 1:
-		at = sample
-	case n <= firstTimes:
-		at = min(at, sample)
-	case sample < at:
-		at = max(sample, at*math.Exp(-idleStep*(1-idlePart)))
+		estimate = sample
+	case n <= minSamples:
+		estimate = min(estimate, sample)
+	case sample < estimate:
+		estimate = max(sample, estimate*math.Exp(-idleStep*(1-idleQuantile)))
 	default:
-		at = min(sample, at*math.Exp(idleStep*idlePart))
+		estimate = min(sample, estimate*math.Exp(idleStep*idleQuantile))
 	}
-	re.perToken[model] = at
+	pt.perToken[model] = estimate
 }
 
-// PerToken returns the time for a token in nanoseconds, false if it is not known.
-func (re *PromptTime) PerToken(model string) (float64, bool) {
-	at, ok := re.perToken[model]
-	return at, ok
+// PerToken returns the time per token in nanoseconds, false if there are no samples.
+func (pt *PromptTime) PerToken(model string) (float64, bool) {
+	estimate, ok := pt.perToken[model]
+	return estimate, ok
 }
--- a/internal/quality/codec.go
+++ b/internal/quality/codec.go
@@ -5,47 +5,47 @@
 	"github.com/rotisserie/eris"
 )
 
-// Entry is one cell as it is sent and stored.
+// Entry is one cell with its count, as sent and stored.
 type Entry struct {
 	Cell  Cell  `cbor:"1,keyasint" json:"cell"`
 	Count Count `cbor:"2,keyasint" json:"count"`
 }
 
-// Entries returns the table's counts as lines, in no order.
+// Entries returns the table's entries in no particular order.
 func (ta *Table) Entries() []Entry {
-	lines := make([]Entry, 0, len(ta.cells))
+	entries := make([]Entry, 0, len(ta.cells))
 	for ce, co := range ta.cells {
-		lines = append(lines, Entry{ce, co})
+		entries = append(entries, Entry{ce, co})
 	}
-	return lines
+	return entries
 }
 
-// MergeEntries adds lines.
-func (ta *Table) MergeEntries(lines []Entry) {
-	for _, li := range lines {
-		ta.Merge(li.Cell, li.Count)
+// MergeEntries merges entries into the table.
+func (ta *Table) MergeEntries(entries []Entry) {
+	for _, en := range entries {
+		ta.Merge(en.Cell, en.Count)
 	}
 }
 
-// Encode writes the table as it is stored.
+// Encode encodes the table for storage.
 func (ta *Table) Encode() ([]byte, error) {
 	value, err := cbor.Marshal(ta.Entries())
-	return value, eris.Wrap(err, "ratings")
+	return value, eris.Wrap(err, "encode ratings")
 }
 
-// Decode reads a stored table; nothing reads as an empty one.
+// Decode decodes a stored table; an empty value yields an empty table.
 func Decode(value []byte) (*Table, error) {
 	ta := &Table{}
 	if len(value) == 0 {
 		return ta, nil
 	}
-	var lines []Entry
-	if err := cbor.Unmarshal(value, &lines); err != nil {
-		return nil, eris.Wrap(err, "ratings")
+	var entries []Entry
+	if err := cbor.Unmarshal(value, &entries); err != nil {
+		return nil, eris.Wrap(err, "decode ratings")
 	}
-	ta.MergeEntries(lines)
+	ta.MergeEntries(entries)
 	return ta, nil
 }
 
-// Len returns how many cells the table holds.
+// Len returns the number of cells.
 func (ta *Table) Len() int { return len(ta.cells) }
--- a/internal/quality/quality.go
+++ b/internal/quality/quality.go
@@ -1,6 +1,6 @@
-// Package quality learns from ratings how good each version is for each kind
-// of request and each team. Counts are sums, so that many small sites can put
-// theirs together in any order. It does no I/O and reads no clock.
+// Package quality estimates from ratings how good each version is for each kind of request and each
+// team. Counts are sums, so that the counts of many sites can be merged in any order. It does no
+// I/O and reads no clock.
 package quality
 
 import (
@@ -9,14 +9,14 @@
 	"github.com/linnetrudder/linnetrudder/internal/config"
 )
 
-// Cell names what a count is of.
+// Cell identifies a count by team, kind of request and version.
 type Cell struct {
 	Team    string `cbor:"1,keyasint" json:"team"`
 	Kind    string `cbor:"2,keyasint,omitempty" json:"kind,omitempty"`
 	Version string `cbor:"3,keyasint" json:"version"`
 }
 
-// Count is a sum of ratings from 0 to 1.
+// Count aggregates ratings from 0 to 1.
 type Count struct {
 	N   float64 `cbor:"1,keyasint" json:"n"`
 	Sum float64 `cbor:"2,keyasint" json:"sum"`
@@ -28,24 +28,24 @@
 const LowScore = 0.5
 
 const (
-	// priorN is how many ratings the operators' expectation is worth.
-	priorN = 4
-	// leastShared and mostShared bound how many of a team's own ratings those
-	// of all teams are worth. Between them the teams' agreement decides.
-	leastShared = 10
-	mostShared  = 400
-	// z is how many standard errors the lower bound is below the mean. A
-	// version that is a little short is soon found out by its own ratings, so
-	// more caution costs more than it saves (docs/design/versions.md).
-	z = 1.0
-	// maxN bounds the memory of a cell: beyond it the old counts half, so that
-	// a change shows.
-	maxN = 4000
-	// minVariance keeps an estimate of few, equal ratings from looking sure.
+	// priorWeight is the weight of the operators' expected rating in numbers of ratings.
+	priorWeight = 4
+	// minSharedWeight and maxSharedWeight bound the weight of the ratings of all teams in numbers
+	// of a team's own ratings. Between the bounds the weight depends on how much the teams agree.
+	minSharedWeight = 10
+	maxSharedWeight = 400
+	// lowerBoundErrors is the distance of the lower bound from the mean in standard errors. A
+	// version that is slightly below the requirement is soon detected by its own ratings, so that a
+	// more cautious bound costs more than it saves (docs/design/versions.md).
+	lowerBoundErrors = 1.0
+	// maxCount bounds the number of ratings in a cell. Above it the count is halved, so that recent
+	// ratings have enough weight to show a change.
+	maxCount = 4000
+	// minVariance prevents a false certainty with few, equal ratings.
 	minVariance = 0.01
 )
 
-// Add adds one rating.
+// Add adds a rating.
 func (co *Count) Add(score float64) {
 	co.N++
 	co.Sum += score
@@ -59,40 +59,39 @@
 	co.N += ot.N
 	co.Sum += ot.Sum
 	co.Low += ot.Low
-	if co.N > maxN {
+	if co.N > maxCount {
 		co.N /= 2
 		co.Sum /= 2
 		co.Low /= 2
 	}
 }
 
-// pool is what all teams know of a kind and version.
+// pool aggregates the counts of all teams for a kind and version.
 type pool struct {
 	count Count
-	// teams holds the cells that the count is the sum of.
+	// teams holds the cells that the count sums up.
 	teams []Cell
-	// shared is how many own ratings the pool is worth to a team; it is
-	// reckoned anew when stale.
-	shared float64
-	stale  bool
+	// sharedWeight is the weight of the pool in numbers of a team's own ratings. It is recomputed
+	// if stale.
+	sharedWeight float64
+	stale        bool
 }
 
-// Table holds the counts of all cells. The zero value is empty and ready. It
-// is not safe for concurrent use.
+// Table holds the counts of all cells. The zero value is empty. It is not safe for concurrent use.
 type Table struct {
 	cells map[Cell]Count
-	// pools sums the cells of all teams; the team of its keys is empty.
+	// pools aggregates the cells of all teams; the team of its keys is empty.
 	pools map[Cell]*pool
 }
 
-// Add adds one rating.
+// Add adds a rating.
 func (ta *Table) Add(ce Cell, score float64) {
 	var co Count
 	co.Add(score)
 	ta.Merge(ce, co)
 }
 
-// Merge adds a count.
+// Merge adds a count to a cell.
 func (ta *Table) Merge(ce Cell, co Count) {
 	if ta.cells == nil {
 		ta.cells = map[Cell]Count{}
@@ -104,39 +103,40 @@
 		po = &pool{}
 		ta.pools[key] = po
 	}
-	have, ok := ta.cells[ce]
+	merged, ok := ta.cells[ce]
 	if !ok {
 		po.teams = append(po.teams, ce)
 	}
-	have.Merge(co)
-	ta.cells[ce] = have
+	merged.Merge(co)
+	ta.cells[ce] = merged
 	po.count.Merge(co)
 	po.stale = true
 }
 
-// VersionTotal returns the count of all teams and kinds for a version.
+// VersionTotal returns the sum of the counts of a version for all teams and kinds.
 func (ta *Table) VersionTotal(version string) Count {
-	var all Count
+	var total Count
 	for ce, co := range ta.cells {
 		if ce.Version == version {
-			all.N += co.N
-			all.Sum += co.Sum
-			all.Low += co.Low
+			total.N += co.N
+			total.Sum += co.Sum
+			total.Low += co.Low
 		}
 	}
-	return all
+	return total
 }
 
-// Quality returns the expected rating and a bound that the true one is above
-// five times in six. A team's own ratings count fully. Those of all teams count for
-// as much as the teams agree: where one differs, it soon goes by its own.
+// Quality returns the expected rating and a lower bound that the true rating exceeds with a
+// probability of 5/6. A team's own ratings have full weight. The weight of the ratings of all teams
+// depends on how much the teams agree, so that the estimate for a team that differs soon follows
+// its own ratings.
 func (ta *Table) Quality(team, kind string, ve *config.Version) (mean, lower float64) {
 	po := ta.pools[Cell{Kind: kind, Version: ve.ID()}]
 	if po == nil {
 		return ve.Quality, 0
 	}
-	poolMean := (po.count.Sum + priorN*ve.Quality) / (po.count.N + priorN)
-	shared := min(ta.shared(po), po.count.N)
+	poolMean := (po.count.Sum + priorWeight*ve.Quality) / (po.count.N + priorWeight)
+	shared := min(ta.sharedWeight(po), po.count.N)
 	own := ta.cells[Cell{Team: team, Kind: kind, Version: ve.ID()}]
 	weight := own.N + shared
 	mean = (own.Sum + shared*poolMean) / max(1, weight)
@@ -145,37 +145,37 @@
 	}
 	// Ratings lie in [0, 1], so their variance is at most mean * (1 - mean).
 	spread := math.Sqrt(max(minVariance, mean*(1-mean)) / weight)
-	return mean, max(0, mean-z*spread)
+	return mean, max(0, mean-lowerBoundErrors*spread)
 }
 
-// FirstAttemptKind is the kind under which it is counted how many first tries of a kind
-// were kept.
+// FirstAttemptKind returns the kind under which the acceptance of first attempts of a kind is
+// counted.
 func FirstAttemptKind(kind string) string { return kind + "/tries" }
 
-// AddFirstAttempt notes whether a first try was kept.
-func (ta *Table) AddFirstAttempt(team, kind, version string, kept bool) {
+// AddFirstAttempt records whether the answer of a first attempt was accepted.
+func (ta *Table) AddFirstAttempt(team, kind, version string, accepted bool) {
 	score := 0.0
-	if kept {
+	if accepted {
 		score = 1
 	}
 	ta.Add(Cell{Team: team, Kind: FirstAttemptKind(kind), Version: version}, score)
 }
 
-// PassRate returns how often a first try is kept.
+// PassRate returns how often the answer of a first attempt is accepted.
 func (ta *Table) PassRate(team, kind string, ve *config.Version) float64 {
 	mean, _ := ta.Quality(team, FirstAttemptKind(kind), ve)
 	return mean
 }
 
-// shared returns how many own ratings a pool is worth. It compares the spread
-// of the teams' means with what chance alone makes, by the moment estimator of
-// DerSimonian and Laird for the variance between groups.
-func (ta *Table) shared(po *pool) float64 {
+// sharedWeight returns the weight of a pool in numbers of a team's own ratings. It compares the
+// variance of the teams' means with that expected by chance, by the DerSimonian-Laird moment
+// estimator of the variance between groups.
+func (ta *Table) sharedWeight(po *pool) float64 {
 	if !po.stale {
-		return po.shared
+		return po.sharedWeight
 	}
 	po.stale = false
-	po.shared = mostShared
+	po.sharedWeight = maxSharedWeight
 	mean := po.count.Sum / po.count.N
 	variance := max(minVariance, mean*(1-mean))
 	spread, n, squares := 0.0, 0.0, 0.0
@@ -188,8 +188,8 @@
 		}
 	}
 	excess := spread - float64(len(po.teams)-1)
-	if room := n - squares/max(1, n); excess > 0 && room > 0 {
-		po.shared = min(mostShared, max(leastShared, room/excess))
+	if scale := n - squares/max(1, n); excess > 0 && scale > 0 {
+		po.sharedWeight = min(maxSharedWeight, max(minSharedWeight, scale/excess))
 	}
-	return po.shared
+	return po.sharedWeight
 }
--- a/internal/rate/rate.go
+++ b/internal/rate/rate.go
@@ -1,5 +1,4 @@
-// Package rate measures how many events of several names come a second. It does no
-// I/O and reads no clock.
+// Package rate measures the rates of named events. It does no I/O and reads no clock.
 package rate
 
 import (
@@ -7,30 +6,30 @@
 	"time"
 )
 
-// Meter measures rates by name. Its exported fields are set before use; it is not safe
-// for concurrent use.
+// Meter measures rates by name. Its exported fields are set before use. It is not safe for
+// concurrent use.
 type Meter struct {
-	// TimeConstant is how far back a rate looks: an event counts by e to the power of minus
-	// its age over TimeConstant. It is above zero.
+	// TimeConstant is the time constant of the exponential decay: an event has the weight
+	// exp(-age/TimeConstant). It must be positive.
 	TimeConstant time.Duration
 
-	// first is when counting began.
+	// first is when the first event was counted.
 	first  time.Time
 	counts map[string]*count
 }
 
-// count is a decayed number of events.
+// count is an exponentially decayed number of events.
 type count struct {
 	events float64
 	at     time.Time
 }
 
-// decayed returns the number as it stands at a time.
-func (co *count) decayed(memory time.Duration, now time.Time) float64 {
-	return co.events * math.Exp(-now.Sub(co.at).Seconds()/memory.Seconds())
+// decayed returns the decayed number of events at a time.
+func (co *count) decayed(timeConstant time.Duration, now time.Time) float64 {
+	return co.events * math.Exp(-now.Sub(co.at).Seconds()/timeConstant.Seconds())
 }
 
-// Count notes an event.
+// Count records an event.
 func (me *Meter) Count(name string, now time.Time) {
 	if me.counts == nil {
 		me.counts = map[string]*count{}
@@ -45,7 +44,7 @@
 	co.at = now
 }
 
-// PerSecond returns the rate of a name's events.
+// PerSecond returns the rate of a name's events per second.
 func (me *Meter) PerSecond(name string, now time.Time) float64 {
 	co := me.counts[name]
 	if co == nil {
@@ -63,11 +62,11 @@
 	return rates
 }
 
-// leastSpan keeps the first events from looking like a high rate, in seconds.
-const leastSpan = 0.5
+// minSpan is the minimum span in seconds; it prevents a high rate for the first events.
+const minSpan = 0.5
 
-// span returns the seconds that the decayed counts stand for.
+// span returns the time in seconds that the decayed counts represent.
 func (me *Meter) span(now time.Time) float64 {
-	counted, memory := now.Sub(me.first).Seconds(), me.TimeConstant.Seconds()
-	return max(leastSpan, memory*(1-math.Exp(-counted/memory)))
+	elapsed, timeConstant := now.Sub(me.first).Seconds(), me.TimeConstant.Seconds()
+	return max(minSpan, timeConstant*(1-math.Exp(-elapsed/timeConstant)))
 }
--- a/internal/rate/rate_test.go
+++ b/internal/rate/rate_test.go
@@ -9,7 +9,7 @@
 
 var t0 = time.Unix(1000, 0)
 
-// countEvenly lets events of the name a come evenly and returns the time of the last.
+// countEvenly counts evenly spaced events of the name a and returns the time of the last one.
 func countEvenly(me *Meter, perSecond int, from time.Time, seconds float64) time.Time {
 	step := time.Second / time.Duration(perSecond)
 	now := from
@@ -20,7 +20,7 @@
 	return now
 }
 
-func TestARateIsThatOfTheEvents(t *testing.T) {
+func TestRateOfSteadyEvents(t *testing.T) {
 	for _, seconds := range []float64{1, 3, 20} {
 		me := Meter{TimeConstant: 4 * time.Second}
 		now := countEvenly(&me, 20, t0, seconds)
@@ -28,7 +28,7 @@
 	}
 }
 
-func TestARateFollows(t *testing.T) {
+func TestRateFollowsChanges(t *testing.T) {
 	me := Meter{TimeConstant: 4 * time.Second}
 	now := countEvenly(&me, 10, t0, 20)
 	now = countEvenly(&me, 40, now, 10)
@@ -36,7 +36,7 @@
 	require.Less(t, me.PerSecond("a", now.Add(20*time.Second)), 1.0)
 }
 
-func TestRatesAreByName(t *testing.T) {
+func TestRatesAreSeparateByName(t *testing.T) {
 	me := Meter{TimeConstant: 4 * time.Second}
 	require.Zero(t, me.PerSecond("a", t0))
 	require.Empty(t, me.All(t0))
