--- a/internal/backpressure/backpressure.go
+++ b/internal/backpressure/backpressure.go
@@ -15,21 +15,21 @@
 	// window is the span over which a rate limit is enforced. A shorter span would hold less
 	// than one request at common limits of 1 to 3 per second.
 	window = 4 * time.Second
-	// overage and extra bound the arrivals within a window: rate * overage + extra. Gateways
+	// burstFactor and extra bound the arrivals within a window: rate * burstFactor + extra. Gateways
 	// aim at the rate itself.
-	overage = 1.5
-	extra   = 5
-	// leastRate is the rate in requests per second at which a server with a lower limit is
+	burstFactor = 1.5
+	burstOffset   = 5
+	// minRate is the rate in requests per second at which a server with a lower limit is
 	// still called. Only an answer can raise the limit again.
-	leastRate = 0.1
+	minRate = 0.1
 	// silentAfter is how long a limited server may send no answer before it is preferred.
 	silentAfter = 2 * time.Second
-	// sameRate is the relative difference below which a new rate is not logged or propagated:
+	// rateTolerance is the relative difference below which a new rate is not logged or propagated:
 	// servers may compute it anew for each answer.
-	sameRate = 0.1
-	// unlistedKept is how long the limit of a server without an entry is kept since the server
+	rateTolerance = 0.1
+	// unlistedRetention is how long the limit of a server without an entry is kept since the server
 	// last reported it: the entry may reappear.
-	unlistedKept = 10 * time.Minute
+	unlistedRetention = 10 * time.Minute
 )
 
 // Change says what an update changed.
@@ -62,8 +62,8 @@
 	uses map[string]*quota.Usage
 	// reported is when each server reported its limit, or the end of one.
 	reported map[string]time.Time
-	// spread holds the servers whose limits are propagated.
-	spread gossip.FactSet
+	// facts holds the servers whose limits are propagated.
+	facts gossip.FactSet
 }
 
 // Report applies what a server reports in an answer: a rate in requests per second, nil for no limit.
@@ -89,7 +89,7 @@
 	tr.reported[key] = up.at
 	change := tr.set(key, up.perSecond, now)
 	if change != Unchanged {
-		tr.spread.Add(key, up.hops, now)
+		tr.facts.Add(key, up.hops, now)
 	}
 	return change
 }
@@ -105,7 +105,7 @@
 		return Limited
 	}
 	li.perSecond = *perSecond
-	if math.Abs(li.perSecond-li.announced) <= sameRate*li.announced {
+	if math.Abs(li.perSecond-li.announced) <= rateTolerance*li.announced {
 		return Unchanged
 	}
 	li.announced = li.perSecond
@@ -136,13 +136,13 @@
 	if li == nil {
 		return 0, false
 	}
-	return time.Duration(float64(time.Second) / max(leastRate, li.perSecond)), true
+	return time.Duration(float64(time.Second) / max(minRate, li.perSecond)), true
 }
 
 // quotaFor returns the quota of a server with a rate limit.
 func quotaFor(perSecond float64) quota.Limit {
 	return quota.Limit{
-		PerSecond: max(leastRate, perSecond), MaxInWindow: overage*perSecond*window.Seconds() + extra, Window: window, LongLived: true,
+		PerSecond: max(minRate, perSecond), MaxInWindow: burstFactor*perSecond*window.Seconds() + burstOffset, Window: window, LongLived: true,
 	}
 }
 
@@ -189,12 +189,12 @@
 	delete(tr.limits, key)
 	delete(tr.uses, key)
 	delete(tr.reported, key)
-	tr.spread.Forget(key)
+	tr.facts.Forget(key)
 }
 
 // Tick drops expired state. listed reports whether a server has an entry.
 func (tr *Tracker) Tick(listed func(key string) bool, now time.Time) {
-	tr.spread.Tick(now)
+	tr.facts.Tick(now)
 	for key, us := range tr.uses {
 		if us.Idle(now) {
 			delete(tr.uses, key)
@@ -202,9 +202,9 @@
 	}
 	for key, at := range tr.reported {
 		switch {
-		case tr.limits[key] == nil && !tr.spread.Active(key):
+		case tr.limits[key] == nil && !tr.facts.Active(key):
 			delete(tr.reported, key)
-		case tr.limits[key] != nil && now.Sub(at) >= unlistedKept && !listed(key):
+		case tr.limits[key] != nil && now.Sub(at) >= unlistedRetention && !listed(key):
 			tr.Forget(key)
 		}
 	}
--- a/internal/backpressure/backpressure_test.go
+++ b/internal/backpressure/backpressure_test.go
@@ -173,10 +173,10 @@
 	tr.Report("listed", &rate, now)
 	tr.Report("gone", &rate, now)
 	listed := func(key string) bool { return key == "listed" }
-	tr.Tick(listed, now.Add(unlistedKept-1))
+	tr.Tick(listed, now.Add(unlistedRetention-1))
 	_, ok := tr.PerSecond("gone")
 	require.True(t, ok)
-	tr.Tick(listed, now.Add(unlistedKept))
+	tr.Tick(listed, now.Add(unlistedRetention))
 	_, ok = tr.PerSecond("gone")
 	require.False(t, ok)
 	_, ok = tr.PerSecond("listed")
--- a/internal/backpressure/notice.go
+++ b/internal/backpressure/notice.go
@@ -35,7 +35,7 @@
 // Notices returns the notices for a report to another gateway.
 func (tr *Tracker) Notices(to gossip.Direction, now time.Time) []Notice {
 	var list []Notice
-	for _, fa := range tr.spread.Due(to, now) {
+	for _, fa := range tr.facts.Due(to, now) {
 		no := Notice{Server: fa.Key(), Age: max(0, now.Sub(tr.reported[fa.Key()])), Hops: fa.Hops()}
 		if li := tr.limits[fa.Key()]; li != nil {
 			rate := li.perSecond
--- a/internal/backpressure/pause.go
+++ b/internal/backpressure/pause.go
@@ -8,13 +8,13 @@
 	probeTimeout = 2 * time.Second
 	// recoveryTimeout is how long after its pause a server that accepted nothing is probed.
 	recoveryTimeout = 10 * time.Second
-	// leastNews is the least extension of a known pause that is propagated: processes learn of
+	// minExtension is the least extension of a known pause that is propagated: processes learn of
 	// the same overload one after the other.
-	leastNews = 500 * time.Millisecond
-	// firstBackoff is how long a server is avoided after a rejection without a pause. Each further
+	minExtension = 500 * time.Millisecond
+	// minBackoff is how long a server is avoided after a rejection without a pause. Each further
 	// rejection in a row doubles it, up to longestBackoff.
-	firstBackoff   = 250 * time.Millisecond
-	longestBackoff = 2 * time.Second
+	minBackoff   = 250 * time.Millisecond
+	maxBackoff = 2 * time.Second
 )
 
 // pause is the newest pause that a server asked for.
@@ -24,14 +24,14 @@
 	sent int
 	// ended is set once the end of the pause was reported.
 	ended bool
-	// probed is when a request was last sent after the pause; zero if none was.
-	probed time.Time
-	// others is when the pauses are over that the server asked other processes for.
-	others time.Time
+	// probedAt is when a request was last sent after the pause; zero if none was.
+	probedAt time.Time
+	// remoteUntil is when the pauses are over that the server asked other processes for.
+	remoteUntil time.Time
 	// backoff is how long the server was avoided since its newest rejection without a pause,
 	// avoided when that is over; both are zero once it accepted a request.
 	backoff time.Duration
-	avoided time.Time
+	avoidedUntil time.Time
 }
 
 // Pauses tracks the backend servers that asked for a pause. One that asked this process gets nothing
@@ -46,7 +46,7 @@
 	se := pa.server(key)
 	began := !now.Before(se.until)
 	if began {
-		*se = pause{others: se.others}
+		*se = pause{remoteUntil: se.remoteUntil}
 	}
 	if until := now.Add(lasts); until.After(se.until) {
 		se.until = until
@@ -58,20 +58,20 @@
 // for a moment. RecordRejected reports whether that is long enough to be propagated.
 func (pa *Pauses) RecordRejected(key string, now time.Time) bool {
 	se := pa.server(key)
-	if now.Before(se.avoided) {
+	if now.Before(se.avoidedUntil) {
 		return false // it was sent before the rejection that counts already
 	}
-	se.backoff = min(max(firstBackoff, 2*se.backoff), longestBackoff)
-	se.avoided, se.probed = now.Add(se.backoff), time.Time{}
-	return se.backoff >= leastNews
+	se.backoff = min(max(minBackoff, 2*se.backoff), maxBackoff)
+	se.avoidedUntil, se.probedAt = now.Add(se.backoff), time.Time{}
+	return se.backoff >= minExtension
 }
 
 // RecordRemote records that a server asked another process for a pause. It reports whether that is news.
 func (pa *Pauses) RecordRemote(key string, left time.Duration, now time.Time) bool {
-	if left-pa.Remaining(key, now) < leastNews {
+	if left-pa.Remaining(key, now) < minExtension {
 		return false
 	}
-	pa.server(key).others = now.Add(left)
+	pa.server(key).remoteUntil = now.Add(left)
 	return true
 }
 
@@ -82,7 +82,7 @@
 	if se == nil {
 		return 0
 	}
-	return max(0, se.until.Sub(now), se.others.Sub(now), se.avoided.Sub(now))
+	return max(0, se.until.Sub(now), se.remoteUntil.Sub(now), se.avoidedUntil.Sub(now))
 }
 
 func (pa *Pauses) server(key string) *pause {
@@ -116,12 +116,12 @@
 	switch {
 	case se == nil:
 		return false, false
-	case now.Before(se.others), now.Before(se.avoided):
+	case now.Before(se.remoteUntil), now.Before(se.avoidedUntil):
 		return true, false
 	case se.backoff == 0 && (se.until.IsZero() || now.Before(se.until)):
 		return false, false
 	}
-	return true, se.probed.IsZero() || now.Sub(se.probed) >= probeTimeout
+	return true, se.probedAt.IsZero() || now.Sub(se.probedAt) >= probeTimeout
 }
 
 // RecordSent records that a request is sent to a server.
@@ -132,14 +132,14 @@
 	case now.Before(se.until):
 		se.sent++
 	default:
-		se.probed = now
+		se.probedAt = now
 	}
 }
 
 // RecordAccepted records that a server did not reject a request, which ends its recovery.
 func (pa *Pauses) RecordAccepted(key string, now time.Time) {
 	if se := pa.servers[key]; se != nil && !now.Before(se.until) {
-		se.until, se.probed, se.avoided, se.backoff = time.Time{}, time.Time{}, time.Time{}, 0
+		se.until, se.probedAt, se.avoidedUntil, se.backoff = time.Time{}, time.Time{}, time.Time{}, 0
 	}
 }
 
@@ -161,8 +161,8 @@
 			se.ended = true
 			ended = append(ended, EndedPause{Server: key, Sent: se.sent})
 		}
-		if now.Sub(se.until) >= recoveryTimeout && now.Sub(se.probed) >= probeTimeout &&
-			now.Sub(se.avoided) >= recoveryTimeout && !now.Before(se.others) {
+		if now.Sub(se.until) >= recoveryTimeout && now.Sub(se.probedAt) >= probeTimeout &&
+			now.Sub(se.avoidedUntil) >= recoveryTimeout && !now.Before(se.remoteUntil) {
 			delete(pa.servers, key)
 		}
 	}
--- a/internal/backpressure/pause_test.go
+++ b/internal/backpressure/pause_test.go
@@ -96,8 +96,8 @@
 		avoid, probe := pa.Avoid("s", at)
 		return []bool{avoid, probe}
 	}
-	for _, want := range []time.Duration{firstBackoff, 2 * firstBackoff, 4 * firstBackoff} {
-		require.Equal(t, want >= leastNews, pa.RecordRejected("s", now), "others are told")
+	for _, want := range []time.Duration{minBackoff, 2 * minBackoff, 4 * minBackoff} {
+		require.Equal(t, want >= minExtension, pa.RecordRejected("s", now), "others are told")
 		require.False(t, pa.RecordRejected("s", now.Add(time.Millisecond)), "it was under way")
 		require.Equal(t, want, pa.Remaining("s", now))
 		require.Equal(t, []bool{true, false}, avoid(now.Add(want-1)))
@@ -109,13 +109,13 @@
 	}
 	for range 10 {
 		pa.RecordRejected("s", now)
-		now = now.Add(longestBackoff)
+		now = now.Add(maxBackoff)
 	}
 	require.Equal(t, []bool{true, true}, avoid(now))
 	pa.RecordAccepted("s", now)
 	require.Equal(t, []bool{false, false}, avoid(now))
 	pa.RecordRejected("s", now)
-	require.Equal(t, []bool{true, true}, avoid(now.Add(firstBackoff)), "from the beginning")
+	require.Equal(t, []bool{true, true}, avoid(now.Add(minBackoff)), "from the beginning")
 	pa.Tick(now.Add(time.Minute))
 	require.False(t, pa.Any())
 }
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -1,6 +1,6 @@
 // Package quota divides a server's rate limit among gateways without coordination per request. The
-// share of a gateway depends on the number of gateways; where one request each would exceed the
-// limit, a hash selects those that send. It does no I/O and reads no clock.
+// share of a gateway depends on the number of gateways. If one request each would exceed the limit,
+// a hash selects the gateways that send. It does no I/O and reads no clock.
 package quota
 
 import (
@@ -12,28 +12,30 @@
 )
 
 const (
-	// transitTime extends a limit's window for a gateway's own requests: the limit applies to
+	// transitTime extends the window of a limit for a gateway's own requests: the limit applies to
 	// arrivals, and connections differ in latency.
 	transitTime = 250 * time.Millisecond
-	// safePart is the part of the limit that all gateways together use. Gateways that have just
+	// usablePart is the part of the limit that all gateways together use. Gateways that have just
 	// started may not be counted yet.
-	safePart = 0.9
-	// deviations keeps the total of a random draw below the limit.
+	usablePart = 0.9
+	// deviations is the distance of the limit from the expected number of selected gateways in
+	// standard deviations.
 	deviations = 5.5
-	// drawTime is how long a draw holds under a limit without an end.
-	drawTime = 10 * time.Second
-	// useKept is how long requests are counted; it exceeds every window.
-	useKept = 5 * time.Second
+	// drawInterval is how long a selection is valid for long-lived limits.
+	drawInterval = 10 * time.Second
+	// usageRetention is how long requests are counted; it exceeds every window.
+	usageRetention = 5 * time.Second
 )
 
-// Limit is the rate limit of a server. The zero value is no limit.
+// Limit is the rate limit of a server. The zero value is unlimited.
 type Limit struct {
 	// PerSecond is the rate in requests per second for all gateways together.
 	PerSecond float64
-	// MaxInWindow bounds the arrivals within any Window; at least one.
+	// MaxInWindow bounds the arrivals within any Window; at least 1.
 	MaxInWindow float64
 	Window      time.Duration
-	// LongLived limits may hold for long, so that the gateways that send are drawn repeatedly.
+	// LongLived is set for limits without a known end. Their gateways are selected anew every
+	// drawInterval.
 	LongLived bool
 }
 
@@ -42,39 +44,39 @@
 
 // share is one gateway's share of a limit.
 type share struct {
-	// chance is the probability that a gateway sends anything.
-	chance float64
-	// most bounds the requests of a gateway that sends within the window, gap is the least
-	// time between two.
-	most int
-	gap  time.Duration
+	// probability is the probability that a gateway may send at all.
+	probability float64
+	// maxInWindow bounds the requests of a selected gateway within the window, minInterval is the
+	// minimum time between two of them.
+	maxInWindow int
+	minInterval time.Duration
 }
 
 // shareOf divides a limit among a number of gateways.
 func (li Limit) shareOf(gateways int) share {
 	n := float64(max(1, gateways))
-	if n <= safePart*li.MaxInWindow {
-		return share{chance: 1, most: int(safePart * li.MaxInWindow / n), gap: li.gap(n)}
+	if n <= usablePart*li.MaxInWindow {
+		return share{probability: 1, maxInWindow: int(usablePart * li.MaxInWindow / n), minInterval: li.minInterval(n)}
 	}
-	// One request of each drawn gateway: drawn + deviations * sqrt(drawn) = Most.
+	// Each selected gateway sends one request: selected + deviations * sqrt(selected) = MaxInWindow.
 	root := (math.Sqrt(deviations*deviations+4*li.MaxInWindow) - deviations) / 2
-	drawn := root * root
+	selected := root * root
 	if li.LongLived {
-		// Gateways start their draws at different times, so that a window overlaps two draws.
-		drawn /= 1 + li.span().Seconds()/drawTime.Seconds()
+		// The intervals of gateways are offset, so that a window overlaps two selections.
+		selected /= 1 + li.span().Seconds()/drawInterval.Seconds()
 	}
-	return share{chance: drawn / n, most: 1, gap: li.gap(drawn)}
+	return share{probability: selected / n, maxInWindow: 1, minInterval: li.minInterval(selected)}
 }
 
-// gap returns the least time between two requests of one of a number of gateways.
-func (li Limit) gap(gateways float64) time.Duration {
+// minInterval returns the minimum time between two requests of one of a number of gateways.
+func (li Limit) minInterval(gateways float64) time.Duration {
 	return time.Duration(gateways / li.PerSecond * float64(time.Second))
 }
 
-// span is the time for which a gateway's own requests count.
+// span returns the time for which a gateway's own requests count.
 func (li Limit) span() time.Duration { return li.Window + transitTime }
 
-// Usage holds the requests that one gateway sent to one server. The zero value is empty.
+// Usage holds the times of the requests from one gateway to one server. The zero value is empty.
 type Usage struct {
 	// sent holds the times of recent requests, oldest first.
 	sent []time.Time
@@ -82,24 +84,24 @@
 
 // Add records that a request is sent.
 func (us *Usage) Add(now time.Time) {
-	for len(us.sent) > 0 && now.Sub(us.sent[0]) >= useKept {
+	for len(us.sent) > 0 && now.Sub(us.sent[0]) >= usageRetention {
 		us.sent = us.sent[1:]
 	}
 	us.sent = append(us.sent, now)
 }
 
-// Since returns how long ago the newest request was sent, useKept if none counts.
+// Since returns the time since the latest request, usageRetention if there is none.
 func (us *Usage) Since(now time.Time) time.Duration {
 	if len(us.sent) == 0 {
-		return useKept
+		return usageRetention
 	}
 	return now.Sub(us.sent[len(us.sent)-1])
 }
 
-// Idle reports whether no request counts any longer.
-func (us *Usage) Idle(now time.Time) bool { return us.Since(now) >= useKept }
+// Idle reports whether all requests have expired.
+func (us *Usage) Idle(now time.Time) bool { return us.Since(now) >= usageRetention }
 
-// within counts the requests sent within a span.
+// within counts the requests within a time span before now.
 func (us *Usage) within(span time.Duration, now time.Time) int {
 	n := 0
 	for i := len(us.sent) - 1; i >= 0 && now.Sub(us.sent[i]) < span; i-- {
@@ -110,22 +112,21 @@
 
 // Gateway identifies a gateway that shares a limit.
 type Gateway struct {
-	// Box is its name, by which gateways are drawn.
+	// Box is its name, by which gateways are selected.
 	Box string
-	// FleetSize is the number of gateways, estimated from above.
+	// FleetSize is an upper estimate of the number of gateways.
 	FleetSize int
 }
 
-// Wait returns how long a gateway with a use sends nothing to the server of a key, zero if it may send
-// now.
+// Wait returns how long a gateway must not send to the server with a key, zero if it may send now.
 func (li Limit) Wait(us *Usage, gw Gateway, key string, now time.Time) time.Duration {
 	if !li.Enabled() {
 		return 0
 	}
 	sh := li.shareOf(gw.FleetSize)
-	if sh.chance < 1 {
-		lot, next := li.draw(gw.Box, key, now)
-		if lot >= sh.chance {
+	if sh.probability < 1 {
+		value, next := li.draw(gw.Box, key, now)
+		if value >= sh.probability {
 			return next
 		}
 	}
@@ -133,24 +134,25 @@
 	if n == 0 {
 		return 0
 	}
-	wait := us.sent[n-1].Add(sh.gap).Sub(now)
-	if us.within(li.span(), now) >= sh.most {
-		wait = max(wait, us.sent[n-sh.most].Add(li.span()).Sub(now))
+	wait := us.sent[n-1].Add(sh.minInterval).Sub(now)
+	if us.within(li.span(), now) >= sh.maxInWindow {
+		wait = max(wait, us.sent[n-sh.maxInWindow].Add(li.span()).Sub(now))
 	}
 	return max(0, wait)
 }
 
-// draw returns a number from 0 to 1 for a gateway and a server, and how long until the next draw.
-func (li Limit) draw(box, key string, now time.Time) (lot float64, next time.Duration) {
+// draw returns a pseudorandom number in [0, 1) for a gateway and a server, and how long it is
+// valid.
+func (li Limit) draw(box, key string, now time.Time) (value float64, next time.Duration) {
 	seed := xxhash.Sum64String(box + "\x00" + key)
 	if !li.LongLived {
 		return unit(seed), li.span()
 	}
-	at := uint64(now.UnixNano()) + seed%uint64(drawTime)
-	turn := binary.LittleEndian.AppendUint64(nil, seed)
-	turn = binary.LittleEndian.AppendUint64(turn, at/uint64(drawTime))
-	return unit(xxhash.Sum64(turn)), drawTime - time.Duration(at%uint64(drawTime))
+	at := uint64(now.UnixNano()) + seed%uint64(drawInterval)
+	input := binary.LittleEndian.AppendUint64(nil, seed)
+	input = binary.LittleEndian.AppendUint64(input, at/uint64(drawInterval))
+	return unit(xxhash.Sum64(input)), drawInterval - time.Duration(at%uint64(drawInterval))
 }
 
-// unit maps a hash to a number from 0 to 1.
+// unit maps a hash to [0, 1).
 func unit(hash uint64) float64 { return float64(hash>>11) / (1 << 53) }
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -13,122 +13,121 @@
 
 var t0 = time.Unix(1000, 0)
 
-// usual is what the servers of the users' sites bear while they are cold.
-var usual = Limit{PerSecond: 14, MaxInWindow: 26, Window: time.Second}
+// typicalLimit is the limit of a cold server on the users' sites.
+var typicalLimit = Limit{PerSecond: 14, MaxInWindow: 26, Window: time.Second}
 
-// A gateway that has just started has heard of few others.
-func TestAGatewayThatHasJustStartedTakesNextToNothing(t *testing.T) {
+// A gateway that has just started knows few others and must assume a large fleet.
+func TestFleetEstimateIsAnUpperBound(t *testing.T) {
 	var fl Fleet
 	fl.Observe(1, t0)
-	require.Equal(t, presumed, fl.Estimate(t0.Add(time.Second)))
+	require.Equal(t, assumedGateways, fl.Estimate(t0.Add(time.Second)))
 	fl.Observe(23, t0.Add(2*time.Second))
 	require.Equal(t, 23, fl.Estimate(t0.Add(settleTime)))
 	fl.Observe(8, t0.Add(10*time.Second))
-	require.Equal(t, 23, fl.Estimate(t0.Add(10*time.Second)), "a data centre that is cut off is still there")
+	require.Equal(t, 23, fl.Estimate(t0.Add(10*time.Second)), "gateways of a partitioned data centre still count")
 	fl.Observe(8, t0.Add(16*time.Second))
 	fl.Observe(8, t0.Add(29*time.Second))
 	require.Equal(t, 23, fl.Estimate(t0.Add(29*time.Second)))
 	fl.Observe(8, t0.Add(32*time.Second))
 	require.Equal(t, 8, fl.Estimate(t0.Add(32*time.Second)))
-	require.Equal(t, 1, (&Fleet{began: t0}).Estimate(t0.Add(time.Minute)), "alone")
+	require.Equal(t, 1, (&Fleet{firstObserved: t0}).Estimate(t0.Add(time.Minute)), "a single gateway")
 }
 
-// player decides for one gateway whether it sends to a cold server.
-type player interface {
+// strategy decides for each gateway whether it sends to a cold server.
+type strategy interface {
 	allows(gateway, server int, now time.Time) bool
 	sent(gateway, server int, now time.Time)
 }
 
-// drawn is what this package does.
-type drawn struct {
+// selection is the strategy of this package.
+type selection struct {
 	uses     [][]Usage
 	gateways int
 }
 
-func newDrawn(gateways, servers int) *drawn {
-	dr := &drawn{uses: make([][]Usage, gateways), gateways: gateways}
-	for i := range dr.uses {
-		dr.uses[i] = make([]Usage, servers)
+func newSelection(gateways, servers int) *selection {
+	se := &selection{uses: make([][]Usage, gateways), gateways: gateways}
+	for i := range se.uses {
+		se.uses[i] = make([]Usage, servers)
 	}
-	return dr
+	return se
 }
 
-func (dr *drawn) allows(gateway, server int, now time.Time) bool {
-	gw := Gateway{Box: fmt.Sprint("box-", gateway), FleetSize: dr.gateways}
-	return usual.Wait(&dr.uses[gateway][server], gw, fmt.Sprint("server-", server), now) == 0
+func (se *selection) allows(gateway, server int, now time.Time) bool {
+	gw := Gateway{Box: fmt.Sprint("box-", gateway), FleetSize: se.gateways}
+	return typicalLimit.Wait(&se.uses[gateway][server], gw, fmt.Sprint("server-", server), now) == 0
 }
 
-func (dr *drawn) sent(gateway, server int, now time.Time) { dr.uses[gateway][server].Add(now) }
+func (se *selection) sent(gateway, server int, now time.Time) { se.uses[gateway][server].Add(now) }
 
-// parted gives each gateway an equal part and at least one request a second; with one
-// gateway in the sum it is the naive way, in which each takes all.
-type parted struct {
+// equalParts gives each gateway an equal part and at least one request per second. With one gateway
+// it gives the full limit to each.
+type equalParts struct {
 	gateways int
 	log      map[[2]int][]time.Time
 }
 
-func (pa *parted) allows(gateway, server int, now time.Time) bool {
-	log := pa.log[[2]int{gateway, server}]
+func (ep *equalParts) allows(gateway, server int, now time.Time) bool {
+	log := ep.log[[2]int{gateway, server}]
 	log = slices.DeleteFunc(log, func(at time.Time) bool { return now.Sub(at) >= time.Second })
-	pa.log[[2]int{gateway, server}] = log
-	return len(log) < max(1, int(usual.PerSecond)/pa.gateways)
+	ep.log[[2]int{gateway, server}] = log
+	return len(log) < max(1, int(typicalLimit.PerSecond)/ep.gateways)
 }
 
-func (pa *parted) sent(gateway, server int, now time.Time) {
+func (ep *equalParts) sent(gateway, server int, now time.Time) {
 	key := [2]int{gateway, server}
-	pa.log[key] = append(pa.log[key], now)
+	ep.log[key] = append(ep.log[key], now)
 }
 
-// lent lets each gateway send as long as those of which it has heard leave room: reports
-// come a fifth of a second late. thinned lets each send only with the chance at which all
-// together would fill the room.
-type lent struct {
-	gateways int
-	thinned  bool
-	rn       *rand.Rand
-	log      map[int][]lentSend
+// reportedUse lets each gateway send while the requests reported by the others, 0.2 s late, leave
+// room. With randomized set, a gateway sends only with the probability at which all gateways
+// together use that room.
+type reportedUse struct {
+	gateways   int
+	randomized bool
+	rn         *rand.Rand
+	log        map[int][]reportedRequest
 }
 
-type lentSend struct {
+type reportedRequest struct {
 	gateway int
 	at      time.Time
 }
 
-func (le *lent) allows(gateway, server int, now time.Time) bool {
+func (ru *reportedUse) allows(gateway, server int, now time.Time) bool {
 	known := 0
-	for _, se := range le.log[server] {
-		age := now.Sub(se.at)
-		if age < time.Second+200*time.Millisecond && (se.gateway == gateway || age >= 200*time.Millisecond) {
+	for _, re := range ru.log[server] {
+		age := now.Sub(re.at)
+		if age < time.Second+200*time.Millisecond && (re.gateway == gateway || age >= 200*time.Millisecond) {
 			known++
 		}
 	}
-	room := usual.PerSecond - float64(known)
-	if !le.thinned {
+	room := typicalLimit.PerSecond - float64(known)
+	if !ru.randomized {
 		return room >= 1
 	}
-	return le.rn.Float64() < room/float64(le.gateways)
+	return ru.rn.Float64() < room/float64(ru.gateways)
 }
 
-func (le *lent) sent(gateway, server int, now time.Time) {
-	le.log[server] = append(le.log[server], lentSend{gateway, now})
+func (ru *reportedUse) sent(gateway, server int, now time.Time) {
+	ru.log[server] = append(ru.log[server], reportedRequest{gateway, now})
 }
 
-// played is what came of it.
-type played struct {
-	// most is the most that reached a server within a second.
+// result is the result of a simulation.
+type result struct {
+	// most is the maximum number of arrivals at a server within a second.
 	most int
-	// used is the part of the servers' rate that was used.
+	// used is the used part of the servers' total rate.
 	used float64
 }
 
-// play lets requests for cold servers come at so many times what these bear, a part of them
-// at once, and counts what arrives. Each request tries three servers, as pool.Pick finds
-// another one for it.
-func play(pl player, gateways, servers int, demand float64, rn *rand.Rand) played {
+// simulate sends requests for cold servers at demand times their rate, a quarter of them at the
+// start, and counts the arrivals. Each request tries up to three servers, as pool.Pick does.
+func simulate(st strategy, gateways, servers int, demand float64, rn *rand.Rand) result {
 	const span = 3 * time.Second
 	arrived := make([][]time.Duration, servers)
-	wanted := int(demand * usual.PerSecond * float64(servers) * span.Seconds())
-	times := make([]time.Duration, wanted)
+	requests := int(demand * typicalLimit.PerSecond * float64(servers) * span.Seconds())
+	times := make([]time.Duration, requests)
 	for i := range times {
 		if i%4 == 0 {
 			times[i] = 0
@@ -141,19 +140,19 @@
 		gateway := rn.IntN(gateways)
 		for range 3 {
 			server := rn.IntN(servers)
-			if !pl.allows(gateway, server, t0.Add(at)) {
+			if !st.allows(gateway, server, t0.Add(at)) {
 				continue
 			}
-			pl.sent(gateway, server, t0.Add(at))
-			way := time.Duration(rn.Int64N(int64(10 * time.Millisecond)))
+			st.sent(gateway, server, t0.Add(at))
+			transit := time.Duration(rn.Int64N(int64(10 * time.Millisecond)))
 			if rn.IntN(20) == 0 {
-				way += time.Duration(rn.Int64N(int64(200 * time.Millisecond)))
+				transit += time.Duration(rn.Int64N(int64(200 * time.Millisecond)))
 			}
-			arrived[server] = append(arrived[server], at+way)
+			arrived[server] = append(arrived[server], at+transit)
 			break
 		}
 	}
-	var out played
+	var out result
 	all := 0
 	for _, list := range arrived {
 		slices.Sort(list)
@@ -163,78 +162,78 @@
 			out.most = max(out.most, i-first+1)
 		}
 	}
-	out.used = float64(all) / (usual.PerSecond * float64(servers) * span.Seconds())
+	out.used = float64(all) / (typicalLimit.PerSecond * float64(servers) * span.Seconds())
 	return out
 }
 
-// The table of docs/design/warmup.md.
-func TestTheBoundHoldsForAllGatewaysTogether(t *testing.T) {
+// The table in docs/design/warmup.md.
+func TestLimitHoldsForAllGatewaysTogether(t *testing.T) {
 	const servers = 14
 	for _, gateways := range []int{1, 4, 23, 103, 300} {
 		rn := rand.New(rand.NewPCG(1, uint64(gateways)))
 		for _, demand := range []float64{1, 6} {
-			worst := map[string]played{}
+			worst := map[string]result{}
 			for range 6 {
-				for _, way := range []struct {
-					name   string
-					player player
+				for _, tc := range []struct {
+					name     string
+					strategy strategy
 				}{
-					{"drawn", newDrawn(gateways, servers)},
-					{"naive", &parted{gateways: 1, log: map[[2]int][]time.Time{}}},
-					{"parted", &parted{gateways: gateways, log: map[[2]int][]time.Time{}}},
-					{"lent", &lent{gateways: gateways, log: map[int][]lentSend{}}},
-					{"lent by chances", &lent{gateways: gateways, thinned: true, rn: rn, log: map[int][]lentSend{}}},
+					{"selection", newSelection(gateways, servers)},
+					{"full limit each", &equalParts{gateways: 1, log: map[[2]int][]time.Time{}}},
+					{"equal parts", &equalParts{gateways: gateways, log: map[[2]int][]time.Time{}}},
+					{"reported use", &reportedUse{gateways: gateways, log: map[int][]reportedRequest{}}},
+					{"reported use, randomized", &reportedUse{gateways: gateways, randomized: true, rn: rn, log: map[int][]reportedRequest{}}},
 				} {
-					out := play(way.player, gateways, servers, demand, rn)
-					wo := worst[way.name]
-					worst[way.name] = played{max(wo.most, out.most), wo.used + out.used/6}
+					out := simulate(tc.strategy, gateways, servers, demand, rn)
+					wo := worst[tc.name]
+					worst[tc.name] = result{max(wo.most, out.most), wo.used + out.used/6}
 				}
 			}
 			t.Logf("%d gateways, %v times the rate: %+v", gateways, demand, worst)
-			require.LessOrEqual(t, worst["drawn"].most, int(usual.MaxInWindow), "%d gateways", gateways)
+			require.LessOrEqual(t, worst["selection"].most, int(typicalLimit.MaxInWindow), "%d gateways", gateways)
 			if gateways >= 23 && demand > 1 {
-				require.Greater(t, worst["naive"].most, int(usual.MaxInWindow))
+				require.Greater(t, worst["full limit each"].most, int(typicalLimit.MaxInWindow))
 			}
-			if gateways > int(usual.MaxInWindow) && demand > 1 {
-				require.Greater(t, worst["parted"].most, int(usual.MaxInWindow))
-				require.Greater(t, worst["lent"].most, int(usual.MaxInWindow))
+			if gateways > int(typicalLimit.MaxInWindow) && demand > 1 {
+				require.Greater(t, worst["equal parts"].most, int(typicalLimit.MaxInWindow))
+				require.Greater(t, worst["reported use"].most, int(typicalLimit.MaxInWindow))
 			}
 		}
 	}
 }
 
-// Gateways that were not counted yet, and some more than were known, stay within the bound.
-func TestTheBoundHoldsBesideGatewaysThatWereNotCounted(t *testing.T) {
+// Uncounted gateways, up to 10 % of the known number, must not cause the limit to be exceeded.
+func TestLimitHoldsWithUncountedGateways(t *testing.T) {
 	rn := rand.New(rand.NewPCG(3, 4))
 	for _, known := range []int{4, 20, 23, 60, 103, 300} {
-		dr := newDrawn(known+known/10, 14)
-		dr.gateways = known
-		require.LessOrEqual(t, play(dr, len(dr.uses), 14, 6, rn).most, int(usual.MaxInWindow), known)
+		se := newSelection(known+known/10, 14)
+		se.gateways = known
+		require.LessOrEqual(t, simulate(se, len(se.uses), 14, 6, rn).most, int(typicalLimit.MaxInWindow), known)
 	}
 }
 
-// The chance that more gateways are drawn for a server than the bound allows.
-func TestHowOftenTooManyAreDrawn(t *testing.T) {
+// The number of gateways selected for a server must exceed the limit very rarely.
+func TestSelectionRarelyExceedsTheLimit(t *testing.T) {
 	for _, gateways := range []int{30, 103, 410} {
-		sh := usual.shareOf(gateways)
+		sh := typicalLimit.shareOf(gateways)
 		over := 0
 		const servers = 4_000
 		for s := range servers {
-			drawn := 0
+			selected := 0
 			for g := range gateways {
-				if lot, _ := usual.draw(fmt.Sprint(g), fmt.Sprint(s), t0); lot < sh.chance {
-					drawn++
+				if value, _ := typicalLimit.draw(fmt.Sprint(g), fmt.Sprint(s), t0); value < sh.probability {
+					selected++
 				}
 			}
-			if drawn > int(usual.MaxInWindow) {
+			if selected > int(typicalLimit.MaxInWindow) {
 				over++
 			}
 		}
 		require.LessOrEqual(t, over, 1, gateways)
-		require.Equal(t, 1, sh.most)
-		require.InDelta(t, 9.3, sh.chance*float64(gateways), 0.2)
+		require.Equal(t, 1, sh.maxInWindow)
+		require.InDelta(t, 9.3, sh.probability*float64(gateways), 0.2)
 	}
-	require.Equal(t, 1.0, usual.shareOf(23).chance)
-	require.InDelta(t, 23.0/14, usual.shareOf(23).gap.Seconds(), 1e-6)
-	require.False(t, math.IsNaN(usual.shareOf(0).chance))
+	require.Equal(t, 1.0, typicalLimit.shareOf(23).probability)
+	require.InDelta(t, 23.0/14, typicalLimit.shareOf(23).minInterval.Seconds(), 1e-6)
+	require.False(t, math.IsNaN(typicalLimit.shareOf(0).probability))
 }
--- a/internal/selfreport/selfreport.go
+++ b/internal/selfreport/selfreport.go
@@ -17,8 +17,8 @@
 // headerRetryAfter is the standard header, in seconds or as a date; seconds may have fractions.
 const headerRetryAfter = "Retry-After"
 
-// longestPause bounds the pause that a server may ask for; a longer one is cut to it.
-const longestPause = time.Hour
+// maxPause bounds the pause that a server may ask for; a longer one is cut to it.
+const maxPause = time.Hour
 
 // Headers names the headers by which servers report, besides Retry-After.
 type Headers struct {
@@ -76,13 +76,13 @@
 		return 0, nil
 	}
 	if at, err := http.ParseTime(text); err == nil {
-		return min(longestPause, max(0, at.Sub(now))), nil
+		return min(maxPause, max(0, at.Sub(now))), nil
 	}
 	sec, err := strconv.ParseFloat(text, 64)
 	if err != nil || math.IsNaN(sec) || math.IsInf(sec, 0) || sec < 0 {
 		return 0, eris.Errorf("%s: %.40q is neither seconds nor a date", headerRetryAfter, text)
 	}
-	return time.Duration(min(longestPause.Seconds(), sec) * float64(time.Second)), nil
+	return time.Duration(min(maxPause.Seconds(), sec) * float64(time.Second)), nil
 }
 
 // parseFlag reads a header that is set or not.
--- a/internal/selfreport/selfreport_test.go
+++ b/internal/selfreport/selfreport_test.go
@@ -40,9 +40,9 @@
 
 func TestPausesAreSecondsOrDates(t *testing.T) {
 	for text, want := range map[string]time.Duration{
-		"2.5": 2500 * time.Millisecond, " 3 ": 3 * time.Second, "0": 0, "86400": longestPause,
+		"2.5": 2500 * time.Millisecond, " 3 ": 3 * time.Second, "0": 0, "86400": maxPause,
 		"Fri, 02 Jan 2026 03:04:15 GMT": 10 * time.Second, "Fri, 02 Jan 2026 03:04:00 GMT": 0,
-		"Sat, 03 Jan 2026 03:04:05 GMT": longestPause,
+		"Sat, 03 Jan 2026 03:04:05 GMT": maxPause,
 	} {
 		re := decode(http.StatusServiceUnavailable, "Retry-After", text)
 		require.NoError(t, re.Err, text)
@@ -70,7 +70,7 @@
 	f.Fuzz(func(t *testing.T, status int, pause, limit, leaving string) {
 		re := headers.Decode(status, http.Header{"Retry-After": {pause}, "X-Limit": {limit}, "X-Leaving": {leaving}}, now)
 		require.GreaterOrEqual(t, re.RetryAfter, time.Duration(0))
-		require.LessOrEqual(t, re.RetryAfter, longestPause)
+		require.LessOrEqual(t, re.RetryAfter, maxPause)
 		if re.Limit != nil {
 			require.GreaterOrEqual(t, *re.Limit, 0.0)
 		}
--- a/internal/warmup/warmup.go
+++ b/internal/warmup/warmup.go
@@ -1,6 +1,6 @@
-// Package warmup limits the requests to cold backend servers: for some seconds after a start a server
-// handles only a part of its usual load. The limit applies to all gateways together. It does no I/O
-// and reads no clock.
+// Package warmup limits the requests to cold backend servers: for some seconds after its start a
+// server handles only a part of its usual load. The limit applies to all gateways together. It does
+// no I/O and reads no clock.
 package warmup
 
 import (
@@ -14,22 +14,22 @@
 
 // server is the state of one cold server.
 type server struct {
-	// until is when it is warm.
+	// until is when the server is warm.
 	until time.Time
-	// use holds the requests sent to it while it was cold.
-	use quota.Usage
+	// usage holds the requests sent to the server while it was cold.
+	usage quota.Usage
 }
 
-// Tracker holds the cold servers and the requests sent to them, by the key of a server's life. The zero
-// value is empty. It is not safe for concurrent use.
+// Tracker holds the cold servers and the requests sent to them, by the key of the server instance.
+// The zero value is empty. It is not safe for concurrent use.
 type Tracker struct {
 	servers map[string]*server
 }
 
-// MarkCold records that a server is cold for a duration. A time reported before is never shortened, since
-// reports may arrive out of order. It reports whether the server was warm.
-func (tr *Tracker) MarkCold(key string, left time.Duration, now time.Time) (cooled bool) {
-	if left <= 0 {
+// MarkCold records that a server is cold for a duration. A time reported before is never shortened,
+// since reports may arrive out of order. It reports whether the server was not known to be cold.
+func (tr *Tracker) MarkCold(key string, remaining time.Duration, now time.Time) (added bool) {
+	if remaining <= 0 {
 		return false
 	}
 	if tr.servers == nil {
@@ -39,15 +39,15 @@
 	if se == nil {
 		se = &server{}
 		tr.servers[key] = se
-		cooled = true
+		added = true
 	}
-	if until := now.Add(left); until.After(se.until) {
+	if until := now.Add(remaining); until.After(se.until) {
 		se.until = until
 	}
-	return cooled
+	return added
 }
 
-// Remaining returns how long a server stays cold, zero if it is warm.
+// Remaining returns how long a server remains cold, zero if it is warm.
 func (tr *Tracker) Remaining(key string, now time.Time) time.Duration {
 	if se := tr.servers[key]; se != nil {
 		return max(0, se.until.Sub(now))
@@ -55,26 +55,26 @@
 	return 0
 }
 
-// Wait returns how long a gateway sends nothing to a server, zero if it may send now.
+// Wait returns how long a gateway must not send to a server, zero if it may send now.
 func (tr *Tracker) Wait(key string, li quota.Limit, gw quota.Gateway, now time.Time) time.Duration {
 	se := tr.servers[key]
 	if se == nil || !now.Before(se.until) {
 		return 0
 	}
-	return min(li.Wait(&se.use, gw, key, now), se.until.Sub(now))
+	return min(li.Wait(&se.usage, gw, key, now), se.until.Sub(now))
 }
 
 // RecordSent records that a request is sent to a server.
 func (tr *Tracker) RecordSent(key string, now time.Time) {
 	if se := tr.servers[key]; se != nil && now.Before(se.until) {
-		se.use.Add(now)
+		se.usage.Add(now)
 	}
 }
 
-// Forget drops a server.
+// Forget removes a server.
 func (tr *Tracker) Forget(key string) { delete(tr.servers, key) }
 
-// Tick drops the servers that became warm and returns them.
+// Tick removes and returns the servers that became warm.
 func (tr *Tracker) Tick(now time.Time) (warm []string) {
 	for key, se := range tr.servers {
 		if !now.Before(se.until) {
