--- a/internal/backpressure/backpressure.go
+++ b/internal/backpressure/backpressure.go
@@ -1,6 +1,7 @@
-// Package backpressure tracks what backend servers accept, from what they report in their answers:
-// rate limits, which all gateways share, and pauses, which a server asks of one process. Gateways
-// tell each other, since each sees its own answers only. It does no I/O and reads no clock.
+// Package backpressure tracks the load that backend servers accept, as reported in their answers:
+// rate limits, which apply to all gateways together, and pauses, which a server requests from one
+// process. Gateways exchange these reports, since each sees only the answers to its own requests.
+// The package does no I/O and reads no clock.
 package backpressure
 
 import (
@@ -12,66 +13,69 @@
 )
 
 const (
-	// window is the span over which a rate limit is enforced. A shorter span would hold less
-	// than one request at common limits of 1 to 3 per second.
+	// window is the time over which a rate limit is enforced. With less, the window would contain
+	// less than one request at common limits of 1 to 3 per second.
 	window = 4 * time.Second
-	// burstFactor and extra bound the arrivals within a window: rate * burstFactor + extra. Gateways
-	// aim at the rate itself.
+	// burstFactor and burstOffset bound the arrivals within a window: rate * window * burstFactor +
+	// burstOffset. Gateways aim at the rate itself.
 	burstFactor = 1.5
-	burstOffset   = 5
-	// minRate is the rate in requests per second at which a server with a lower limit is
-	// still called. Only an answer can raise the limit again.
+	burstOffset = 5
+	// minRate is the rate in requests per second at which a server with a lower limit is still
+	// called, since only an answer can raise the limit again.
 	minRate = 0.1
 	// silentAfter is how long a limited server may send no answer before it is preferred.
 	silentAfter = 2 * time.Second
-	// rateTolerance is the relative difference below which a new rate is not logged or propagated:
-	// servers may compute it anew for each answer.
+	// rateTolerance is the relative difference up to which a new rate is neither logged nor
+	// propagated: servers may recompute it for each answer.
 	rateTolerance = 0.1
-	// unlistedRetention is how long the limit of a server without an entry is kept since the server
-	// last reported it: the entry may reappear.
+	// unlistedRetention is how long the limit of a server without an entry is retained after the
+	// server last reported it, since the entry may reappear.
 	unlistedRetention = 10 * time.Minute
 )
 
-// Change says what an update changed.
+// Change is the effect of an update.
 type Change string
 
 // The changes.
 const (
 	Unchanged Change = ""
-	// Limited: the server started to report a rate limit, or changed it.
+	// Limited means that the server started to report a rate limit, or changed it.
 	Limited Change = "limited"
-	// Unlimited: the server no longer reports a rate limit.
+	// Unlimited means that the server no longer reports a rate limit.
 	Unlimited Change = "unlimited"
 )
 
-// reportedLimit is the last rate limit that a server reported.
+// reportedLimit is the latest rate limit that a server reported.
 type reportedLimit struct {
-	// perSecond is the rate in requests per second for all gateways together, announced the
-	// one that was logged and propagated last.
+	// perSecond is the rate in requests per second for all gateways together, announced the last
+	// rate that was logged and propagated.
 	perSecond, announced float64
-	// since is when this gateway learned of the limit, sent what it has sent since.
+	// since is when this gateway received the limit, sent the number of requests that it has sent
+	// since.
 	since time.Time
 	sent  int
 }
 
-// Tracker holds the rate limits of backend servers and the requests sent to them, by the key of a
-// server's life. The zero value is empty. It is not safe for concurrent use.
+// Tracker holds the rate limits of backend servers and the requests sent to them, by the key of the
+// server instance. The zero value is empty. It is not safe for concurrent use.
 type Tracker struct {
 	limits map[string]*reportedLimit
-	// uses holds the requests sent to all servers: those sent just before a limit count as well.
+	// uses holds the requests sent to all servers, since those sent shortly before a limit was
+	// reported count too.
 	uses map[string]*quota.Usage
-	// reported is when each server reported its limit, or the end of one.
+	// reported is when each server last reported its limit or the end of one.
 	reported map[string]time.Time
 	// facts holds the servers whose limits are propagated.
 	facts gossip.FactSet
 }
 
-// Report applies what a server reports in an answer: a rate in requests per second, nil for no limit.
+// Report applies the limit reported in an answer: a rate in requests per second, nil for no limit.
 func (tr *Tracker) Report(key string, perSecond *float64, now time.Time) Change {
 	return tr.apply(key, update{perSecond: perSecond, at: now}, now)
 }
 
-// update is a limit as a server reported it at a time, and how many gateways it passed since.
+// update is a limit with the time at which the server reported it and the number of gateways that
+// it has passed.
 type update struct {
 	perSecond *float64
 	at        time.Time
@@ -120,7 +124,7 @@
 	return 0, false
 }
 
-// Silent reports whether a limited server neither answered nor was called for a while.
+// Silent reports whether a limited server has neither answered nor been called for silentAfter.
 func (tr *Tracker) Silent(key string, now time.Time) bool {
 	if tr.limits[key] == nil || now.Sub(tr.reported[key]) < silentAfter {
 		return false
@@ -139,14 +143,14 @@
 	return time.Duration(float64(time.Second) / max(minRate, li.perSecond)), true
 }
 
-// quotaFor returns the quota of a server with a rate limit.
+// quotaFor returns the quota for a rate limit.
 func quotaFor(perSecond float64) quota.Limit {
 	return quota.Limit{
 		PerSecond: max(minRate, perSecond), MaxInWindow: burstFactor*perSecond*window.Seconds() + burstOffset, Window: window, LongLived: true,
 	}
 }
 
-// Wait returns how long a gateway sends nothing to a server, zero if it may send now.
+// Wait returns how long a gateway must not send to a server, zero if it may send now.
 func (tr *Tracker) Wait(key string, gw quota.Gateway, now time.Time) time.Duration {
 	li := tr.limits[key]
 	if li == nil {
@@ -175,16 +179,16 @@
 	}
 }
 
-// LimitUsage returns how many requests this gateway has sent to a server since it learned of its limit, and
-// how long ago that was; both are zero if the server has none.
-func (tr *Tracker) LimitUsage(key string, now time.Time) (sent int, lasts time.Duration) {
+// LimitUsage returns how many requests this gateway has sent to a server since it received the
+// limit, and the time since then; both are zero if the server has no limit.
+func (tr *Tracker) LimitUsage(key string, now time.Time) (sent int, elapsed time.Duration) {
 	if li := tr.limits[key]; li != nil {
 		return li.sent, now.Sub(li.since)
 	}
 	return 0, 0
 }
 
-// Forget drops a server whose life has ended.
+// Forget removes a server instance that has ended.
 func (tr *Tracker) Forget(key string) {
 	delete(tr.limits, key)
 	delete(tr.uses, key)
@@ -192,7 +196,7 @@
 	tr.facts.Forget(key)
 }
 
-// Tick drops expired state. listed reports whether a server has an entry.
+// Tick removes expired state. listed reports whether a server has an entry.
 func (tr *Tracker) Tick(listed func(key string) bool, now time.Time) {
 	tr.facts.Tick(now)
 	for key, us := range tr.uses {
--- a/internal/backpressure/backpressure_test.go
+++ b/internal/backpressure/backpressure_test.go
@@ -14,9 +14,9 @@
 
 var t0 = time.Unix(1000, 0)
 
-func rate(r float64) *float64 { return &r }
+func rate(perSecond float64) *float64 { return &perSecond }
 
-func TestALimitHoldsUntilAnAnswerNamesNone(t *testing.T) {
+func TestLimitAppliesUntilAnAnswerReportsNone(t *testing.T) {
 	var tr Tracker
 	require.Equal(t, Unchanged, tr.Report("a", nil, t0))
 	require.Equal(t, Limited, tr.Report("a", rate(2), t0))
@@ -32,64 +32,64 @@
 	require.False(t, ok)
 }
 
-func TestTheUseOfALimitIsCounted(t *testing.T) {
+func TestLimitUsageCountsRequests(t *testing.T) {
 	var tr Tracker
 	tr.RecordSent("a", t0)
 	tr.Report("a", rate(2), t0)
 	tr.RecordSent("a", t0)
 	tr.RecordSent("a", t0)
-	sent, lasts := tr.LimitUsage("a", t0.Add(time.Second))
+	sent, elapsed := tr.LimitUsage("a", t0.Add(time.Second))
 	require.Equal(t, 2, sent)
-	require.Equal(t, time.Second, lasts)
+	require.Equal(t, time.Second, elapsed)
 	tr.Forget("a")
-	sent, lasts = tr.LimitUsage("a", t0)
+	sent, elapsed = tr.LimitUsage("a", t0)
 	require.Zero(t, sent)
-	require.Zero(t, lasts)
+	require.Zero(t, elapsed)
 }
 
 var (
-	alone = quota.Gateway{Box: "a", FleetSize: 1}
-	four  = quota.Gateway{Box: "a", FleetSize: 4}
+	onlyGateway = quota.Gateway{Box: "a", FleetSize: 1}
+	oneOfFour   = quota.Gateway{Box: "a", FleetSize: 4}
 )
 
-// What was sent just before a server names its limit counts: a server in need is left alone at
-// once.
-func TestWhatWasSentBeforeCounts(t *testing.T) {
+// Requests sent shortly before a server reports its limit count, so that an overloaded server gets
+// no more requests at once.
+func TestRequestsBeforeTheLimitCount(t *testing.T) {
 	var tr Tracker
 	for i := range 6 {
 		tr.RecordSent("a", t0.Add(time.Duration(i)*100*time.Millisecond))
 	}
 	now := t0.Add(600 * time.Millisecond)
-	require.Zero(t, tr.Wait("a", four, now))
+	require.Zero(t, tr.Wait("a", oneOfFour, now))
 	tr.Report("a", rate(1.6), now)
-	require.Greater(t, tr.Wait("a", four, now), 3*time.Second)
-	require.Zero(t, tr.Wait("b", four, now))
+	require.Greater(t, tr.Wait("a", oneOfFour, now), 3*time.Second)
+	require.Zero(t, tr.Wait("b", oneOfFour, now))
 }
 
-func TestTheRateIsKeptTo(t *testing.T) {
+func TestRateIsNotExceeded(t *testing.T) {
 	var tr Tracker
 	tr.Report("a", rate(2), t0)
 	sent := 0
 	for now := t0; now.Before(t0.Add(20 * time.Second)); now = now.Add(10 * time.Millisecond) {
-		if tr.Wait("a", alone, now) == 0 {
+		if tr.Wait("a", onlyGateway, now) == 0 {
 			tr.RecordSent("a", now)
 			sent++
 		}
 	}
 	require.InDelta(t, 40, sent, 1)
-	sent, lasts := tr.LimitUsage("a", t0.Add(20*time.Second))
+	sent, elapsed := tr.LimitUsage("a", t0.Add(20*time.Second))
 	require.InDelta(t, 40, sent, 1)
-	require.Equal(t, 20*time.Second, lasts)
+	require.Equal(t, 20*time.Second, elapsed)
 }
 
-// A server that takes nothing is asked from time to time, or it could never say that it takes
-// more again.
-func TestAServerThatTakesNothingIsAskedSeldom(t *testing.T) {
+// A server with a limit of zero is still called at times, since it could not raise its limit
+// otherwise.
+func TestServerWithLimitZeroIsCalledRarely(t *testing.T) {
 	var tr Tracker
 	tr.Report("a", rate(0), t0)
 	sent := 0
 	for now := t0; now.Before(t0.Add(time.Minute)); now = now.Add(100 * time.Millisecond) {
-		if tr.Wait("a", alone, now) == 0 {
+		if tr.Wait("a", onlyGateway, now) == 0 {
 			tr.RecordSent("a", now)
 			sent++
 		}
@@ -97,21 +97,21 @@
 	require.Equal(t, 6, sent)
 }
 
-func TestASilentServerIsAskedFirst(t *testing.T) {
+func TestSilent(t *testing.T) {
 	var tr Tracker
-	require.False(t, tr.Silent("a", t0), "it names no limit")
+	require.False(t, tr.Silent("a", t0), "the server has no limit")
 	tr.Report("a", rate(2), t0)
 	require.False(t, tr.Silent("a", t0.Add(time.Second)))
 	require.True(t, tr.Silent("a", t0.Add(silentAfter)))
 	tr.RecordSent("a", t0.Add(silentAfter))
-	require.False(t, tr.Silent("a", t0.Add(silentAfter+time.Second)), "it was just asked")
+	require.False(t, tr.Silent("a", t0.Add(silentAfter+time.Second)), "the server was just called")
 	tr.Report("a", rate(2), t0.Add(silentAfter+time.Second))
 	require.False(t, tr.Silent("a", t0.Add(2*silentAfter)))
 }
 
-// carry passes a tracker's news on to another one.
-func carry(from, to *Tracker, by gossip.Direction, now time.Time) (changes int) {
-	for _, no := range from.Notices(by, now) {
+// propagate sends the notices of one tracker to another and returns the number of changes.
+func propagate(from, to *Tracker, di gossip.Direction, now time.Time) (changes int) {
+	for _, no := range from.Notices(di, now) {
 		if to.Receive(no, now) != Unchanged {
 			changes++
 		}
@@ -119,24 +119,24 @@
 	return changes
 }
 
-func TestGatewaysTellEachOther(t *testing.T) {
+func TestLimitsArePropagated(t *testing.T) {
 	var first, collector, other, last Tracker
 	first.Report("a", rate(2), t0)
 	now := t0.Add(100 * time.Millisecond)
-	require.Equal(t, 1, carry(&first, &collector, gossip.ToCollector, now))
-	require.Equal(t, 1, carry(&collector, &other, gossip.BetweenCollectors, now))
-	require.Zero(t, carry(&other, &collector, gossip.BetweenCollectors, now), "no word goes round")
-	require.Equal(t, 1, carry(&other, &last, gossip.ToMember, now))
+	require.Equal(t, 1, propagate(&first, &collector, gossip.ToCollector, now))
+	require.Equal(t, 1, propagate(&collector, &other, gossip.BetweenCollectors, now))
+	require.Zero(t, propagate(&other, &collector, gossip.BetweenCollectors, now), "notices do not circulate")
+	require.Equal(t, 1, propagate(&other, &last, gossip.ToMember, now))
 	require.Empty(t, last.Notices(gossip.ToCollector, now))
-	require.Zero(t, carry(&first, &collector, gossip.ToCollector, now), "told once more")
+	require.Zero(t, propagate(&first, &collector, gossip.ToCollector, now), "the same notice again")
 	_, ok := last.PerSecond("a")
 	require.True(t, ok)
 
-	// It ends, and a word from before its end comes late.
+	// The limit ends, and a notice from before its end arrives late.
 	late := first.Notices(gossip.ToCollector, now)
 	require.Equal(t, Unlimited, first.Report("a", nil, now.Add(300*time.Millisecond)))
 	now = now.Add(400 * time.Millisecond)
-	require.Equal(t, 1, carry(&first, &collector, gossip.ToCollector, now))
+	require.Equal(t, 1, propagate(&first, &collector, gossip.ToCollector, now))
 	late[0].Age = 500 * time.Millisecond
 	require.Equal(t, Unchanged, collector.Receive(late[0], now))
 	_, ok = collector.PerSecond("a")
@@ -144,10 +144,10 @@
 
 	collector.Tick(func(string) bool { return true }, now.Add(gossip.FactLifetime))
 	require.Empty(t, collector.Notices(gossip.ToMember, now.Add(gossip.FactLifetime)))
-	require.Empty(t, collector.reported, "nothing is left of it")
+	require.Empty(t, collector.reported, "no state remains")
 }
 
-func TestWhatCanBeNoNoticeChangesNothing(t *testing.T) {
+func TestInvalidNoticesAreIgnored(t *testing.T) {
 	var tr Tracker
 	nan := math.NaN()
 	for _, no := range []Notice{
@@ -166,7 +166,7 @@
 	require.Len(t, tr.Notices(gossip.ToCollector, t0), gossip.MaxFactsPerReport)
 }
 
-func TestLimitsOfServersThatAreNotListedEnd(t *testing.T) {
+func TestLimitsOfUnlistedServersExpire(t *testing.T) {
 	var tr Tracker
 	now := time.Unix(1000, 0)
 	rate := 2.0
--- a/internal/backpressure/pause.go
+++ b/internal/backpressure/pause.go
@@ -3,21 +3,21 @@
 import "time"
 
 const (
-	// probeTimeout is how long the request that probes a server after its pause may go without
-	// an answer before another one probes.
+	// probeTimeout is how long a probe of a server after its pause may remain unanswered before
+	// another request probes it.
 	probeTimeout = 2 * time.Second
-	// recoveryTimeout is how long after its pause a server that accepted nothing is probed.
+	// recoveryTimeout is how long a server that has accepted no request is probed after its pause.
 	recoveryTimeout = 10 * time.Second
-	// minExtension is the least extension of a known pause that is propagated: processes learn of
-	// the same overload one after the other.
+	// minExtension is the minimum extension of a known pause that is propagated, since processes
+	// detect the same overload at different times.
 	minExtension = 500 * time.Millisecond
 	// minBackoff is how long a server is avoided after a rejection without a pause. Each further
-	// rejection in a row doubles it, up to longestBackoff.
-	minBackoff   = 250 * time.Millisecond
+	// consecutive rejection doubles it, up to maxBackoff.
+	minBackoff = 250 * time.Millisecond
 	maxBackoff = 2 * time.Second
 )
 
-// pause is the newest pause that a server asked for.
+// pause is the latest pause that a server requested.
 type pause struct {
 	until time.Time
 	// sent counts the requests sent during the pause.
@@ -26,57 +26,59 @@
 	ended bool
 	// probedAt is when a request was last sent after the pause; zero if none was.
 	probedAt time.Time
-	// remoteUntil is when the pauses are over that the server asked other processes for.
+	// remoteUntil is when the pauses end that the server requested from other processes.
 	remoteUntil time.Time
-	// backoff is how long the server was avoided since its newest rejection without a pause,
-	// avoided when that is over; both are zero once it accepted a request.
-	backoff time.Duration
+	// backoff is how long the server is avoided after its latest rejection without a pause,
+	// avoidedUntil the end of that time. Both are zero once the server accepted a request.
+	backoff      time.Duration
 	avoidedUntil time.Time
 }
 
-// Pauses tracks the backend servers that asked for a pause. One that asked this process gets nothing
-// until the pause is over, and is then probed by one request at a time until it accepts one, since it
-// may reject all of them. One that asked another process is avoided meanwhile. The zero value knows
-// of none. It is not safe for concurrent use.
+// Pauses tracks the backend servers that requested a pause. A server that requested it from this
+// process receives no requests until the pause ends. Afterwards it is probed with one request at a
+// time until it accepts one, since it may still be overloaded. A server that requested a pause from
+// another process is avoided during it. The zero value is empty. It is not safe for concurrent use.
 type Pauses struct{ servers map[string]*pause }
 
-// Begin records that a server wants no requests from this process for a duration. A pause is never
-// shortened. It reports whether the server was not paused before.
-func (pa *Pauses) Begin(key string, lasts time.Duration, now time.Time) bool {
+// Begin records that a server requests a pause from this process. A pause is never shortened. Begin
+// reports whether the server was not paused before.
+func (pa *Pauses) Begin(key string, duration time.Duration, now time.Time) bool {
 	se := pa.server(key)
 	began := !now.Before(se.until)
 	if began {
 		*se = pause{remoteUntil: se.remoteUntil}
 	}
-	if until := now.Add(lasts); until.After(se.until) {
+	if until := now.Add(duration); until.After(se.until) {
 		se.until = until
 	}
 	return began
 }
 
-// RecordRejected records that a server rejected a request without asking for a pause. The server is avoided
-// for a moment. RecordRejected reports whether that is long enough to be propagated.
+// RecordRejected records that a server rejected a request without requesting a pause. The server is
+// avoided for the backoff time. RecordRejected reports whether that time is long enough to be
+// propagated.
 func (pa *Pauses) RecordRejected(key string, now time.Time) bool {
 	se := pa.server(key)
 	if now.Before(se.avoidedUntil) {
-		return false // it was sent before the rejection that counts already
+		return false // sent before the rejection that started the backoff
 	}
 	se.backoff = min(max(minBackoff, 2*se.backoff), maxBackoff)
 	se.avoidedUntil, se.probedAt = now.Add(se.backoff), time.Time{}
 	return se.backoff >= minExtension
 }
 
-// RecordRemote records that a server asked another process for a pause. It reports whether that is news.
-func (pa *Pauses) RecordRemote(key string, left time.Duration, now time.Time) bool {
-	if left-pa.Remaining(key, now) < minExtension {
+// RecordRemote records that a server requested a pause from another process. It reports whether
+// that extends the known pause sufficiently to be propagated.
+func (pa *Pauses) RecordRemote(key string, remaining time.Duration, now time.Time) bool {
+	if remaining-pa.Remaining(key, now) < minExtension {
 		return false
 	}
-	pa.server(key).remoteUntil = now.Add(left)
+	pa.server(key).remoteUntil = now.Add(remaining)
 	return true
 }
 
-// Remaining returns how long a server wants no requests from this process or another one, as far as
-// is known, zero if it accepts them.
+// Remaining returns how long a server is known to accept no requests from this or another process,
+// zero if it accepts them.
 func (pa *Pauses) Remaining(key string, now time.Time) time.Duration {
 	se := pa.servers[key]
 	if se == nil {
@@ -97,7 +99,8 @@
 	return se
 }
 
-// LocalRemaining returns how long a server still wants no requests, zero if it accepts them.
+// LocalRemaining returns how long a server accepts no requests from this process, zero if it
+// accepts them.
 func (pa *Pauses) LocalRemaining(key string, now time.Time) time.Duration {
 	if se := pa.servers[key]; se != nil {
 		return max(0, se.until.Sub(now))
@@ -105,12 +108,12 @@
 	return 0
 }
 
-// Any reports whether any server is paused or was just before.
+// Any reports whether any server is or recently was paused.
 func (pa *Pauses) Any() bool { return len(pa.servers) > 0 }
 
-// Avoid reports whether a server should only be used if there is no other: it has accepted nothing
-// since its pause, or asked another process for one. probe is set if a request may probe it all the
-// same.
+// Avoid reports whether a server should be used only if there is no other: it has accepted no
+// request since its pause, is in a backoff, or requested a pause from another process. probe is set
+// if a request may probe it nevertheless.
 func (pa *Pauses) Avoid(key string, now time.Time) (avoid, probe bool) {
 	se := pa.servers[key]
 	switch {
@@ -143,14 +146,14 @@
 	}
 }
 
-// EndedPause is a pause that is over.
+// EndedPause is a pause that has ended.
 type EndedPause struct {
 	Server string
 	// Sent is how many requests were sent to the server during it.
 	Sent int
 }
 
-// Tick returns the pauses that ended since it was last called, and drops what is no longer needed.
+// Tick returns the pauses that ended since the last call, and removes expired state.
 func (pa *Pauses) Tick(now time.Time) []EndedPause {
 	var ended []EndedPause
 	for key, se := range pa.servers {
--- a/internal/selfreport/selfreport.go
+++ b/internal/selfreport/selfreport.go
@@ -1,6 +1,6 @@
-// Package selfreport decodes what a backend server reports about itself in the head of an answer,
-// whatever the answer says about the request: a rate limit, a pause, its shutdown. It does no I/O
-// and reads no clock.
+// Package selfreport decodes what a backend server reports about itself in the header of an answer,
+// independent of the result of the request: a rate limit, a pause, its shutdown. It does no I/O and
+// reads no clock.
 package selfreport
 
 import (
@@ -14,36 +14,37 @@
 	"github.com/rotisserie/eris"
 )
 
-// headerRetryAfter is the standard header, in seconds or as a date; seconds may have fractions.
+// headerRetryAfter is the standard header, a number of seconds or a date. Fractions of seconds are
+// accepted.
 const headerRetryAfter = "Retry-After"
 
-// maxPause bounds the pause that a server may ask for; a longer one is cut to it.
+// maxPause limits the pause that a server may request; longer pauses are truncated.
 const maxPause = time.Hour
 
-// Headers names the headers by which servers report, besides Retry-After.
+// Headers holds the names of the headers by which servers report, in addition to Retry-After.
 type Headers struct {
 	// Limit holds a rate in requests per second.
 	Limit string
-	// Leaving is set by a server that shuts down; any value but 0 counts.
+	// Leaving is set by a server that is shutting down; any value except 0 counts.
 	Leaving string
 }
 
-// Report is what one answer reports. Its fields are exported because it is data without behaviour.
+// Report is the decoded report of one answer.
 type Report struct {
-	// Limit is the rate in requests per second that the server accepts from everybody together;
-	// nil if it reports none or Err is set.
+	// Limit is the rate in requests per second that the server accepts from all clients together;
+	// nil if it reports none or the header is invalid.
 	Limit *float64
-	// RetryAfter is how long the server wants no requests from this process; zero if it did
-	// not ask for a pause.
+	// RetryAfter is how long the server accepts no requests from this process; zero if it did not
+	// request a pause.
 	RetryAfter time.Duration
-	// Leaving is set once the server shuts down. It stays set until its process ends.
+	// Leaving is set once the server is shutting down. It remains set until its process ends.
 	Leaving bool
-	// Err says which headers could not be read. What was known of them stays in force.
+	// Err names the invalid headers. Values known from earlier reports remain in effect.
 	Err error
 }
 
-// Decode returns what an answer with a status reports. now is the time of day, which a pause that
-// ends at a date is counted from.
+// Decode decodes the report of an answer with a status. now is the time of day, used for a pause
+// that ends at a date.
 func (he Headers) Decode(status int, header http.Header, now time.Time) Report {
 	var re Report
 	var errLimit, errPause error
@@ -57,19 +58,19 @@
 	return re
 }
 
-// parseRate reads a rate in requests per second, nil for none.
+// parseRate parses a rate in requests per second; nil if there is none.
 func parseRate(name, text string) (*float64, error) {
 	if text == "" {
-		return nil, nil //nolint:nilnil // there is none
+		return nil, nil //nolint:nilnil // no rate
 	}
 	rate, err := strconv.ParseFloat(strings.TrimSpace(text), 64)
 	if err != nil || math.IsNaN(rate) || math.IsInf(rate, 0) || rate < 0 {
-		return nil, eris.Errorf("%s: %.40q is no rate", name, text)
+		return nil, eris.Errorf("%s: %.40q is not a valid rate", name, text)
 	}
 	return &rate, nil
 }
 
-// parseRetryAfter reads a pause, zero for none.
+// parseRetryAfter parses a pause; zero if there is none.
 func parseRetryAfter(text string, now time.Time) (time.Duration, error) {
 	text = strings.TrimSpace(text)
 	if text == "" {
@@ -85,7 +86,7 @@
 	return time.Duration(min(maxPause.Seconds(), sec) * float64(time.Second)), nil
 }
 
-// parseFlag reads a header that is set or not.
+// parseFlag parses a header that is a flag.
 func parseFlag(text string) bool {
 	text = strings.TrimSpace(text)
 	return text != "" && text != "0"
--- a/internal/selfreport/selfreport_test.go
+++ b/internal/selfreport/selfreport_test.go
@@ -21,7 +21,7 @@
 	return headers.Decode(status, header, now)
 }
 
-func TestEachHeaderIsDecoded(t *testing.T) {
+func TestHeadersAreDecoded(t *testing.T) {
 	require.Equal(t, Report{}, decode(http.StatusOK))
 	rate := 1.5
 	require.Equal(t, Report{Limit: &rate, Leaving: true}, decode(http.StatusOK, "X-Limit", "1.5", "X-Leaving", "1"))
@@ -29,7 +29,7 @@
 	require.False(t, decode(http.StatusOK, "X-Leaving", "0").Leaving)
 }
 
-func TestOnlyRejectionsAskForAPause(t *testing.T) {
+func TestOnlyRejectionsRequestAPause(t *testing.T) {
 	for status, want := range map[int]time.Duration{
 		http.StatusServiceUnavailable: 3 * time.Second, http.StatusTooManyRequests: 3 * time.Second,
 		http.StatusOK: 0, http.StatusInternalServerError: 0, http.StatusMovedPermanently: 0,
@@ -50,7 +50,7 @@
 	}
 }
 
-func TestUnreadableHeadersAreNamed(t *testing.T) {
+func TestErrorsNameInvalidHeaders(t *testing.T) {
 	for _, text := range []string{"soon", "-1", "NaN", "1,5", "+Inf"} {
 		re := decode(http.StatusServiceUnavailable, "Retry-After", text, "X-Leaving", "1", "X-Limit", "2")
 		require.ErrorContains(t, re.Err, "Retry-After", text)
