--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -78,7 +78,7 @@
 	// mu guards what follows. It may be taken while the node's lock is held,
 	// so nothing under it may call what takes the node's lock.
 	mu      sync.Mutex
-	board   balance.Board
+	board   balance.Balancer
 	view    member.View
 	budgets budget.Teams
 	ledger  bill.Ledger
@@ -105,7 +105,7 @@
 	// homesOf ranks the agents for each claim log.
 	homesOf [claim.Shards][]string
 	// cases holds what agents suspect of requests, blocks those that are not to be sent.
-	cases  poison.Cases
+	cases  poison.Detector
 	blocks poison.Blocks
 	// unwritten is set if a block was lifted that may still be kept.
 	unwritten bool
@@ -141,7 +141,7 @@
 
 func (en *Entry) prepare() {
 	se := en.Node.Settings
-	en.board = balance.Board{DataCentre: se.DataCentre}
+	en.board = balance.Balancer{DataCentre: se.DataCentre}
 	en.view = member.View{Self: se.Box}
 	en.budgets = budget.Teams{Ratio: se.Limits.RetryRatio}
 	en.ledger = bill.Ledger{Bound: se.Limits.Bills, Every: billRepeat, Spare: spareBills}
@@ -153,7 +153,7 @@
 	en.attempts = map[uint64]*sentAttempt{}
 	en.learnt = newLearnt()
 	en.claims = map[string][]chan wire.ClaimLine{}
-	en.cases = poison.Cases{Ends: poison.FewestEnds}
+	en.cases = poison.Detector{MinCrashes: poison.MinCrashes}
 	en.Node.Adopted = en.adopted
 }
 
@@ -185,7 +185,7 @@
 	fr := &wire.Frame{Kind: wire.Beat, Revision: en.Node.Snapshot().Revision(), Bills: en.told(li.Peer.Box())}
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	fr.Prints = en.blocks.Prints()
+	fr.Prints = en.blocks.Fingerprints()
 	return fr
 }
 
@@ -196,7 +196,7 @@
 	}
 	if fr.Load != nil {
 		en.mu.Lock()
-		en.board.Load(en.serverOf[li.Peer.Box()], *fr.Load)
+		en.board.SetLoad(en.serverOf[li.Peer.Box()], *fr.Load)
 		for _, ou := range fr.Load.Versions {
 			en.learnt.count(li.Peer.Box(), ou.Version, rollout.Tally{Started: ou.Started, Failed: ou.Failed})
 		}
@@ -280,7 +280,7 @@
 	defer pi.en.mu.Unlock()
 	server, ok := pi.en.board.Pick(what, tried, rand.Uint64())
 	if ok {
-		pi.en.board.Sent(server)
+		pi.en.board.AttemptSent(server)
 	}
 	return server, ok
 }
@@ -289,5 +289,5 @@
 func (pi pick) Take(now time.Time) bool {
 	pi.en.mu.Lock()
 	defer pi.en.mu.Unlock()
-	return pi.en.budgets.Of(pi.team).Take(now)
+	return pi.en.budgets.For(pi.team).Take(now)
 }
--- a/internal/gateway/attempt_test.go
+++ b/internal/gateway/attempt_test.go
@@ -9,20 +9,20 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A timer that fires just after the head came must not cut the answer that is
+// A head timer that fires just after the response arrived must not cancel the response while it is
 // being delivered.
-func TestAnAnswerThatCameIsNotGivenUp(t *testing.T) {
+func TestLateTimerDoesNotCancelAResponse(t *testing.T) {
 	ga := &Gateway{Log: zerolog.Nop()}
 	ga.prepare()
 	ctx, cancel := context.WithCancel(t.Context())
-	se := &sent{ex: &exchange{ga: ga}, began: time.Now(), cancel: cancel}
-	require.True(t, se.settled.CompareAndSwap(false, true), "the head came")
-	se.impatient()
-	se.giveUp(false)
+	se := &attemptState{ex: &exchange{ga: ga}, began: time.Now(), cancel: cancel}
+	require.True(t, se.headDecided.CompareAndSwap(false, true), "the response has arrived")
+	se.onSoftDeadline()
+	se.abandon(false)
 	require.NoError(t, ctx.Err())
 
-	late := &sent{ex: &exchange{ga: ga}, began: time.Now(), cancel: cancel}
-	late.impatient()
-	require.Error(t, ctx.Err(), "one without a head is")
-	require.True(t, late.silent.Load())
+	late := &attemptState{ex: &exchange{ga: ga}, began: time.Now(), cancel: cancel}
+	late.onSoftDeadline()
+	require.Error(t, ctx.Err(), "an attempt without a response is cancelled")
+	require.True(t, late.serverSilent.Load())
 }
--- a/internal/gateway/follow.go
+++ b/internal/gateway/follow.go
@@ -16,160 +16,160 @@
 )
 
 const (
-	// watchMost is the longest wait of a watch. Each answer confirms the configuration, and each
-	// call has a price.
-	watchMost = 1500 * time.Millisecond
-	// watchRoot is that of a root: its state reaches others over two hops, and beyond denyAge they
-	// can't reject unknown keys any more.
-	watchRoot = time.Second
-	// watchLeast is the shortest wait of a watch.
-	watchLeast = pauseLeast
-	// gather is the pause after changes, so that those that follow come with one call.
-	gather = 300 * time.Millisecond
-	// mostUnseen is how long watches may miss changes: an order that a whole read shows for the
-	// first time may be as old.
-	mostUnseen = time.Second
-	// pauseLeast and pauseMost bound the pause between two calls to a service that does not
-	// answer; pauseLong bounds it in a longer outage, since other gateways report its return.
-	pauseLeast = 100 * time.Millisecond
-	pauseMost  = 400 * time.Millisecond
-	pauseLong  = time.Second
-	// pausePart is the longest pause in a longer outage, as a part of its length.
-	pausePart = 0.2
-	// watcherPause is the pause after a watcher failed. In an outage of the service watchers answer
-	// at once that their state is out of date.
-	watcherPause = pauseLeast
+	// maxWatchWait is the longest wait of a watch. Each response confirms the configuration, and each
+	// call has a cost.
+	maxWatchWait = 1500 * time.Millisecond
+	// rootWatchWait is the longest wait of a watch by a root. Its state reaches other gateways over two
+	// hops, and beyond denyAge they can no longer reject unknown keys.
+	rootWatchWait = time.Second
+	// minWatchWait is the shortest wait of a watch.
+	minWatchWait = minRetryPause
+	// changeBatchPause is the pause after changes, so that the changes that follow arrive in one call.
+	changeBatchPause = 300 * time.Millisecond
+	// maxMissedChangeAge is how long watches may miss changes. An order that a complete read returns for
+	// the first time may be that old.
+	maxMissedChangeAge = time.Second
+	// minRetryPause and maxRetryPause bound the pause between two calls to a service that does not
+	// answer. maxOutagePause bounds it in a longer outage, since other gateways report that the service
+	// answers again.
+	minRetryPause  = 100 * time.Millisecond
+	maxRetryPause  = 400 * time.Millisecond
+	maxOutagePause = time.Second
+	// outagePauseRatio is the longest pause in a longer outage as a part of the outage's duration.
+	outagePauseRatio = 0.2
+	// watcherRetryPause is the pause after a watcher failed. In an outage of the service, watchers
+	// answer immediately that their state is out of date.
+	watcherRetryPause = minRetryPause
 )
 
-// follow keeps the state up to date: it reads everything, then watches, and
-// reads again when the history has gone.
-func (ga *Gateway) follow(ctx context.Context) {
-	defer ga.relayed.Close()
+// syncState keeps the state up to date. It reads the complete state, then watches for changes, and
+// reads again when the history is not available.
+func (ga *Gateway) syncState(ctx context.Context) {
+	defer ga.relayClient.Close()
 	for ctx.Err() == nil {
 		at, err := ga.readState(ctx)
 		if err != nil {
-			ga.lost(ctx, err)
+			ga.storeFailed(ctx, err)
 			continue
 		}
 		ga.watch(ctx, at)
 	}
 }
 
-// watch takes changes as they come, until the history has gone.
+// watch applies changes as they arrive until the history is not available.
 func (ga *Gateway) watch(ctx context.Context, after revision.Revision) {
 	for ctx.Err() == nil {
-		next, err := ga.receive(ctx, after)
+		next, err := ga.receiveChanges(ctx, after)
 		switch {
-		case errors.Is(err, ErrHistoryGone):
+		case errors.Is(err, ErrHistoryUnavailable):
 			ga.Log.Warn().Int("event", int(event.HistoryGone)).Stringer("revision", after).Msg(event.Name(event.HistoryGone))
 			return
 		case err != nil:
-			ga.lost(ctx, err)
+			ga.storeFailed(ctx, err)
 		default:
 			after = next
 		}
 	}
 }
 
-// receive waits once for changes after a revision, and returns the revision to go on
-// from. A watcher that fails is not asked again for a while; one whose history does not reach back
-// is asked again after a call to the service.
-func (ga *Gateway) receive(ctx context.Context, after revision.Revision) (revision.Revision, error) {
+// receiveChanges waits once for changes after a revision and returns the revision to continue from.
+// A watcher that fails is not asked again for a while. A watcher whose history does not go back far
+// enough is asked again after one call to the service.
+func (ga *Gateway) receiveChanges(ctx context.Context, after revision.Revision) (revision.Revision, error) {
 	wa, ok := ga.watcher(clock.Now())
 	if !ok {
 		return ga.watchService(ctx, after, ga.watchWait(clock.Now()))
 	}
-	next, err := ga.ask(ctx, after)
+	next, err := ga.requestUpdates(ctx, after)
 	if err == nil || ctx.Err() != nil {
 		return next, nil
 	}
-	if errors.Is(err, errUnknown) && ga.mayCatchUp(clock.Now()) {
-		return ga.watchService(ctx, after, watchLeast)
+	if errors.Is(err, errWatcherHistory) && ga.mayCatchUp(clock.Now()) {
+		return ga.watchService(ctx, after, minWatchWait)
 	}
-	ga.leaveWatcher(wa, err)
-	sleep(ctx, watcherPause)
+	ga.watcherFailed(wa, err)
+	sleep(ctx, watcherRetryPause)
 	return next, nil
 }
 
 // watchService waits once for changes from the key-value service.
 func (ga *Gateway) watchService(ctx context.Context, after revision.Revision, wait time.Duration) (revision.Revision, error) {
 	sent := clock.Now()
-	st, err := ga.Source.Watch(ctx, after, wait)
+	st, err := ga.Store.Watch(ctx, after, wait)
 	if err != nil {
 		return after, err
 	}
-	if err := ga.continues(st.Revision, after, clock.Now()); err != nil {
+	if err := ga.checkContinuity(st.Revision, after, clock.Now()); err != nil {
 		return after, err
 	}
-	ga.apply(st, sent, wait, clock.Now())
+	ga.applyWatch(st, sent, wait, clock.Now())
 	if len(st.Changes) > 0 {
-		sleep(ctx, gather)
+		sleep(ctx, changeBatchPause)
 	}
 	return st.Revision, nil
 }
 
-// continues returns nil if changes up to a revision are all that followed another one, and
-// ErrHistoryGone if the service was restored in between: what was written since then may have
-// revisions that have been seen before.
-func (ga *Gateway) continues(to, after revision.Revision, now time.Time) error {
+// checkContinuity returns nil if the changes up to a revision are complete since another one, and
+// ErrHistoryUnavailable if the service was restored in between: changes written since the restore
+// may reuse revisions that have already been seen.
+func (ga *Gateway) checkContinuity(to, after revision.Revision, now time.Time) error {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
 	switch {
-	case !ga.eras.Accept(to.Era, now):
+	case !ga.eraGuard.Accept(to.Era, now):
 		return errOlderEra
 	case to.Era != after.Era:
-		return ErrHistoryGone
+		return ErrHistoryUnavailable
 	}
 	return nil
 }
 
-// watchWait returns how long a watch waits, so that keys can be accepted all the
-// while: the older the configuration may be, the sooner it must be confirmed.
+// watchWait returns how long a watch waits. The older the configuration, the sooner it has to be
+// confirmed, so that keys are accepted without interruption.
 func (ga *Gateway) watchWait(now time.Time) time.Duration {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
-	most := watchMost
-	if ga.plan.Root(ga.memberList()) {
-		most = watchRoot
+	longest := maxWatchWait
+	if ga.relayPlan.IsRoot(ga.memberList()) {
+		longest = rootWatchWait
 	}
-	if ga.Bounds.Revoke == 0 {
-		return most
+	if ga.Bounds.MaxConfigAge == 0 {
+		return longest
 	}
-	left := ga.Bounds.oldest() - ga.fresh.Age(now)
-	return min(most, max(watchLeast, left/2))
+	left := ga.Bounds.keyAcceptanceAge() - ga.freshness.Age(now)
+	return min(longest, max(minWatchWait, left/2))
 }
 
-// lost records a failed call and waits for a while.
-func (ga *Gateway) lost(ctx context.Context, why error) {
+// storeFailed records a failed call to the service and pauses.
+func (ga *Gateway) storeFailed(ctx context.Context, cause error) {
 	if ctx.Err() != nil {
 		return
 	}
 	ga.mu.Lock()
-	was := ga.fresh.Failed()
-	ga.plan.ServiceFailed(clock.Now())
-	ga.servers.StoreLost()
-	age, began := ga.fresh.Age(clock.Now()), !ga.fresh.Known()
+	wasConnected := ga.freshness.Failed()
+	ga.relayPlan.ServiceFailed(clock.Now())
+	ga.servers.StoreUnavailable()
+	age, neverRead := ga.freshness.Age(clock.Now()), !ga.freshness.Known()
 	ga.mu.Unlock()
 	storeFailures.Inc()
-	if was {
-		ga.Log.Warn().Int("event", int(event.StoreLost)).Dur("age_ms", age).Err(why).Msg(event.Name(event.StoreLost))
+	if wasConnected {
+		ga.Log.Warn().Int("event", int(event.StoreLost)).Dur("age_ms", age).Err(cause).Msg(event.Name(event.StoreLost))
 	}
-	most := min(pauseLong, max(pauseMost, time.Duration(pausePart*float64(age))))
-	if began {
-		most = pauseMost // no other gateway knows this one and could report the service's return
+	longest := min(maxOutagePause, max(maxRetryPause, time.Duration(outagePauseRatio*float64(age))))
+	if neverRead {
+		longest = maxRetryPause // no other gateway knows this one to report that the service answers again
 	}
-	ga.sleepUntilBack(ctx, pauseLeast+rand.N(most-pauseLeast))
+	ga.awaitStore(ctx, minRetryPause+rand.N(longest-minRetryPause))
 }
 
-// sleepUntilBack waits for a pause, or until another gateway reports that the service answers
-// again.
-func (ga *Gateway) sleepUntilBack(ctx context.Context, pause time.Duration) {
+// awaitStore waits for a pause, or until another gateway reports that the service answers again.
+func (ga *Gateway) awaitStore(ctx context.Context, pause time.Duration) {
 	ti := time.NewTimer(pause)
 	defer ti.Stop()
 	select {
 	case <-ctx.Done():
 	case <-ti.C:
-	case <-ga.back:
+	case <-ga.storeAvailable:
 	}
 }
 
@@ -182,55 +182,55 @@
 	}
 }
 
-// regained records that the service answers again. The lock is held.
-func (ga *Gateway) regained() {
-	ga.servers.StoreBack(clock.Now())
+// storeRecovered records that the service answers again. The lock is held.
+func (ga *Gateway) storeRecovered() {
+	ga.servers.StoreAvailable(clock.Now())
 	ga.Log.Info().Int("event", int(event.StoreRegained)).Msg(event.Name(event.StoreRegained))
 }
 
-// takeRead applies a whole state that was read from the service.
-func (ga *Gateway) takeRead(st State, sent time.Time) error {
+// applyReadState applies a complete state read from the service.
+func (ga *Gateway) applyReadState(st State, sent time.Time) error {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
-	if !ga.eras.Accept(st.Revision.Era, clock.Now()) {
+	if !ga.eraGuard.Accept(st.Revision.Era, clock.Now()) {
 		return errOlderEra
 	}
-	ga.unseen = min(mostUnseen, ga.fresh.Age(clock.Now()))
-	if ga.fresh.Read(sent) {
-		ga.regained()
+	ga.maxChangeAge = min(maxMissedChangeAge, ga.freshness.Age(clock.Now()))
+	if ga.freshness.Read(sent) {
+		ga.storeRecovered()
 	}
-	ga.replace(st)
-	ga.unseen = 0
+	ga.replaceState(st)
+	ga.maxChangeAge = 0
 	return nil
 }
 
-// replace applies a whole state; the lock is held.
-func (ga *Gateway) replace(st State) {
+// replaceState applies a complete state. The lock is held.
+func (ga *Gateway) replaceState(st State) {
 	now := clock.Now()
 	restored := ga.restoredSince(st.Revision, now)
-	listed, evacuated, blocked := map[string]bool{}, map[string]bool{}, map[poison.Print]bool{}
+	listed, evacuated, blocked := map[string]bool{}, map[string]bool{}, map[poison.Fingerprint]bool{}
 	for _, ch := range st.Changes {
 		switch {
 		case ch.Server != nil:
 			listed[ch.Server.ID] = true
-			if restored && ga.revives(*ch.Server, now) {
+			if restored && ga.deferRevived(*ch.Server, now) {
 				continue
 			}
 		case ch.Leaving != "":
-			ga.serverLeaves(ch.Leaving, clock.Now(), gossip.MaxHops, "announced to a watcher")
+			ga.markLeaving(ch.Leaving, clock.Now(), gossip.MaxHops, "announced to a watcher")
 		case ch.Evacuated != "":
 			evacuated[ch.Evacuated] = true
 		case ch.Blocked != nil:
-			blocked[ch.Blocked.Print] = true
+			blocked[ch.Blocked.Fingerprint] = true
 		}
-		ga.change(ch)
+		ga.applyChange(ch)
 	}
-	ga.keepServers(listed, restored, now)
+	ga.reconcileServers(listed, restored, now)
 	if restored {
-		ga.losePhases(st)
+		ga.markPhasesLost(st)
 	}
-	ga.keepEvacuated(evacuated, restored, now)
-	ga.liftOthers(blocked, restored, now)
+	ga.reconcileEvacuations(evacuated, restored, now)
+	ga.reconcileBlocks(blocked, restored, now)
 	ga.history.Reset(st.Revision)
 	ga.replaceMembers(st, restored, now)
 	ga.stateRead = true
@@ -238,29 +238,30 @@
 		Int("servers", len(listed)).Msg(event.Name(event.StateRead))
 }
 
-// apply applies the answer to a watch that was sent at a time.
-func (ga *Gateway) apply(st State, sent time.Time, wait time.Duration, now time.Time) {
+// applyWatch applies the response to a watch that was sent at the given time.
+func (ga *Gateway) applyWatch(st State, sent time.Time, wait time.Duration, now time.Time) {
 	ba := relay.Batch{To: st.Revision}
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
-	if ga.serves(now) {
-		ba = ga.encode(st)
+	if ga.servesUpdates(now) {
+		ba = ga.encodeBatch(st)
 	}
-	if ga.fresh.Watched(sent, wait, len(st.Changes) == 0, now) {
-		ga.regained()
+	if ga.freshness.Watched(sent, wait, len(st.Changes) == 0, now) {
+		ga.storeRecovered()
 	}
-	ga.takeBatch(st.Changes, ba)
-	ga.noteConfirmed()
+	ga.applyBatch(st.Changes, ba)
+	ga.announceConfirmation()
 }
 
-// takeBatch applies changes, and keeps them as encoded if other gateways may ask this one. A batch
-// that was not encoded is not kept, nor is the history before it. The lock is held.
-func (ga *Gateway) takeBatch(changes []Change, ba relay.Batch) {
+// applyBatch applies changes. It adds them to the history as encoded if other gateways may request
+// changes from this one. If a batch was not encoded, the history is reset, so that it has no gap.
+// The lock is held.
+func (ga *Gateway) applyBatch(changes []Change, ba relay.Batch) {
 	for _, ch := range changes {
-		ga.change(ch)
+		ga.applyChange(ch)
 	}
 	encoded := len(changes) == 0 || len(ba.Data) > 0
-	if encoded && ga.serves(clock.Now()) {
+	if encoded && ga.servesUpdates(clock.Now()) {
 		ga.history.Add(ba)
 	} else {
 		ga.history.Reset(ba.To)
@@ -271,48 +272,48 @@
 	}
 }
 
-// change applies one change; the lock is held.
-func (ga *Gateway) change(ch Change) {
+// applyChange applies one change. The lock is held.
+func (ga *Gateway) applyChange(ch Change) {
 	switch {
 	case ch.Document != nil:
-		ga.adopt(ch.Document)
+		ga.applyConfig(ch.Document)
 	case ch.Server != nil:
 		ga.putServer(*ch.Server, clock.Now())
 	case ch.Gone != "":
-		ga.serverGone(ch.Gone, clock.Now())
+		ga.removeServer(ch.Gone, clock.Now())
 	case ch.Unusable != nil:
-		ga.entryUnusable(*ch.Unusable)
+		ga.dropUnusableServer(*ch.Unusable)
 	case ch.Evacuated != "":
-		ga.lostCentres.Release(ch.Evacuated)
+		ga.missingDataCentres.Release(ch.Evacuated)
 		ga.evacuate(ch.Evacuated)
 	case ch.Restored != "":
-		ga.lostCentres.Release(ch.Restored)
-		ga.restore(ch.Restored, clock.Now())
+		ga.missingDataCentres.Release(ch.Restored)
+		ga.endEvacuation(ch.Restored, clock.Now())
 	case ch.Order != nil:
-		ga.ordered(*ch.Order)
+		ga.applyOrder(*ch.Order)
 	case ch.Phase != nil:
-		ga.stored(*ch.Phase)
+		ga.applyStoredPhase(*ch.Phase)
 	case len(ch.Tallies) > 0:
 		for _, ta := range ch.Tallies {
-			ga.tallied(ta)
+			ga.receiveTally(ta)
 		}
 	case ch.Blocked != nil:
-		ga.takeBlock(*ch.Blocked, true, clock.Now())
+		ga.applyBlock(*ch.Blocked, true, clock.Now())
 	case ch.Unblocked != nil:
-		ga.notKept(*ch.Unblocked)
+		ga.blockRemoved(*ch.Unblocked)
 	case ch.Member != nil:
-		ga.joined(*ch.Member)
+		ga.memberJoined(*ch.Member)
 	case ch.MemberGone != "":
-		ga.left(ch.MemberGone)
+		ga.memberLeft(ch.MemberGone)
 	case ch.Unreadable != nil:
 		ga.Log.Error().Int("event", int(event.ConfigRefused)).Err(ch.Unreadable).Msg(event.Name(event.ConfigRefused))
 	}
 }
 
-// adopt puts a configuration into force if its version is higher. The lock is held.
-func (ga *Gateway) adopt(doc *routing.Document) {
-	held := ga.table.Load().Version()
-	if doc.Version <= held {
+// applyConfig puts a configuration into force if its version is higher. The lock is held.
+func (ga *Gateway) applyConfig(doc *routing.Document) {
+	current := ga.table.Load().Version()
+	if doc.Version <= current {
 		return
 	}
 	ta, err := routing.Compile(*doc)
@@ -322,6 +323,6 @@
 	}
 	ga.table.Store(ta)
 	ga.document = doc
-	ga.Log.Info().Int("event", int(event.ConfigInForce)).Uint64("version", doc.Version).Uint64("version_before", held).
+	ga.Log.Info().Int("event", int(event.ConfigInForce)).Uint64("version", doc.Version).Uint64("version_before", current).
 		Int("routes", len(doc.Routes)).Int("teams", len(doc.Teams)).Msg(event.Name(event.ConfigInForce))
 }
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -14,216 +14,215 @@
 	"github.com/linnetrudder/linnetrudder/internal/routing"
 )
 
-// defaultPatience is how long a caller is served that names no time, where the
-// route sets none either.
-const defaultPatience = 30 * time.Second
+// defaultTimeout is the timeout of a request if neither the caller nor the route names one.
+const defaultTimeout = 30 * time.Second
 
-// expectedTimes is how many times the expected time to a head is taken as usual when attempts are given
-// up.
-const expectedTimes = 2
+// expectedHeadFactor is the multiple of the expected time to the response head up to which an
+// attempt counts as normal and is not abandoned.
+const expectedHeadFactor = 2
 
-// plainAttempts bounds the runs where a route names no bound.
-const plainAttempts = 1
+// defaultMaxRuns is the maximum number of runs if the route names none.
+const defaultMaxRuns = 1
 
-// Serve answers one request.
-func (ga *Gateway) Serve(ctx context.Context, as *Ask, an Responder) {
+// Serve serves one request.
+func (ga *Gateway) Serve(ctx context.Context, rq *Request, rs Responder) {
 	ga.inProgress.Add(1)
 	defer ga.inProgress.Add(-1)
-	ex := &exchange{ga: ga, as: as, an: an, attempts: map[int]*sent{}}
-	if co := ex.admit(as.Received); co != result.OK {
-		ex.refuse(co, "", ex.sooner(co, 0))
+	ex := &exchange{ga: ga, rq: rq, responder: rs, attempts: map[int]*attemptState{}}
+	if co := ex.admit(rq.Received); co != result.OK {
+		ex.writeError(co, "", ex.retryAfter(co, 0))
 		return
 	}
-	if stop := ga.stop.Load(); !stop.takes(ex.route, as.Received) {
-		ex.refuse(result.Leaving, "", ex.sooner(result.Leaving, stop.back(as.Received)))
+	if stop := ga.stop.Load(); !stop.accepts(ex.route, rq.Received) {
+		ex.writeError(result.Leaving, "", ex.retryAfter(result.Leaving, stop.retryAfter(rq.Received)))
 		return
 	}
-	body, err := as.ReadBody()
+	body, err := rq.ReadBody()
 	if err != nil {
-		ex.refuse(codeOf(err), err.Error(), 0)
+		ex.writeError(codeOf(err), err.Error(), 0)
 		return
 	}
 	ex.body = body
-	ex.print = poison.PrintOf(poison.Request{
-		Team: ex.team(), Method: as.Method, Host: as.Host, Target: as.Target, Body: body,
+	ex.fingerprint = poison.FingerprintOf(poison.Request{
+		Team: ex.team(), Method: rq.Method, Host: rq.Host, Target: rq.Target, Body: body,
 	})
 	ctx, cancel := context.WithTimeout(ctx, clock.Until(ex.request.Deadline))
 	defer cancel()
-	ex.awaitVerdict(ctx)
+	ex.awaitTrial(ctx)
 	ex.run(ctx)
 }
 
-// atOnce is the Retry-After of a caller whom another gateway can serve.
-const atOnce = 50 * time.Millisecond
+// immediateRetry is the Retry-After for a caller that another gateway can serve.
+const immediateRetry = 50 * time.Millisecond
 
-// sooner returns the Retry-After of a refusal: at once if only this gateway can't serve the caller and
-// another one reports that it is ready.
-func (ex *exchange) sooner(co result.Code, after time.Duration) time.Duration {
+// retryAfter returns the Retry-After for an error. It is immediateRetry if the error concerns only
+// this gateway and another one reports that it is ready.
+func (ex *exchange) retryAfter(co result.Code, after time.Duration) time.Duration {
 	switch co {
 	case result.StaleConfiguration, result.NoConfiguration, result.Leaving:
-		if ex.ga.elsewhere(ex.as.Received) {
-			return atOnce
+		if ex.ga.otherGatewayReady(ex.rq.Received) {
+			return immediateRetry
 		}
 	}
 	return after
 }
 
-// exchange is one request in progress; one goroutine uses it.
+// exchange is a request in progress. It is used by one goroutine.
 type exchange struct {
-	ga *Gateway
-	as *Ask
-	an Responder
+	ga        *Gateway
+	rq        *Request
+	responder Responder
 
 	table *routing.Table
 	route *routing.Route
-	// holder is the team that holds the caller's key, nil on a public route.
-	holder  *routing.Team
+	// keyTeam is the team that the caller's key belongs to, nil on a public route.
+	keyTeam *routing.Team
 	service string
-	// session groups requests; single is set for one that belongs to none, which
-	// draw then places in a roll-out.
-	session string
-	single  bool
-	draw    float64
-	body    []byte
-	// print is the same for all copies of the request, known once the body is. trial is set if
+	// session groups requests. sessionless is set if the request belongs to none. draw then decides
+	// whether the new version of a roll-out serves it.
+	session     string
+	sessionless bool
+	draw        float64
+	body        []byte
+	// fingerprint identifies equal requests. It is known once the body has been read. trial is set if
 	// the request is sent once although it is blocked.
-	print   poison.Print
-	trial   bool
-	request direct.Request
-	// attempts holds what was sent, by number.
-	attempts map[int]*sent
-	// begun is the version of the server that the first attempt was sent to, known once
-	// there was one.
-	begun string
-	// offer is the server chosen last.
-	offer pool.Offer
-	// choice is what a model was last chosen by, smallest the confidence of the smallest
-	// model's answer.
-	choice   modelChoice
-	smallest int
-	// held is the answer of before an escalation, nil once it is not needed any more.
-	held *heldAnswer
-	// final is the attempt whose answer the caller gets, nil before there is one.
-	final *sent
-	// delivered is the id of the last event that the caller got.
-	delivered string
-	// head is when the head came of the answer that the caller gets first.
-	head time.Time
-	// age is the age of the configuration by which the request was admitted.
-	age time.Duration
+	fingerprint poison.Fingerprint
+	trial       bool
+	request     direct.Request
+	// attempts holds the attempts by number.
+	attempts map[int]*attemptState
+	// firstVersion is the version of the server that received the first attempt, empty before that.
+	firstVersion string
+	// selection is the server that was chosen last.
+	selection pool.Selection
+	// choice describes the last choice of a model. smallestConfidence is the confidence of the smallest
+	// model's response.
+	choice             modelChoice
+	smallestConfidence int
+	// fallback is the response before an escalation, nil once it is not needed any more.
+	fallback *fallbackAnswer
+	// finalAttempt is the attempt whose response the caller receives, nil before there is one.
+	finalAttempt *attemptState
+	// deliveredID is the id of the last event that the caller received.
+	deliveredID string
+	// headAt is when the head of the first delivered response arrived.
+	headAt time.Time
+	// configAge is the age of the configuration when the request was admitted.
+	configAge time.Duration
 }
 
-// admit checks what can be checked by the head of the request.
+// admit checks what can be checked from the head of the request, before its body is read.
 func (ex *exchange) admit(now time.Time) result.Code {
 	ga := ex.ga
 	ex.table = ga.table.Load()
-	ex.age = ga.age(now)
+	ex.configAge = ga.configAge(now)
 	if ex.table == nil {
 		return result.NoConfiguration
 	}
-	ex.route = ex.table.Route(ex.as.Host, ex.as.Path)
+	ex.route = ex.table.Route(ex.rq.Host, ex.rq.Path)
 	if ex.route == nil {
-		return ex.denied(result.UnknownPath)
+		return ex.notFound(result.UnknownPath)
 	}
-	if ex.table.Protected() && !ex.route.Public {
-		if !ga.isFresh(now) {
+	if ex.table.RequiresKeys() && !ex.route.Public {
+		if !ga.acceptsKeys(now) {
 			return result.StaleConfiguration
 		}
-		te := ex.table.TeamByKey(ex.as.Key)
+		te := ex.table.TeamByKey(ex.rq.Key)
 		if te == nil {
-			return ex.denied(result.UnknownKey)
+			return ex.notFound(result.UnknownKey)
 		}
-		ex.holder = te
+		ex.keyTeam = te
 	}
-	ex.prepare()
+	ex.prepareRequest()
 	return result.OK
 }
 
-// team returns the name of the caller's team, "" on a public route.
+// team returns the name of the caller's team, empty on a public route.
 func (ex *exchange) team() string {
-	if ex.holder == nil {
+	if ex.keyTeam == nil {
 		return ""
 	}
-	return ex.holder.Name
+	return ex.keyTeam.Name
 }
 
-// denied returns the code for what the configuration does not hold: with an
-// old configuration that says nothing.
-func (ex *exchange) denied(co result.Code) result.Code {
-	if ex.age > denyAge {
+// notFound returns the code for a route or key that the configuration does not have. With an old
+// configuration the code is StaleConfiguration, since the route or key may have been added since.
+func (ex *exchange) notFound(co result.Code) result.Code {
+	if ex.configAge > denyAge {
 		return result.StaleConfiguration
 	}
 	return co
 }
 
-// prepare fills the request from the route.
-func (ex *exchange) prepare() {
-	as, ro := ex.as, ex.route
-	ex.service = ro.Pick(rand.Float64())
+// prepareRequest fills in the request from its route.
+func (ex *exchange) prepareRequest() {
+	rq, ro := ex.rq, ex.route
+	ex.service = ro.PickService(rand.Float64())
 	ex.draw = rand.Float64()
-	ex.session = as.Session
-	if ex.session == "" && len(as.Prompt) > 0 {
-		ex.session = as.Prompt[len(as.Prompt)-1].ID
+	ex.session = rq.Session
+	if ex.session == "" && len(rq.Prompt) > 0 {
+		ex.session = rq.Prompt[len(rq.Prompt)-1].ID
 	}
-	ex.single = ex.session == ""
+	ex.sessionless = ex.session == ""
 	limit := ro.Timeout
 	if limit == 0 {
-		limit = defaultPatience
+		limit = defaultTimeout
 	}
-	if as.Patience > 0 {
-		limit = min(limit, as.Patience)
+	if rq.Timeout > 0 {
+		limit = min(limit, rq.Timeout)
 	}
 	ex.request = direct.Request{
 		Idempotent: ro.Idempotent(), Resumable: ro.Kind == routing.Streaming && ro.Resumable,
-		MaxRuns:  max(plainAttempts, ro.Attempts),
-		Received: as.Received, Target: as.Received.Add(ro.Target), Deadline: as.Received.Add(limit),
-		Picker: ex, Retries: ex, Cascade: ex, Pace: ex, Blocks: ex,
+		MaxRuns:  max(defaultMaxRuns, ro.Attempts),
+		Received: rq.Received, Target: rq.Received.Add(ro.Target), Deadline: rq.Received.Add(limit),
+		Picker: ex, RetryBudget: ex, Cascade: ex, Latency: ex, Blocklist: ex,
 	}
-	if as.AnyModel {
+	if rq.AnyModel {
 		ex.request.Models = ro.Models
 	}
 }
 
-// Pick chooses a server for an attempt.
+// Pick chooses a server for an attempt and reserves it.
 func (ex *exchange) Pick(model string, tried []string, now time.Time) (string, bool) {
 	ga := ex.ga
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
-	of, ok := ga.pool.Pick(ex.askFor(model, tried, now), rand.Uint64(), now)
+	sel, ok := ga.pool.Pick(ex.poolQuery(model, tried, now), rand.Uint64(), now)
 	if !ok {
 		return "", false
 	}
-	ga.pool.Reserve(of, now)
-	ex.offer = of
-	return of.Server().ID, true
+	ga.pool.Reserve(sel, now)
+	ex.selection = sel
+	return sel.Server().ID, true
 }
 
-// Wait returns how long it is until a server takes an attempt again, if limits on what servers
-// take are all that keeps it from one.
+// Wait returns the time until a server accepts an attempt again if the limits of servers are the only
+// reason why none does now.
 func (ex *exchange) Wait(model string, tried []string, now time.Time) time.Duration {
 	ex.ga.mu.Lock()
 	defer ex.ga.mu.Unlock()
-	return ex.ga.pool.Wait(ex.askFor(model, tried, now), now)
+	return ex.ga.pool.RetryAfter(ex.poolQuery(model, tried, now), now)
 }
 
-// askFor returns what an attempt needs; the lock is held.
-func (ex *exchange) askFor(model string, tried []string, now time.Time) pool.Ask {
-	ask := pool.Ask{
-		Service: ex.service, Tried: tried, Prompt: ex.prompt(model), Cold: ex.ga.coldLimit(ex.service), Alone: ex.trial,
-		// Only first attempts probe: a request that was rejected would be again.
+// poolQuery returns the requirements of an attempt on its server. The lock is held.
+func (ex *exchange) poolQuery(model string, tried []string, now time.Time) pool.Query {
+	query := pool.Query{
+		Service: ex.service, Tried: tried, Prompt: ex.prompt(model), ColdLimit: ex.ga.coldLimit(ex.service), PreferIdle: ex.trial,
+		// Only first attempts probe, since a request that was rejected once would be rejected again.
 		Probe: len(ex.attempts) == 0,
 	}
-	return ex.ga.restrict(ask, ex, now)
+	return ex.ga.restrictVersion(query, ex, now)
 }
 
-// Take takes a retry from the service's window.
+// Take consumes a retry of the service's window if there is one.
 func (ex *exchange) Take(now time.Time) bool {
 	ex.ga.mu.Lock()
 	defer ex.ga.mu.Unlock()
 	return ex.ga.window(ex.service).Take(now)
 }
 
-// TakeSpare takes a retry from the service's window for an attempt that the request can do without.
+// TakeSpare is Take for an optional attempt. It leaves retryReserve retries while a server has
+// asked for a pause.
 func (ex *exchange) TakeSpare(now time.Time) bool {
 	ex.ga.mu.Lock()
 	defer ex.ga.mu.Unlock()
@@ -231,125 +230,125 @@
 	if ex.ga.pool.Pauses.Any() {
 		reserve = retryReserve
 	}
-	return ex.ga.window(ex.service).TakeSpare(reserve, now)
+	return ex.ga.window(ex.service).TakeOptional(reserve, now)
 }
 
-// Blocked returns when it is worth coming back with a request that is not to be sent, zero if
-// it may be.
+// Blocked returns the time after which the caller should retry a request that must not be sent,
+// zero if it may be sent.
 func (ex *exchange) Blocked(now time.Time) time.Duration {
 	if ex.trial && ex.request.Runs() == 0 {
-		return 0 // also after attempts that reached no server: most have just ended
+		return 0 // also after attempts that reached no server, since most servers have just ended
 	}
 	ex.ga.mu.Lock()
 	defer ex.ga.mu.Unlock()
-	return ex.ga.blocks.Return(ex.print, now)
+	return ex.ga.blocks.RetryAfter(ex.fingerprint, now)
 }
 
-// Usual returns how long the head of a model's answer usually takes, or is expected to
-// take from the server just chosen if that is more: what is slow because much is in
-// progress there is not lost.
+// Usual returns the usual time to the head of a model's response, or a multiple of the time
+// expected from the chosen server if that is longer: an attempt that is slow because the server is
+// busy must not count as lost.
 func (ex *exchange) Usual(model string) time.Duration {
 	ex.ga.mu.Lock()
 	defer ex.ga.mu.Unlock()
-	usual := ex.ga.pace.Usual(ex.modelKey(model))
+	usual := ex.ga.headLatencies.Usual(ex.modelKey(model))
 	if model == "" {
 		return usual
 	}
-	return max(usual, expectedTimes*ex.offer.Head())
+	return max(usual, expectedHeadFactor*ex.selection.TimeToHead())
 }
 
-// run carries out the decisions until the request has its answer.
+// run executes the request's steps until it has its outcome.
 func (ex *exchange) run(ctx context.Context) {
 	now := clock.Now()
 	ex.ga.mu.Lock()
 	ex.ga.window(ex.service).Request(now)
 	if len(ex.request.Models) > 0 {
-		ex.ga.prompts.observe(ex.route.Name, ex.as.PromptTokens)
-		ex.ga.prompts.observe(ex.service, ex.as.PromptTokens)
+		ex.ga.promptSizes.observe(ex.route.Name, ex.rq.PromptTokens)
+		ex.ga.promptSizes.observe(ex.service, ex.rq.PromptTokens)
 	}
 	ex.ga.mu.Unlock()
 	step := ex.request.Begin(now)
-	defer ex.dropHeld()
-	var at *sent
+	defer ex.dropFallback()
+	var at *attemptState
 	for {
-		switch step.Do() {
+		switch step.Op() {
 		case direct.Refuse:
-			ex.refuse(step.Code(), "", step.RetryAfter())
+			ex.writeError(step.Code(), "", step.RetryAfter())
 			return
 		case direct.Send:
-			ex.replace(at, step)
-			at = ex.open(ctx, step)
-			ex.checkHeld(at)
-			step = ex.outcome(ctx, at)
+			ex.releasePrevious(at, step)
+			at = ex.sendAttempt(ctx, step)
+			ex.checkFallback(at)
+			step = ex.handleOutcome(ctx, at)
 		case direct.Deliver:
 			if step.Fallback() {
-				at = ex.fallBack(at)
+				at = ex.useFallback(at)
 			}
 			ex.deliver(ctx, at)
 			return
 		default:
 			return
 		}
-		if ctx.Err() != nil && step.Do() != direct.Deliver {
-			ex.gone(ctx, at)
+		if ctx.Err() != nil && step.Op() != direct.Deliver {
+			ex.callerGone(ctx, at)
 			return
 		}
 	}
 }
 
-// gone ends a request whose caller went away or whose time is over.
-func (ex *exchange) gone(ctx context.Context, at *sent) {
+// callerGone ends a request whose caller disconnected or whose deadline has passed.
+func (ex *exchange) callerGone(ctx context.Context, at *attemptState) {
 	if at != nil {
-		at.drop()
+		at.discard()
 	}
 	if context.Cause(ctx) != context.DeadlineExceeded { //nolint:errorlint // a context's own error
-		ex.note(event.RequestFailed, result.Stopped, "the caller went away")
+		ex.logOutcome(event.RequestFailed, result.Stopped, "the caller went away")
 		return
 	}
 	if ex.request.Runs() > 0 {
-		ex.refuse(result.LinkLost, "the time was over", 0)
+		ex.writeError(result.LinkLost, "the deadline has passed", 0)
 		return
 	}
-	ex.refuse(result.DeadlinePassed, "the time was over", 0)
+	ex.writeError(result.DeadlinePassed, "the deadline has passed", 0)
 }
 
-func (ex *exchange) refuse(co result.Code, detail string, after time.Duration) {
+func (ex *exchange) writeError(co result.Code, detail string, after time.Duration) {
 	if after == 0 {
 		after = result.Of(co).RetryAfter()
 	}
-	ex.an.Refuse(co, detail, after)
+	ex.responder.WriteError(co, detail, after)
 	id := event.RequestRefused
 	if result.Of(co).Run() != result.DidNotRun {
 		id = event.RequestFailed
 	}
-	ex.note(id, co, detail)
+	ex.logOutcome(id, co, detail)
 }
 
-// note logs the final outcome and counts it.
-func (ex *exchange) note(id event.ID, co result.Code, detail string) {
-	took := clock.Since(ex.as.Received)
+// logOutcome logs and counts the final outcome.
+func (ex *exchange) logOutcome(id event.ID, co result.Code, detail string) {
+	took := clock.Since(ex.rq.Received)
 	kind, route := "none", ""
 	if ex.route != nil {
 		kind, route = string(ex.route.Kind), ex.route.Name
 	}
 	countRequest(kind, co, took.Seconds())
-	le := ex.ga.Log.Info().Int("event", int(id)).Str("request", ex.as.ID).Str("route", route).Str("team", ex.team()).
-		Str("session", ex.session).Int("code", int(co)).Uint64("version", ex.table.Version()).Dur("age_ms", ex.age).Dur("ms", took).
+	le := ex.ga.Log.Info().Int("event", int(id)).Str("request", ex.rq.ID).Str("route", route).Str("team", ex.team()).
+		Str("session", ex.session).Int("code", int(co)).Uint64("version", ex.table.Version()).Dur("age_ms", ex.configAge).Dur("ms", took).
 		Int("sends", len(ex.attempts)).Int("runs", ex.request.Runs()).
-		Str("print", ex.print.String())
-	if last := ex.last(); last != nil {
-		le = last.describe(le)
+		Str("print", ex.fingerprint.String())
+	if last := ex.lastAttempt(); last != nil {
+		le = last.addLogFields(le)
 	}
 	if len(ex.request.Models) > 0 {
-		le = ex.choice.describe(le.Int("prompt", ex.as.PromptTokens).Dur("target_ms", ex.route.Target))
+		le = ex.choice.addLogFields(le.Int("prompt", ex.rq.PromptTokens).Dur("target_ms", ex.route.Target))
 	}
 	le.Str("detail", detail).Msg(event.Name(id))
 }
 
-// last returns the attempt that a request ended with, nil if there was none.
-func (ex *exchange) last() *sent {
-	if ex.final != nil {
-		return ex.final
+// lastAttempt returns the attempt that the request ended with, nil if there was none.
+func (ex *exchange) lastAttempt() *attemptState {
+	if ex.finalAttempt != nil {
+		return ex.finalAttempt
 	}
 	return ex.attempts[len(ex.attempts)]
 }
