--- a/internal/backpressure/strategies_test.go
+++ b/internal/backpressure/strategies_test.go
@@ -58,24 +58,24 @@
 
 // equalParts allows each gateway a number of requests within the window.
 type equalParts struct {
-	most int
-	log  map[int][]time.Time
+	limit int
+	log   map[int][]time.Time
 }
 
 func (ep *equalParts) allows(gateway int, now time.Time) bool {
 	ep.log[gateway] = slices.DeleteFunc(ep.log[gateway], func(at time.Time) bool { return now.Sub(at) >= window })
-	return len(ep.log[gateway]) < ep.most
+	return len(ep.log[gateway]) < ep.limit
 }
 
 func (ep *equalParts) sent(gateway int, now time.Time) {
 	ep.log[gateway] = append(ep.log[gateway], now)
 }
 
-// reportedUse lets each gateway send while the requests reported by the others, 0.2 s late, leave
-// room.
+// reportedUse lets each gateway send while the requests reported by the others, 0.2 s late, do not
+// exhaust the limit.
 type reportedUse struct {
-	room int
-	log  []reportedRequest
+	maxKnown int
+	log      []reportedRequest
 }
 
 type reportedRequest struct {
@@ -91,7 +91,7 @@
 			known++
 		}
 	}
-	return known < ru.room
+	return known < ru.maxKnown
 }
 
 func (ru *reportedUse) sent(gateway int, now time.Time) {
@@ -100,11 +100,11 @@
 
 // result is what one server received in a simulation.
 type result struct {
-	// most is the maximum number of arrivals within a window, used the used part of the reported
+	// maxArrivals is the maximum number of arrivals within a window, used the used part of the reported
 	// rate, silent the longest time without an arrival.
-	most   int
-	used   float64
-	silent time.Duration
+	maxArrivals int
+	used        float64
+	silent      time.Duration
 }
 
 // simulate sends requests to random gateways: 200 at the same time every ten seconds and 6000 at
@@ -133,7 +133,7 @@
 	previous := time.Duration(0)
 	for i, at := range arrived {
 		first, _ := slices.BinarySearch(arrived, at-window+1)
-		out.most = max(out.most, i-first+1)
+		out.maxArrivals = max(out.maxArrivals, i-first+1)
 		out.silent = max(out.silent, at-previous)
 		previous = at
 	}
@@ -152,26 +152,26 @@
 			for run := range runs {
 				server := fmt.Sprint("server-", run)
 				for name, st := range map[string]strategy{
-					"full limit each": &equalParts{most: max(1, int(perSecond*window.Seconds())), log: map[int][]time.Time{}},
+					"full limit each": &equalParts{limit: max(1, int(perSecond*window.Seconds())), log: map[int][]time.Time{}},
 					"equal parts": &equalParts{
-						most: max(1, int(perSecond*window.Seconds()/float64(gateways))), log: map[int][]time.Time{},
+						limit: max(1, int(perSecond*window.Seconds()/float64(gateways))), log: map[int][]time.Time{},
 					},
-					"reported use": &reportedUse{room: int(perSecond*window.Seconds()) + 1},
+					"reported use": &reportedUse{maxKnown: int(perSecond*window.Seconds()) + 1},
 					"single selection": &singleSelection{
 						server: server, limit: quota.Limit{PerSecond: li.PerSecond, MaxInWindow: li.MaxInWindow, Window: li.Window}, uses: make([]quota.Usage, gateways),
 					},
 					"repeated selection": newRepeatedSelection(server, gateways, perSecond),
 				} {
 					out, wo := simulate(st, gateways, perSecond, rn), worst[name]
-					worst[name] = result{max(wo.most, out.most), wo.used + out.used/runs, max(wo.silent, out.silent)}
+					worst[name] = result{max(wo.maxArrivals, out.maxArrivals), wo.used + out.used/runs, max(wo.silent, out.silent)}
 				}
 			}
 			t.Logf("%v/s, %d gateways, %v allowed: %+v", perSecond, gateways, int(li.MaxInWindow), worst)
-			require.LessOrEqual(t, worst["repeated selection"].most, int(li.MaxInWindow), "%v, %d gateways", perSecond, gateways)
+			require.LessOrEqual(t, worst["repeated selection"].maxArrivals, int(li.MaxInWindow), "%v, %d gateways", perSecond, gateways)
 			if gateways > int(li.MaxInWindow) {
-				require.Greater(t, worst["full limit each"].most, int(li.MaxInWindow))
-				require.Greater(t, worst["equal parts"].most, int(li.MaxInWindow))
-				require.Greater(t, worst["reported use"].most, int(li.MaxInWindow))
+				require.Greater(t, worst["full limit each"].maxArrivals, int(li.MaxInWindow))
+				require.Greater(t, worst["equal parts"].maxArrivals, int(li.MaxInWindow))
+				require.Greater(t, worst["reported use"].maxArrivals, int(li.MaxInWindow))
 			}
 		}
 	}
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -79,9 +79,9 @@
 	ep.log[key] = append(ep.log[key], now)
 }
 
-// reportedUse lets each gateway send while the requests reported by the others, 0.2 s late, leave
-// room. With randomized set, a gateway sends only with the probability at which all gateways
-// together use that room.
+// reportedUse lets each gateway send while the requests reported by the others, 0.2 s late, do not
+// exhaust the limit. With randomized set, a gateway sends only with the probability at which all
+// gateways together use the remainder.
 type reportedUse struct {
 	gateways   int
 	randomized bool
@@ -102,11 +102,11 @@
 			known++
 		}
 	}
-	room := typicalLimit.PerSecond - float64(known)
+	remaining := typicalLimit.PerSecond - float64(known)
 	if !ru.randomized {
-		return room >= 1
+		return remaining >= 1
 	}
-	return ru.rn.Float64() < room/float64(ru.gateways)
+	return ru.rn.Float64() < remaining/float64(ru.gateways)
 }
 
 func (ru *reportedUse) sent(gateway, server int, now time.Time) {
@@ -115,8 +115,8 @@
 
 // result is the result of a simulation.
 type result struct {
-	// most is the maximum number of arrivals at a server within a second.
-	most int
+	// maxArrivals is the maximum number of arrivals at a server within a second.
+	maxArrivals int
 	// used is the used part of the servers' total rate.
 	used float64
 }
@@ -159,7 +159,7 @@
 		all += len(list)
 		for i, at := range list {
 			first, _ := slices.BinarySearch(list, at-time.Second+1)
-			out.most = max(out.most, i-first+1)
+			out.maxArrivals = max(out.maxArrivals, i-first+1)
 		}
 	}
 	out.used = float64(all) / (typicalLimit.PerSecond * float64(servers) * span.Seconds())
@@ -186,17 +186,17 @@
 				} {
 					out := simulate(tc.strategy, gateways, servers, demand, rn)
 					wo := worst[tc.name]
-					worst[tc.name] = result{max(wo.most, out.most), wo.used + out.used/6}
+					worst[tc.name] = result{max(wo.maxArrivals, out.maxArrivals), wo.used + out.used/6}
 				}
 			}
 			t.Logf("%d gateways, %v times the rate: %+v", gateways, demand, worst)
-			require.LessOrEqual(t, worst["selection"].most, int(typicalLimit.MaxInWindow), "%d gateways", gateways)
+			require.LessOrEqual(t, worst["selection"].maxArrivals, int(typicalLimit.MaxInWindow), "%d gateways", gateways)
 			if gateways >= 23 && demand > 1 {
-				require.Greater(t, worst["full limit each"].most, int(typicalLimit.MaxInWindow))
+				require.Greater(t, worst["full limit each"].maxArrivals, int(typicalLimit.MaxInWindow))
 			}
 			if gateways > int(typicalLimit.MaxInWindow) && demand > 1 {
-				require.Greater(t, worst["equal parts"].most, int(typicalLimit.MaxInWindow))
-				require.Greater(t, worst["reported use"].most, int(typicalLimit.MaxInWindow))
+				require.Greater(t, worst["equal parts"].maxArrivals, int(typicalLimit.MaxInWindow))
+				require.Greater(t, worst["reported use"].maxArrivals, int(typicalLimit.MaxInWindow))
 			}
 		}
 	}
@@ -208,7 +208,7 @@
 	for _, known := range []int{4, 20, 23, 60, 103, 300} {
 		se := newSelection(known+known/10, 14)
 		se.gateways = known
-		require.LessOrEqual(t, simulate(se, len(se.uses), 14, 6, rn).most, int(typicalLimit.MaxInWindow), known)
+		require.LessOrEqual(t, simulate(se, len(se.uses), 14, 6, rn).maxArrivals, int(typicalLimit.MaxInWindow), known)
 	}
 }
 
--- a/internal/rollout/canary_test.go
+++ b/internal/rollout/canary_test.go
@@ -314,7 +314,7 @@
 }
 
 // While the slow answers are too few to fail a version but exceed chance, the trial must continue.
-// A slow version was given everything in two of four simulated runs.
+// A slow version received all requests in two of four simulated runs.
 func TestTrialContinuesForSuspiciousVersion(t *testing.T) {
 	ca := trialCanary()
 	for i, slow := range []bool{true, true, false, false, false} {
--- a/internal/rollout/exposure.go
+++ b/internal/rollout/exposure.go
@@ -75,6 +75,6 @@
 	}
 	perSecond := float64(ex.total) / elapsed.Seconds()
 	rest := pl.share()*pl.Within.Seconds() - ex.used()/perSecond
-	longest := time.Duration(maxShiftLeadPart * float64(pl.Within))
-	return max(pl.minShiftLead(), min(longest, time.Duration(rest*float64(time.Second))))
+	limit := time.Duration(maxShiftLeadPart * float64(pl.Within))
+	return max(pl.minShiftLead(), min(limit, time.Duration(rest*float64(time.Second))))
 }
--- a/internal/rollout/outcomes.go
+++ b/internal/rollout/outcomes.go
@@ -27,7 +27,7 @@
 	// roll-outs with 60 outcomes (see the tests).
 	badThreshold = 7
 	// suspicionThreshold is the maximum sum at which the shift may happen. Above it the trial
-	// continues, at the risk of a missed deadline.
+	// continues, which costs a missed deadline at most.
 	suspicionThreshold = 2
 )
 
@@ -46,26 +46,27 @@
 }
 
 // normalRate returns the failure rate of the old version.
-func (fa *failureTest) normalRate() float64 {
-	return min(0.5, smoothedRate(float64(fa.oldBad), float64(fa.oldTried), defaultFailureRate))
+func (ft *failureTest) normalRate() float64 {
+	return min(0.5, smoothedRate(float64(ft.oldBad), float64(ft.oldTried), defaultFailureRate))
 }
 
 // add records outcomes of the new version.
-func (fa *failureTest) add(tried, bad int) {
-	normal := fa.normalRate()
-	fa.newTried += tried
-	fa.newBad += bad
-	fa.lowSum = cusum(fa.lowSum, float64(bad), float64(tried), normal, min(0.9, max(minBadRate, badFactor*normal)))
-	fa.highSum = cusum(fa.highSum, float64(bad), float64(tried), normal, min(0.9, max(highBadRate, badFactor*normal)))
+func (ft *failureTest) add(tried, bad int) {
+	normal := ft.normalRate()
+	ft.newTried += tried
+	ft.newBad += bad
+	ft.lowSum = cusum(ft.lowSum, float64(bad), float64(tried), normal, min(0.9, max(minBadRate, badFactor*normal)))
+	ft.highSum = cusum(ft.highSum, float64(bad), float64(tried), normal, min(0.9, max(highBadRate, badFactor*normal)))
 }
 
-func (fa *failureTest) maxSum() float64 { return max(fa.highSum, fa.lowSum) }
+// maxSum returns the higher of the two cumulative sums.
+func (ft *failureTest) maxSum() float64 { return max(ft.highSum, ft.lowSum) }
 
 // isClear reports whether the evidence for the new version suffices.
-func (fa *failureTest) isClear() bool {
-	normal := fa.normalRate()
+func (ft *failureTest) isClear() bool {
+	normal := ft.normalRate()
 	bad := min(0.9, max(clearRate, badFactor*normal))
-	return evidenceForGood(float64(fa.newTried), float64(fa.newBad), normal, bad) >= clearThreshold
+	return evidenceForGood(float64(ft.newTried), float64(ft.newBad), normal, bad) >= clearThreshold
 }
 
 // latencyTest is the test for slow answers.
@@ -77,9 +78,9 @@
 	servers           serverSet
 }
 
-func (sl *latencyTest) add(timed, slow int) {
-	normal := min(maxNormalSlowRate, smoothedRate(float64(sl.oldSlow), float64(sl.oldTimed), minNormalSlowRate))
-	sl.sum = cusum(sl.sum, float64(slow), float64(timed), normal, badSlowRate)
+func (lt *latencyTest) add(timed, slow int) {
+	normal := min(maxNormalSlowRate, smoothedRate(float64(lt.oldSlow), float64(lt.oldTimed), minNormalSlowRate))
+	lt.sum = cusum(lt.sum, float64(slow), float64(timed), normal, badSlowRate)
 }
 
 // RouteOutcomes holds the outcomes of the new version for one route on one gateway.
@@ -117,11 +118,11 @@
 
 // Observe records the outcome of a request on a server of one of the versions.
 func (ca *Canary) Observe(server, route string, isNew, bad bool) {
-	fa := ca.routeTest(route)
+	ft := ca.routeTest(route)
 	if !isNew {
-		fa.oldTried++
+		ft.oldTried++
 		if bad {
-			fa.oldBad++
+			ft.oldBad++
 		}
 		return
 	}
@@ -129,8 +130,8 @@
 	if bad {
 		count = 1
 	}
-	fa.servers.add(server, bad)
-	fa.add(1, count)
+	ft.servers.add(server, bad)
+	ft.add(1, count)
 	if ca.own.Routes == nil {
 		ca.own.Routes = map[string]RouteOutcomes{}
 	}
@@ -142,9 +143,9 @@
 
 // ObserveLatency records whether an answer of one of the versions was several times slower than the
 // old version at its best. It is evaluated only until the shift, after which the old version's
-// servers are less loaded. It is not evaluated in the burst of a concentrated trial, where the new
-// version's servers have the same load but no prompts cached yet: a good version was taken for slow
-// on a simulated day without disruptions with 32 gateways.
+// servers are more loaded than the new version's. It is not evaluated in the burst of a
+// concentrated trial, where the new version's servers have the same load but no prompts cached yet:
+// a good version counted as slow on a simulated day without disruptions with 32 gateways.
 func (ca *Canary) ObserveLatency(server string, isNew, slow bool, now time.Time) {
 	if ph := ca.Phase(); ph != Trying && ph != Waiting {
 		return
@@ -208,12 +209,12 @@
 		return
 	}
 	for name, ro := range out.Routes {
-		fa := ca.routeTest(name)
+		ft := ca.routeTest(name)
 		more, bad := ro.Tried-old.Routes[name].Tried, ro.Bad-old.Routes[name].Bad
 		if more > 0 && bad >= 0 && bad <= more {
-			fa.add(more, bad)
+			ft.add(more, bad)
 		}
-		fa.servers.addBad(ro.Servers)
+		ft.servers.addBad(ro.Servers)
 	}
 	if timed, slow := out.Timed-old.Timed, out.Slow-old.Slow; ca.Phase() == Trying && timed > 0 && slow >= 0 && slow <= timed {
 		ca.slow.add(timed, slow)
@@ -241,8 +242,8 @@
 	if ca.slow.sum >= badThreshold && ca.slow.servers.widespread(ca.concentrated()) {
 		return true
 	}
-	for _, fa := range ca.routes {
-		if fa.maxSum() >= badThreshold && fa.servers.widespread(ca.concentrated()) {
+	for _, ft := range ca.routes {
+		if ft.maxSum() >= badThreshold && ft.servers.widespread(ca.concentrated()) {
 			return true
 		}
 	}
@@ -250,13 +251,14 @@
 }
 
 // suspicious reports whether the evidence against the version exceeds chance. The trial then
-// continues, at the risk of a missed deadline. A few slow answers of single servers are chance.
+// continues, which costs a missed deadline at most. A few slow answers of single servers are
+// chance.
 func (ca *Canary) suspicious() bool {
 	if ca.slow.sum > suspicionThreshold && ca.slow.servers.widespread(ca.concentrated()) {
 		return true
 	}
-	for _, fa := range ca.routes {
-		if fa.maxSum() > suspicionThreshold {
+	for _, ft := range ca.routes {
+		if ft.maxSum() > suspicionThreshold {
 			return true
 		}
 	}
@@ -269,14 +271,14 @@
 // had seen 18 bad answers of 49.
 func (ca *Canary) cleared() bool {
 	total := 0
-	for _, fa := range ca.routes {
-		total += fa.oldTried + fa.newTried
+	for _, ft := range ca.routes {
+		total += ft.oldTried + ft.newTried
 	}
 	if total == 0 {
 		return false
 	}
-	for _, fa := range ca.routes {
-		if float64(fa.oldTried+fa.newTried) >= minRoutePart*float64(total) && !fa.isClear() {
+	for _, ft := range ca.routes {
+		if float64(ft.oldTried+ft.newTried) >= minRoutePart*float64(total) && !ft.isClear() {
 			return false
 		}
 	}
--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -29,9 +29,9 @@
 	// burstBudgetPart limits the part of the trial budget that is reserved for the burst. The
 	// remainder serves to detect versions that are bad at once or on a route with few requests.
 	burstBudgetPart = 0.4
-	// maxShiftLeadPart limits the part of a roll-out's time that may follow the shift. A version
-	// that is bad only under load fails in this time. Answers are slower in it, since its servers
-	// have no prompts cached yet.
+	// maxShiftLeadPart limits the part of a roll-out's time that may follow the shift. It must be
+	// long enough for a version that is bad only under load to show its failures, but answers are
+	// slower in it while the version's servers have no prompts cached yet.
 	maxShiftLeadPart = 0.1
 )
 
@@ -56,8 +56,8 @@
 
 // minShiftLead returns the minimum time between the shift and the deadline.
 func (pl Plan) minShiftLead() time.Duration {
-	most := time.Duration(shiftBudgetPart * pl.share() * float64(pl.Within))
-	return min(finishLead+minShiftTime, most)
+	limit := time.Duration(shiftBudgetPart * pl.share() * float64(pl.Within))
+	return min(finishLead+minShiftTime, limit)
 }
 
 // trialStart returns the time from the order to the trial.
--- a/internal/rollout/servers.go
+++ b/internal/rollout/servers.go
@@ -25,34 +25,34 @@
 type serverCounts struct{ tried, bad int }
 
 // isBad reports whether the server's bad answers exceed what chance explains.
-func (so serverCounts) isBad() bool {
-	return so.bad > 0 && float64(so.bad) >= badServerRate*float64(so.tried)
+func (sc serverCounts) isBad() bool {
+	return sc.bad > 0 && float64(sc.bad) >= badServerRate*float64(sc.tried)
 }
 
-func (sp *serverSet) add(server string, bad bool) {
-	if sp.servers == nil {
-		sp.servers = map[string]serverCounts{}
+func (ss *serverSet) add(server string, bad bool) {
+	if ss.servers == nil {
+		ss.servers = map[string]serverCounts{}
 	}
-	so := sp.servers[server]
-	so.tried++
+	sc := ss.servers[server]
+	sc.tried++
 	if bad {
-		so.bad++
+		sc.bad++
 	}
-	sp.servers[server] = so
+	ss.servers[server] = sc
 }
 
 // addBad records servers that gave bad answers to another gateway.
-func (sp *serverSet) addBad(servers []string) {
+func (ss *serverSet) addBad(servers []string) {
 	for _, server := range servers {
-		sp.add(server, true)
+		ss.add(server, true)
 	}
 }
 
 // bad returns the servers that count as bad, sorted.
-func (sp *serverSet) bad() []string {
+func (ss *serverSet) bad() []string {
 	var list []string
-	for server, so := range sp.servers {
-		if so.isBad() {
+	for server, sc := range ss.servers {
+		if sc.isBad() {
 			list = append(list, server)
 		}
 	}
@@ -61,11 +61,11 @@
 }
 
 // widespread reports whether enough of the servers gave bad answers.
-func (sp *serverSet) widespread(concentrated bool) bool {
+func (ss *serverSet) widespread(concentrated bool) bool {
 	part := badServerPart
 	if concentrated {
 		part = badServerPartConcentrated
 	}
-	bad, seen := len(sp.bad()), len(sp.servers)
+	bad, seen := len(ss.bad()), len(ss.servers)
 	return bad >= min(minBadServers, seen) && float64(bad) >= part*float64(seen)
 }
--- a/internal/rollout/sessions.go
+++ b/internal/rollout/sessions.go
@@ -43,7 +43,7 @@
 const (
 	// minTrialServers is the minimum number of servers for a concentrated trial, so that servers
 	// that fail on their own are not attributed to the version. With three servers, two of four
-	// test scenarios with a good version and failing servers ended in a false alarm.
+	// simulated days with good versions and failing servers ended in a false alarm.
 	minTrialServers = 8
 	// trialLoadFactor is the ratio of the load on the trial servers to the future load, where
 	// enough requests may be tried. Peaks exceed the mean, and a version that is bad only under
