--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -159,7 +159,7 @@
 	failed := se.response.Status >= direct.FirstServerError
 	ga.observeOutcome(se.server, se.ex.route.Name, failed)
 	if !failed && !se.response.Stream {
-		ga.observeDuration(se.server, "whole "+name+se.ex.route.Name, took, slowAnswerFactor, now)
+		ga.observeDuration(se.server, "whole "+name+se.ex.route.Name, took, slowResponseFactor, now)
 	}
 }
 
@@ -233,7 +233,7 @@
 		return ex.request.Refused(now)
 	case errors.Is(se.err, ErrUnreachable):
 		se.endNotSent("unreachable")
-		ex.ga.recordServerEnd(se.server, "it refuses connections")
+		ex.ga.recordServerCrash(se.server, "it refuses connections")
 		ex.ga.ejectUnreachable(ctx, se, now)
 		return ex.request.Unsent(now)
 	case errors.Is(se.err, ErrNotSent):
--- a/internal/gateway/blocks.go
+++ b/internal/gateway/blocks.go
@@ -29,7 +29,7 @@
 )
 
 // applySuspicion applies a suspicion of this gateway or another one. Suspicions are propagated with
-// the load reports, since each gateway only sees the servers that end under its own copies of a
+// the load reports, since each gateway only sees the servers that crash under its own copies of a
 // request. The lock is held.
 func (ga *Gateway) applySuspicion(su poison.Suspicion, now time.Time) {
 	term := ga.cases.Record(su, now)
@@ -40,7 +40,7 @@
 	ga.applyBlock(poison.NewBlock(su.Fingerprint, term, clock.Day()), false, now)
 }
 
-// applyBlock applies a block, whatever its source. Attempts that no server has answered yet are
+// applyBlock applies a block, whatever its source. Attempts that no server has responded to yet are
 // cancelled, since they may still be in a server's queue. The lock is held.
 func (ga *Gateway) applyBlock(bl poison.Block, stored bool, now time.Time) {
 	if _, doubted := ga.doubts[bl.Fingerprint]; doubted || ga.cases.IsHarmless(bl.Fingerprint) {
@@ -64,37 +64,37 @@
 }
 
 // contestBlock contradicts another gateway's block: the doubt is propagated and the stored block
-// removed. A gateway that has just started may block a common request because it has seen no answer
-// to it yet. The lock is held.
-func (ga *Gateway) contestBlock(pr poison.Fingerprint, stored bool, now time.Time) {
-	if _, due := ga.deleteBlockAt[pr]; !due && stored {
-		ga.deleteBlockAt[pr] = ga.blockWriteTime(now)
+// removed. A gateway that has just started may block a common request because it has seen no
+// response to it yet. The lock is held.
+func (ga *Gateway) contestBlock(fp poison.Fingerprint, stored bool, now time.Time) {
+	if _, due := ga.deleteBlockAt[fp]; !due && stored {
+		ga.deleteBlockAt[fp] = ga.blockWriteTime(now)
 	}
-	if ga.addDoubt(pr, now) {
-		ga.Log.Warn().Int("event", int(event.BlockDoubted)).Str("print", pr.String()).Msg(event.Name(event.BlockDoubted))
+	if ga.addDoubt(fp, now) {
+		ga.Log.Warn().Int("event", int(event.BlockDoubted)).Str("print", fp.String()).Msg(event.Name(event.BlockDoubted))
 	}
 }
 
-// liftDisprovenBlock lifts a block at all gateways after a server answered the request and did not
-// end. The lock is held.
-func (ga *Gateway) liftDisprovenBlock(pr poison.Fingerprint, now time.Time) {
-	if ga.blocks.Remaining(pr, now) == 0 {
+// liftDisprovenBlock lifts a block at all gateways after a server completed the request without
+// crashing. The lock is held.
+func (ga *Gateway) liftDisprovenBlock(fp poison.Fingerprint, now time.Time) {
+	if ga.blocks.Remaining(fp, now) == 0 {
 		return
 	}
-	stored := ga.blocks.IsStored(pr)
-	ga.unblock(pr, "a server answered the request and is still running")
-	ga.addDoubt(pr, now)
+	stored := ga.blocks.IsStored(fp)
+	ga.unblock(fp, "a server completed the request and is still running")
+	ga.addDoubt(fp, now)
 	if stored {
-		ga.deleteBlockAt[pr] = ga.blockWriteTime(now)
+		ga.deleteBlockAt[fp] = ga.blockWriteTime(now)
 	}
 }
 
 // addDoubt records a doubt to be propagated. It reports whether the doubt is new. The lock is held.
-func (ga *Gateway) addDoubt(pr poison.Fingerprint, now time.Time) bool {
-	if _, ok := ga.doubts[pr]; ok {
+func (ga *Gateway) addDoubt(fp poison.Fingerprint, now time.Time) bool {
+	if _, ok := ga.doubts[fp]; ok {
 		return false
 	}
-	ga.doubts[pr] = now
+	ga.doubts[fp] = now
 	return true
 }
 
@@ -113,29 +113,29 @@
 }
 
 // unblock lifts a block at this gateway. The lock is held.
-func (ga *Gateway) unblock(pr poison.Fingerprint, reason string) {
-	delete(ga.storeBlockAt, pr)
-	ga.cases.Forget(pr)
-	if ga.blocks.Lift(pr) {
+func (ga *Gateway) unblock(fp poison.Fingerprint, reason string) {
+	delete(ga.storeBlockAt, fp)
+	ga.cases.Forget(fp)
+	if ga.blocks.Lift(fp) {
 		close(ga.blockLifted)
 		ga.blockLifted = make(chan struct{})
-		ga.logUnblocked(pr, reason)
+		ga.logUnblocked(fp, reason)
 	}
 }
 
 // blockRemoved lifts a block that was removed from the key-value service. The lock is held.
-func (ga *Gateway) blockRemoved(pr poison.Fingerprint) {
-	delete(ga.deleteBlockAt, pr)
-	ga.unblock(pr, "removed from the key-value service")
+func (ga *Gateway) blockRemoved(fp poison.Fingerprint) {
+	delete(ga.deleteBlockAt, fp)
+	ga.unblock(fp, "removed from the key-value service")
 }
 
-func (ga *Gateway) logUnblocked(pr poison.Fingerprint, reason string) {
-	ga.Log.Info().Int("event", int(event.RequestUnblocked)).Str("print", pr.String()).Str("detail", reason).
+func (ga *Gateway) logUnblocked(fp poison.Fingerprint, reason string) {
+	ga.Log.Info().Int("event", int(event.RequestUnblocked)).Str("print", fp.String()).Str("detail", reason).
 		Msg(event.Name(event.RequestUnblocked))
 }
 
-// reconcileBlocks lifts the stored blocks that a whole state does not contain. Those that a restored
-// key-value service has lost are stored again instead. The lock is held.
+// reconcileBlocks lifts the stored blocks that a complete state does not contain. Those that a
+// restored key-value service has lost are stored again instead. The lock is held.
 func (ga *Gateway) reconcileBlocks(listed map[poison.Fingerprint]bool, restored bool, now time.Time) {
 	for _, bl := range ga.blocks.Stored() {
 		switch {
@@ -154,9 +154,9 @@
 	for _, su := range re.Suspicions {
 		ga.applySuspicion(su, now)
 	}
-	for _, pr := range re.Doubts {
-		if ga.addDoubt(pr, now) {
-			ga.unblock(pr, "another gateway received an answer to the request")
+	for _, fp := range re.Doubts {
+		if ga.addDoubt(fp, now) {
+			ga.unblock(fp, "another gateway had the request completed")
 		}
 	}
 	for _, bl := range re.Blocks {
@@ -167,9 +167,9 @@
 // addBlocks adds recent blocks and doubts to a report. The lock is held.
 func (ga *Gateway) addBlocks(re relay.Report, now time.Time) relay.Report {
 	re.Blocks = ga.blocks.Recent(now)
-	for pr, since := range ga.doubts {
+	for fp, since := range ga.doubts {
 		if now.Sub(since) < doubtTTL {
-			re.Doubts = append(re.Doubts, pr)
+			re.Doubts = append(re.Doubts, fp)
 		}
 	}
 	return re
@@ -185,17 +185,17 @@
 			go ga.storeBlock(ctx, bl)
 		}
 	}
-	for pr, due := range ga.deleteBlockAt {
+	for fp, due := range ga.deleteBlockAt {
 		if !ga.freshness.Failing() && !now.Before(due) {
-			ga.deleteBlockAt[pr] = now.Add(blockWriteRetryDelay)
-			go ga.removeBlocks(ctx, []poison.Fingerprint{pr})
+			ga.deleteBlockAt[fp] = now.Add(blockWriteRetryDelay)
+			go ga.removeBlocks(ctx, []poison.Fingerprint{fp})
 		}
 	}
 	maps.DeleteFunc(ga.doubts, func(_ poison.Fingerprint, since time.Time) bool { return now.Sub(since) >= 2*doubtTTL })
 	expired := ga.blocks.Expire(now)
-	for _, pr := range expired {
-		delete(ga.storeBlockAt, pr)
-		ga.logUnblocked(pr, "expired")
+	for _, fp := range expired {
+		delete(ga.storeBlockAt, fp)
+		ga.logUnblocked(fp, "block expired")
 	}
 	if len(expired) > 0 && ga.relayPlan.IsWatcher(ga.memberList()) {
 		go ga.removeBlocks(ctx, expired)
@@ -214,19 +214,19 @@
 	ga.blocks.Add(bl, bl.Remaining(clock.Day()), true, clock.Now())
 }
 
-func (ga *Gateway) removeBlocks(ctx context.Context, prints []poison.Fingerprint) {
-	for _, pr := range prints {
-		err := ga.Store.DeleteBlock(ctx, pr)
+func (ga *Gateway) removeBlocks(ctx context.Context, fingerprints []poison.Fingerprint) {
+	for _, fp := range fingerprints {
+		err := ga.Store.DeleteBlock(ctx, fp)
 		ga.mu.Lock()
 		if err != nil {
-			ga.logBlockCallFailure(pr, err)
+			ga.logBlockCallFailure(fp, err)
 		} else {
-			delete(ga.deleteBlockAt, pr)
+			delete(ga.deleteBlockAt, fp)
 		}
 		ga.mu.Unlock()
 	}
 }
 
-func (ga *Gateway) logBlockCallFailure(pr poison.Fingerprint, err error) {
-	ga.Log.Warn().Int("event", int(event.StoreCallFailed)).Str("print", pr.String()).Err(err).Msg(event.Name(event.StoreCallFailed))
+func (ga *Gateway) logBlockCallFailure(fp poison.Fingerprint, err error) {
+	ga.Log.Warn().Int("event", int(event.StoreCallFailed)).Str("print", fp.String()).Err(err).Msg(event.Name(event.StoreCallFailed))
 }
--- a/internal/gateway/common_test.go
+++ b/internal/gateway/common_test.go
@@ -19,11 +19,12 @@
 // rev returns a revision without an era.
 func rev(number uint64) revision.Revision { return revision.Revision{Number: number} }
 
-// mixedLoad is a load of a harmless request that all callers send alike, and of a request under
-// which servers end, each ten times a second, at gateways that have just started.
+// mixedLoad is a load of a harmless request that all callers send alike, and of a request that
+// crashes servers, each ten times a second, at gateways that have just started.
 type mixedLoad struct {
-	gateways  int
-	endsAfter time.Duration
+	gateways int
+	// crashDelay is the time from the first token of such a request to its server's crash.
+	crashDelay time.Duration
 	// replaceEvery is how often a gateway fails and is replaced, zero for never.
 	replaceEvery time.Duration
 }
@@ -31,17 +32,17 @@
 // mixedLoadResult is the result of a mixedLoad.
 type mixedLoadResult struct {
 	// served is the fraction of the harmless requests that were answered, blocked the fraction that
-	// was refused as blocked, tooMany the copies of the other request that reached servers too late,
-	// ends the number of servers that ended.
-	served, blocked float64
-	tooMany, ends   int
+	// was refused as blocked, lateCopies the copies of the other request that reached servers too
+	// late, crashes the number of servers that crashed.
+	served, blocked     float64
+	lateCopies, crashes int
 }
 
 func (ml mixedLoad) run(t *testing.T, lasts time.Duration) (out mixedLoadResult) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		sc := newTestCluster(t, ml.gateways)
-		sc.servers.endsAfter = ml.endsAfter
+		sc.servers.endsAfter = ml.crashDelay
 		next := time.Now().Add(ml.replaceEvery)
 		for n := range int(lasts / (100 * time.Millisecond)) {
 			sc.send(n%ml.gateways, "/menu/other", fmt.Sprint("other-", n))
@@ -76,9 +77,9 @@
 		sizes = []int{2, 4, 8, 23, 60}
 	}
 	for _, gateways := range sizes {
-		for _, endsAfter := range []time.Duration{100 * time.Millisecond, 400 * time.Millisecond} {
+		for _, crashDelay := range []time.Duration{100 * time.Millisecond, 400 * time.Millisecond} {
 			for _, replaced := range []time.Duration{0, 800 * time.Millisecond, 5 * time.Second} {
-				list = append(list, mixedLoad{gateways, endsAfter, replaced})
+				list = append(list, mixedLoad{gateways, crashDelay, replaced})
 			}
 		}
 	}
@@ -86,9 +87,9 @@
 }
 
 // Guards against a harmless request being blocked for good. Gateways had just started, one caller's
-// request ended servers, and the request that all other callers sent alike was refused on every box
-// for five minutes, with 4 to 25 of 400 served, although no server had ever ended under it. Both
-// requests were running on each of the first three servers that ended. As no server had completed
+// request crashed servers, and the request that all other callers sent alike was refused on every
+// box for five minutes, with 4 to 25 of 400 served, although it had never crashed a server. Both
+// requests were running on each of the first three servers that crashed. As no server had completed
 // the common request and was still running half a second later, nothing cleared it, and once it was
 // blocked nothing was sent that could. With six seconds of the common request alone beforehand,
 // 0.97 and more were served in 30 of 30 runs, without them in 18 of 30.
@@ -101,20 +102,20 @@
 		_, err := fmt.Sscan(text, &times)
 		require.NoError(t, err)
 	}
-	short, ends, most := 0, 0, 0
+	short, crashes, most := 0, 0, 0
 	for range times {
 		for _, ml := range loads {
 			out := ml.run(t, 40*time.Second)
-			ends += out.ends
-			most = max(most, out.ends)
-			if out.served < 0.97 || out.tooMany > 3 {
+			crashes += out.crashes
+			most = max(most, out.crashes)
+			if out.served < 0.97 || out.lateCopies > 3 {
 				short++
 				t.Logf("%+v: %+v", ml, out)
 			}
 		}
 	}
-	t.Logf("%d of %d runs fell short; %.1f servers ended in the mean, %d at most",
-		short, times*len(loads), float64(ends)/float64(times*len(loads)), most)
+	t.Logf("%d of %d runs fell short; %.1f servers crashed in the mean, %d at most",
+		short, times*len(loads), float64(crashes)/float64(times*len(loads)), most)
 	require.Zero(t, short)
 }
 
@@ -126,8 +127,8 @@
 	sc.servers.store.add(Change{Blocked: &bl})
 }
 
-// A request that was blocked wrongly, before any server has answered it, is tried by one gateway and
-// served by all gateways soon after, both streams and plain calls that may run only once.
+// A request that was blocked wrongly, before any server has completed it, is tried by one gateway
+// and served by all gateways soon after, both streams and plain calls that may run only once.
 func TestWronglyBlockedRequestIsTriedAndUnblocked(t *testing.T) {
 	for _, gateways := range []int{1, 4, 23} {
 		for _, path := range []string{"/menu/other", "/cards/other"} {
@@ -169,8 +170,8 @@
 	}
 }
 
-// A request under which servers do end stays blocked, even if gateways are replaced meanwhile.
-func TestRequestThatEndsServersIsTriedAtMostTwice(t *testing.T) {
+// A request that does crash servers stays blocked, even if gateways are replaced meanwhile.
+func TestRequestThatCrashesServersIsTriedAtMostTwice(t *testing.T) {
 	for _, gateways := range []int{1, 4, 23} {
 		for _, path := range []string{poisonPath, plainPoisonPath} {
 			synctest.Test(t, func(t *testing.T) {
--- a/internal/gateway/ends.go
+++ b/internal/gateway/crashes.go
@@ -13,12 +13,12 @@
 
 const (
 	// probeTimeout bounds a probe whether a server still listens. The machine of a server that has
-	// ended refuses the connection within a round trip of a few milliseconds.
+	// crashed refuses the connection within a round trip of a few milliseconds.
 	probeTimeout = 400 * time.Millisecond
 	// probeWait is how long a request whose connection broke waits for the result before it
 	// continues elsewhere: a few round trips, and far less than a caller notices.
 	probeWait = 50 * time.Millisecond
-	// probeReuse is how long a probe serves further requests: when a server ends, all its
+	// probeReuse is how long a probe serves further requests: when a server crashes, all its
 	// connections break within a few milliseconds.
 	probeReuse = 100 * time.Millisecond
 	// maxLoggedSuspects bounds the suspects in a log line.
@@ -32,8 +32,8 @@
 	done chan struct{}
 }
 
-// connectionLost checks whether a server has ended after one of its connections broke, and waits for
-// the result for up to probeWait, since the next step may depend on it.
+// connectionLost checks whether a server has crashed after one of its connections broke, and waits
+// for the result for up to probeWait, since the next step may depend on it.
 func (ga *Gateway) connectionLost(ctx context.Context, se directory.Server) {
 	if ctx.Err() != nil {
 		return // the caller left or the deadline passed: this is no evidence on the server
@@ -75,22 +75,22 @@
 		defer ga.mu.Unlock()
 		ga.runs.Alive(se.Key(), clock.Now())
 	case errors.Is(err, ErrUnreachable):
-		ga.recordServerEnd(se, "a connection broke and the server accepts no new one")
+		ga.recordServerCrash(se, "a connection was lost and the server accepts no new one")
 	default:
 		ga.Log.Info().Int("event", int(event.ServerUnclear)).Str("server", se.Key()).Err(err).Msg(event.Name(event.ServerUnclear))
 	}
 }
 
-// recordServerEnd records that a server's process has ended.
-func (ga *Gateway) recordServerEnd(se directory.Server, reason string) {
+// recordServerCrash records that a server's process has crashed.
+func (ga *Gateway) recordServerCrash(se directory.Server, reason string) {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
-	ga.applyServerEnd(se.Key(), reason, clock.Now())
+	ga.applyServerCrash(se.Key(), reason, clock.Now())
 }
 
-// applyServerEnd records the end of a server's life and suspects the requests that it was running,
-// the first time that the end is noticed. The lock is held.
-func (ga *Gateway) applyServerEnd(key, reason string, now time.Time) {
+// applyServerCrash records the crash of a server's process and suspects the requests that it was
+// running, the first time that the crash is noticed. The lock is held.
+func (ga *Gateway) applyServerCrash(key, reason string, now time.Time) {
 	if !ga.runs.HasServer(key) {
 		return
 	}
@@ -112,16 +112,17 @@
 	return names
 }
 
-// updateRuns drops old runs and lifts the blocks of requests that servers have answered without
-// ending. It probes the servers that have answered and are not known to be still running.
+// updateRuns drops old runs and lifts the blocks of requests that servers have completed without
+// crashing. It probes the servers that have completed such requests and are not known to be still
+// running.
 func (ga *Gateway) updateRuns(ctx context.Context, now time.Time) {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
-	for _, pr := range ga.cases.Update(&ga.runs, now) {
-		ga.liftDisprovenBlock(pr, now)
+	for _, fp := range ga.cases.Update(&ga.runs, now) {
+		ga.liftDisprovenBlock(fp, now)
 	}
-	suspected := func(pr poison.Fingerprint) bool {
-		return ga.cases.CrashedServers(pr) > 0 || ga.blocks.Remaining(pr, now) > 0
+	suspected := func(fp poison.Fingerprint) bool {
+		return ga.cases.CrashedServers(fp) > 0 || ga.blocks.Remaining(fp, now) > 0
 	}
 	for _, key := range ga.runs.Unconfirmed(suspected, now) {
 		if se := ga.servers.ByKey(key); se != nil {
--- a/internal/gateway/fallback.go
+++ b/internal/gateway/fallback.go
@@ -7,25 +7,26 @@
 	"github.com/linnetrudder/linnetrudder/internal/event"
 )
 
-// rejectionWindow is how long the previous answer is kept after an escalation. Servers reject an
+// rejectionWindow is how long the previous response is kept after an escalation. Servers reject an
 // attempt within a few round trips.
 const rejectionWindow = 20 * time.Millisecond
 
-// fallbackAnswer is the answer before an escalation. It is dropped after rejectionWindow unless the
-// caller needs it after all.
-type fallbackAnswer struct {
+// fallbackResponse is the response before an escalation. It is dropped after rejectionWindow unless
+// the caller needs it after all.
+type fallbackResponse struct {
 	attempt *attemptState
 	timer   *time.Timer
 }
 
-// releasePrevious frees the attempt before a step. The answer that an escalation is to improve on is
-// kept for rejectionWindow: the larger model's server may reject the attempt when no retry is left.
+// releasePrevious frees the attempt before a step. The response that an escalation is to improve on
+// is kept for rejectionWindow: the larger model's server may reject the attempt when no retry is
+// left.
 func (ex *exchange) releasePrevious(at *attemptState, step direct.Step) {
 	switch {
 	case at == nil:
 	case step.Escalates():
 		ex.dropFallback()
-		ex.held = &fallbackAnswer{attempt: at, timer: time.AfterFunc(rejectionWindow, at.discard)}
+		ex.held = &fallbackResponse{attempt: at, timer: time.AfterFunc(rejectionWindow, at.discard)}
 	default:
 		at.discard()
 		if ex.held != nil {
@@ -34,8 +35,8 @@
 	}
 }
 
-// checkFallback tells the request if the answer before an escalation is no longer available, once
-// the head of the next answer has arrived or will not arrive. If the answer is still available, it
+// checkFallback tells the request if the response before an escalation is no longer available, once
+// the head of the next answer has arrived or will not arrive. If the response is still available, it
 // is kept until the next step.
 func (ex *exchange) checkFallback(at *attemptState) {
 	if ex.held == nil {
@@ -47,8 +48,8 @@
 	}
 }
 
-// useFallback frees the attempt that was to improve on the fallback answer, and returns the attempt
-// that gave the latter.
+// useFallback frees the attempt that was to improve on the fallback response, and returns the
+// attempt that gave the latter.
 func (ex *exchange) useFallback(at *attemptState) *attemptState {
 	at.discard()
 	fallback := ex.takeFallback()
@@ -57,14 +58,14 @@
 	return fallback
 }
 
-// takeFallback returns the attempt with the fallback answer and stops tracking it.
+// takeFallback returns the attempt with the fallback response and stops tracking it.
 func (ex *exchange) takeFallback() *attemptState {
 	at := ex.held.attempt
 	ex.held = nil
 	return at
 }
 
-// dropFallback drops the fallback answer if there is one.
+// dropFallback drops the fallback response if there is one.
 func (ex *exchange) dropFallback() {
 	if ex.held == nil {
 		return
--- a/internal/gateway/fuzz_test.go
+++ b/internal/gateway/fuzz_test.go
@@ -131,7 +131,7 @@
 		ga := newGatewayWithState()
 		answer := ga.Reported(re)
 		require.Equal(t, "a", answer.Box)
-		ga.applyReportAnswer(re, clock.Now())
+		ga.applyReportReply(re, clock.Now())
 		ga.expireLoads(clock.Now().Add(time.Hour))
 		checkInvariants(t, ga)
 	})
--- a/internal/gateway/health.go
+++ b/internal/gateway/health.go
@@ -18,13 +18,13 @@
 	defer ga.mu.Unlock()
 	if good {
 		if ga.pool.Succeeded(se.server.Key()) {
-			ga.logServer(event.ServerReturned, se.server.ID, "answered again")
+			ga.logServer(event.ServerReturned, se.server.ID, "responded again")
 			ga.markCold(&se.server, ga.coldFor(se.server.Service), now)
 		}
 		return
 	}
 	if ga.pool.Failed(se.server.Key(), now) {
-		ga.logServer(event.ServerEjected, se.server.ID, "answers failed")
+		ga.logServer(event.ServerEjected, se.server.ID, "responses failed")
 	}
 }
 
--- a/internal/gateway/limits.go
+++ b/internal/gateway/limits.go
@@ -8,7 +8,7 @@
 	"github.com/linnetrudder/linnetrudder/internal/relay"
 )
 
-// applyLimit records the limit that a server's answer reports, nil for none. The lock is held.
+// applyLimit records the limit that a server's response reports, nil for none. The lock is held.
 func (ga *Gateway) applyLimit(server string, limit *float64, now time.Time) {
 	sent, lasts := ga.pool.Limits.LimitUsage(server, now)
 	ga.logLimitChange(ga.pool.Limits.Report(server, limit, now), server, sent, lasts, "")
--- a/internal/gateway/limits_test.go
+++ b/internal/gateway/limits_test.go
@@ -17,7 +17,7 @@
 	// reportedLimit is the limit that an overloaded server reports, in requests a second.
 	reportedLimit = 1.6
 	// limitWithin is how long gateways may take until all of them comply with it. The users allow
-	// 3 s, and half a second to a gateway that has passed such an answer on.
+	// 3 s, and half a second to a gateway that has passed such a response on.
 	limitWithin = time.Second
 	// limitWindow is the window in which requests are counted, maxInWindow the most that may arrive
 	// in it: one and a half times what the limit allows, and five more.
@@ -72,11 +72,11 @@
 
 // Guards against limits that servers report being ignored. On the users' boxes two servers of a
 // pool of 21 asked for no more than 1.7 and 2.3 requests a second from all gateways together and
-// still received six, as all others did. Both reported their limit in each answer, and all four
-// gateways had passed such answers on after three seconds: gateways read limits only from the
-// entries of cold servers, and passed those in answers on to callers unread. The rates before and
+// still received six, as all others did. Both reported their limit in each response, and all four
+// gateways had passed such responses on after three seconds: gateways read limits only from the
+// entries of cold servers, and passed those in responses on to callers unread. The rates before and
 // after were the same at each gateway (5.1 and 6.6, 6.5 and 5.7 a second), whatever the limit. Now
-// each gateway applies its share of the limit from the first answer on, its own or another
+// each gateway applies its share of the limit from the first response on, its own or another
 // gateway's, and counts what it sent shortly before.
 func TestReportedLimitIsEnforced(t *testing.T) {
 	for _, gateways := range []int{1, 4, 23} {
@@ -154,7 +154,7 @@
 
 // Guards against a server's limit being forgotten together with its entry. A server whose entry
 // lapsed for a moment (another writer's entry, an outage of the key-value service) received all
-// requests on its return, until its next answer, although its process had not ended.
+// requests on its return, until its next response, although its process was still running.
 func TestLimitSurvivesEntryLapse(t *testing.T) {
 	for name, lapse := range map[string]func(ga *Gateway, now time.Time){
 		"unusable entry": func(ga *Gateway, _ time.Time) { ga.dropUnusableServer(UnusableServer{ID: "x1"}) },
--- a/internal/gateway/loads.go
+++ b/internal/gateway/loads.go
@@ -81,7 +81,7 @@
 	failed, from := false, uint64(0)
 	for ctx.Err() == nil {
 		re, next := ga.reportSince(to.asCollector, from)
-		answer, err := cl.Exchange(ctx, re)
+		reply, err := cl.Exchange(ctx, re)
 		if ctx.Err() != nil {
 			return
 		}
@@ -96,7 +96,7 @@
 		}
 		from = next
 		ga.reportAccepted(re, clock.Now())
-		ga.applyReportAnswer(answer, clock.Now())
+		ga.applyReportReply(reply, clock.Now())
 		sleep(ctx, loadReportInterval)
 	}
 }
@@ -161,14 +161,14 @@
 	ga.clearReported()
 }
 
-// applyReportAnswer applies the answer to a report.
-func (ga *Gateway) applyReportAnswer(answer relay.Report, now time.Time) {
+// applyReportReply applies the reply to a report.
+func (ga *Gateway) applyReportReply(reply relay.Report, now time.Time) {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
-	ga.applyGroupReport(answer, now)
-	ga.recordReadiness(answer, now)
-	ga.receiveBlocks(answer, now)
-	ga.receiveNotices(answer, now)
+	ga.applyGroupReport(reply, now)
+	ga.recordReadiness(reply, now)
+	ga.receiveBlocks(reply, now)
+	ga.receiveNotices(reply, now)
 }
 
 // applyGroupReport applies a report that covers several gateways. The lock is held.
@@ -209,7 +209,7 @@
 	return now.Sub(ga.otherReadyAt) < loadReportTTL
 }
 
-// Reported applies another gateway's load report and returns this gateway's answer.
+// Reported applies another gateway's load report and returns this gateway's reply.
 func (ga *Gateway) Reported(re relay.Report) relay.Report {
 	now := clock.Now()
 	ga.mu.Lock()
@@ -230,11 +230,11 @@
 		ga.collectTallies(re.Tallies)
 		work, gateways = ga.loads.SumExcept(re.Box, ga.pool.Work()), ga.loads.OtherGateways()
 	}
-	answer := relay.Report{
+	reply := relay.Report{
 		Box: ga.Box, Collector: true, Work: work.Busiest(maxLoadServers), Ready: ga.readyLocked(now), Gateways: gateways,
 	}
-	ga.addNotices(&answer, to, now)
-	return ga.addBlocks(answer, now)
+	ga.addNotices(&reply, to, now)
+	return ga.addBlocks(reply, now)
 }
 
 // expireLoads drops reports older than loadReportTTL.
--- a/internal/gateway/models.go
+++ b/internal/gateway/models.go
@@ -12,16 +12,16 @@
 )
 
 const (
-	// largestModelCost is the cost of an answer of the largest model as a fraction of the answer's
-	// value. The costs of the other models are in proportion to the operators' figures.
+	// largestModelCost is the cost of a response of the largest model as a fraction of the
+	// response's value. The costs of the other models are in proportion to the operators' figures.
 	largestModelCost = 0.15
-	// defaultTimePerToken is the smallest model's reading time per token until answers give a
+	// defaultTimePerToken is the smallest model's reading time per token until responses give a
 	// measured one: 5 to 8 us on the users' servers. Larger models are assumed to be slower in
 	// proportion to their cost.
 	defaultTimePerToken = 10 * time.Microsecond
 	// promptSizeSmoothing is the weight of the newest request in the mean size of a prompt.
 	promptSizeSmoothing = 0.02
-	// noServerDelay is the assumed time to the head of an answer of a model that no server can run
+	// noServerDelay is the assumed time to the head of a response of a model that no server can run
 	// now.
 	noServerDelay = time.Hour
 )
@@ -64,26 +64,26 @@
 	return 0
 }
 
-// Next returns the model to escalate to instead of delivering an answer.
-func (ex *exchange) Next(place, confidence int, now time.Time) (int, bool) {
-	ex.observeGain(place, confidence)
-	ex.evaluateModels(place, now)
-	return ex.choice.state.Next(place, confidence, ex.choice.options)
+// Next returns the model to escalate to instead of delivering a response.
+func (ex *exchange) Next(index, confidence int, now time.Time) (int, bool) {
+	ex.observeGain(index, confidence)
+	ex.evaluateModels(index, now)
+	return ex.choice.state.Next(index, confidence, ex.choice.options)
 }
 
-// observeGain records by how much an answer's confidence exceeds that of the smallest model.
-func (ex *exchange) observeGain(place, confidence int) {
-	if place == 0 {
+// observeGain records by how much a response's confidence exceeds that of the smallest model.
+func (ex *exchange) observeGain(index, confidence int) {
+	if index == 0 {
 		ex.smallestConfidence = confidence
 		return
 	}
 	ex.ga.mu.Lock()
 	defer ex.ga.mu.Unlock()
-	ex.ga.modelGains.Observe(ex.modelKey(ex.request.Models[place]), ex.smallestConfidence, confidence)
+	ex.ga.modelGains.Observe(ex.modelKey(ex.request.Models[index]), ex.smallestConfidence, confidence)
 }
 
-// evaluateModels computes the inputs for the choice of a model above the one at a place.
-func (ex *exchange) evaluateModels(place int, now time.Time) {
+// evaluateModels computes the inputs for the choice of a model above the one at an index.
+func (ex *exchange) evaluateModels(index int, now time.Time) {
 	ga := ex.ga
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
@@ -101,7 +101,7 @@
 		if i > 0 {
 			op.ConfidenceGain = ga.modelGains.Estimate(ex.modelKey(model))
 		}
-		if i <= place {
+		if i <= index {
 			continue
 		}
 		op.Price, op.TimeToHead = ex.relativeCost(i), noServerDelay
@@ -122,14 +122,14 @@
 	return tr
 }
 
-// relativeCost returns the cost of an answer of the model at a place, as a fraction of the value of
-// a good answer. If the operators give no figures, cost increases linearly with the place.
-func (ex *exchange) relativeCost(place int) float64 {
+// relativeCost returns the cost of a response of the model at an index, as a fraction of the value
+// of a good response. If the operators give no figures, cost increases linearly with its index.
+func (ex *exchange) relativeCost(index int) float64 {
 	models := ex.request.Models
 	if most := ex.cost(models[len(models)-1]); most > 0 {
-		return largestModelCost * ex.cost(models[place]) / most
+		return largestModelCost * ex.cost(models[index]) / most
 	}
-	return largestModelCost * float64(place) / float64(max(1, len(models)-1))
+	return largestModelCost * float64(index) / float64(max(1, len(models)-1))
 }
 
 // cost returns the operators' cost figure of a model, zero if there is none.
@@ -174,7 +174,7 @@
 // modelKey returns the key of a service's model in the statistics on models.
 func (ex *exchange) modelKey(model string) string { return ex.service + "\x00" + model }
 
-// perToken returns the assumed reading time per token of a model while no answers have given one.
+// perToken returns the assumed reading time per token of a model while no responses have given one.
 func (ex *exchange) perToken(model string) time.Duration {
 	if len(ex.route.Models) == 0 {
 		return defaultTimePerToken
--- a/internal/gateway/outcomes.go
+++ b/internal/gateway/outcomes.go
@@ -31,27 +31,28 @@
 	return me
 }
 
-// slowEventFactor and slowAnswerFactor are the multiples of the old version's best time that count
-// as slow, between two events of a stream and for a whole answer. On the users' sites a slow
-// version's events come 4 to 5.5 times later than the old version's fastest, those of a good
-// version on idle servers up to 1.4 times. Whole answers of a plain service differ by a factor of
-// up to 4.
+// slowEventFactor and slowResponseFactor are the multiples of the old version's best time that
+// count as slow, between two events of a stream and for a complete response. On the users' sites a
+// slow version's events come 4 to 5.5 times later than the old version's fastest, those of a good
+// version on idle servers up to 1.4 times. Complete responses of a plain service differ by a factor
+// of up to 4.
 const (
-	slowEventFactor  = 3
-	slowAnswerFactor = 5
+	slowEventFactor    = 3
+	slowResponseFactor = 5
 )
 
-// observeOutcome records the outcome of a server's answer for the roll-out of its service. Outcomes
-// that the server did not report itself, such as a lost connection, do not count. A stream counts by
-// its head, since the assessment of a version must not wait for streams to end. The lock is held.
+// observeOutcome records the outcome of a server's response for the roll-out of its service.
+// Outcomes that the server did not report itself, such as a lost connection, do not count. A stream
+// counts by its head, since the assessment of a version must not wait for streams to end. The lock
+// is held.
 func (ga *Gateway) observeOutcome(se directory.Server, route string, failed bool) {
 	if ro := ga.rollouts[se.Service]; ro != nil && !ro.ended() {
 		ro.canary.Observe(se.Key(), route, se.Version == ro.order.Plan.Version, failed)
 	}
 }
 
-// observeDuration records for the roll-out of the server's service whether an answer was slow:
-// whether it took more than factor times the old version's best time. name separates answers whose
+// observeDuration records for the roll-out of the server's service whether a response was slow:
+// whether it took more than factor times the old version's best time. name separates responses whose
 // durations are not comparable. The lock is held.
 func (ga *Gateway) observeDuration(se directory.Server, name string, took time.Duration, factor float64, now time.Time) {
 	ro := ga.rollouts[se.Service]
--- a/internal/gateway/poison_test.go
+++ b/internal/gateway/poison_test.go
@@ -16,8 +16,8 @@
 	"github.com/linnetrudder/linnetrudder/internal/result"
 )
 
-// Guards against a request under which servers end being sent to one server after another. On the
-// users' boxes such requests ended 141 of the model service's servers in a day, for half a minute
+// Guards against a request that crashes servers being sent to one server after another. On the
+// users' boxes such requests crashed 141 of the model service's servers in a day, for half a minute
 // at a time, and a tenth and more of all streams broke. A request's first token came from a small
 // model of low confidence, so a larger model was asked elsewhere and the first run dropped. The
 // first server ended 0.1 s later, then the second and third, to which the stream was moved, and the
@@ -26,16 +26,16 @@
 // runs at four gateways, none completed, and each server ended within 0.2 s of a first token. In 13
 // of the copies a run had been dropped before its server ended, so that broken connections alone
 // reveal it late.
-func TestRequestThatEndsServersIsBlocked(t *testing.T) {
+func TestRequestThatCrashesServersIsBlocked(t *testing.T) {
 	for _, silent := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			sc := newTestCluster(t, 4)
 			sc.servers.silent = silent
 			sc.sendTraffic(0, poisonPath, 20*time.Second)
 			sc.callers.Wait()
-			require.LessOrEqual(t, sc.servers.lateCopies(), 3, "%d ends", sc.servers.endCount())
-			ends := sc.servers.endCount()
-			require.Less(t, ends, 10)
+			require.LessOrEqual(t, sc.servers.lateCopies(), 3, "%d crashes", sc.servers.endCount())
+			crashes := sc.servers.endCount()
+			require.Less(t, crashes, 10)
 
 			// All gateways fail at once, and others start.
 			sc.stop()
@@ -45,7 +45,7 @@
 			sc.poisonResponses = nil
 			sc.sendTraffic(4, poisonPath, 5*time.Second)
 			sc.callers.Wait()
-			require.Equal(t, ends, sc.servers.endCount(), "the block is stored")
+			require.Equal(t, crashes, sc.servers.endCount(), "the block is stored")
 			require.NotEmpty(t, sc.poisonResponses)
 			for _, ca := range sc.poisonResponses {
 				require.Equal(t, result.DidNotRun, result.Of(ca.code).Run())
@@ -64,7 +64,7 @@
 }
 
 // A request that may run only once reaches one server per copy, so each gateway sees a single end.
-func TestPlainRequestThatEndsServersIsBlocked(t *testing.T) {
+func TestPlainRequestThatCrashesServersIsBlocked(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sc := newTestCluster(t, 12)
 		sc.sendTraffic(0, plainPoisonPath, 20*time.Second)
@@ -83,7 +83,7 @@
 
 // A request that crashes the whole machine: nothing refuses connections there, and the server's
 // entry expires a few seconds later.
-func TestRequestThatEndsMachinesIsBlocked(t *testing.T) {
+func TestRequestThatCrashesMachinesIsBlocked(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sc := newTestClusterWith(t, 4, func(sc *testCluster) { sc.servers.machineFails = true })
 		sc.sendTraffic(0, poisonPath, 20*time.Second)
@@ -94,9 +94,9 @@
 	})
 }
 
-// A third of the servers ends at the same time, repeatedly, each time with all requests in progress
-// there.
-func TestServersThatEndSimultaneouslyBlockNothing(t *testing.T) {
+// A third of the servers crashes at the same time, repeatedly, each time with all requests in
+// progress there.
+func TestServersThatCrashSimultaneouslyBlockNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sc := newTestCluster(t, 4)
 		for range 6 {
@@ -124,7 +124,7 @@
 
 // Four such requests at once, two of them plain, while the key-value service is unreachable for four
 // seconds and half of the gateways are replaced in the middle of the outage.
-func TestSeveralRequestsThatEndServersDuringOutage(t *testing.T) {
+func TestSeveralRequestsThatCrashServersDuringOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sc := newTestCluster(t, 8)
 		paths := []string{"/menu/a/poison", "/menu/b/poison", "/cards/a/poison", "/cards/b/poison"}
@@ -156,16 +156,16 @@
 		defer sc.servers.mu.Unlock()
 		for _, path := range paths {
 			de := sc.servers.records[path]
-			require.LessOrEqual(t, de.lateCopies(known), 3, "%s: %d ends", path, len(de.ended))
+			require.LessOrEqual(t, de.lateCopies(known), 3, "%s: %d crashes", path, len(de.ended))
 			require.LessOrEqual(t, len(de.ended), 20, path)
 		}
 	})
 }
 
-// A request that all callers send alike is running on each server that ends. A gateway that has just
-// started knows of no complete answer to it and blocks it. The other gateways know of answers and
-// lift the block.
-func TestBlockOfRequestAnsweredElsewhereIsLifted(t *testing.T) {
+// A request that all callers send alike is running on each server that crashes. A gateway that has
+// just started knows of no complete response to it and blocks it. The other gateways know of
+// responses and lift the block.
+func TestBlockOfRequestCompletedElsewhereIsLifted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sc := newTestCluster(t, 4)
 		common := func(gateways int) {
@@ -234,7 +234,7 @@
 		sc.callers.Wait()
 		require.Less(t, sc.servers.endCount(), 10)
 		require.Equal(t, 8, sc.blockCount(), "each gateway")
-		ends := sc.servers.endCount()
+		crashes := sc.servers.endCount()
 		cut(false)
 		time.Sleep(8 * time.Second)
 		sc.stop()
@@ -242,7 +242,7 @@
 		time.Sleep(3 * time.Second)
 		sc.sendTraffic(8, poisonPath, 2*time.Second)
 		sc.callers.Wait()
-		require.Equal(t, ends, sc.servers.endCount())
+		require.Equal(t, crashes, sc.servers.endCount())
 	})
 }
 
@@ -275,13 +275,13 @@
 // Compares ways to propagate requests under which servers end, over the same 20 s: each gateway on
 // its own, through the key-value service only, and with load reports; with blocks after two, three
 // and four ends. The documentation on such requests has the table.
-func TestPropagationOfRequestsThatEndServers(t *testing.T) {
+func TestPropagationOfRequestsThatCrashServers(t *testing.T) {
 	type method struct {
 		name            string
 		reports, stored bool
-		ends            int
+		crashes         int
 	}
-	ended := map[string]int{}
+	crashed := map[string]int{}
 	for _, gateways := range []int{4, 23} {
 		for _, me := range []method{
 			{"nothing is remembered", false, false, 1 << 20},
@@ -298,7 +298,7 @@
 				})
 				for _, ga := range sc.gateways {
 					ga.mu.Lock()
-					ga.cases.MinCrashes = me.ends
+					ga.cases.MinCrashes = me.crashes
 					ga.mu.Unlock()
 				}
 				sc.sendTraffic(0, poisonPath, 20*time.Second)
@@ -309,14 +309,14 @@
 						served++
 					}
 				}
-				name := fmt.Sprint(me.name, ", from ", me.ends, " ends")
-				ended[fmt.Sprint(gateways, name)] = sc.servers.endCount()
-				t.Logf("%d gateways, %s: %d servers ended, %d copies too many, %.3f of the other requests served",
+				name := fmt.Sprint(me.name, ", from ", me.crashes, " crashes")
+				crashed[fmt.Sprint(gateways, name)] = sc.servers.endCount()
+				t.Logf("%d gateways, %s: %d servers crashed, %d copies too many, %.3f of the other requests served",
 					gateways, name, sc.servers.endCount(), sc.servers.lateCopies(), float64(served)/float64(len(sc.otherResponses)))
 			})
 		}
-		taken := ended[fmt.Sprint(gateways, "suspicions and blocks with reports, from 3 ends")]
-		require.Less(t, taken, ended[fmt.Sprint(gateways, "each gateway on its own, from 3 ends")])
+		taken := crashed[fmt.Sprint(gateways, "suspicions and blocks with reports, from 3 crashes")]
+		require.Less(t, taken, crashed[fmt.Sprint(gateways, "each gateway on its own, from 3 crashes")])
 		require.LessOrEqual(t, taken, 10)
 	}
 }
--- a/internal/gateway/restored.go
+++ b/internal/gateway/restored.go
@@ -12,7 +12,7 @@
 const rewriteGrace = 5 * time.Second
 
 // restoredSince reports whether the key-value service was restored since this gateway last read the
-// whole state. The lock is held.
+// complete state. The lock is held.
 func (ga *Gateway) restoredSince(to revision.Revision, now time.Time) bool {
 	storeEra.Set(float64(to.Era))
 	before := ga.history.Revision()
@@ -28,12 +28,12 @@
 	return true
 }
 
-// endedServersTTL is how long a whole state names the servers that have ended. A gateway that comes
-// from an older era could otherwise not tell them from servers whose entries were lost.
+// endedServersTTL is how long a complete state includes the servers whose entries ended. A gateway
+// that comes from an older era could otherwise not tell them from servers whose entries were lost.
 const endedServersTTL = 30 * time.Second
 
-// endedServersSince returns the time since which ended servers are named to others. The restored
-// service may list again what ended before the restore. The lock is held.
+// endedServersSince returns the time since which ended servers are reported to other gateways. The
+// restored service may list servers again that ended before the restore. The lock is held.
 func (ga *Gateway) endedServersSince(now time.Time) time.Time {
 	if from := now.Add(-endedServersTTL); from.After(ga.eraSince) {
 		return from
--- a/internal/gateway/restored_history_test.go
+++ b/internal/gateway/restored_history_test.go
@@ -18,7 +18,7 @@
 
 const (
 	serverDrains    eventKind = "server drains"
-	serverStops     eventKind = "server ends"
+	serverStops     eventKind = "server entry ended"
 	serverStarts    eventKind = "server starts"
 	centreEvacuated eventKind = "data centre evacuated"
 	centreRestored  eventKind = "evacuation ended"
@@ -43,7 +43,7 @@
 	steps    []historyStep
 	// rewriteAfter is how long after a restore operators and servers write lost entries again.
 	rewriteAfter time.Duration
-	// restoreHidden is set if the store's answers do not reveal that it was restored.
+	// restoreHidden is set if the store's responses do not reveal that it was restored.
 	restoreHidden bool
 }
 
@@ -275,7 +275,7 @@
 	require.NotEmpty(t, hi.run(t))
 }
 
-func TestServerThatEndsRightAfterRestoreIsDropped(t *testing.T) {
+func TestServerRemovedRightAfterRestoreIsDropped(t *testing.T) {
 	hi := history{gateways: 7, rewriteAfter: 3 * time.Millisecond, steps: []historyStep{
 		{pause: 3 * time.Millisecond, kind: configWritten},
 		{pause: 224 * time.Millisecond, kind: storeCopied},
--- a/internal/gateway/restored_test.go
+++ b/internal/gateway/restored_test.go
@@ -140,7 +140,7 @@
 	return ga
 }
 
-// readRestored makes a gateway read the whole state of a key-value service that was restored.
+// readRestored makes a gateway read the complete state of a key-value service that was restored.
 func (ga *Gateway) readRestored(t *testing.T, changes ...Change) {
 	t.Helper()
 	require.NoError(t, ga.applyReadState(State{Revision: inEra(2, 25), Changes: changes}, time.Now()))
@@ -208,7 +208,7 @@
 	ga.observeOutcome(directory.Server{ID: "x", Service: "s", Version: "v2"}, "r", true)
 	ro := ga.rollouts["s"]
 	tally := *ga.ownTally(ro)
-	ro.publishedBad, ro.publishedTried, ro.publishedAt = 1, 1, time.Now()
+	ro.publishedBad, ro.publishedCount, ro.publishedAt = 1, 1, time.Now()
 	require.False(t, ga.tallyDue(ro, time.Now()))
 	ga.readRestored(t, orderAt(inEra(2, 20), "v2"))
 	require.True(t, ga.tallyDue(ro, time.Now()))
@@ -320,7 +320,7 @@
 	}
 }
 
-// callCounts returns the numbers of whole reads and watches.
+// callCounts returns the numbers of complete reads and watches.
 func (ke *fakeStore) callCounts() (reads, watches int) {
 	ke.mu.Lock()
 	defer ke.mu.Unlock()
--- a/internal/gateway/rollouts.go
+++ b/internal/gateway/rollouts.go
@@ -38,7 +38,7 @@
 	writePause time.Duration
 	// publishedBad and publishedTried are the bad outcomes and all outcomes that were published to
 	// the other gateways at publishedAt.
-	publishedBad, publishedTried int
+	publishedBad, publishedCount int
 	publishedAt                  time.Time
 	// pending is this gateway's tally that is not published yet, reported the one in the last load
 	// report.
@@ -88,7 +88,7 @@
 
 // resendOutcomes makes all outcomes due to be published again.
 func (ro *rolloutState) resendOutcomes() {
-	ro.publishedBad, ro.publishedTried, ro.publishedAt = 0, 0, time.Time{}
+	ro.publishedBad, ro.publishedCount, ro.publishedAt = 0, 0, time.Time{}
 }
 
 // extraPerGateway returns this gateway's share of the requests that a bad version may get beyond
--- a/internal/gateway/rollouts_test.go
+++ b/internal/gateway/rollouts_test.go
@@ -105,7 +105,7 @@
 
 // The time to a head depends on the prompts that a server has cached, and a new server has none, so
 // it must not be used to compare versions.
-func TestAnswerWithoutComparableDurationIsNotSlow(t *testing.T) {
+func TestResponseWithoutComparableDurationIsNotSlow(t *testing.T) {
 	ga, ro := newTrialGateway(t)
 	ga.latencyFloors.Observe("pace", time.Second)
 	for i := range 100 {
@@ -171,14 +171,14 @@
 
 	// A process that starts now uses the stored phase, both before and after the new phase is
 	// stored.
-	for _, kept := range []StoredPhase{
+	for _, stored := range []StoredPhase{
 		{Service: "s", Order: rev(7), Phase: rollout.Failed, Revision: rev(9), Version: "v2"},
 		{Service: "s", Order: rev(10), Phase: rollout.Trying, Revision: rev(11), Version: "v3", Withdrawn: []string{"v2"}},
 	} {
 		fresh := &Gateway{Log: zerolog.Nop(), Bounds: ga.Bounds}
 		fresh.prepare()
 		putServers(fresh, "v1", "v2", "v3")
-		fresh.applyStoredPhase(kept)
+		fresh.applyStoredPhase(stored)
 		fresh.applyOrder(Order{Revision: rev(10), Plan: rollout.Plan{Service: "s", Version: "v3", Within: 20 * time.Second}})
 		require.Equal(t, map[string]bool{"v1": true}, versionsPicked(fresh))
 	}
@@ -317,7 +317,7 @@
 			now = now.Add(10 * time.Millisecond)
 			ga.observeOutcome(directory.Server{ID: "a", Service: "s", Version: "v2"}, "r", true)
 			if ga.tallyDue(ro, now) {
-				ro.publishedAt, ro.publishedTried = now, ro.canary.OwnCount()
+				ro.publishedAt, ro.publishedCount = now, ro.canary.OwnCount()
 				_, ro.publishedBad = ro.canary.Counts()
 				published++
 			}
@@ -349,7 +349,7 @@
 }
 
 // An order written while no watch received changes may be up to a second old when it is read.
-func TestOrderFromWholeReadMayBeOlder(t *testing.T) {
+func TestOrderFromCompleteReadMayBeOlder(t *testing.T) {
 	order := Change{Order: &Order{Revision: rev(4), Plan: rollout.Plan{Service: "s", Version: "v2", Within: 24 * time.Second}}}
 	for _, tc := range []struct {
 		silent, older time.Duration
--- a/internal/gateway/selfreports.go
+++ b/internal/gateway/selfreports.go
@@ -12,7 +12,7 @@
 )
 
 // selfReport returns what the attempt's server reported about itself. ok is false if the
-// server did not answer.
+// server did not respond.
 func (se *attemptState) selfReport() (re selfreport.Report, ok bool) {
 	var refusal *RefusedError
 	var doubt *AmbiguousError
@@ -54,7 +54,7 @@
 		ga.pool.Pauses.RecordAccepted(key, now)
 	}
 	if re.Leaving {
-		ga.markLeaving(key, now, 0, "announced in an answer")
+		ga.markLeaving(key, now, 0, "announced in a response")
 	}
 }
 
--- a/internal/gateway/selfreports_test.go
+++ b/internal/gateway/selfreports_test.go
@@ -121,15 +121,15 @@
 }
 
 // Guards against requests to a server that has announced its shutdown. On the users' boxes a
-// gateway that had delivered such an answer still sent first attempts and escalations to the server
-// 11 s later, where 2 s are allowed. The key-value service stopped answering, so that the server
-// could not publish that it was leaving. After the service was back, gateways sent requests to the
-// server until its entry changed: they knew of leaving servers from entries only, and passed
-// announcements in answers on unread. The server received as many requests as all others before and
-// after the announcement, on all ways of sending, and event 532 followed each event 531 once
-// answers were decoded. Now the directory, from which every server is chosen, excludes an announced
-// server for the rest of its life whatever its entry says, and gateways propagate announcements
-// with load reports.
+// gateway that had delivered such a response still sent first attempts and escalations to the
+// server 11 s later, where 2 s are allowed. The key-value service stopped answering, so that the
+// server could not publish that it was leaving. After the service was back, gateways sent requests
+// to the server until its entry changed: they knew of leaving servers from entries only, and passed
+// announcements in responses on unread. The server received as many requests as all others before
+// and after the announcement, on all ways of sending, and event 532 followed each event 531 once
+// responses were decoded. Now the directory, from which every server is chosen, excludes an
+// announced server until its process ends, whatever its entry says, and gateways propagate
+// announcements with load reports.
 func TestLeavingServerGetsNoNewRequests(t *testing.T) {
 	for _, gateways := range []int{1, 4, 23} {
 		t.Run(fmt.Sprint(gateways), func(t *testing.T) {
@@ -271,28 +271,28 @@
 	})
 }
 
-// An announcement counts in every kind of answer, including those that are not delivered to a
+// An announcement counts in every kind of response, including those that are not delivered to a
 // caller.
-func TestSelfReportIsAppliedFromEveryKindOfAnswer(t *testing.T) {
+func TestSelfReportIsAppliedFromEveryKindOfResponse(t *testing.T) {
 	leaving := selfreport.Report{Leaving: true}
 	for name, se := range map[string]*attemptState{
-		"answer":               {response: &Response{Report: leaving}},
-		"answer of a failure":  {response: &Response{Status: 500, Report: leaving}},
-		"answer given up":      {response: &Response{Report: leaving}, err: errAbandoned},
-		"answer that broke":    {response: &Response{Report: leaving}, err: io.ErrUnexpectedEOF},
-		"rejection":            {err: &RefusedError{Report: leaving}},
-		"doubtful answer":      {err: &AmbiguousError{Report: leaving}},
-		"wrapped rejection":    {err: eris.Wrap(&RefusedError{Report: leaving}, "call")},
-		"another server's":     {err: &RefusedError{Gone: true, Report: leaving}},
-		"no answer":            {err: ErrNotSent},
-		"answer of no concern": {response: &Response{}},
+		"response":                {response: &Response{Report: leaving}},
+		"failure response":        {response: &Response{Status: 500, Report: leaving}},
+		"abandoned response":      {response: &Response{Report: leaving}, err: errAbandoned},
+		"truncated response":      {response: &Response{Report: leaving}, err: io.ErrUnexpectedEOF},
+		"rejection":               {err: &RefusedError{Report: leaving}},
+		"ambiguous response":      {err: &AmbiguousError{Report: leaving}},
+		"wrapped rejection":       {err: eris.Wrap(&RefusedError{Report: leaving}, "call")},
+		"another server's":        {err: &RefusedError{Gone: true, Report: leaving}},
+		"no response":             {err: ErrNotSent},
+		"response without report": {response: &Response{}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			now := clock.Now()
 			ga, log := newServingGateway()
 			se.server = *ga.servers.Get("x1")
 			ga.applySelfReport(se, now)
-			if name == "another server's" || name == "no answer" || name == "answer of no concern" {
+			if name == "another server's" || name == "no response" || name == "response without report" {
 				require.Len(t, pickedServers(ga, now), 3)
 				return
 			}
@@ -303,7 +303,7 @@
 }
 
 // A gateway that starts learns from a watcher which servers are leaving.
-func TestWholeStateNamesLeavingServers(t *testing.T) {
+func TestSnapshotListsLeavingServers(t *testing.T) {
 	now := clock.Now()
 	wa, _ := newServingGateway(Change{Member: &relay.Member{Box: "a", DataCentre: "dc0", Address: "127.0.0.1:1"}})
 	wa.markLeaving("x2", now, 0, "")
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -100,7 +100,7 @@
 	choice             modelChoice
 	smallestConfidence int
 	// held is the response before an escalation, nil once it is not needed any more.
-	held *fallbackAnswer
+	held *fallbackResponse
 	// finalAttempt is the attempt whose response the caller receives, nil before there is one.
 	finalAttempt *attemptState
 	// deliveredID is the id of the last event that the caller received.
--- a/internal/gateway/servers.go
+++ b/internal/gateway/servers.go
@@ -30,7 +30,7 @@
 	case known == nil:
 		ga.logServer(event.ServerListed, se.ID, se.Service+" "+se.Version+" "+se.Address)
 	case se.Born != old.Born:
-		ga.applyServerEnd(old.Key(), "the server has restarted", now)
+		ga.applyServerCrash(old.Key(), "the server has restarted", now)
 		ga.pool.ForgetInstance(old.Key())
 		ga.logServer(event.ServerRestarted, se.ID, se.Service+" "+se.Version+" "+se.Address)
 	case se.Draining && !old.Draining:
@@ -44,7 +44,7 @@
 	key := ga.serverKey(id)
 	if se := ga.servers.Get(id); se != nil && !ga.servers.IsDraining(se) && ga.runs.IsDisconnected(key, now) {
 		// If the machine has failed together with its server, nothing refuses a connection.
-		ga.applyServerEnd(key, "a connection broke and the server's entry ended", now)
+		ga.applyServerCrash(key, "a connection was lost and the server's entry ended", now)
 	}
 	ga.servers.Remove(id, now)
 	if ga.servers.Get(id) == nil {
@@ -67,8 +67,8 @@
 	ga.logServer(event.ServerUnusable, un.ID, un.Reason)
 }
 
-// reconcileServers removes the servers that a whole state does not list, at once unless a restored
-// key-value service may have lost their entries. The lock is held.
+// reconcileServers removes the servers that a complete state does not list, at once unless a
+// restored key-value service may have lost their entries. The lock is held.
 func (ga *Gateway) reconcileServers(listed map[string]bool, restored bool, now time.Time) {
 	for _, se := range ga.servers.Listed() {
 		switch {
@@ -81,8 +81,8 @@
 	}
 }
 
-// deferRevived reports whether a restored key-value service lists a server that has ended, and keeps
-// such a server out of use for a while. The lock is held.
+// deferRevived reports whether a restored key-value service lists a server whose entry had ended,
+// and keeps such a server out of use for a while. The lock is held.
 func (ga *Gateway) deferRevived(se directory.Server, now time.Time) bool {
 	if !ga.servers.Quarantine(se, now) {
 		return false
@@ -111,7 +111,7 @@
 	ga.logDataCentre(event.CentreRestored, dataCentre)
 }
 
-// reconcileEvacuations ends the evacuations that a whole state does not contain. If a restored
+// reconcileEvacuations ends the evacuations that a complete state does not contain. If a restored
 // key-value service may have lost one, its operator gets time to write it again. The lock is held.
 func (ga *Gateway) reconcileEvacuations(evacuated map[string]bool, restored bool, now time.Time) {
 	for _, dataCentre := range ga.servers.Evacuated() {
@@ -196,7 +196,7 @@
 	}
 }
 
-// serverKey returns the key of a server's current life, or that of its first life if it is not
+// serverKey returns the key of a server's current process, or that of its first process if it is not
 // listed. The lock is held.
 func (ga *Gateway) serverKey(id string) string {
 	if se := ga.servers.Get(id); se != nil {
--- a/internal/gateway/servers_test.go
+++ b/internal/gateway/servers_test.go
@@ -94,7 +94,7 @@
 	ga.applyChange(Change{Evacuated: "dc1"})
 	require.Equal(t, map[string]bool{"x0": true, "x2": true}, pickedServers(ga, now))
 	ga.applyChange(Change{Evacuated: "dc0"})
-	ga.applyChange(Change{Evacuated: "unknown"})
+	ga.applyChange(Change{Evacuated: "unknown data centre"})
 	require.Equal(t, map[string]bool{"x2": true}, pickedServers(ga, now), "a gateway's own data centre is evacuated as well")
 	ga.applyChange(Change{Evacuated: "dc2"})
 	require.Empty(t, pickedServers(ga, now))
@@ -104,9 +104,9 @@
 	require.Contains(t, log.String(), "data_centre_restored")
 }
 
-// A gateway that missed the begin or the end of an evacuation learns of it from a whole state,
+// A gateway that missed the begin or the end of an evacuation learns of it from a complete state,
 // which it reads itself or receives from a watcher.
-func TestWholeStateContainsEvacuations(t *testing.T) {
+func TestSnapshotContainsEvacuations(t *testing.T) {
 	now := time.Now()
 	wa, _ := newServingGateway(Change{Evacuated: "dc1"}, Change{Member: &relay.Member{Box: "a", DataCentre: "dc0", Address: "127.0.0.1:1"}})
 	require.NotContains(t, pickedServers(wa, now), "x1", "a gateway that starts during the evacuation")
@@ -180,7 +180,7 @@
 	require.True(t, ga.pool.LastResponse(second.Key()).IsZero())
 	ga.pool.Ended(first.Key())
 	ga.pool.Failed(first.Key(), now)
-	require.Contains(t, firstPicks(ga, now), "y0", "late answers of the previous process do not count")
+	require.Contains(t, firstPicks(ga, now), "y0", "late responses of the previous process do not count")
 	ga.applyChange(entry)
 	require.Equal(t, "127.0.0.1:2", ga.servers.Get("y0").Address, "a late entry of the previous process is ignored")
 	require.Equal(t, 1, strings.Count(log.String(), "server_restarted"))
@@ -235,9 +235,9 @@
 	}
 }
 
-// A cold pool under more load than it allows: 23 gateways send to 42 cold servers. The whole
-// allowance is used, all other requests are refused at once, and no server exceeds its limit within
-// any second.
+// A cold pool under more load than it allows: 23 gateways send to 42 cold servers. The allowance is
+// fully used, all other requests are refused at once, and no server exceeds its limit within any
+// second.
 func TestColdPoolIsUsedUpToItsLimit(t *testing.T) {
 	const gateways, servers = 23, 42
 	fleet := make([]*Gateway, gateways)
--- a/internal/gateway/tallies.go
+++ b/internal/gateway/tallies.go
@@ -35,14 +35,14 @@
 	_, bad := ro.canary.Counts()
 	since := now.Sub(ro.publishedAt)
 	switch {
-	case ro.ended() || ro.canary.OwnCount() == ro.publishedTried:
+	case ro.ended() || ro.canary.OwnCount() == ro.publishedCount:
 		return false
 	case bad > ro.publishedBad:
 		return since >= max(badTallyInterval, tallySpacing*time.Duration(ga.gatewayCount))
 	case ro.canary.DecisionImminent(now):
 		return since >= max(decisionTallyInterval, tallySpacing*time.Duration(ga.gatewayCount))
 	default:
-		return ro.canary.TotalBad() >= goodTallyMinBad && (ro.publishedTried == 0 || since >= goodTallyInterval)
+		return ro.canary.TotalBad() >= goodTallyMinBad && (ro.publishedCount == 0 || since >= goodTallyInterval)
 	}
 }
 
@@ -56,7 +56,7 @@
 	}
 	if ga.tallyDue(ro, now) {
 		_, bad := ro.canary.Counts()
-		ro.publishedBad, ro.publishedTried, ro.publishedAt = bad, ro.canary.OwnCount(), now
+		ro.publishedBad, ro.publishedCount, ro.publishedAt = bad, ro.canary.OwnCount(), now
 		ro.pending = ga.ownTally(ro)
 	}
 	if now.Sub(ga.lastReportCollected) < loadReportTTL {
--- a/internal/gateway/trials.go
+++ b/internal/gateway/trials.go
@@ -49,16 +49,16 @@
 
 // startTrial reports whether this gateway sends a copy of a blocked request as a trial, and records
 // the trial. A trial needs a server that runs nothing else, so that the request is the only suspect
-// if the server ends. The lock is held.
+// if the server crashes. The lock is held.
 func (ga *Gateway) startTrial(ex *exchange, now time.Time) bool {
-	pr := ex.fingerprint
-	trial, due := ga.blocks.DueTrial(pr, now)
-	if trial == 0 || !ga.isTrialTurn(pr, trial, due) || !ga.pool.HasIdle(ex.poolRequest("", nil, now), now) {
+	fp := ex.fingerprint
+	trial, due := ga.blocks.DueTrial(fp, now)
+	if trial == 0 || !ga.isTrialTurn(fp, trial, due) || !ga.pool.HasIdle(ex.poolRequest("", nil, now), now) {
 		return false
 	}
-	ga.blocks.RecordTrial(pr, trial, now)
-	ga.storeBlockAt[pr] = now
-	ga.Log.Info().Int("event", int(event.BlockTried)).Str("print", pr.String()).Int("trial", trial).Msg(event.Name(event.BlockTried))
+	ga.blocks.RecordTrial(fp, trial, now)
+	ga.storeBlockAt[fp] = now
+	ga.Log.Info().Int("event", int(event.BlockTried)).Str("print", fp.String()).Int("trial", trial).Msg(event.Name(event.BlockTried))
 	return true
 }
 
@@ -71,12 +71,12 @@
 const trialOffsets = 4
 
 // isTrialTurn reports whether it is this gateway's turn to make a trial. The lock is held.
-func (ga *Gateway) isTrialTurn(pr poison.Fingerprint, trial int, due time.Duration) bool {
+func (ga *Gateway) isTrialTurn(fp poison.Fingerprint, trial int, due time.Duration) bool {
 	boxes := make([]string, 0, len(ga.members))
 	for box := range ga.members {
 		boxes = append(boxes, box)
 	}
-	rank := slices.Index(rendezvous.Rank(pr.String()+strconv.Itoa(trial), boxes), ga.Box)
-	offset := time.Duration(pr[0]%trialOffsets) * trialSlot / trialOffsets
+	rank := slices.Index(rendezvous.Rank(fp.String()+strconv.Itoa(trial), boxes), ga.Box)
+	offset := time.Duration(fp[0]%trialOffsets) * trialSlot / trialOffsets
 	return rank >= 0 && due >= offset+time.Duration(rank)*trialSlot
 }
