--- a/internal/gateway/common_test.go
+++ b/internal/gateway/common_test.go
@@ -136,23 +136,23 @@
 				sc := newTestCluster(t, gateways)
 				sc.storeBlock(path)
 				time.Sleep(550 * time.Millisecond)
-				ask := func(lasts time.Duration) {
+				sendFor := func(lasts time.Duration) {
 					for n := range int(lasts / (50 * time.Millisecond)) {
 						sc.send(n%gateways, path, fmt.Sprint(path, time.Now()))
 						time.Sleep(50 * time.Millisecond)
 					}
 					sc.callers.Wait()
 				}
-				ask(2 * time.Second)
+				sendFor(2 * time.Second)
 				for _, ca := range sc.otherResponses {
 					if !ca.answered {
 						require.Equal(t, result.RequestBlocked, ca.code)
 						require.Less(t, ca.after, 3*time.Second, "the caller is asked to retry soon")
 					}
 				}
-				ask(3 * time.Second)
+				sendFor(3 * time.Second)
 				sc.otherResponses = nil
-				ask(5 * time.Second)
+				sendFor(5 * time.Second)
 				for _, ca := range sc.otherResponses {
 					require.True(t, ca.answered, "%d gateways, %s: %+v", gateways, path, ca)
 				}
--- a/internal/gateway/rollouts.go
+++ b/internal/gateway/rollouts.go
@@ -36,7 +36,7 @@
 	// the next attempt.
 	lastWrite  time.Time
 	writePause time.Duration
-	// publishedBad and publishedTried are the bad outcomes and all outcomes that were published to
+	// publishedBad and publishedCount are the bad outcomes and all outcomes that were published to
 	// the other gateways at publishedAt.
 	publishedBad, publishedCount int
 	publishedAt                  time.Time
@@ -155,25 +155,25 @@
 
 // restrictVersion restricts an attempt to the version that its session is assigned to, or the
 // version drawn for a request without a session. The lock is held.
-func (ga *Gateway) restrictVersion(ask pool.Query, ex *exchange, now time.Time) pool.Query {
-	ro := ga.rollouts[ask.Service]
+func (ga *Gateway) restrictVersion(query pool.Query, ex *exchange, now time.Time) pool.Query {
+	ro := ga.rollouts[query.Service]
 	if ro == nil {
-		return ask
+		return query
 	}
-	ask.Version, ask.ExcludedVersions = ro.order.Plan.Version, ro.withdrawn
-	ask.OnlyVersion = ro.useNewVersion(ex, now)
-	ask.ExceptVersion = !ask.OnlyVersion
+	query.Version, query.ExcludedVersions = ro.order.Plan.Version, ro.withdrawn
+	query.OnlyVersion = ro.useNewVersion(ex, now)
+	query.ExceptVersion = !query.OnlyVersion
 	if ro.canary.Phase() == rollout.Failed {
-		return ask
+		return query
 	}
-	if !ga.pool.HasEligible(ask) {
+	if !ga.pool.HasEligible(query) {
 		// That version has no server (yet or any more).
-		ask.OnlyVersion, ask.ExceptVersion = ask.ExceptVersion, ask.OnlyVersion
+		query.OnlyVersion, query.ExceptVersion = query.ExceptVersion, query.OnlyVersion
 	}
-	if ask.OnlyVersion && ro.canary.Phase() == rollout.Trying {
-		ask.SubsetSize, ask.SubsetKey = ro.canary.TrialServers(ga.pool.CountEligible(ask)), ro.order.Revision.Number
+	if query.OnlyVersion && ro.canary.Phase() == rollout.Trying {
+		query.SubsetSize, query.SubsetKey = ro.canary.TrialServers(ga.pool.CountEligible(query)), ro.order.Revision.Number
 	}
-	return ask
+	return query
 }
 
 // useNewVersion reports whether a request's next attempt goes to the new version.
--- a/internal/gateway/servers_test.go
+++ b/internal/gateway/servers_test.go
@@ -104,7 +104,7 @@
 	require.Contains(t, log.String(), "data_centre_restored")
 }
 
-// A gateway that missed the begin or the end of an evacuation learns of it from a complete state,
+// A gateway that missed the start or the end of an evacuation learns of it from a complete state,
 // which it reads itself or receives from a watcher.
 func TestSnapshotContainsEvacuations(t *testing.T) {
 	now := time.Now()
@@ -154,9 +154,9 @@
 		}
 	}
 	ex := &exchange{ga: ga, rq: &Request{}, route: &routing.Route{Name: "r"}, service: "s", session: "any"}
-	ask := ex.poolRequest("", nil, now)
-	require.True(t, ask.OnlyVersion)
-	require.Equal(t, "v2", ask.Version)
+	query := ex.poolRequest("", nil, now)
+	require.True(t, query.OnlyVersion)
+	require.Equal(t, "v2", query.Version)
 }
 
 func TestRestartedServerHasNoHistory(t *testing.T) {
@@ -172,9 +172,9 @@
 	ga.pool.Started(first.Key(), time.Second, now)
 	ga.pool.Responded(first.Key(), now)
 	require.NotContains(t, firstPicks(ga, now), "y0", "the server is ejected")
-	again := serverChange("y0", "dc0")
-	again.Server.Born, again.Server.Address = 2000, "127.0.0.1:2"
-	ga.applyChange(again)
+	restarted := serverChange("y0", "dc0")
+	restarted.Server.Born, restarted.Server.Address = 2000, "127.0.0.1:2"
+	ga.applyChange(restarted)
 	second := *ga.servers.Get("y0")
 	require.Contains(t, firstPicks(ga, now), "y0")
 	require.True(t, ga.pool.LastResponse(second.Key()).IsZero())
