--- a/internal/gateway/crashes.go
+++ b/internal/gateway/crashes.go
@@ -118,11 +118,11 @@
 func (ga *Gateway) updateRuns(ctx context.Context, now time.Time) {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
-	for _, fp := range ga.cases.Update(&ga.runs, now) {
+	for _, fp := range ga.crashDetector.Update(&ga.runs, now) {
 		ga.liftDisprovenBlock(fp, now)
 	}
 	suspected := func(fp poison.Fingerprint) bool {
-		return ga.cases.CrashedServers(fp) > 0 || ga.blocks.Remaining(fp, now) > 0
+		return ga.crashDetector.CrashedServers(fp) > 0 || ga.blocks.Remaining(fp, now) > 0
 	}
 	for _, key := range ga.runs.Unconfirmed(suspected, now) {
 		if se := ga.servers.ByKey(key); se != nil {
--- a/internal/gateway/fallback.go
+++ b/internal/gateway/fallback.go
@@ -26,11 +26,11 @@
 	case at == nil:
 	case step.Escalates():
 		ex.dropFallback()
-		ex.held = &fallbackResponse{attempt: at, timer: time.AfterFunc(rejectionWindow, at.discard)}
+		ex.fallback = &fallbackResponse{attempt: at, timer: time.AfterFunc(rejectionWindow, at.discard)}
 	default:
 		at.discard()
-		if ex.held != nil {
-			ex.held.timer.Reset(rejectionWindow)
+		if ex.fallback != nil {
+			ex.fallback.timer.Reset(rejectionWindow)
 		}
 	}
 }
@@ -39,10 +39,10 @@
 // the head of the next answer has arrived or will not arrive. If the response is still available, it
 // is kept until the next step.
 func (ex *exchange) checkFallback(at *attemptState) {
-	if ex.held == nil {
+	if ex.fallback == nil {
 		return
 	}
-	if at.response != nil || !ex.held.timer.Stop() {
+	if at.response != nil || !ex.fallback.timer.Stop() {
 		ex.dropFallback()
 		ex.request.FallbackDropped()
 	}
@@ -60,16 +60,16 @@
 
 // takeFallback returns the attempt with the fallback response and stops tracking it.
 func (ex *exchange) takeFallback() *attemptState {
-	at := ex.held.attempt
-	ex.held = nil
+	at := ex.fallback.attempt
+	ex.fallback = nil
 	return at
 }
 
 // dropFallback drops the fallback response if there is one.
 func (ex *exchange) dropFallback() {
-	if ex.held == nil {
+	if ex.fallback == nil {
 		return
 	}
-	ex.held.timer.Stop()
+	ex.fallback.timer.Stop()
 	ex.takeFallback().discard()
 }
--- a/internal/gateway/loads.go
+++ b/internal/gateway/loads.go
@@ -124,7 +124,7 @@
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
 	var next uint64
-	re.Suspicions, next = ga.cases.Since(from, clock.Now())
+	re.Suspicions, next = ga.crashDetector.Since(from, clock.Now())
 	return re, next
 }
 
--- a/internal/gateway/poison_test.go
+++ b/internal/gateway/poison_test.go
@@ -298,7 +298,7 @@
 				})
 				for _, ga := range sc.gateways {
 					ga.mu.Lock()
-					ga.cases.MinCrashes = me.crashes
+					ga.crashDetector.MinCrashes = me.crashes
 					ga.mu.Unlock()
 				}
 				sc.sendTraffic(0, poisonPath, 20*time.Second)
--- a/internal/gateway/servers_test.go
+++ b/internal/gateway/servers_test.go
@@ -154,7 +154,7 @@
 		}
 	}
 	ex := &exchange{ga: ga, rq: &Request{}, route: &routing.Route{Name: "r"}, service: "s", session: "any"}
-	query := ex.poolRequest("", nil, now)
+	query := ex.poolQuery("", nil, now)
 	require.True(t, query.OnlyVersion)
 	require.Equal(t, "v2", query.Version)
 }
--- a/internal/gateway/trials.go
+++ b/internal/gateway/trials.go
@@ -53,7 +53,7 @@
 func (ga *Gateway) startTrial(ex *exchange, now time.Time) bool {
 	fp := ex.fingerprint
 	trial, due := ga.blocks.DueTrial(fp, now)
-	if trial == 0 || !ga.isTrialTurn(fp, trial, due) || !ga.pool.HasIdle(ex.poolRequest("", nil, now), now) {
+	if trial == 0 || !ga.isTrialTurn(fp, trial, due) || !ga.pool.HasIdle(ex.poolQuery("", nil, now), now) {
 		return false
 	}
 	ga.blocks.RecordTrial(fp, trial, now)
