--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -1,6 +1,6 @@
-// Package directory knows the backend servers: those that are ready, those
-// that leave, and those whose entries may be missing only because the
-// key-value service was away. It does no I/O and reads no clock.
+// Package directory maintains the list of backend servers: which of them accept new requests, which
+// are shutting down, and which are retained although their entries disappeared during an outage of
+// the key-value service. It does no I/O and reads no clock.
 package directory
 
 import (
@@ -14,49 +14,49 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Server is one life of a backend server as it is listed. Its fields are
-// exported because it is data without behaviour.
+// Server is the entry of a server instance, that is, of one run of a backend server between its
+// start and its end. Its fields are exported because it is encoded.
 type Server struct {
-	// ID names the server. One that starts again may have the id that it had.
+	// ID identifies the server. A server that restarts may keep its id.
 	ID string
-	// Born is when this life began, in Unix milliseconds by the server's clock; zero if
-	// it did not say.
+	// Born is the start time of the instance in Unix milliseconds by the server's clock, zero if
+	// it was not reported.
 	Born int64 `cbor:",omitempty"`
-	// Seq counts the entries that the server has written in this life.
+	// Seq is the sequence number of the entry among those written by this instance.
 	Seq     int64 `cbor:",omitempty"`
 	Service string
-	// Address is an IP number and a port; another server may get it later.
+	// Address is an IP address and a port. Another server may get the same address later.
 	Address    string
 	DataCentre string
-	// Version is the version of the software or weights that it runs.
+	// Version is the version of the server's software or model weights.
 	Version string
-	// Draining servers take nothing new.
+	// Draining is set if the server accepts no new requests.
 	Draining bool `cbor:",omitempty"`
-	// ColdFor is how long the server was still to be cold when it said so.
+	// ColdFor is how long the server expected to remain cold when it wrote the entry.
 	ColdFor time.Duration `cbor:",omitempty"`
 
-	// hash is that of ID, key the name of this life, once the server is listed.
+	// hash is the hash of ID, key the key of the instance. They are set by Put.
 	hash uint64
 	key  string
 }
 
-// Key names the server's present life: what is known of one says nothing of the next.
+// Key identifies the server instance. Observations of one instance do not apply to the next.
 func (se *Server) Key() string {
 	if se.key == "" {
-		return se.life()
+		return se.instanceKey()
 	}
 	return se.key
 }
 
-func (se *Server) life() string {
+func (se *Server) instanceKey() string {
 	if se.Born == 0 {
 		return se.ID
 	}
 	return se.ID + "@" + strconv.FormatInt(se.Born, 36)
 }
 
-// ByKey returns the listed server that has the key, nil if there is none: a later life of it has
-// another one.
+// ByKey returns the listed server instance with this key, nil if there is none. A later instance of
+// the same server has another key.
 func (di *Directory) ByKey(key string) *Server {
 	id := key
 	if at := strings.LastIndexByte(key, '@'); at >= 0 {
@@ -73,57 +73,57 @@
 // Hash returns a hash of the id of a listed server, for ranking servers by key.
 func (se *Server) Hash() uint64 { return se.hash }
 
-// returnGrace is how long a server whose entry lapsed while the key-value
-// service was away is still used after the service is back. Servers that live
-// write their entries again within about two seconds (the users' letter).
-const returnGrace = 2 * time.Second
+// reregistrationGrace is how long a server whose entry disappeared during an outage of the
+// key-value service remains in use after the outage. Running servers write their entries again
+// within about two seconds (the users' letter).
+const reregistrationGrace = 2 * time.Second
 
-// leavingKept is how long the announcement of an unlisted server is kept: its entry may reappear while
-// it drains.
-const leavingKept = 10 * time.Minute
+// departureRetention is how long the announced shutdown of an unlisted server is remembered: its
+// entry may reappear while it drains.
+const departureRetention = 10 * time.Minute
 
-// Directory is one process's list. The zero value is empty. It is not safe for
-// concurrent use.
+// Directory is a process's list of servers. The zero value is empty. It is not safe for concurrent
+// use.
 type Directory struct {
 	servers map[string]*Server
-	// missing holds when each server whose entry is gone is to be dropped.
-	missing map[string]time.Time
-	// away is true while the key-value service gives no answers.
-	away bool
-	// settled is when entries that are gone mean gone again.
-	settled time.Time
-	// leaving holds when servers announced their shutdown, by the key of their life.
+	// missingUntil holds the servers whose entries disappeared and when they are removed.
+	missingUntil map[string]time.Time
+	// storeUnavailable is set while the key-value service does not answer.
+	storeUnavailable bool
+	// graceUntil is the time until which a disappeared entry does not mean that its server ended.
+	graceUntil time.Time
+	// leaving holds when servers announced their shutdown, by instance key.
 	leaving map[string]time.Time
-	// past holds the lives that are known to leave or to have ended, by their key.
-	past map[string]pastLife
-	// revived holds the entries of ended lives that a restored service lists again.
-	revived map[string]revivedServer
-	// evacuated holds the data centres whose servers are to get nothing.
+	// departed holds the instances known to be shutting down or to have ended, by key.
+	departed map[string]departedInstance
+	// quarantined holds entries of ended instances that a restored key-value service lists again.
+	quarantined map[string]quarantinedEntry
+	// evacuated holds the data centres whose servers get no requests.
 	evacuated map[string]bool
-	// byService holds those that may take new work; nil after a change, until it is
-	// asked for: thousands of entries come together at a start.
+	// byService holds the servers that accept new requests. It is nil after a change and rebuilt
+	// when it is next needed, since thousands of entries arrive together at startup.
 	byService map[string][]*Server
 }
 
-// Put takes a server's entry. It reports whether it did: one of an earlier life than the
-// one that is known, or an earlier one of this life, came late and says nothing.
+// Put adds or updates an entry. It returns false if the entry is outdated: of an earlier instance
+// than the known one, or an earlier entry of the same instance.
 func (di *Directory) Put(se Server) bool {
 	if di.servers == nil {
 		di.servers = map[string]*Server{}
-		di.missing = map[string]time.Time{}
+		di.missingUntil = map[string]time.Time{}
 	}
 	old := di.servers[se.ID]
 	if old != nil && se.Born < old.Born {
 		return false
 	}
-	delete(di.missing, se.ID)
+	delete(di.missingUntil, se.ID)
 	if old != nil && se.Born == old.Born && se.Seq < old.Seq {
 		return false
 	}
-	se.hash, se.key = xxhash.Sum64String(se.ID), se.life()
-	di.noteLife(&se)
+	se.hash, se.key = xxhash.Sum64String(se.ID), se.instanceKey()
+	di.trackDraining(&se)
 	if old != nil && old.Service == se.Service && old.Draining == se.Draining && old.DataCentre == se.DataCentre {
-		*old = se // a heartbeat: the lists stay as they are
+		*old = se // a heartbeat: the order of the lists does not change
 		return true
 	}
 	di.servers[se.ID] = &se
@@ -131,20 +131,21 @@
 	return true
 }
 
-// Drop takes a server out at once.
+// Drop removes a server immediately.
 func (di *Directory) Drop(id string) {
-	delete(di.revived, id)
+	delete(di.quarantined, id)
 	if di.servers[id] == nil {
 		return
 	}
-	delete(di.missing, id)
+	delete(di.missingUntil, id)
 	delete(di.servers, id)
 	di.byService = nil
 }
 
-// MarkLeaving records that a server announced its shutdown. It gets no new requests for the rest of its life,
-// whatever its entry says: the entry can't be written while the key-value service is away, and may
-// lapse and reappear. MarkLeaving reports whether that is news.
+// MarkLeaving records that a server instance announced its shutdown. It gets no new requests from
+// then on, whatever its entry says: the entry can't be updated during an outage of the key-value
+// service, and may expire and reappear. MarkLeaving returns false if the shutdown was already
+// known.
 func (di *Directory) MarkLeaving(key string, at time.Time) bool {
 	if _, known := di.leaving[key]; known {
 		return false
@@ -157,23 +158,24 @@
 	return true
 }
 
-// LeavingSince returns when a server announced its shutdown, false if it did not.
+// LeavingSince returns when a server instance announced its shutdown, false if it did not.
 func (di *Directory) LeavingSince(key string) (time.Time, bool) {
 	at, ok := di.leaving[key]
 	return at, ok
 }
 
-// Leaving returns the servers that announced their shutdown, by the key of their life.
+// Leaving returns the keys of the server instances that announced their shutdown, sorted.
 func (di *Directory) Leaving() []string { return slices.Sorted(maps.Keys(di.leaving)) }
 
-// IsDraining reports whether a server gets no new requests, by its entry or its announcement.
+// IsDraining reports whether a server gets no new requests, according to its entry or because it
+// announced its shutdown.
 func (di *Directory) IsDraining(se *Server) bool {
 	_, leaving := di.leaving[se.Key()]
 	return se.Draining || leaving
 }
 
-// Evacuate takes the servers of a data centre out of use until Restore. It reports whether
-// they were in use.
+// Evacuate excludes the servers of a data centre from use until Restore is called. It returns false
+// if they were already excluded.
 func (di *Directory) Evacuate(dataCentre string) bool {
 	if di.evacuated[dataCentre] {
 		return false
@@ -186,77 +188,76 @@
 	return true
 }
 
-// Restore takes the servers of a data centre into use again. It returns them, none if they
-// were in use.
+// Restore includes the servers of an evacuated data centre again and returns them. It returns none
+// if the data centre was not evacuated.
 func (di *Directory) Restore(dataCentre string) []*Server {
 	if !di.evacuated[dataCentre] {
 		return nil
 	}
 	delete(di.evacuated, dataCentre)
 	di.byService = nil
-	var back []*Server
+	var restored []*Server
 	for _, se := range di.servers {
 		if se.DataCentre == dataCentre {
-			back = append(back, se)
+			restored = append(restored, se)
 		}
 	}
-	return back
+	return restored
 }
 
-// IsEvacuated reports whether the servers of a data centre are out of use.
+// IsEvacuated reports whether a data centre is evacuated.
 func (di *Directory) IsEvacuated(dataCentre string) bool { return di.evacuated[dataCentre] }
 
-// Evacuated returns the data centres that are evacuated, in order.
+// Evacuated returns the evacuated data centres, sorted.
 func (di *Directory) Evacuated() []string { return slices.Sorted(maps.Keys(di.evacuated)) }
 
-// Remove takes the end of a server's entry.
+// Remove handles the removal of a server's entry from the key-value service.
 func (di *Directory) Remove(id string, now time.Time) {
-	delete(di.revived, id)
+	delete(di.quarantined, id)
 	se := di.servers[id]
 	if se == nil {
 		return
 	}
-	if di.doubtful(now) && !di.IsDraining(se) {
-		if _, ok := di.missing[id]; !ok {
-			di.missing[id] = di.dropAt(now)
+	if di.mayReappear(now) && !di.IsDraining(se) {
+		if _, ok := di.missingUntil[id]; !ok {
+			di.missingUntil[id] = di.graceEnd(now)
 		}
 		return
 	}
 	di.end(se, now)
 }
 
-// StoreUnavailable notes that the key-value service gives no answers.
-func (di *Directory) StoreUnavailable() { di.away = true }
+// StoreUnavailable records that the key-value service does not answer.
+func (di *Directory) StoreUnavailable() { di.storeUnavailable = true }
 
-// StoreAvailable notes that the service answers again.
+// StoreAvailable records that the key-value service answers again.
 func (di *Directory) StoreAvailable(now time.Time) {
-	if !di.away {
+	if !di.storeUnavailable {
 		return
 	}
-	di.away = false
-	di.settled = now.Add(returnGrace)
+	di.storeUnavailable = false
+	di.graceUntil = now.Add(reregistrationGrace)
 }
 
-// Tick drops the servers whose entries did not come back and returns them.
+// Tick removes the servers whose entries did not reappear in time and returns them.
 func (di *Directory) Tick(now time.Time) []*Server {
 	var dropped []*Server
-	for id, at := range di.missing {
-		if di.away || now.Before(at) {
+	for id, at := range di.missingUntil {
+		if di.storeUnavailable || now.Before(at) {
 			continue
 		}
 		dropped = append(dropped, di.servers[id])
 		di.end(di.servers[id], now)
 	}
-	di.forgetLives(now)
+	di.expireDeparted(now)
 	maps.DeleteFunc(di.leaving, func(key string, at time.Time) bool {
-		return now.Sub(at) >= leavingKept && di.ByKey(key) == nil
+		return now.Sub(at) >= departureRetention && di.ByKey(key) == nil
 	})
 	return dropped
 }
 
-// Servers returns the servers of a service that may take new work, in an order by
-// the hash of their ids: the same in every process, and else without meaning. The
-// list must not be changed.
+// Servers returns the servers of a service that accept new requests, ordered by the hash of their
+// ids, which is the same order in all processes. The list must not be modified.
 func (di *Directory) Servers(service string) []*Server {
 	if di.byService == nil {
 		di.rebuild()
@@ -264,31 +265,33 @@
 	return di.byService[service]
 }
 
-// Listed returns the servers whose entries are there, in no order.
+// Listed returns the servers whose entries exist, in no particular order.
 func (di *Directory) Listed() []*Server {
 	list := make([]*Server, 0, len(di.servers))
 	for id, se := range di.servers {
-		if _, gone := di.missing[id]; !gone {
+		if _, gone := di.missingUntil[id]; !gone {
 			list = append(list, se)
 		}
 	}
 	return list
 }
 
-// Get returns a server by id, or nil.
+// Get returns the server with this id, or nil.
 func (di *Directory) Get(id string) *Server { return di.servers[id] }
 
-// Len returns how many servers are known.
+// Len returns the number of known servers.
 func (di *Directory) Len() int { return len(di.servers) }
 
-// doubtful reports whether an entry may be gone although its server lives.
-func (di *Directory) doubtful(now time.Time) bool { return di.away || now.Before(di.settled) }
+// mayReappear reports whether an entry may be missing although its server is running.
+func (di *Directory) mayReappear(now time.Time) bool {
+	return di.storeUnavailable || now.Before(di.graceUntil)
+}
 
-func (di *Directory) dropAt(now time.Time) time.Time {
-	if di.away {
-		return now.Add(returnGrace)
+func (di *Directory) graceEnd(now time.Time) time.Time {
+	if di.storeUnavailable {
+		return now.Add(reregistrationGrace)
 	}
-	return di.settled
+	return di.graceUntil
 }
 
 func (di *Directory) rebuild() {
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -21,7 +21,7 @@
 	return list
 }
 
-func TestADrainingServerTakesNothingNew(t *testing.T) {
+func TestDrainingServerGetsNoNewRequests(t *testing.T) {
 	var di Directory
 	di.Put(Server{ID: "a", Service: "s"})
 	di.Put(Server{ID: "b", Service: "s"})
@@ -30,14 +30,14 @@
 	require.NotNil(t, di.Get("b"))
 }
 
-func TestARemovedServerIsGoneAtOnce(t *testing.T) {
+func TestRemovedServerIsDroppedImmediately(t *testing.T) {
 	var di Directory
 	di.Put(Server{ID: "a", Service: "s"})
 	di.Remove("a", t0)
 	require.Empty(t, ids(&di))
 }
 
-func TestAnEntryThatLapsedInAnOutageIsGivenTimeToComeBack(t *testing.T) {
+func TestEntryLostInAnOutageHasTimeToReappear(t *testing.T) {
 	var di Directory
 	di.Put(Server{ID: "a", Service: "s"})
 	di.Put(Server{ID: "b", Service: "s"})
@@ -53,10 +53,10 @@
 	require.Equal(t, "b", dropped[0].ID)
 	require.Equal(t, []string{"a"}, ids(&di))
 	di.Remove("a", at(13))
-	require.Empty(t, ids(&di), "an entry that goes when all is well is gone at once")
+	require.Empty(t, ids(&di), "a removal outside an outage takes effect immediately")
 }
 
-func TestNothingIsDroppedWhileTheStoreIsAway(t *testing.T) {
+func TestNothingIsDroppedDuringAStoreOutage(t *testing.T) {
 	var di Directory
 	di.Put(Server{ID: "a", Service: "s"})
 	di.StoreUnavailable()
@@ -65,7 +65,8 @@
 	require.Len(t, ids(&di), 1)
 }
 
-// A start at a thousand gateways: the entries of ten thousand servers come one by one.
+// Models a startup in a deployment of a thousand gateways, where the entries of ten thousand
+// servers arrive one by one.
 func BenchmarkPutAll(b *testing.B) {
 	const servers = 10_000
 	for b.Loop() {
@@ -74,23 +75,23 @@
 			di.Put(Server{ID: strconv.Itoa(i), Service: "s"})
 		}
 		if len(di.Servers("s")) != servers {
-			b.Fatal("not all are there")
+			b.Fatal("servers are missing")
 		}
 	}
 }
 
-// Processes that list the same servers must part them alike, in whatever order they
-// heard of them.
-func TestTheOrderIsThatOfTheIDs(t *testing.T) {
-	var forth, back Directory
+// Processes that list the same servers must order them identically, whatever order they learnt of
+// them in.
+func TestServersAreOrderedByID(t *testing.T) {
+	var ascending, descending Directory
 	for i := range 20 {
-		forth.Put(Server{ID: fmt.Sprint(i), Service: "svc"})
-		back.Put(Server{ID: fmt.Sprint(19 - i), Service: "svc"})
+		ascending.Put(Server{ID: fmt.Sprint(i), Service: "svc"})
+		descending.Put(Server{ID: fmt.Sprint(19 - i), Service: "svc"})
 	}
-	require.Equal(t, forth.Servers("svc"), back.Servers("svc"))
+	require.Equal(t, ascending.Servers("svc"), descending.Servers("svc"))
 }
 
-func TestAHeartbeatLeavesTheListsAsTheyAre(t *testing.T) {
+func TestHeartbeatDoesNotRebuildTheLists(t *testing.T) {
 	var di Directory
 	di.Put(Server{ID: "a", Service: "svc", Address: "1"})
 	list := di.Servers("svc")
@@ -103,8 +104,9 @@
 	require.Len(t, di.Servers("other"), 1)
 }
 
-// A server whose entry was missing and that then left is dropped once.
-func TestAMissingServerThatLeavesIsDroppedOnce(t *testing.T) {
+// Guards against reporting a server as removed twice: once when its draining entry is removed and
+// again when the grace period of its missing entry ends.
+func TestMissingServerThatDrainsIsDroppedOnce(t *testing.T) {
 	var di Directory
 	di.Put(Server{ID: "a", Service: "s"})
 	di.StoreUnavailable()
@@ -123,38 +125,38 @@
 	require.Empty(t, di.Tick(at(90)))
 }
 
-func TestAnEvacuatedDataCentreGetsNothing(t *testing.T) {
+func TestEvacuatedDataCentreGetsNoRequests(t *testing.T) {
 	var di Directory
 	di.Put(Server{ID: "a", Service: "s", DataCentre: "dc0"})
 	di.Put(Server{ID: "b", Service: "s", DataCentre: "dc1"})
 	require.True(t, di.Evacuate("dc1"))
-	require.False(t, di.Evacuate("dc1"), "it is already")
+	require.False(t, di.Evacuate("dc1"), "already evacuated")
 	require.True(t, di.Evacuate("nowhere"))
 	require.Equal(t, []string{"a"}, ids(&di))
 	di.Put(Server{ID: "c", Service: "s", DataCentre: "dc1"})
-	require.Equal(t, []string{"a"}, ids(&di), "one that starts there meanwhile")
+	require.Equal(t, []string{"a"}, ids(&di), "a server that starts there during the evacuation")
 	di.Put(Server{ID: "a", Service: "s", DataCentre: "dc1"})
-	require.Empty(t, ids(&di), "one that moved there")
+	require.Empty(t, ids(&di), "a server that moved there")
 	require.Equal(t, []string{"dc1", "nowhere"}, di.Evacuated())
 	require.Len(t, di.Restore("dc1"), 3)
 	require.Empty(t, di.Restore("dc1"))
 	require.Len(t, ids(&di), 3)
 }
 
-func TestAnEntryOfAnEarlierLifeSaysNothing(t *testing.T) {
+func TestEntryOfAnEarlierInstanceIsIgnored(t *testing.T) {
 	var di Directory
 	require.True(t, di.Put(Server{ID: "a", Service: "s", Born: 100, Address: "1"}))
 	first := di.Get("a").Key()
 	require.True(t, di.Put(Server{ID: "a", Service: "s", Born: 200, Address: "2"}))
 	require.NotEqual(t, first, di.Get("a").Key())
 	require.False(t, di.Put(Server{ID: "a", Service: "s", Born: 100, Address: "1", Draining: true}))
-	require.False(t, di.Put(Server{ID: "a", Service: "s", Address: "1"}), "one without a time")
+	require.False(t, di.Put(Server{ID: "a", Service: "s", Address: "1"}), "an entry without a start time")
 	require.Equal(t, "2", di.Get("a").Address)
 	require.Equal(t, []string{"a"}, ids(&di))
 }
 
-// Who never starts again under its id is known by it, as before there were lives.
-func TestAServerWithoutABirthIsKnownByItsID(t *testing.T) {
+// Servers that do not report a start time are identified by their id alone.
+func TestServerWithoutStartTimeIsIdentifiedByItsID(t *testing.T) {
 	var di Directory
 	di.Put(Server{ID: "a", Service: "s"})
 	require.Equal(t, "a", di.Get("a").Key())
@@ -162,7 +164,7 @@
 	require.Equal(t, (&Server{ID: "a", Born: 7}).Key(), "a@7")
 }
 
-func TestAKeyNamesOneLife(t *testing.T) {
+func TestKeyIdentifiesOneInstance(t *testing.T) {
 	var di Directory
 	di.Put(Server{ID: "a@b", Service: "s"})
 	di.Put(Server{ID: "c", Born: 1000, Service: "s"})
@@ -180,31 +182,31 @@
 	di.Put(Server{ID: "b", Service: "s", Born: 1})
 	key := di.Get("a").Key()
 	require.True(t, di.MarkLeaving(key, t0))
-	require.False(t, di.MarkLeaving(key, at(1)), "no news")
+	require.False(t, di.MarkLeaving(key, at(1)), "already known")
 	require.Equal(t, []string{"b"}, ids(&di))
 	require.True(t, di.IsDraining(di.Get("a")))
 
 	di.Put(Server{ID: "a", Service: "s", Born: 1})
-	require.Equal(t, []string{"b"}, ids(&di), "a late entry says that it is ready")
+	require.Equal(t, []string{"b"}, ids(&di), "an outdated entry says that it is ready")
 	di.StoreUnavailable()
 	di.Remove("a", at(2))
-	require.Nil(t, di.Get("a"), "a server that leaves is not waited for")
+	require.Nil(t, di.Get("a"), "a server that is shutting down has no grace period")
 	di.StoreAvailable(at(3))
 	di.Put(Server{ID: "a", Service: "s", Born: 1})
 	require.Equal(t, []string{"b"}, ids(&di), "its entry reappears")
 	di.Drop("a")
 	di.Put(Server{ID: "a", Service: "s", Born: 2})
-	require.Len(t, ids(&di), 2, "its next life")
+	require.Len(t, ids(&di), 2, "its next instance")
 }
 
-func TestAnnouncedShutdownsAreForgottenWithTheirServers(t *testing.T) {
+func TestAnnouncedShutdownsExpireWithTheirServers(t *testing.T) {
 	var di Directory
 	di.Put(Server{ID: "listed", Service: "s"})
 	di.MarkLeaving("listed", t0)
 	di.MarkLeaving("gone", t0)
-	di.Tick(t0.Add(leavingKept - 1))
+	di.Tick(t0.Add(departureRetention - 1))
 	require.Equal(t, []string{"gone", "listed"}, di.Leaving())
-	di.Tick(t0.Add(leavingKept))
+	di.Tick(t0.Add(departureRetention))
 	require.Equal(t, []string{"listed"}, di.Leaving())
 	_, ok := di.LeavingSince("gone")
 	require.False(t, ok)
--- a/internal/directory/restored.go
+++ b/internal/directory/restored.go
@@ -5,114 +5,117 @@
 	"time"
 )
 
-// revivedHold is how long the entry of an ended life is not used that a restored service lists
-// again. A server that lives goes on writing; the entry of one that has ended lapses.
-const revivedHold = 5 * time.Second
+// quarantineTime is how long the entry of an ended instance that a restored key-value service lists
+// again is not used. A running server keeps writing its entry; the entry of an ended one expires.
+const quarantineTime = 5 * time.Second
 
-// pastLife is what is known of a life that leaves or has ended.
-type pastLife struct {
+// departedInstance describes a server instance that is shutting down or has ended.
+type departedInstance struct {
 	id string
-	// seq is that of the newest entry that says that it leaves, zero if none does.
+	// seq is the sequence number of the newest entry that is marked as draining, zero if there is
+	// none.
 	seq int64
-	// ended is when its entry ended, zero while it is listed.
+	// ended is when the entry ended, zero while it is listed.
 	ended time.Time
 }
 
-// revivedServer is an entry of an ended life.
-type revivedServer struct {
+// quarantinedEntry is the entry of an ended instance, which is not used until a time.
+type quarantinedEntry struct {
 	entry Server
 	until time.Time
 }
 
-// MarkLost takes that a restored service does not hold a server's entry, which it may have lost: the
-// server is used until it had time to write it again. One that leaves is dropped at once.
+// MarkLost records that a restored key-value service does not list a server's entry, which it may
+// have lost. The server remains in use until it has had time to write the entry again, unless it is
+// shutting down.
 func (di *Directory) MarkLost(id string, now time.Time) {
 	se := di.servers[id]
-	switch _, missing := di.missing[id]; {
+	switch _, missing := di.missingUntil[id]; {
 	case se == nil || missing:
 	case di.IsDraining(se):
 		di.end(se, now)
 	default:
-		di.missing[id] = now.Add(returnGrace)
+		di.missingUntil[id] = now.Add(reregistrationGrace)
 	}
 }
 
-// Quarantine takes an entry that a restored service lists. It reports whether the life has ended: such
-// a server is not used, unless its entry is still there after a while.
+// Quarantine checks an entry that a restored key-value service lists. It returns true if the
+// instance has ended: such a server is not used unless its entry still exists after quarantineTime.
 func (di *Directory) Quarantine(se Server, now time.Time) bool {
-	if di.past[se.life()].ended.IsZero() {
+	if di.departed[se.instanceKey()].ended.IsZero() {
 		return false
 	}
-	if di.revived == nil {
-		di.revived = map[string]revivedServer{}
+	if di.quarantined == nil {
+		di.quarantined = map[string]quarantinedEntry{}
 	}
-	if _, ok := di.revived[se.ID]; !ok {
-		di.revived[se.ID] = revivedServer{entry: se, until: now.Add(revivedHold)}
+	if _, ok := di.quarantined[se.ID]; !ok {
+		di.quarantined[se.ID] = quarantinedEntry{entry: se, until: now.Add(quarantineTime)}
 	}
 	return true
 }
 
-// ReleaseQuarantined returns the entries of ended lives that are still there after a while.
+// ReleaseQuarantined returns the entries whose quarantine has elapsed and that still exist.
 func (di *Directory) ReleaseQuarantined(now time.Time) []Server {
 	var list []Server
-	for id, re := range di.revived {
+	for id, re := range di.quarantined {
 		if !now.Before(re.until) {
 			list = append(list, re.entry)
-			delete(di.revived, id)
+			delete(di.quarantined, id)
 		}
 	}
 	return list
 }
 
-// EndedSince returns the ids of the servers whose entries ended after a moment and that are not
-// listed again, in order.
+// EndedSince returns the ids, sorted, of the servers whose entries ended after a time and that are
+// not listed again.
 func (di *Directory) EndedSince(at time.Time) []string {
 	var ids []string
-	for _, pa := range di.past {
-		if pa.ended.After(at) && di.servers[pa.id] == nil {
-			ids = append(ids, pa.id)
+	for _, dep := range di.departed {
+		if dep.ended.After(at) && di.servers[dep.id] == nil {
+			ids = append(ids, dep.id)
 		}
 	}
 	slices.Sort(ids)
 	return ids
 }
 
-// noteLife keeps whether a listed life leaves: an older entry of it does not say so.
-func (di *Directory) noteLife(se *Server) {
-	delete(di.revived, se.ID)
-	pa, known := di.past[se.key]
+// trackDraining updates departed from a listed entry. An entry that is older than the newest
+// draining entry of its instance is treated as draining.
+func (di *Directory) trackDraining(se *Server) {
+	delete(di.quarantined, se.ID)
+	dep, known := di.departed[se.key]
 	switch {
 	case se.Draining:
-		di.setPast(se.key, pastLife{id: se.ID, seq: max(pa.seq, se.Seq)})
+		di.setDeparted(se.key, departedInstance{id: se.ID, seq: max(dep.seq, se.Seq)})
 	case !known:
-	case se.Seq < pa.seq:
+	case se.Seq < dep.seq:
 		se.Draining = true
-		di.setPast(se.key, pastLife{id: se.ID, seq: pa.seq})
+		di.setDeparted(se.key, departedInstance{id: se.ID, seq: dep.seq})
 	default:
-		delete(di.past, se.key)
+		delete(di.departed, se.key)
 	}
 }
 
-// end drops a server whose entry ended.
+// end removes a server whose entry ended.
 func (di *Directory) end(se *Server, now time.Time) {
-	delete(di.missing, se.ID)
+	delete(di.missingUntil, se.ID)
 	delete(di.servers, se.ID)
 	di.byService = nil
-	di.setPast(se.Key(), pastLife{id: se.ID, seq: di.past[se.Key()].seq, ended: now})
+	di.setDeparted(se.Key(), departedInstance{id: se.ID, seq: di.departed[se.Key()].seq, ended: now})
 }
 
-func (di *Directory) setPast(key string, pa pastLife) {
-	if di.past == nil {
-		di.past = map[string]pastLife{}
+func (di *Directory) setDeparted(key string, dep departedInstance) {
+	if di.departed == nil {
+		di.departed = map[string]departedInstance{}
 	}
-	di.past[key] = pa
+	di.departed[key] = dep
 }
 
-// forgetLives forgets the lives that ended long ago.
-func (di *Directory) forgetLives(now time.Time) {
-	for key, pa := range di.past {
-		if !pa.ended.IsZero() && now.Sub(pa.ended) >= leavingKept {
-			delete(di.past, key)
+// expireDeparted removes the instances that ended long ago.
+func (di *Directory) expireDeparted(now time.Time) {
+	for key, dep := range di.departed {
+		if !dep.ended.IsZero() && now.Sub(dep.ended) >= departureRetention {
+			delete(di.departed, key)
 		}
 	}
 }
--- a/internal/directory/restored_test.go
+++ b/internal/directory/restored_test.go
@@ -7,23 +7,23 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestLeavingServerStaysUnusedAfterItsEntryIsRestored(t *testing.T) {
+func TestDrainingServerStaysUnusedAfterItsEntryIsRestored(t *testing.T) {
 	var di Directory
 	di.Put(Server{ID: "a", Service: "s", Born: 1, Seq: 3})
 	di.Put(Server{ID: "b", Service: "s", Born: 1, Seq: 3})
 	di.Put(Server{ID: "b", Service: "s", Born: 1, Seq: 4, Draining: true})
-	require.False(t, di.Put(Server{ID: "b", Service: "s", Born: 1, Seq: 2}), "the entry before")
+	require.False(t, di.Put(Server{ID: "b", Service: "s", Born: 1, Seq: 2}), "an earlier entry")
 	require.Equal(t, []string{"a"}, ids(&di))
 
 	di.MarkLost("b", at(1))
-	require.Nil(t, di.Get("b"), "a server that leaves is not waited for")
+	require.Nil(t, di.Get("b"), "a server that is shutting down has no grace period")
 	di.Put(Server{ID: "b", Service: "s", Born: 1, Seq: 3})
 	require.Equal(t, []string{"a"}, ids(&di), "its entry reappears")
 	di.Put(Server{ID: "b", Service: "s", Born: 2, Seq: 1})
-	require.Len(t, ids(&di), 2, "its next life")
+	require.Len(t, ids(&di), 2, "its next instance")
 }
 
-func TestServerWhoseEntryWasLostIsUsedUntilItIsWrittenAgain(t *testing.T) {
+func TestServerWithALostEntryIsUsedDuringTheGracePeriod(t *testing.T) {
 	var di Directory
 	di.Put(Server{ID: "a", Service: "s", Seq: 1})
 	di.Put(Server{ID: "b", Service: "s", Seq: 1})
@@ -38,32 +38,32 @@
 	require.Len(t, di.Tick(at(2)), 2)
 	require.Equal(t, []string{"a"}, ids(&di))
 	di.Remove("a", at(2.1))
-	require.Empty(t, ids(&di), "an entry that ends after the restore is gone at once")
+	require.Empty(t, ids(&di), "a removal after the restore takes effect immediately")
 }
 
-func TestEndedServerIsNotUsedWhileARestoredServiceListsIt(t *testing.T) {
+func TestEndedServerListedByARestoredStoreIsQuarantined(t *testing.T) {
 	var di Directory
-	for _, id := range []string{"ended", "back", "written"} {
+	for _, id := range []string{"ended", "listed", "rewritten"} {
 		di.Put(Server{ID: id, Service: "s", Born: 1, Seq: 5})
 		di.Remove(id, t0)
 	}
-	for _, id := range []string{"ended", "back", "written"} {
+	for _, id := range []string{"ended", "listed", "rewritten"} {
 		require.True(t, di.Quarantine(Server{ID: id, Service: "s", Born: 1, Seq: 4}, at(1)))
 	}
-	require.False(t, di.Quarantine(Server{ID: "ended", Service: "s", Born: 2, Seq: 1}, at(1)), "its next life")
+	require.False(t, di.Quarantine(Server{ID: "ended", Service: "s", Born: 2, Seq: 1}, at(1)), "its next instance")
 	require.False(t, di.Quarantine(Server{ID: "new", Service: "s"}, at(1)))
 	require.Empty(t, ids(&di))
-	di.Put(Server{ID: "written", Service: "s", Born: 1, Seq: 6})
-	require.Equal(t, []string{"written"}, ids(&di), "it writes")
+	di.Put(Server{ID: "rewritten", Service: "s", Born: 1, Seq: 6})
+	require.Equal(t, []string{"rewritten"}, ids(&di), "it has written its entry again")
 	di.Remove("ended", at(3))
-	require.Empty(t, di.ReleaseQuarantined(at(1).Add(revivedHold-1)))
-	back := di.ReleaseQuarantined(at(1).Add(revivedHold))
-	require.Len(t, back, 1)
-	require.Equal(t, "back", back[0].ID)
+	require.Empty(t, di.ReleaseQuarantined(at(1).Add(quarantineTime-1)))
+	released := di.ReleaseQuarantined(at(1).Add(quarantineTime))
+	require.Len(t, released, 1)
+	require.Equal(t, "listed", released[0].ID)
 	require.Empty(t, di.ReleaseQuarantined(at(100)))
 }
 
-func TestEndedServersAreNamedUnlessTheyAreListedAgain(t *testing.T) {
+func TestEndedSinceOmitsServersThatAreListedAgain(t *testing.T) {
 	var di Directory
 	for i, id := range []string{"d", "c", "b", "a"} {
 		di.Put(Server{ID: id, Service: "s", Born: 1})
@@ -74,13 +74,13 @@
 	require.Empty(t, di.EndedSince(at(3)))
 }
 
-func TestEndedLivesAreForgotten(t *testing.T) {
+func TestEndedInstancesExpire(t *testing.T) {
 	var di Directory
 	di.Put(Server{ID: "a", Service: "s"})
 	di.Remove("a", t0)
-	di.Tick(t0.Add(leavingKept - time.Second))
+	di.Tick(t0.Add(departureRetention - time.Second))
 	require.True(t, di.Quarantine(Server{ID: "a", Service: "s"}, t0))
-	di.Tick(t0.Add(leavingKept))
+	di.Tick(t0.Add(departureRetention))
 	require.False(t, di.Quarantine(Server{ID: "b", Service: "s"}, t0))
-	require.Empty(t, di.past)
+	require.Empty(t, di.departed)
 }
