--- a/internal/balance/balance.go
+++ b/internal/balance/balance.go
@@ -1,6 +1,5 @@
-// Package balance chooses the backend server for an attempt: of two drawn at
-// random the less loaded one, in the own data centre first. It does no I/O
-// and reads no clock; randomness is an argument.
+// Package balance selects the backend server for an attempt: the less loaded of two random servers,
+// preferably in the same data centre. It does no I/O and reads no clock; randomness is an argument.
 package balance
 
 import (
@@ -10,20 +9,20 @@
 	"github.com/linnetrudder/linnetrudder/internal/wire"
 )
 
-// fullLoad is the load for each slot at which other data centres are looked
-// at: as much again waits as runs.
-const fullLoad = 2.0
+// spilloverLoad is the load per slot from which servers in other data centres are considered: as
+// many attempts are queued as are running.
+const spilloverLoad = 2.0
 
-// server is what is known of one backend server.
+// server is the state of a backend server.
 type server struct {
 	name, dataCentre string
-	// up is true while the link to its agent is open.
+	// up is set while the link to the server's agent is open.
 	up bool
-	// leaving is set once the list of boxes says so; it is cleared only by Up.
+	// leaving is set by SetLeaving and cleared only by LinkUp.
 	leaving bool
-	// draining is what the agent reported last.
+	// draining is the state that the agent reported last.
 	draining bool
-	// slots, running and queued are as last reported.
+	// slots, running and queued are the values that the agent reported last.
 	slots, running, queued int
 	// sent counts the attempts sent since the last report.
 	sent int
@@ -31,90 +30,91 @@
 
 func (se *server) usable() bool { return se.up && !se.leaving && !se.draining }
 
-// load returns the attempts for each slot, those on the way included.
+// load returns the attempts per slot, including those that were sent since the last report.
 func (se *server) load() float64 {
 	return float64(se.running+se.queued+se.sent) / float64(max(1, se.slots))
 }
 
-// pool is the servers that hold one version or answer one service.
-type pool struct{ local, remote []*server }
+// serverPool holds the usable servers of a version or plain service.
+type serverPool struct{ local, remote []*server }
 
-// Balancer is what an entry knows of all backend servers. Its exported fields
-// are set before use; it is not safe for concurrent use.
+// Balancer tracks the backend servers for one entry. Its exported fields are set before use. It is
+// not safe for concurrent use.
 type Balancer struct {
-	// DataCentre is the entry's own.
+	// DataCentre is the entry's data centre.
 	DataCentre string
 
 	servers map[string]*server
-	// pools is rebuilt when the configuration or a link changes, so that a
-	// choice reads two servers however many there are.
-	pools    map[string]pool
+	// pools is rebuilt when the configuration or a link changes, so that the cost of Pick does not
+	// depend on the number of servers.
+	pools    map[string]serverPool
 	snapshot *config.Snapshot
 }
 
-// Reconfigure takes a newer configuration.
-func (bo *Balancer) Reconfigure(sn *config.Snapshot) {
-	bo.snapshot = sn
-	bo.rebuild()
+// Reconfigure applies a newer configuration.
+func (ba *Balancer) Reconfigure(sn *config.Snapshot) {
+	ba.snapshot = sn
+	ba.rebuild()
 }
 
-// LinkUp notes that the link to a server's agent is open.
-func (bo *Balancer) LinkUp(name, dataCentre string) {
-	if bo.servers == nil {
-		bo.servers = map[string]*server{}
+// LinkUp records that the link to a server's agent was opened.
+func (ba *Balancer) LinkUp(name, dataCentre string) {
+	if ba.servers == nil {
+		ba.servers = map[string]*server{}
 	}
-	bo.servers[name] = &server{name: name, dataCentre: dataCentre, up: true}
-	bo.rebuild()
+	ba.servers[name] = &server{name: name, dataCentre: dataCentre, up: true}
+	ba.rebuild()
 }
 
-// LinkDown notes that the link to a server's agent has ended.
-func (bo *Balancer) LinkDown(name string) {
-	if se := bo.servers[name]; se != nil {
+// LinkDown records that the link to a server's agent was closed.
+func (ba *Balancer) LinkDown(name string) {
+	if se := ba.servers[name]; se != nil {
 		se.up = false
-		bo.rebuild()
+		ba.rebuild()
 	}
 }
 
-// SetLeaving notes that a server takes nothing new.
-func (bo *Balancer) SetLeaving(name string) {
-	if se := bo.servers[name]; se != nil && !se.leaving {
+// SetLeaving records that the list of boxes marks a server as leaving, so that it gets no new
+// attempts.
+func (ba *Balancer) SetLeaving(name string) {
+	if se := ba.servers[name]; se != nil && !se.leaving {
 		se.leaving = true
-		bo.rebuild()
+		ba.rebuild()
 	}
 }
 
-// SetLoad notes what an agent reported.
-func (bo *Balancer) SetLoad(name string, lo wire.Load) {
-	se := bo.servers[name]
+// SetLoad records an agent's load report.
+func (ba *Balancer) SetLoad(name string, lo wire.Load) {
+	se := ba.servers[name]
 	if se == nil {
 		return
 	}
 	se.running, se.queued, se.slots, se.sent = lo.Running, lo.Queued, lo.Slots, 0
 	if lo.Leaving != se.draining {
 		se.draining = lo.Leaving
-		bo.rebuild()
+		ba.rebuild()
 	}
 }
 
-// AttemptSent notes an attempt that was sent.
-func (bo *Balancer) AttemptSent(name string) {
-	if se := bo.servers[name]; se != nil {
+// AttemptSent records that an attempt was sent to a server.
+func (ba *Balancer) AttemptSent(name string) {
+	if se := ba.servers[name]; se != nil {
 		se.sent++
 	}
 }
 
-// Has reports whether any usable server holds the version or service.
-func (bo *Balancer) Has(what string) bool {
-	po := bo.pools[what]
+// Has reports whether any usable server provides the version or service.
+func (ba *Balancer) Has(target string) bool {
+	po := ba.pools[target]
 	return len(po.local)+len(po.remote) > 0
 }
 
-// Pick returns a server that holds the version or service and was not tried
-// yet. random is uniform over all 64-bit numbers.
-func (bo *Balancer) Pick(what string, tried []string, random uint64) (string, bool) {
-	po := bo.pools[what]
+// Pick returns a server that provides the version or service and is not in tried. random is uniform
+// over all 64-bit numbers.
+func (ba *Balancer) Pick(target string, tried []string, random uint64) (string, bool) {
+	po := ba.pools[target]
 	local := twoChoices(po.local, tried, random)
-	if local != nil && local.load() < fullLoad {
+	if local != nil && local.load() < spilloverLoad {
 		return local.name, true
 	}
 	remote := twoChoices(po.remote, tried, random)
@@ -129,8 +129,8 @@
 	return local.name, true
 }
 
-// twoChoices draws two servers and returns the less loaded. Where both were
-// tried it goes on from the second to the first that was not.
+// twoChoices draws two servers and returns the less loaded one. If both are in tried, it returns
+// the first one after the second that is not.
 func twoChoices(list []*server, tried []string, random uint64) *server {
 	n := uint64(len(list))
 	if n == 0 {
@@ -146,7 +146,7 @@
 	}
 	switch {
 	case first == nil && second == nil:
-		return untried(list, tried, (random>>32)%n)
+		return firstUntried(list, tried, (random>>32)%n)
 	case first == nil:
 		return second
 	case second == nil || first.load() <= second.load():
@@ -155,7 +155,7 @@
 	return second
 }
 
-func untried(list []*server, tried []string, from uint64) *server {
+func firstUntried(list []*server, tried []string, from uint64) *server {
 	for i := range uint64(len(list)) {
 		se := list[(from+i)%uint64(len(list))]
 		if !slices.Contains(tried, se.name) {
@@ -165,36 +165,36 @@
 	return nil
 }
 
-func (bo *Balancer) rebuild() {
-	bo.pools = map[string]pool{}
-	if bo.snapshot == nil {
+func (ba *Balancer) rebuild() {
+	ba.pools = map[string]serverPool{}
+	if ba.snapshot == nil {
 		return
 	}
-	doc := bo.snapshot.Document()
+	doc := ba.snapshot.Document()
 	for i := range doc.Servers {
 		co := &doc.Servers[i]
-		se := bo.servers[co.Name]
+		se := ba.servers[co.Name]
 		if se == nil || !se.usable() || co.Leaving || doc.Evacuated(co.DataCentre) {
 			continue
 		}
 		if se.slots == 0 {
 			se.slots = co.Slots
 		}
-		for _, what := range co.Versions {
-			bo.add(what, se)
+		for _, target := range co.Versions {
+			ba.add(target, se)
 		}
-		for _, what := range co.Services {
-			bo.add(what, se)
+		for _, target := range co.Services {
+			ba.add(target, se)
 		}
 	}
 }
 
-func (bo *Balancer) add(what string, se *server) {
-	po := bo.pools[what]
-	if se.dataCentre == bo.DataCentre {
+func (ba *Balancer) add(target string, se *server) {
+	po := ba.pools[target]
+	if se.dataCentre == ba.DataCentre {
 		po.local = append(po.local, se)
 	} else {
 		po.remote = append(po.remote, se)
 	}
-	bo.pools[what] = po
+	ba.pools[target] = po
 }
--- a/internal/entry/exchange.go
+++ b/internal/entry/exchange.go
@@ -225,7 +225,7 @@
 	ex.w.Header().Set("Content-Type", ac.Head().Type)
 	ex.w.Header().Set(headerRequest, ex.ask.id)
 	ex.w.Header().Set(headerVersion, ex.version)
-	if ac.FirstTryAccepted() {
+	if ac.FromFirstTry() {
 		ex.w.Header().Set(headerKept, "true")
 	}
 	ex.w.WriteHeader(ac.Head().Status)
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -1,11 +1,9 @@
-// Package load adds up how much work is in progress on each backend server over
-// all gateways, from what they report to each other. It does no I/O and reads no
-// clock.
+// Package load sums up the work in progress on each backend server over all gateways, from the
+// reports that they exchange. It does no I/O and reads no clock.
 //
-// In each data centre one or two gateways, the collectors, take the reports of the
-// others. A collector tells another one the sum of its group (its own work and that
-// of the gateways that report to it), and each gateway of its group the sum of
-// everything else.
+// In each data centre one or two gateways, the collectors, receive the reports of the others. A
+// collector sends the other collectors the sum of its group, which is its own work and that of the
+// gateways that report to it, and sends each gateway of its group the sum of everything else.
 package load
 
 import (
@@ -16,16 +14,15 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Key names a backend server in a few bytes. Two servers with the same key look
-// as busy as both together, which does no harm; among 1,500 servers that is one
-// chance in 4,000.
+// Key identifies a backend server in four bytes. Two servers with the same key both appear to have
+// the work of both, which does no harm; among 1,500 servers the probability of a collision is one
+// in 4,000.
 type Key uint32
 
 // KeyOf returns the key of a server's id.
 func KeyOf(id string) Key { return Key(xxhash.Sum64String(id)) }
 
-// Work is the work in progress by server, in attempts. Servers without any are
-// left out.
+// Work is the number of attempts in progress by server. Idle servers are omitted.
 type Work map[Key]uint32
 
 func (wo Work) add(other Work) {
@@ -42,7 +39,7 @@
 	}
 }
 
-// plus returns the sum of both.
+// plus returns the sum of two works.
 func (wo Work) plus(other Work) Work {
 	sum := make(Work, len(wo)+len(other))
 	sum.add(wo)
@@ -50,16 +47,16 @@
 	return sum
 }
 
-// Busiest returns the part of it that is worth telling: the servers with the most
-// work, so many at the most. Of equals all or none are in it.
+// Busiest returns the servers with the most work, at most the given number. Of servers with equal
+// work, either all or none are included.
 func (wo Work) Busiest(most int) Work {
 	if len(wo) <= most {
 		return wo
 	}
-	least := slices.Sorted(maps.Values(wo))[len(wo)-most-1] + 1
+	threshold := slices.Sorted(maps.Values(wo))[len(wo)-most-1] + 1
 	busiest := make(Work, most)
 	for key, n := range wo {
-		if n >= least {
+		if n >= threshold {
 			busiest[key] = n
 		}
 	}
@@ -69,39 +66,39 @@
 type report struct {
 	work Work
 	at   time.Time
-	// gateways is how many gateways the work is of, zero if that was not told.
+	// gateways is the number of gateways that the report includes, zero if it is not known.
 	gateways int
 }
 
-// Table holds the newest report of each other gateway. The zero value holds none.
-// It is not safe for concurrent use.
+// Table holds the newest report of each other gateway. The zero value is empty. It is not safe for
+// concurrent use.
 type Table struct {
-	// members holds the reports of single gateways, groups those of collectors, by
-	// box; no gateway's work is in two of them, but for a moment after it has changed
-	// its collector.
+	// members holds the reports of single gateways, groups those of collectors, by box. Each
+	// gateway's work is included in only one of them, except for a moment after it has changed its
+	// collector.
 	members, groups map[string]report
-	// ofMembers is the sum of members, ofAll that of both.
-	ofMembers, ofAll Work
+	// memberSum is the sum of members, totalSum that of members and groups.
+	memberSum, totalSum Work
 }
 
-// PutMember takes the report of a single gateway.
+// PutMember stores the report of a single gateway.
 func (ta *Table) PutMember(box string, wo Work, now time.Time) {
-	ta.prepare()
+	ta.init()
 	ta.dropMember(box)
 	ta.members[box] = report{work: wo, at: now, gateways: 1}
-	ta.ofMembers.add(wo)
-	ta.ofAll.add(wo)
+	ta.memberSum.add(wo)
+	ta.totalSum.add(wo)
 }
 
-// PutGroup takes the sum that a collector reports.
+// PutGroup stores the sum that a collector reports.
 func (ta *Table) PutGroup(box string, wo Work, now time.Time) {
-	ta.prepare()
+	ta.init()
 	ta.dropGroup(box)
 	ta.groups[box] = report{work: wo, at: now}
-	ta.ofAll.add(wo)
+	ta.totalSum.add(wo)
 }
 
-// SetGroupSize notes how many gateways the newest report of a collector is of.
+// SetGroupSize stores the number of gateways that the newest report of a collector includes.
 func (ta *Table) SetGroupSize(box string, gateways int) {
 	if re, ok := ta.groups[box]; ok {
 		re.gateways = gateways
@@ -109,10 +106,10 @@
 	}
 }
 
-// GroupSize returns how many gateways the sum that Group returns is of.
+// GroupSize returns the number of gateways that the result of GroupSum includes.
 func (ta *Table) GroupSize() int { return 1 + len(ta.members) }
 
-// OtherGateways returns how many other gateways have reported, themselves or through a collector.
+// OtherGateways returns the number of other gateways that are included in the reports.
 func (ta *Table) OtherGateways() int {
 	others := len(ta.members)
 	for _, re := range ta.groups {
@@ -121,26 +118,26 @@
 	return others
 }
 
-func (ta *Table) prepare() {
+func (ta *Table) init() {
 	if ta.members == nil {
 		ta.members, ta.groups = map[string]report{}, map[string]report{}
-		ta.ofMembers, ta.ofAll = Work{}, Work{}
+		ta.memberSum, ta.totalSum = Work{}, Work{}
 	}
 }
 
 func (ta *Table) dropMember(box string) {
-	ta.ofMembers.subtract(ta.members[box].work)
-	ta.ofAll.subtract(ta.members[box].work)
+	ta.memberSum.subtract(ta.members[box].work)
+	ta.totalSum.subtract(ta.members[box].work)
 	delete(ta.members, box)
 }
 
 func (ta *Table) dropGroup(box string) {
-	ta.ofAll.subtract(ta.groups[box].work)
+	ta.totalSum.subtract(ta.groups[box].work)
 	delete(ta.groups, box)
 }
 
-// Expire drops the reports that came before a time: their gateways are gone, or
-// report to another collector.
+// Expire removes the reports that arrived before a time: their gateways have ended or report to
+// another collector.
 func (ta *Table) Expire(before time.Time) {
 	for box, re := range ta.members {
 		if re.at.Before(before) {
@@ -154,19 +151,19 @@
 	}
 }
 
-// HasReports reports whether there is any report.
+// HasReports reports whether there are any reports.
 func (ta *Table) HasReports() bool { return len(ta.members)+len(ta.groups) > 0 }
 
-// OnServer returns the work of all other gateways in progress on a server, in attempts.
-func (ta *Table) OnServer(id string) uint32 { return ta.ofAll[KeyOf(id)] }
+// OnServer returns the number of attempts of all other gateways in progress on a server.
+func (ta *Table) OnServer(id string) uint32 { return ta.totalSum[KeyOf(id)] }
 
-// GroupSum returns what a collector reports to another one.
-func (ta *Table) GroupSum(own Work) Work { return own.plus(ta.ofMembers) }
+// GroupSum returns the sum that a collector sends to other collectors. own is its own work.
+func (ta *Table) GroupSum(own Work) Work { return own.plus(ta.memberSum) }
 
-// SumExcept returns what a collector tells a gateway of its group: everything but that
-// gateway's own work.
+// SumExcept returns the sum that a collector sends to a gateway of its group: all work except that
+// gateway's own.
 func (ta *Table) SumExcept(box string, own Work) Work {
-	rest := own.plus(ta.ofAll)
+	rest := own.plus(ta.totalSum)
 	rest.subtract(ta.members[box].work)
 	return rest
 }
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -11,7 +11,7 @@
 
 var now = time.Unix(1000, 0)
 
-func TestWorkOfOthersIsAddedUp(t *testing.T) {
+func TestWorkOfOtherGatewaysIsSummedUp(t *testing.T) {
 	var ta Table
 	require.False(t, ta.HasReports())
 	require.Zero(t, ta.OnServer("s"))
@@ -20,12 +20,12 @@
 	require.True(t, ta.HasReports())
 	require.EqualValues(t, 7, ta.OnServer("s"))
 	own := Work{KeyOf("s"): 10}
-	require.Equal(t, Work{KeyOf("s"): 13}, ta.GroupSum(own), "what other groups do is theirs to report")
+	require.Equal(t, Work{KeyOf("s"): 13}, ta.GroupSum(own), "other groups are reported by their collectors")
 	require.Equal(t, Work{KeyOf("s"): 14, KeyOf("t"): 1}, ta.SumExcept("a", own))
-	require.Equal(t, Work{KeyOf("s"): 10}, own, "an argument is left as it is")
+	require.Equal(t, Work{KeyOf("s"): 10}, own, "the argument is not modified")
 }
 
-func TestANewReportReplacesTheOldOne(t *testing.T) {
+func TestNewReportReplacesTheOldOne(t *testing.T) {
 	var ta Table
 	ta.PutMember("a", Work{KeyOf("s"): 3}, now)
 	ta.PutMember("a", Work{KeyOf("t"): 1}, now)
@@ -33,7 +33,7 @@
 	require.EqualValues(t, 1, ta.OnServer("t"))
 }
 
-func TestOldReportsAreDropped(t *testing.T) {
+func TestOldReportsExpire(t *testing.T) {
 	var ta Table
 	ta.PutMember("a", Work{KeyOf("s"): 3}, now)
 	ta.PutGroup("b", Work{KeyOf("s"): 4}, now.Add(time.Second))
@@ -44,18 +44,18 @@
 	require.Zero(t, ta.OnServer("s"))
 }
 
-func TestTheBusiestServersAreTold(t *testing.T) {
+func TestBusiest(t *testing.T) {
 	wo := Work{1: 5, 2: 7, 3: 5, 4: 9}
 	require.Equal(t, wo, wo.Busiest(4))
 	require.Equal(t, Work{4: 9, 2: 7}, wo.Busiest(2))
-	require.Equal(t, Work{4: 9, 2: 7}, wo.Busiest(3), "of the two with 5 none")
+	require.Equal(t, Work{4: 9, 2: 7}, wo.Busiest(3), "neither of the two servers with 5")
 	require.Empty(t, Work{1: 5, 2: 5}.Busiest(1))
 }
 
-// naive adds all reports up each time.
-type naive struct{ members, groups map[string]report }
+// naiveTable sums up all reports for each query.
+type naiveTable struct{ members, groups map[string]report }
 
-func (na naive) sum(lists ...map[string]report) Work {
+func (na naiveTable) sum(lists ...map[string]report) Work {
 	sum := Work{}
 	for _, list := range lists {
 		for _, re := range list {
@@ -67,10 +67,10 @@
 	return sum
 }
 
-func TestTheSumsAreThoseOfTheNaiveVersion(t *testing.T) {
+func TestSumsEqualThoseOfTheNaiveTable(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		var ta Table
-		na := naive{map[string]report{}, map[string]report{}}
+		na := naiveTable{map[string]report{}, map[string]report{}}
 		at := now
 		for range rapid.IntRange(1, 40).Draw(rt, "reports") {
 			at = at.Add(time.Duration(rapid.IntRange(0, 300).Draw(rt, "pause")) * time.Millisecond)
@@ -79,7 +79,7 @@
 			for range rapid.IntRange(0, 3).Draw(rt, "servers") {
 				wo[Key(rapid.IntRange(0, 4).Draw(rt, "key"))] = uint32(rapid.IntRange(1, 100).Draw(rt, "work"))
 			}
-			switch rapid.IntRange(0, 2).Draw(rt, "what") {
+			switch rapid.IntRange(0, 2).Draw(rt, "operation") {
 			case 0:
 				ta.PutMember(box, wo, at)
 				na.members[box] = report{work: wo, at: at}
--- a/internal/outlier/outlier.go
+++ b/internal/outlier/outlier.go
@@ -1,107 +1,105 @@
-// Package outlier takes backend servers that fail out of use for a while, from
-// what became of the requests sent to them, whatever their health checks say.
-// It does no I/O and reads no clock.
+// Package outlier ejects backend servers that fail, according to the outcomes of the requests sent
+// to them and independently of their health checks. It does no I/O and reads no clock.
 package outlier
 
 import "time"
 
 const (
-	// failuresInARow ejects a server at once.
-	failuresInARow = 3
-	// badRate is the smoothed failure rate at which a server is ejected.
-	badRate = 0.3
+	// maxConsecutiveFailures is the number of consecutive failures that ejects a server.
+	maxConsecutiveFailures = 3
+	// ejectionRate is the smoothed failure rate that ejects a server.
+	ejectionRate = 0.3
 	// smoothing is the weight of the newest outcome in the failure rate.
 	smoothing = 0.15
-	// firstPause is how long the first ejection lasts; each further one without
-	// a success lasts twice as long, up to longestPause.
-	firstPause   = time.Second
-	longestPause = 8 * time.Second
-	// longestGone bounds the pause of a server that takes no connection: to try it costs
-	// nothing, and one that has crashed is often back within seconds.
-	longestGone = 2 * time.Second
-	// probeWait is how long the one request that tries an ejected server may
-	// take before another one tries.
-	probeWait = 2 * time.Second
+	// initialEjection is the duration of the first ejection. Each further one without a success in
+	// between lasts twice as long, up to maxEjection.
+	initialEjection = time.Second
+	maxEjection     = 8 * time.Second
+	// maxUnreachableEjection limits the ejection of a server that accepts no connections: a
+	// connection attempt is cheap, and a crashed server is often back within seconds.
+	maxUnreachableEjection = 2 * time.Second
+	// probeTimeout is how long the request that probes an ejected server may take before another
+	// request is sent as a probe.
+	probeTimeout = 2 * time.Second
 )
 
-// record is what is known of one server.
+// record is the state of one server.
 type record struct {
-	inARow int
-	// rate is the smoothed part of failures, from 0 to 1.
+	consecutive int
+	// rate is the smoothed failure rate, from 0 to 1.
 	rate float64
-	// until is when an ejected server may be tried; zero if it is not ejected.
-	until time.Time
-	pause time.Duration
+	// ejectedUntil is when an ejected server may be probed, zero if it is not ejected.
+	ejectedUntil time.Time
+	ejection     time.Duration
 }
 
-// Detector holds the records of all servers. The zero value knows none. It is
-// not safe for concurrent use.
+// Detector holds the records of all servers. The zero value is empty. It is not safe for concurrent
+// use.
 type Detector struct{ records map[string]*record }
 
-// Usable reports whether a server may be sent a request. An ejected one may be
-// once its pause is over.
+// Usable reports whether requests may be sent to a server. An ejected server may be probed once its
+// ejection has elapsed.
 func (de *Detector) Usable(id string, now time.Time) bool {
 	re := de.records[id]
-	return re == nil || re.until.IsZero() || !now.Before(re.until)
+	return re == nil || re.ejectedUntil.IsZero() || !now.Before(re.ejectedUntil)
 }
 
-// Sent notes a request. One that tries an ejected server holds others off
-// until it has ended.
+// Sent records a request. A request to an ejected server is a probe: no other is sent to that
+// server until the probe has ended or timed out.
 func (de *Detector) Sent(id string, now time.Time) {
-	if re := de.records[id]; re != nil && !re.until.IsZero() {
-		re.until = now.Add(probeWait)
+	if re := de.records[id]; re != nil && !re.ejectedUntil.IsZero() {
+		re.ejectedUntil = now.Add(probeTimeout)
 	}
 }
 
-// Succeeded notes an answer that came as it should. It reports whether an
-// ejected server is in use again.
+// Succeeded records a successful response. It reports whether that ends the server's ejection.
 func (de *Detector) Succeeded(id string) bool {
 	re := de.records[id]
 	if re == nil {
 		return false
 	}
-	re.inARow = 0
+	re.consecutive = 0
 	re.rate *= 1 - smoothing
-	if re.until.IsZero() {
+	if re.ejectedUntil.IsZero() {
 		return false
 	}
-	re.until = time.Time{}
-	re.rate = badRate / 2
+	re.ejectedUntil = time.Time{}
+	re.rate = ejectionRate / 2
 	return true
 }
 
-// Failed notes a failure of the server. It reports whether that ejects it.
+// Failed records a server failure. It reports whether that ejects the server.
 func (de *Detector) Failed(id string, now time.Time) bool {
 	re := de.record(id)
-	re.inARow++
+	re.consecutive++
 	re.rate += smoothing * (1 - re.rate)
 	switch {
-	case !re.until.IsZero():
-		re.pause = min(2*re.pause, longestPause)
-	case re.inARow >= failuresInARow || re.rate >= badRate:
-		re.pause = firstPause
+	case !re.ejectedUntil.IsZero():
+		re.ejection = min(2*re.ejection, maxEjection)
+	case re.consecutive >= maxConsecutiveFailures || re.rate >= ejectionRate:
+		re.ejection = initialEjection
 	default:
 		return false
 	}
-	re.until = now.Add(re.pause)
+	re.ejectedUntil = now.Add(re.ejection)
 	return true
 }
 
-// Unreachable notes that the server takes no connection, which ejects it at once: nothing
-// runs there, and all that is sent there until then must be sent again. It reports whether
-// it was in use.
+// Unreachable records that a server accepts no connections. That ejects it at once: it runs
+// nothing, and every request sent to it has to be sent again. It reports whether the server was in
+// use.
 func (de *Detector) Unreachable(id string, now time.Time) bool {
 	re := de.record(id)
-	was := re.until.IsZero()
-	re.pause = min(max(firstPause, 2*re.pause), longestGone)
-	if was {
-		re.pause = firstPause
+	inUse := re.ejectedUntil.IsZero()
+	re.ejection = min(max(initialEjection, 2*re.ejection), maxUnreachableEjection)
+	if inUse {
+		re.ejection = initialEjection
 	}
-	re.until = now.Add(re.pause)
-	return was
+	re.ejectedUntil = now.Add(re.ejection)
+	return inUse
 }
 
-// record returns what is known of a server.
+// record returns the record of a server, creating it if necessary.
 func (de *Detector) record(id string) *record {
 	if de.records == nil {
 		de.records = map[string]*record{}
@@ -114,5 +112,5 @@
 	return re
 }
 
-// Forget drops a server that is gone.
+// Forget removes the record of a server.
 func (de *Detector) Forget(id string) { delete(de.records, id) }
--- a/internal/outlier/outlier_test.go
+++ b/internal/outlier/outlier_test.go
@@ -9,17 +9,17 @@
 
 var now = time.Unix(1000, 0)
 
-func TestFailuresInARowEject(t *testing.T) {
+func TestConsecutiveFailuresEject(t *testing.T) {
 	var de Detector
 	require.False(t, de.Failed("a", now))
 	require.False(t, de.Failed("a", now))
 	require.True(t, de.Failed("a", now))
 	require.False(t, de.Usable("a", now))
 	require.True(t, de.Usable("b", now))
-	require.True(t, de.Usable("a", now.Add(firstPause)))
+	require.True(t, de.Usable("a", now.Add(initialEjection)))
 }
 
-func TestAServerThatFailsInPartIsEjected(t *testing.T) {
+func TestServerWithHighFailureRateIsEjected(t *testing.T) {
 	var de Detector
 	ejected := false
 	for i := range 40 {
@@ -32,7 +32,7 @@
 	require.True(t, ejected)
 }
 
-func TestAServerThatFailsNowAndThenIsKept(t *testing.T) {
+func TestServerWithLowFailureRateIsNotEjected(t *testing.T) {
 	var de Detector
 	for i := range 200 {
 		if i%7 == 0 {
@@ -43,34 +43,34 @@
 	}
 }
 
-func TestOneRequestTriesAnEjectedServer(t *testing.T) {
+func TestEjectedServerIsProbedByOneRequest(t *testing.T) {
 	var de Detector
-	for range failuresInARow {
+	for range maxConsecutiveFailures {
 		de.Failed("a", now)
 	}
-	later := now.Add(firstPause)
+	later := now.Add(initialEjection)
 	require.True(t, de.Usable("a", later))
 	de.Sent("a", later)
 	require.False(t, de.Usable("a", later))
-	require.True(t, de.Failed("a", later), "the next pause is longer")
-	require.False(t, de.Usable("a", later.Add(firstPause)))
-	require.True(t, de.Usable("a", later.Add(2*firstPause)))
+	require.True(t, de.Failed("a", later), "the next ejection is longer")
+	require.False(t, de.Usable("a", later.Add(initialEjection)))
+	require.True(t, de.Usable("a", later.Add(2*initialEjection)))
 	require.True(t, de.Succeeded("a"))
 	require.True(t, de.Usable("a", later))
 }
 
-func TestAServerThatTakesNoConnectionIsLeftAtOnce(t *testing.T) {
+func TestUnreachableServerIsEjectedAtOnce(t *testing.T) {
 	var de Detector
 	require.True(t, de.Unreachable("a", now))
-	require.False(t, de.Usable("a", now.Add(firstPause-1)))
-	require.True(t, de.Usable("a", now.Add(firstPause)))
-	at := now.Add(firstPause)
+	require.False(t, de.Usable("a", now.Add(initialEjection-1)))
+	require.True(t, de.Usable("a", now.Add(initialEjection)))
+	at := now.Add(initialEjection)
 	for range 5 {
-		require.False(t, de.Unreachable("a", at), "it was out of use")
-		require.True(t, de.Usable("a", at.Add(longestGone)), "one that has crashed is soon back")
-		at = at.Add(longestGone)
+		require.False(t, de.Unreachable("a", at), "already ejected")
+		require.True(t, de.Usable("a", at.Add(maxUnreachableEjection)), "ejections of unreachable servers remain short")
+		at = at.Add(maxUnreachableEjection)
 	}
 	require.True(t, de.Succeeded("a"))
 	require.True(t, de.Unreachable("a", at))
-	require.True(t, de.Usable("a", at.Add(firstPause)), "a pause begins anew")
+	require.True(t, de.Usable("a", at.Add(initialEjection)), "a success resets the ejection time")
 }
--- a/internal/route/action.go
+++ b/internal/route/action.go
@@ -7,63 +7,64 @@
 	"github.com/linnetrudder/linnetrudder/internal/wire"
 )
 
-// Op is what the shell must do.
+// Op is an operation that the entry has to perform.
 type Op string
 
-// The things to do.
+// The operations.
 const (
 	// Dispatch sends an attempt to a server.
 	Dispatch Op = "dispatch"
-	// Cancel stops an attempt.
+	// Cancel cancels an attempt.
 	Cancel Op = "cancel"
-	// DeliverHead sends the caller the status and type of the answer.
+	// DeliverHead sends the caller the status and content type of the answer.
 	DeliverHead Op = "deliver head"
-	// Deliver sends the caller a part of the answer.
+	// Deliver sends the caller a part of the answer's body.
 	Deliver Op = "deliver"
-	// Close ends the request with a code; it is the last action.
+	// Close ends the request with a code. It is the last action.
 	Close Op = "close"
 )
 
-// Action is one thing to do.
+// Action is an operation with its parameters.
 type Action struct {
-	do         Op
-	attempt    int
-	step       int
-	what       string
-	kept       bool
-	server     string
-	head       *wire.AnswerHead
-	body       []byte
-	code       result.Code
-	retryAfter time.Duration
+	op           Op
+	attempt      int
+	step         int
+	target       string
+	fromFirstTry bool
+	server       string
+	head         *wire.AnswerHead
+	body         []byte
+	code         result.Code
+	retryAfter   time.Duration
 }
 
-// Op returns what to do.
-func (ac Action) Op() Op { return ac.do }
+// Op returns the operation.
+func (ac Action) Op() Op { return ac.op }
 
-// Attempt returns the attempt's number, from 1.
+// Attempt returns the number of the attempt, starting at 1.
 func (ac Action) Attempt() int { return ac.attempt }
 
-// Step returns the place in the cascade, from 0.
+// Step returns the index of the cascade step, starting at 0.
 func (ac Action) Step() int { return ac.step }
 
-// Target returns the version or plain service to run, or that the answer is of.
-func (ac Action) Target() string { return ac.what }
+// Target returns the version or plain service that the attempt runs or that gave the answer.
+func (ac Action) Target() string { return ac.target }
 
-// FirstTryAccepted reports whether the answer is a first try that was kept.
-func (ac Action) FirstTryAccepted() bool { return ac.kept }
+// FromFirstTry reports whether the answer is that of an earlier step than the last: it was accepted,
+// or the later steps failed.
+func (ac Action) FromFirstTry() bool { return ac.fromFirstTry }
 
-// Server returns the server to send to.
+// Server returns the name of the server to dispatch to.
 func (ac Action) Server() string { return ac.server }
 
-// Head returns the status and type to deliver.
+// Head returns the status and content type to deliver.
 func (ac Action) Head() *wire.AnswerHead { return ac.head }
 
-// Body returns the part to deliver.
+// Body returns the part of the body to deliver.
 func (ac Action) Body() []byte { return ac.body }
 
-// Code returns the final code.
+// Code returns the final result code.
 func (ac Action) Code() result.Code { return ac.code }
 
-// RetryAfter returns when the caller may come back.
+// RetryAfter returns the Retry-After value.
 func (ac Action) RetryAfter() time.Duration { return ac.retryAfter }
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -1,6 +1,5 @@
-// Package route decides at an entry what becomes of one request: which
-// attempts are made, whose answer the caller gets, and what is final. It does
-// no I/O and reads no clock.
+// Package route implements the entry's state machine for a request: which attempts are made, whose
+// answer the caller gets, and when the result is final. It does no I/O and reads no clock.
 package route
 
 import (
@@ -10,121 +9,122 @@
 	"github.com/linnetrudder/linnetrudder/internal/wire"
 )
 
-// Picker chooses a backend server for a version or plain service.
+// Picker selects backend servers.
 type Picker interface {
-	// Pick returns a server that was not tried yet.
-	Pick(what string, tried []string) (string, bool)
+	// Pick returns a server for a version or plain service that is not in tried.
+	Pick(target string, tried []string) (string, bool)
 }
 
-// RetryBudget bounds retries.
+// RetryBudget limits retries.
 type RetryBudget interface {
-	// Take reports whether one more retry is allowed and takes it.
+	// Take reports whether a further retry is allowed, and consumes a retry token if it is.
 	Take(now time.Time) bool
 }
 
-// Blocklist knows requests that are not to be sent to servers.
+// Blocklist holds requests that are temporarily not sent to servers.
 type Blocklist interface {
-	// Blocked returns how long the request is not to be sent any more, zero if it may be.
+	// Blocked returns how long the request remains blocked, zero if it is not.
 	Blocked(now time.Time) time.Duration
 }
 
-// Evaluator says whether the answer of a first try is good enough to keep.
+// Evaluator decides whether the answer of a first try is good enough to be delivered.
 type Evaluator interface {
-	// Acceptable is given the version and its whole answer.
-	Acceptable(what string, status int, body []byte, us *wire.Usage) bool
+	// Acceptable evaluates the complete answer of a version.
+	Acceptable(target string, status int, body []byte, us *wire.Usage) bool
 }
 
 const (
-	// maxAttempts bounds the attempts of one step.
-	maxAttempts = 4
-	// maxHeld bounds the frames that are held for a missing one.
-	maxHeld = 64
-	// ackTimeout is how long an agent may take to say anything of an attempt.
+	// maxStepAttempts limits the attempts of one cascade step.
+	maxStepAttempts = 4
+	// maxBufferedFrames limits the frames that are buffered until a missing frame arrives.
+	maxBufferedFrames = 64
+	// ackTimeout is how long an agent may take to acknowledge an attempt.
 	ackTimeout = 500 * time.Millisecond
-	// verdictGrace is how long past the deadline a verdict may come.
+	// verdictGrace is how long after the deadline an agent's verdict is still awaited.
 	verdictGrace = 250 * time.Millisecond
 )
 
-// phase is where an attempt stands.
+// phase is the state of an attempt.
 type phase string
 
 const (
-	// sent means that the agent has said nothing yet.
+	// sent means that the agent has not acknowledged the attempt.
 	sent phase = "sent"
-	// queued means that the agent holds the attempt.
+	// queued means that the attempt is in the agent's queue.
 	queued phase = "queued"
 	// admitted means that the attempt was started.
 	admitted phase = "admitted"
-	// over means that nothing of the attempt counts any more.
-	over phase = "over"
+	// finished means that further messages about the attempt are ignored.
+	finished phase = "over"
 )
 
-// attempt is one try at one server.
+// attempt is an attempt at one server.
 type attempt struct {
 	number int
-	what   string
+	target string
 	phase  phase
 	sentAt time.Time
-	// next is the sequence number of the frame to be taken next.
+	// next is the sequence number of the next frame to handle.
 	next uint32
-	// held are frames that came before their turn.
-	held map[uint32]*wire.Frame
-	// head and body are kept until the answer may be delivered.
+	// buffered holds frames that arrived out of order, by sequence number.
+	buffered map[uint32]*wire.Frame
+	// head and body are buffered until the answer may be delivered.
 	head *wire.AnswerHead
 	body []byte
-	// usage is set once the answer is whole.
+	// usage is set once the answer is complete.
 	usage *wire.Usage
 }
 
-// Request is one request in progress. Its exported fields are set before
-// Begin; it is not safe for concurrent use.
+// Request is a request in progress. Its exported fields are set before Begin. It is not safe for
+// concurrent use.
 type Request struct {
-	// Steps are the versions, or the one plain service, to call in order.
+	// Steps lists the versions to call, in order, or the one plain service.
 	Steps []string
-	// Repeatable is false for a request that may run once at the most.
+	// Repeatable is set if the request may run more than once.
 	Repeatable bool
-	// Deadline is when a request that has not started is given up.
+	// Deadline is the time after which a request that has not started is abandoned.
 	Deadline time.Time
-	// Picker, Retries, Judge and Blocks make the decisions that vary.
+	// Picker, RetryBudget, Evaluator and Blocklist implement the policies of the request.
 	Picker      Picker
 	RetryBudget RetryBudget
 	Evaluator   Evaluator
 	Blocklist   Blocklist
 
 	step int
-	// current is the attempt whose answer counts, nil between attempts.
+	// current is the attempt whose answer may be delivered, nil between attempts.
 	current *attempt
-	// kept is a whole answer of an earlier step, in case a later one fails.
-	kept  *attempt
-	tried []string
-	// tries counts the attempts of this step.
-	tries  int
-	number int
-	// doubt is the code of an attempt that may have run without an answer,
-	// zero if there was none. After it no refusal says "did not run".
-	doubt result.Code
-	// delivered is true once the caller has got a part of an answer.
+	// fallback is a complete answer of an earlier step, delivered if the later steps fail.
+	fallback *attempt
+	tried    []string
+	// stepAttempts counts the attempts of the current step.
+	stepAttempts int
+	number       int
+	// mayHaveRunCode is the code of an attempt without an answer that may have run, zero if there
+	// was none. Once it is set, the request is not closed with a code that says that it did not
+	// run.
+	mayHaveRunCode result.Code
+	// delivered is set once part of an answer was delivered.
 	delivered bool
 	closed    bool
 }
 
-// Begin makes the first attempt.
+// Begin returns the actions of the first attempt.
 func (re *Request) Begin(now time.Time) []Action {
 	return re.dispatch(result.NoServer, 0, now)
 }
 
-// Closed reports whether the final answer was decided.
+// Closed reports whether the final result was decided.
 func (re *Request) Closed() bool { return re.closed }
 
-// Pending reports whether time alone can change what becomes of the request.
+// Pending reports whether an attempt awaits its start, so that the request has timeouts.
 func (re *Request) Pending() bool {
 	at := re.current
 	return !re.closed && at != nil && (at.phase == sent || at.phase == queued)
 }
 
-// Verdict takes an agent's word on an attempt.
+// Verdict handles an agent's response to an attempt: queued, admitted or refused with a code.
 func (re *Request) Verdict(number int, co result.Code, after time.Duration, now time.Time) []Action {
-	at := re.live(number)
+	at := re.activeAttempt(number)
 	if at == nil || at.phase == admitted {
 		return nil
 	}
@@ -136,54 +136,54 @@
 		at.phase = admitted
 		return nil
 	}
-	at.phase = over
+	at.phase = finished
 	return re.retry(co, after, now)
 }
 
-// Frame takes a Head, Data or End frame of an attempt, in any order and any
-// number of times.
+// Frame handles a Head, Data or End frame of an attempt. Frames may arrive in any order and more
+// than once.
 func (re *Request) Frame(number int, fr *wire.Frame, now time.Time) []Action {
-	at := re.live(number)
+	at := re.activeAttempt(number)
 	if at == nil || fr.Seq < at.next {
 		return nil
 	}
-	if len(at.held) >= maxHeld && fr.Seq != at.next {
+	if len(at.buffered) >= maxBufferedFrames && fr.Seq != at.next {
 		return append(re.cancel(at), re.fail(at, result.AnswerBroken, now)...)
 	}
-	at.held[fr.Seq] = fr
+	at.buffered[fr.Seq] = fr
 	var acs []Action
 	for {
-		fr, ok := at.held[at.next]
+		fr, ok := at.buffered[at.next]
 		if !ok || re.closed || re.current != at {
 			return acs
 		}
-		delete(at.held, at.next)
+		delete(at.buffered, at.next)
 		at.next++
-		acs = append(acs, re.take(at, fr, now)...)
+		acs = append(acs, re.handleFrame(at, fr, now)...)
 	}
 }
 
-// LinkLost says that the connection of an attempt has broken.
+// LinkLost handles the loss of the connection that carries an attempt.
 func (re *Request) LinkLost(number int, now time.Time) []Action {
-	at := re.live(number)
+	at := re.activeAttempt(number)
 	if at == nil {
 		return nil
 	}
 	return re.fail(at, result.LinkLost, now)
 }
 
-// CallerGone says that the caller went away.
+// CallerGone handles a caller that closed its connection.
 func (re *Request) CallerGone() []Action {
-	return re.giveUp(result.Stopped)
+	return re.abandon(result.Stopped)
 }
 
-// CallerTooSlow says that the caller reads too slowly.
+// CallerTooSlow handles a caller that reads the answer too slowly.
 func (re *Request) CallerTooSlow() []Action {
-	return re.giveUp(result.CallerTooSlow)
+	return re.abandon(result.CallerTooSlow)
 }
 
-// Tick leaves an agent that says nothing, where the request may be repeated,
-// and gives the request up once its time to start has passed.
+// Tick handles timeouts: it retries a repeatable request whose agent has not acknowledged the
+// attempt, and abandons a request that has not started by its deadline.
 func (re *Request) Tick(now time.Time) []Action {
 	if !re.Pending() {
 		return nil
@@ -195,93 +195,93 @@
 	if now.Before(re.Deadline.Add(verdictGrace)) {
 		return nil
 	}
-	at.phase = over
+	at.phase = finished
 	return append(re.cancel(at), re.settle(result.LinkLost, 0)...)
 }
 
-// live returns the attempt if it is the one whose answer counts.
-func (re *Request) live(number int) *attempt {
-	if re.closed || re.current == nil || re.current.number != number || re.current.phase == over {
+// activeAttempt returns the current attempt if it has this number and is not finished, or nil.
+func (re *Request) activeAttempt(number int) *attempt {
+	if re.closed || re.current == nil || re.current.number != number || re.current.phase == finished {
 		return nil
 	}
 	return re.current
 }
 
-// take handles the frame whose turn it is.
-func (re *Request) take(at *attempt, fr *wire.Frame, now time.Time) []Action {
+// handleFrame handles the next frame in sequence.
+func (re *Request) handleFrame(at *attempt, fr *wire.Frame, now time.Time) []Action {
 	at.phase = admitted
 	switch fr.Kind {
 	case wire.Head:
 		at.head = fr.Head
-		if re.last() {
+		if re.onLastStep() {
 			re.delivered = true
-			return []Action{{do: DeliverHead, what: at.what, head: fr.Head}}
+			return []Action{{op: DeliverHead, target: at.target, head: fr.Head}}
 		}
 	case wire.Data:
-		if re.last() {
-			return []Action{{do: Deliver, body: fr.Body}}
+		if re.onLastStep() {
+			return []Action{{op: Deliver, body: fr.Body}}
 		}
 		at.body = append(at.body, fr.Body...)
 	case wire.End:
-		return re.end(at, fr, now)
+		return re.handleEnd(at, fr, now)
 	}
 	return nil
 }
 
-func (re *Request) end(at *attempt, fr *wire.Frame, now time.Time) []Action {
+func (re *Request) handleEnd(at *attempt, fr *wire.Frame, now time.Time) []Action {
 	if fr.Code != result.OK {
 		return re.fail(at, fr.Code, now)
 	}
 	if at.head == nil {
 		return re.fail(at, result.ServerFailed, now)
 	}
-	at.phase = over
+	at.phase = finished
 	at.usage = fr.Usage
-	if re.last() {
+	if re.onLastStep() {
 		return re.close(result.OK, 0)
 	}
-	if re.Evaluator.Acceptable(at.what, at.head.Status, at.body, at.usage) {
-		re.kept = at
+	if re.Evaluator.Acceptable(at.target, at.head.Status, at.body, at.usage) {
+		re.fallback = at
 		return re.settle(result.OK, 0)
 	}
-	re.kept = at
+	re.fallback = at
 	re.step++
-	re.tries = 0
+	re.stepAttempts = 0
 	re.tried = nil
 	return re.dispatch(result.NoServer, 0, now)
 }
 
-// last reports whether the current step is the last; only its answer can be
-// delivered while it comes in.
-func (re *Request) last() bool { return re.step == len(re.Steps)-1 }
+// onLastStep reports whether the current step is the last. Only its answer is streamed to the
+// caller as it arrives.
+func (re *Request) onLastStep() bool { return re.step == len(re.Steps)-1 }
 
-// fail decides what follows an attempt that broke after it was sent.
+// fail handles an attempt that failed after it was sent.
 func (re *Request) fail(at *attempt, co result.Code, now time.Time) []Action {
-	at.phase = over
-	surely := result.Of(co).Run() == result.DidNotRun
-	if !surely {
-		re.doubt = co
+	at.phase = finished
+	didNotRun := result.Of(co).Run() == result.DidNotRun
+	if !didNotRun {
+		re.mayHaveRunCode = co
 	}
-	safe := re.Repeatable || surely
+	mayRepeat := re.Repeatable || didNotRun
 	if re.delivered {
 		return re.close(result.AnswerBroken, 0)
 	}
-	if !safe {
+	if !mayRepeat {
 		return re.settle(co, 0)
 	}
 	return re.retry(co, result.Of(co).RetryAfter(), now)
 }
 
-// retry makes another attempt of the step if that is allowed.
+// retry makes another attempt of the current step if that is allowed.
 func (re *Request) retry(co result.Code, after time.Duration, now time.Time) []Action {
-	if !again(co) || re.tries >= maxAttempts || !now.Before(re.Deadline) || !re.RetryBudget.Take(now) {
+	if !retryable(co) || re.stepAttempts >= maxStepAttempts || !now.Before(re.Deadline) || !re.RetryBudget.Take(now) {
 		return re.settle(co, after)
 	}
 	return re.dispatch(co, after, now)
 }
 
-// again reports whether another server may give another answer.
-func again(co result.Code) bool {
+// retryable reports whether another server may give a different result.
+func retryable(co result.Code) bool {
 	switch co {
 	case result.VersionNotAllowed, result.VersionWithdrawn, result.VersionNoNewWork:
 		return false
@@ -289,54 +289,53 @@
 	return true
 }
 
-// dispatch sends the step to a server not tried yet; if there is none, the
-// code of the last refusal is final.
+// dispatch sends the current step to a server that was not tried yet. If there is none, the request
+// ends with the code of the last refusal.
 func (re *Request) dispatch(co result.Code, after time.Duration, now time.Time) []Action {
 	if left := re.Blocklist.Blocked(now); left > 0 {
 		return re.settle(result.RequestBlocked, left)
 	}
-	what := re.Steps[re.step]
-	server, ok := re.Picker.Pick(what, re.tried)
+	target := re.Steps[re.step]
+	server, ok := re.Picker.Pick(target, re.tried)
 	if !ok {
 		return re.settle(co, after)
 	}
 	re.tried = append(re.tried, server)
-	re.tries++
+	re.stepAttempts++
 	re.number++
-	re.current = &attempt{number: re.number, what: what, phase: sent, sentAt: now, next: 1, held: map[uint32]*wire.Frame{}}
-	return []Action{{do: Dispatch, attempt: re.number, step: re.step, what: what, server: server}}
+	re.current = &attempt{number: re.number, target: target, phase: sent, sentAt: now, next: 1, buffered: map[uint32]*wire.Frame{}}
+	return []Action{{op: Dispatch, attempt: re.number, step: re.step, target: target, server: server}}
 }
 
-// settle closes the request, with the answer of an earlier step if there is
-// one.
+// settle closes the request, with the fallback answer if there is one.
 func (re *Request) settle(co result.Code, after time.Duration) []Action {
-	if re.doubt != 0 && result.Of(co).Run() == result.DidNotRun {
-		co = re.doubt
+	if re.mayHaveRunCode != 0 && result.Of(co).Run() == result.DidNotRun {
+		co = re.mayHaveRunCode
 	}
-	if re.kept == nil {
+	if re.fallback == nil {
 		return re.close(co, after)
 	}
 	re.delivered = true
 	acs := []Action{
-		{do: DeliverHead, what: re.kept.what, kept: true, head: re.kept.head},
-		{do: Deliver, body: re.kept.body},
+		{op: DeliverHead, target: re.fallback.target, fromFirstTry: true, head: re.fallback.head},
+		{op: Deliver, body: re.fallback.body},
 	}
 	return append(acs, re.close(result.OK, 0)...)
 }
 
-func (re *Request) giveUp(co result.Code) []Action {
+func (re *Request) abandon(co result.Code) []Action {
 	if re.closed {
 		return nil
 	}
 	var acs []Action
-	if re.current != nil && re.current.phase != over {
+	if re.current != nil && re.current.phase != finished {
 		acs = re.cancel(re.current)
 	}
 	return append(acs, re.close(co, 0)...)
 }
 
 func (re *Request) cancel(at *attempt) []Action {
-	return []Action{{do: Cancel, attempt: at.number}}
+	return []Action{{op: Cancel, attempt: at.number}}
 }
 
 func (re *Request) close(co result.Code, after time.Duration) []Action {
@@ -344,5 +343,5 @@
 		after = result.Of(co).RetryAfter()
 	}
 	re.closed = true
-	return []Action{{do: Close, code: co, retryAfter: after}}
+	return []Action{{op: Close, code: co, retryAfter: after}}
 }
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -15,79 +15,79 @@
 
 var start = time.Unix(1_800_000_000, 0)
 
-// pickNext hands out servers s1, s2, ... up to a number.
-type pickNext struct{ servers int }
+// serverSequence picks servers s1, s2, ... up to a number.
+type serverSequence struct{ servers int }
 
-func (pi pickNext) Pick(_ string, tried []string) (string, bool) {
+func (pi serverSequence) Pick(_ string, tried []string) (string, bool) {
 	if len(tried) >= pi.servers {
 		return "", false
 	}
 	return fmt.Sprintf("s%d", len(tried)+1), true
 }
 
-// allow allows a number of retries.
-type allow struct{ left int }
+// retryTokens allows a fixed number of retries.
+type retryTokens struct{ left int }
 
-func (al *allow) Take(time.Time) bool {
+func (al *retryTokens) Take(time.Time) bool {
 	al.left--
 	return al.left >= 0
 }
 
-// confident keeps answers that hold the word good.
-type confident struct{}
+// acceptGood accepts answers that contain the word "good".
+type acceptGood struct{}
 
-func (confident) Acceptable(_ string, _ int, body []byte, _ *wire.Usage) bool {
+func (acceptGood) Acceptable(_ string, _ int, body []byte, _ *wire.Usage) bool {
 	return strings.Contains(string(body), "good")
 }
 
-// blocks says for how long the request is not to be sent.
-type blocks time.Duration
+// blockedFor is the time for which the request is blocked.
+type blockedFor time.Duration
 
-func (bl *blocks) Blocked(time.Time) time.Duration { return time.Duration(*bl) }
+func (bl *blockedFor) Blocked(time.Time) time.Duration { return time.Duration(*bl) }
 
 func newRequest(repeatable bool, steps ...string) *Request {
 	return &Request{
 		Steps: steps, Repeatable: repeatable, Deadline: start.Add(2 * time.Second),
-		Picker: pickNext{3}, RetryBudget: &allow{3}, Evaluator: confident{},
-		Blocklist: new(blocks),
+		Picker: serverSequence{3}, RetryBudget: &retryTokens{3}, Evaluator: acceptGood{},
+		Blocklist: new(blockedFor),
 	}
 }
 
-func TestABlockedRequestIsNotSent(t *testing.T) {
-	var sc script
-	bl := blocks(time.Minute)
+func TestBlockedRequestIsNotSent(t *testing.T) {
+	var rec recorder
+	bl := blockedFor(time.Minute)
 	re := newRequest(true, "a")
 	re.Blocklist = &bl
-	sc.add(re.Begin(start))
-	require.Empty(t, sc.sent)
-	require.Equal(t, []result.Code{result.RequestBlocked}, sc.codes)
-	require.Equal(t, time.Minute, sc.after)
+	rec.add(re.Begin(start))
+	require.Empty(t, rec.sent)
+	require.Equal(t, []result.Code{result.RequestBlocked}, rec.codes)
+	require.Equal(t, time.Minute, rec.after)
 }
 
-// A request that is blocked after it has run is not said not to have run, and an answer of
-// an earlier step is delivered.
-func TestARequestThatIsBlockedMeanwhileIsNotSentAgain(t *testing.T) {
-	var sc script
-	var bl blocks
+// A request that is blocked after it has run must not end with a code that says that it did not
+// run, and the answer of an earlier step is still delivered.
+func TestRequestBlockedAfterAnAttemptIsNotSentAgain(t *testing.T) {
+	var rec recorder
+	var bl blockedFor
 	re := newRequest(true, "a")
 	re.Blocklist = &bl
-	sc.add(re.Begin(start))
-	bl = blocks(time.Minute)
-	sc.add(re.Frame(1, end(1, result.ServerFailed), start))
-	require.Len(t, sc.sent, 1)
-	require.Equal(t, []result.Code{result.ServerFailed}, sc.codes)
+	rec.add(re.Begin(start))
+	bl = blockedFor(time.Minute)
+	rec.add(re.Frame(1, end(1, result.ServerFailed), start))
+	require.Len(t, rec.sent, 1)
+	require.Equal(t, []result.Code{result.ServerFailed}, rec.codes)
 
-	sc, bl = script{}, 0
+	rec, bl = recorder{}, 0
 	re = newRequest(true, "a", "b")
 	re.Blocklist = &bl
-	sc.add(re.Begin(start))
-	sc.add(re.Frame(1, head(), start))
-	sc.add(re.Frame(1, data(2, "bad"), start))
-	bl = blocks(time.Minute)
-	sc.add(re.Frame(1, end(3, result.OK), start))
-	require.Len(t, sc.sent, 1)
-	require.Equal(t, "bad", sc.body)
-	require.Equal(t, []result.Code{result.OK}, sc.codes)
+	rec.add(re.Begin(start))
+	rec.add(re.Frame(1, head(), start))
+	rec.add(re.Frame(1, data(2, "bad"), start))
+	bl = blockedFor(time.Minute)
+	rec.add(re.Frame(1, end(3, result.OK), start))
+	require.Len(t, rec.sent, 1)
+	require.Equal(t, "bad", rec.body)
+	require.Equal(t, []result.Code{result.OK}, rec.codes)
 }
 
 func head() *wire.Frame {
@@ -102,171 +102,171 @@
 	return &wire.Frame{Kind: wire.End, Stream: 1, Seq: seq, Code: co, Usage: &wire.Usage{}}
 }
 
-// script collects what a caller gets.
-type script struct {
+// recorder records what the caller receives.
+type recorder struct {
 	body  string
 	codes []result.Code
 	sent  []string
 	after time.Duration
-	// by is the version that the answer is said to be of.
+	// by is the version to which the answer is attributed.
 	by string
 }
 
-func (sc *script) add(acs []Action) {
+func (rec *recorder) add(acs []Action) {
 	for _, ac := range acs {
 		switch ac.Op() {
 		case DeliverHead:
-			sc.by = ac.Target()
+			rec.by = ac.Target()
 		case Deliver:
-			sc.body += string(ac.Body())
+			rec.body += string(ac.Body())
 		case Close:
-			sc.codes = append(sc.codes, ac.Code())
-			sc.after = ac.RetryAfter()
+			rec.codes = append(rec.codes, ac.Code())
+			rec.after = ac.RetryAfter()
 		case Dispatch:
-			sc.sent = append(sc.sent, ac.Target()+" on "+ac.Server())
+			rec.sent = append(rec.sent, ac.Target()+" on "+ac.Server())
 		}
 	}
 }
 
-func TestARefusalIsRetriedElsewhere(t *testing.T) {
+func TestRefusedAttemptIsRetriedOnAnotherServer(t *testing.T) {
 	re := newRequest(false, "m@v1")
-	var sc script
-	sc.add(re.Begin(start))
-	sc.add(re.Verdict(1, result.Overloaded, time.Second, start))
-	sc.add(re.Verdict(2, result.OK, 0, start))
-	sc.add(re.Frame(2, head(), start))
-	sc.add(re.Frame(2, data(2, "whole"), start))
-	sc.add(re.Frame(2, end(3, result.OK), start))
-	require.Equal(t, []string{"m@v1 on s1", "m@v1 on s2"}, sc.sent)
-	require.Equal(t, "whole", sc.body)
-	require.Equal(t, []result.Code{result.OK}, sc.codes)
+	var rec recorder
+	rec.add(re.Begin(start))
+	rec.add(re.Verdict(1, result.Overloaded, time.Second, start))
+	rec.add(re.Verdict(2, result.OK, 0, start))
+	rec.add(re.Frame(2, head(), start))
+	rec.add(re.Frame(2, data(2, "answer"), start))
+	rec.add(re.Frame(2, end(3, result.OK), start))
+	require.Equal(t, []string{"m@v1 on s1", "m@v1 on s2"}, rec.sent)
+	require.Equal(t, "answer", rec.body)
+	require.Equal(t, []result.Code{result.OK}, rec.codes)
 }
 
-func TestTheLastRefusalIsTheAnswer(t *testing.T) {
+func TestLastRefusalIsTheResult(t *testing.T) {
 	re := newRequest(true, "m@v1")
-	var sc script
-	sc.add(re.Begin(start))
+	var rec recorder
+	rec.add(re.Begin(start))
 	for n := 1; n <= 3; n++ {
-		sc.add(re.Verdict(n, result.Overloaded, 7*time.Second, start))
+		rec.add(re.Verdict(n, result.Overloaded, 7*time.Second, start))
 	}
-	require.Equal(t, []result.Code{result.Overloaded}, sc.codes)
-	require.Equal(t, 7*time.Second, sc.after)
+	require.Equal(t, []result.Code{result.Overloaded}, rec.codes)
+	require.Equal(t, 7*time.Second, rec.after)
 }
 
-func TestWithoutBudgetThereIsNoRetry(t *testing.T) {
+func TestExhaustedBudgetPreventsRetries(t *testing.T) {
 	re := newRequest(true, "m@v1")
-	re.RetryBudget = &allow{0}
-	var sc script
-	sc.add(re.Begin(start))
-	sc.add(re.Verdict(1, result.Overloaded, time.Second, start))
-	require.Len(t, sc.sent, 1)
-	require.Equal(t, []result.Code{result.Overloaded}, sc.codes)
+	re.RetryBudget = &retryTokens{0}
+	var rec recorder
+	rec.add(re.Begin(start))
+	rec.add(re.Verdict(1, result.Overloaded, time.Second, start))
+	require.Len(t, rec.sent, 1)
+	require.Equal(t, []result.Code{result.Overloaded}, rec.codes)
 }
 
-func TestWithdrawnIsFinal(t *testing.T) {
+func TestWithdrawnVersionIsNotRetried(t *testing.T) {
 	re := newRequest(true, "m@v1")
-	var sc script
-	sc.add(re.Begin(start))
-	sc.add(re.Verdict(1, result.VersionWithdrawn, 0, start))
-	require.Len(t, sc.sent, 1, "another agent may not know yet and would run it")
-	require.Equal(t, []result.Code{result.VersionWithdrawn}, sc.codes)
+	var rec recorder
+	rec.add(re.Begin(start))
+	rec.add(re.Verdict(1, result.VersionWithdrawn, 0, start))
+	require.Len(t, rec.sent, 1, "another agent may not have the new configuration yet and would run it")
+	require.Equal(t, []result.Code{result.VersionWithdrawn}, rec.codes)
 }
 
-func TestALostLinkBeforeTheAnswer(t *testing.T) {
+func TestLinkLostBeforeTheAnswer(t *testing.T) {
 	for _, tc := range []struct {
 		repeatable bool
 		codes      []result.Code
 		sent       int
 	}{{true, nil, 2}, {false, []result.Code{result.LinkLost}, 1}} {
 		re := newRequest(tc.repeatable, "m@v1")
-		var sc script
-		sc.add(re.Begin(start))
-		sc.add(re.LinkLost(1, start))
-		require.Equal(t, tc.codes, sc.codes)
-		require.Len(t, sc.sent, tc.sent)
+		var rec recorder
+		rec.add(re.Begin(start))
+		rec.add(re.LinkLost(1, start))
+		require.Equal(t, tc.codes, rec.codes)
+		require.Len(t, rec.sent, tc.sent)
 	}
 }
 
-func TestALostLinkWithinTheAnswerIsNeverMixed(t *testing.T) {
+func TestLinkLostWithinTheAnswerIsNotRetried(t *testing.T) {
 	re := newRequest(true, "m@v1")
-	var sc script
-	sc.add(re.Begin(start))
-	sc.add(re.Frame(1, head(), start))
-	sc.add(re.Frame(1, data(2, "half"), start))
-	sc.add(re.LinkLost(1, start))
-	require.Equal(t, []result.Code{result.AnswerBroken}, sc.codes)
-	require.Len(t, sc.sent, 1)
+	var rec recorder
+	rec.add(re.Begin(start))
+	rec.add(re.Frame(1, head(), start))
+	rec.add(re.Frame(1, data(2, "half"), start))
+	rec.add(re.LinkLost(1, start))
+	require.Equal(t, []result.Code{result.AnswerBroken}, rec.codes)
+	require.Len(t, rec.sent, 1)
 	require.Empty(t, re.Frame(1, data(3, "late"), start))
 }
 
-func TestASilentAgentIsLeft(t *testing.T) {
+func TestUnacknowledgedAttemptIsRetried(t *testing.T) {
 	re := newRequest(true, "m@v1")
-	var sc script
-	sc.add(re.Begin(start))
-	sc.add(re.Tick(start.Add(ackTimeout)))
-	require.Equal(t, []string{"m@v1 on s1", "m@v1 on s2"}, sc.sent)
-	sc.add(re.Verdict(2, result.Queued, 0, start.Add(ackTimeout)))
-	sc.add(re.Tick(start.Add(3 * ackTimeout)))
-	require.Len(t, sc.sent, 2, "one that holds the attempt is waited for")
+	var rec recorder
+	rec.add(re.Begin(start))
+	rec.add(re.Tick(start.Add(ackTimeout)))
+	require.Equal(t, []string{"m@v1 on s1", "m@v1 on s2"}, rec.sent)
+	rec.add(re.Verdict(2, result.Queued, 0, start.Add(ackTimeout)))
+	rec.add(re.Tick(start.Add(3 * ackTimeout)))
+	require.Len(t, rec.sent, 2, "an agent that has queued the attempt is not abandoned")
 }
 
-func TestASilentAgentMayHaveRunWhatMayNotBeRepeated(t *testing.T) {
+func TestUnacknowledgedAttemptMayHaveRun(t *testing.T) {
 	re := newRequest(false, "m@v1")
-	var sc script
-	sc.add(re.Begin(start))
-	sc.add(re.Tick(start.Add(2 * time.Second)))
-	require.Empty(t, sc.codes)
-	sc.add(re.Tick(start.Add(2*time.Second + verdictGrace)))
-	require.Equal(t, []result.Code{result.LinkLost}, sc.codes)
-	require.Equal(t, result.MayHave, result.Of(sc.codes[0]).Run())
-	require.Len(t, sc.sent, 1)
+	var rec recorder
+	rec.add(re.Begin(start))
+	rec.add(re.Tick(start.Add(2 * time.Second)))
+	require.Empty(t, rec.codes)
+	rec.add(re.Tick(start.Add(2*time.Second + verdictGrace)))
+	require.Equal(t, []result.Code{result.LinkLost}, rec.codes)
+	require.Equal(t, result.MayHave, result.Of(rec.codes[0]).Run())
+	require.Len(t, rec.sent, 1)
 }
 
-func TestACascadeGoesOnOnlyWhenItMust(t *testing.T) {
+func TestSecondStepRunsOnlyIfTheFirstAnswerIsPoor(t *testing.T) {
 	for _, tc := range []struct {
 		cheap, want string
 		sent        int
 	}{{"good", "good", 1}, {"poor", "strong", 2}} {
 		re := newRequest(true, "cheap@v1", "strong@v1")
-		var sc script
-		sc.add(re.Begin(start))
-		sc.add(re.Frame(1, head(), start))
-		sc.add(re.Frame(1, data(2, tc.cheap), start))
-		require.Empty(t, sc.body, "nothing is delivered before it is judged")
-		sc.add(re.Frame(1, end(3, result.OK), start))
-		sc.add(re.Frame(2, head(), start))
-		sc.add(re.Frame(2, data(2, "strong"), start))
-		sc.add(re.Frame(2, end(3, result.OK), start))
-		require.Equal(t, tc.want, sc.body)
-		require.Len(t, sc.sent, tc.sent)
-		require.Equal(t, []result.Code{result.OK}, sc.codes)
+		var rec recorder
+		rec.add(re.Begin(start))
+		rec.add(re.Frame(1, head(), start))
+		rec.add(re.Frame(1, data(2, tc.cheap), start))
+		require.Empty(t, rec.body, "nothing is delivered before the answer is evaluated")
+		rec.add(re.Frame(1, end(3, result.OK), start))
+		rec.add(re.Frame(2, head(), start))
+		rec.add(re.Frame(2, data(2, "strong"), start))
+		rec.add(re.Frame(2, end(3, result.OK), start))
+		require.Equal(t, tc.want, rec.body)
+		require.Len(t, rec.sent, tc.sent)
+		require.Equal(t, []result.Code{result.OK}, rec.codes)
 	}
 }
 
-func TestACascadeFallsBackOnItsFirstAnswer(t *testing.T) {
+func TestFirstAnswerIsTheFallback(t *testing.T) {
 	re := newRequest(true, "cheap@v1", "strong@v1")
-	var sc script
-	sc.add(re.Begin(start))
-	sc.add(re.Frame(1, head(), start))
-	sc.add(re.Frame(1, data(2, "poor"), start))
-	sc.add(re.Frame(1, end(3, result.OK), start))
+	var rec recorder
+	rec.add(re.Begin(start))
+	rec.add(re.Frame(1, head(), start))
+	rec.add(re.Frame(1, data(2, "poor"), start))
+	rec.add(re.Frame(1, end(3, result.OK), start))
 	for n := 2; n <= 4; n++ {
-		sc.add(re.Verdict(n, result.Overloaded, 0, start))
+		rec.add(re.Verdict(n, result.Overloaded, 0, start))
 	}
-	require.Equal(t, "poor", sc.body)
-	require.Equal(t, "cheap@v1", sc.by, "the answer is of the version that gave it")
-	require.Equal(t, []result.Code{result.OK}, sc.codes)
+	require.Equal(t, "poor", rec.body)
+	require.Equal(t, "cheap@v1", rec.by, "the answer is attributed to the version that gave it")
+	require.Equal(t, []result.Code{result.OK}, rec.codes)
 }
 
-func TestAnEndWithoutAHeadIsNoAnswer(t *testing.T) {
+func TestEndWithoutHeadIsAFailure(t *testing.T) {
 	re := newRequest(false, "m@v1")
-	var sc script
-	sc.add(re.Begin(start))
-	sc.add(re.Frame(1, end(1, result.OK), start))
-	require.Equal(t, []result.Code{result.ServerFailed}, sc.codes)
+	var rec recorder
+	rec.add(re.Begin(start))
+	rec.add(re.Frame(1, end(1, result.OK), start))
+	require.Equal(t, []result.Code{result.ServerFailed}, rec.codes)
 }
 
-func TestACallerThatLeavesFreesTheServer(t *testing.T) {
+func TestAttemptIsCancelledIfTheCallerIsGone(t *testing.T) {
 	re := newRequest(true, "m@v1")
 	re.Begin(start)
 	acs := re.CallerGone()
@@ -275,24 +275,24 @@
 	require.Empty(t, re.CallerGone())
 }
 
-// naive delivers each frame as it comes and tries again after any loss, as a
-// relay without sequence numbers would.
-type naive struct {
+// naiveRelay delivers each frame as it arrives and retries after any loss, like a relay without
+// sequence numbers.
+type naiveRelay struct {
 	body string
 	runs int
 }
 
-// TestWholeAnswersAgainstNaive plays two attempts' frames doubled, reordered
-// and cut off. The caller gets exactly one whole answer or a code; the naive
-// version mixes answers and runs what may not be repeated twice.
-func TestWholeAnswersAgainstNaive(t *testing.T) {
-	mixed, doubled := 0, 0
+// Delivers the frames of two attempts duplicated, reordered and truncated. The caller must get
+// exactly one complete answer or a code; the naive relay mixes answers and runs requests twice that
+// must not be repeated.
+func TestAnswersAreNeverMixed(t *testing.T) {
+	mixedAnswers, repeatedRuns := 0, 0
 	rapid.Check(t, func(rt *rapid.T) {
 		repeatable := rapid.Bool().Draw(rt, "repeatable")
 		re := newRequest(repeatable, "m@v1")
-		na := naive{runs: 1}
-		var sc script
-		sc.add(re.Begin(start))
+		naive := naiveRelay{runs: 1}
+		var rec recorder
+		rec.add(re.Begin(start))
 		now := start
 		frames := func(n int) []*wire.Frame {
 			tag := fmt.Sprintf("%d", n)
@@ -304,102 +304,100 @@
 			switch rapid.SampledFrom([]string{"frame", "frame", "frame", "lost", "refused"}).Draw(rt, "event") {
 			case "frame":
 				fr := rapid.SampledFrom(frames(n)).Draw(rt, "frame")
-				sc.add(re.Frame(n, fr, now))
-				na.body += string(fr.Body)
+				rec.add(re.Frame(n, fr, now))
+				naive.body += string(fr.Body)
 			case "lost":
-				sc.add(re.LinkLost(n, now))
-				na.runs++
+				rec.add(re.LinkLost(n, now))
+				naive.runs++
 			case "refused":
-				sc.add(re.Verdict(n, result.Overloaded, 0, now))
+				rec.add(re.Verdict(n, result.Overloaded, 0, now))
 			}
 		}
-		require.LessOrEqual(rt, len(sc.codes), 1, "one final answer")
-		if len(sc.codes) == 1 && sc.codes[0] == result.OK {
-			n := sc.body[:1]
-			require.Equal(rt, n+"a"+n+"b"+n+"c", sc.body)
+		require.LessOrEqual(rt, len(rec.codes), 1, "one final answer")
+		if len(rec.codes) == 1 && rec.codes[0] == result.OK {
+			n := rec.body[:1]
+			require.Equal(rt, n+"a"+n+"b"+n+"c", rec.body)
 		}
-		if sc.body != "" {
-			n := sc.body[:1]
-			require.True(rt, strings.HasPrefix(n+"a"+n+"b"+n+"c", sc.body), sc.body)
+		if rec.body != "" {
+			n := rec.body[:1]
+			require.True(rt, strings.HasPrefix(n+"a"+n+"b"+n+"c", rec.body), rec.body)
 		}
-		if na.body != "" && na.body != "1a1b1c"[:min(6, len(na.body))] {
-			mixed++
+		if naive.body != "" && naive.body != "1a1b1c"[:min(6, len(naive.body))] {
+			mixedAnswers++
 		}
-		if !repeatable && na.runs > 1 {
-			doubled++
+		if !repeatable && naive.runs > 1 {
+			repeatedRuns++
 		}
 	})
-	require.Positive(t, mixed, "the naive version must have mixed answers")
-	require.Positive(t, doubled, "the naive version must have run a request twice")
+	require.Positive(t, mixedAnswers, "the naive version must have mixed answers")
+	require.Positive(t, repeatedRuns, "the naive version must have run a request twice")
 }
 
-// TestOnceIsDispatchedOnceBeyondDoubt checks over all schedules that an
-// attempt follows another of a request that may not be repeated only if the
-// earlier one was refused as not run.
-func TestOnceIsDispatchedOnceBeyondDoubt(t *testing.T) {
+// Checks over random schedules that a request that is not repeatable is dispatched again only if
+// the previous attempt was refused without having run.
+func TestUnsafeRequestIsRedispatchedOnlyAfterARefusal(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		re := newRequest(false, "m@v1")
-		var sc script
-		sc.add(re.Begin(start))
-		surelyNot := 0
+		var rec recorder
+		rec.add(re.Begin(start))
+		refusals := 0
 		for i := range rapid.IntRange(1, 20).Draw(rt, "events") {
 			now := start.Add(time.Duration(i) * 300 * time.Millisecond)
-			current := len(sc.sent)
+			current := len(rec.sent)
 			codes := []result.Code{result.Overloaded, result.NotDispatched, result.ServerFailed, result.LinkLost, result.Queued}
 			switch rapid.SampledFrom([]string{"verdict", "end", "lost", "tick"}).Draw(rt, "event") {
 			case "verdict":
 				co := rapid.SampledFrom(codes[:2]).Draw(rt, "code")
-				sc.add(re.Verdict(current, co, 0, now))
-				surelyNot++
+				rec.add(re.Verdict(current, co, 0, now))
+				refusals++
 			case "end":
 				co := rapid.SampledFrom(codes).Draw(rt, "code")
-				sc.add(re.Frame(current, end(1, co), now))
+				rec.add(re.Frame(current, end(1, co), now))
 				if result.Of(co).Run() == result.DidNotRun {
-					surelyNot++
+					refusals++
 				}
 			case "lost":
-				sc.add(re.LinkLost(current, now))
+				rec.add(re.LinkLost(current, now))
 			case "tick":
-				sc.add(re.Tick(now))
+				rec.add(re.Tick(now))
 			}
-			require.LessOrEqual(rt, len(sc.sent), 1+surelyNot)
+			require.LessOrEqual(rt, len(rec.sent), 1+refusals)
 		}
 	})
 }
 
-// TestNotRunAgainstNaive plays attempts that reach their server or do not,
-// verdicts that are lost with the link, and refusals. Whenever the route says
-// "did not run", no attempt has run. The naive relay, which says so whenever it
-// got no answer, is wrong in some schedules.
-func TestNotRunAgainstNaive(t *testing.T) {
+// Simulates attempts that do or do not reach their server, verdicts that are lost with the link,
+// and refusals. Whenever the result says "did not run", no attempt may have run. The naive relay
+// says so whenever it got no answer and is wrong in some schedules.
+func TestDidNotRunIsReportedOnlyIfNothingRan(t *testing.T) {
 	naiveWrong := 0
 	rapid.Check(t, func(rt *rapid.T) {
 		re := newRequest(rapid.Bool().Draw(rt, "repeatable"), "m@v1")
-		var sc script
-		sc.add(re.Begin(start))
+		var rec recorder
+		rec.add(re.Begin(start))
 		ran := false
-		for n := 1; n <= len(sc.sent) && len(sc.codes) == 0; n++ {
+		for n := 1; n <= len(rec.sent) && len(rec.codes) == 0; n++ {
 			now := start.Add(time.Duration(n) * 10 * time.Millisecond)
-			switch rapid.SampledFrom([]string{"refused", "lost before it started", "ran and lost", "failed"}).Draw(rt, "fate") {
+			switch rapid.SampledFrom([]string{"refused", "lost before it started", "ran and lost", "failed"}).Draw(rt, "outcome") {
 			case "refused":
-				sc.add(re.Verdict(n, result.Overloaded, 0, now))
+				rec.add(re.Verdict(n, result.Overloaded, 0, now))
 			case "lost before it started":
-				sc.add(re.LinkLost(n, now))
+				rec.add(re.LinkLost(n, now))
 			case "ran and lost":
 				ran = true
-				sc.add(re.LinkLost(n, now))
+				rec.add(re.LinkLost(n, now))
 			case "failed":
 				ran = true
-				sc.add(re.Verdict(n, result.OK, 0, now))
-				sc.add(re.Frame(n, end(1, result.ServerFailed), now))
+				rec.add(re.Verdict(n, result.OK, 0, now))
+				rec.add(re.Frame(n, end(1, result.ServerFailed), now))
 			}
 		}
-		require.Len(rt, sc.codes, 1)
+		require.Len(rt, rec.codes, 1)
 		if ran {
 			naiveWrong++
 		}
-		if result.Of(sc.codes[0]).Run() == result.DidNotRun {
-			require.False(rt, ran, "%v", sc.codes)
+		if result.Of(rec.codes[0]).Run() == result.DidNotRun {
+			require.False(rt, ran, "%v", rec.codes)
 		}
 	})
 	require.Positive(t, naiveWrong, "the naive relay must have been wrong")
--- a/internal/routing/document.go
+++ b/internal/routing/document.go
@@ -1,11 +1,11 @@
-// Package routing holds the routing table of a gateway: which requests belong
-// to which route, which services answer a route, and whose keys are accepted.
-// A table is immutable; a newer configuration is a newer table.
+// Package routing implements the routing table of a gateway: which requests belong to which route,
+// which services handle a route, and which API keys are accepted. A table is immutable; a newer
+// configuration creates a new table.
 package routing
 
 import "time"
 
-// Kind says what may be repeated on a route.
+// Kind determines whether the requests of a route may be repeated.
 type Kind string
 
 // The kinds of route.
@@ -14,14 +14,14 @@
 	Safe Kind = "safe"
 	// Unsafe requests run at most once.
 	Unsafe Kind = "unsafe"
-	// Streaming answers are server-sent events.
+	// Streaming responses are server-sent events.
 	Streaming Kind = "streaming"
 )
 
-// Document is a whole configuration as an adapter decodes it. Its fields are
-// exported because it is data without behaviour.
+// Document is a complete configuration as decoded by an adapter. Its fields are exported because it
+// is encoded.
 type Document struct {
-	// Version grows with every configuration.
+	// Version increases with every configuration.
 	Version  uint64
 	Routes   []Route
 	Services []Service
@@ -29,30 +29,29 @@
 	Limits   Limits
 }
 
-// Route is one rule of the table.
+// Route is an entry of the routing table.
 type Route struct {
 	Name string
-	// Host and Prefix select requests; Prefix starts and ends with a slash.
+	// Host and Prefix match requests. Prefix starts and ends with a slash.
 	Host, Prefix string
 	Kind         Kind
-	// Timeout is the longest that a request may be held.
+	// Timeout is the maximum duration of a request.
 	Timeout time.Duration
-	// Target is the latency within which an answer has its full worth.
+	// Target is the latency up to which an answer has its full value.
 	Target time.Duration
-	// Gap is the longest pause between two events of a stream that is in time.
+	// Gap is the longest interval between two events of a stream that counts as in time.
 	Gap time.Duration
-	// Attempts is the most backend servers that may run one request.
+	// Attempts is the maximum number of backend servers that may run a request.
 	Attempts int
-	// Priority ranks requests; 0 is the most urgent.
+	// Priority is the priority of requests; 0 is the most urgent.
 	Priority int
-	// Public routes need no key.
+	// Public routes require no API key.
 	Public bool
-	// Resumable streams may be continued on another backend server.
+	// Resumable streams may be resumed on another backend server.
 	Resumable bool
-	// Models are the models that may answer, smallest first; empty for a plain
-	// service.
+	// Models lists the models that may answer, smallest first; empty for a plain service.
 	Models []string
-	// Split divides the route between services; the weights are positive.
+	// Split distributes requests over services. The weights are positive.
 	Split []Share
 }
 
@@ -61,7 +60,7 @@
 	return ro.Kind == Safe || ro.Kind == Streaming && ro.Resumable
 }
 
-// Share is one service's part of a route.
+// Share is the weight of a service in a split.
 type Share struct {
 	Service string
 	Weight  int
@@ -72,21 +71,21 @@
 	Name string
 	// Costs holds the cost of 1,000 generated tokens by model.
 	Costs map[string]float64
-	// ColdFor is how long a server is cold after a start, ColdPerSecond how many requests
-	// a second it bears then from all gateways together; zero for no bound.
+	// ColdFor is how long a server is cold after its start. ColdPerSecond is the total rate of
+	// requests from all gateways that a cold server can handle; zero for no limit.
 	ColdFor       time.Duration
 	ColdPerSecond float64
 }
 
-// Team is a customer and the keys that prove it.
+// Team is a customer and its API keys.
 type Team struct {
 	Name string
 	Keys []string
-	// Priority comes before the route's; nil if the team has none.
+	// Priority overrides the priority of the route; nil if the team has none.
 	Priority *int
 }
 
-// Limits bound what a caller may send.
+// Limits are the limits on requests and connections of callers.
 type Limits struct {
 	HeaderBytes, BodyBytes     int
 	HeaderTimeout, IdleTimeout time.Duration
--- a/internal/routing/table.go
+++ b/internal/routing/table.go
@@ -8,17 +8,16 @@
 	"github.com/linnetrudder/linnetrudder/internal/result"
 )
 
-// Table is a compiled configuration. It is immutable and safe for concurrent
-// use.
+// Table is a compiled configuration. It is immutable and safe for concurrent use.
 type Table struct {
 	doc Document
-	// byHost holds each host's routes, longest prefix first.
+	// byHost holds the routes of each host, longest prefix first.
 	byHost   map[string][]*Route
 	byKey    map[string]*Team
 	services map[string]*Service
 }
 
-// Compile checks a document and builds its table.
+// Compile validates a document and builds its table.
 func Compile(doc Document) (*Table, error) {
 	ta := &Table{
 		doc:      doc,
@@ -31,7 +30,7 @@
 	}
 	for i := range doc.Routes {
 		ro := &ta.doc.Routes[i]
-		if err := ta.checkRoute(ro); err != nil {
+		if err := ta.validateRoute(ro); err != nil {
 			return nil, err
 		}
 		ta.byHost[ro.Host] = append(ta.byHost[ro.Host], ro)
@@ -47,24 +46,24 @@
 	return ta, nil
 }
 
-func (ta *Table) checkRoute(ro *Route) error {
+func (ta *Table) validateRoute(ro *Route) error {
 	switch {
 	case !strings.HasPrefix(ro.Prefix, "/") || !strings.HasSuffix(ro.Prefix, "/"):
 		return result.New(result.BadConfiguration, fmt.Sprintf("route %s: prefix %q must start and end with a slash", ro.Name, ro.Prefix))
 	case ro.Kind != Safe && ro.Kind != Unsafe && ro.Kind != Streaming:
-		return result.New(result.BadConfiguration, fmt.Sprintf("route %s: kind %q", ro.Name, ro.Kind))
+		return result.New(result.BadConfiguration, fmt.Sprintf("route %s: unknown kind %q", ro.Name, ro.Kind))
 	case len(ro.Split) == 0:
-		return result.New(result.BadConfiguration, fmt.Sprintf("route %s: no service", ro.Name))
+		return result.New(result.BadConfiguration, fmt.Sprintf("route %s: split has no services", ro.Name))
 	}
 	for _, sh := range ro.Split {
 		if sh.Weight <= 0 {
-			return result.New(result.BadConfiguration, fmt.Sprintf("route %s: weight %d of %s", ro.Name, sh.Weight, sh.Service))
+			return result.New(result.BadConfiguration, fmt.Sprintf("route %s: weight %d of service %s must be positive", ro.Name, sh.Weight, sh.Service))
 		}
 	}
 	return nil
 }
 
-// Version returns the version of the configuration; zero for no table.
+// Version returns the version of the configuration, zero for a nil table.
 func (ta *Table) Version() uint64 {
 	if ta == nil {
 		return 0
@@ -72,14 +71,14 @@
 	return ta.doc.Version
 }
 
-// Limits returns what bounds callers.
+// Limits returns the limits for callers.
 func (ta *Table) Limits() Limits { return ta.doc.Limits }
 
-// RequiresKeys reports whether the configuration knows teams, so that routes that
-// are not public need a key.
+// RequiresKeys reports whether routes that are not public require an API key, which is the case if
+// any teams are configured.
 func (ta *Table) RequiresKeys() bool { return len(ta.doc.Teams) > 0 }
 
-// Route returns the host's route with the longest prefix of the path, or nil.
+// Route returns the route of the host with the longest matching prefix, or nil.
 func (ta *Table) Route(host, path string) *Route {
 	for _, ro := range ta.byHost[host] {
 		if strings.HasPrefix(path, ro.Prefix) {
@@ -89,14 +88,13 @@
 	return nil
 }
 
-// TeamByKey returns the team that holds a key, or nil.
+// TeamByKey returns the team with this API key, or nil.
 func (ta *Table) TeamByKey(key string) *Team { return ta.byKey[key] }
 
 // Service returns a service by name, or nil.
 func (ta *Table) Service(name string) *Service { return ta.services[name] }
 
-// PickService returns the service for a request of the route. draw is uniform over
-// [0, 1).
+// PickService selects the service for a request of the route. draw is uniform over [0, 1).
 func (ro *Route) PickService(draw float64) string {
 	total := 0
 	for _, sh := range ro.Split {
--- a/internal/routing/table_test.go
+++ b/internal/routing/table_test.go
@@ -22,7 +22,7 @@
 	}
 }
 
-func TestTheLongestPrefixOfTheHostWins(t *testing.T) {
+func TestRouteWithLongestPrefixMatches(t *testing.T) {
 	ta, err := Compile(document())
 	require.NoError(t, err)
 	for path, name := range map[string]string{"/x/y/z": "long", "/x/z": "short", "/q": "root", "/x": "root"} {
@@ -32,7 +32,7 @@
 	require.Nil(t, ta.Route("unknown", "/x/"))
 }
 
-func TestKeysLeadToTheirTeam(t *testing.T) {
+func TestTeamByKey(t *testing.T) {
 	ta, err := Compile(document())
 	require.NoError(t, err)
 	require.Equal(t, "t", ta.TeamByKey("k2").Name)
@@ -40,7 +40,7 @@
 	require.True(t, ta.RequiresKeys())
 }
 
-func TestASplitIsDividedByWeight(t *testing.T) {
+func TestSplitFollowsWeights(t *testing.T) {
 	ta, err := Compile(document())
 	require.NoError(t, err)
 	ro := ta.Route("h", "/x/y/")
@@ -50,7 +50,7 @@
 	require.Equal(t, "b", ro.PickService(0.999999))
 }
 
-func TestABadRouteIsRefusedByName(t *testing.T) {
+func TestInvalidRouteIsNamedInTheError(t *testing.T) {
 	for name, change := range map[string]func(ro *Route){
 		"prefix": func(ro *Route) { ro.Prefix = "/x" },
 		"kind":   func(ro *Route) { ro.Kind = "other" },
