--- a/cmd/linnetrudderctl/client.go
+++ b/cmd/linnetrudderctl/client.go
@@ -90,7 +90,7 @@
 }
 
 func problem(resp *http.Response, data []byte) error {
-	var pr node.Problem
+	var pr node.ErrorBody
 	if json.Unmarshal(data, &pr) != nil || pr.Error.Code == 0 {
 		return eris.Errorf("%s: %s", resp.Status, data)
 	}
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -104,21 +104,21 @@
 	work, stopWork := context.WithCancel(context.WithoutCancel(ctx))
 	defer stopWork()
 	sup := node.NewSupervisor("agent", ag.Node)
-	sup.Add(node.Service{Name: "links", Serving: ag.serveLinks})
-	sup.Add(node.Service{Name: "admin", Serving: ag.serveAdmin})
-	sup.Add(node.Service{Name: "ticks", Serving: ag.tick})
-	sup.Add(node.Service{Name: "bills", Serving: ag.writeBills})
-	sup.Add(node.Service{Name: "orders", Serving: ag.reconcileVersions})
-	sup.Add(node.Service{Name: "claims", Serving: ag.serveClaims})
+	sup.Add(node.Service{Name: "links", Run: ag.serveLinks})
+	sup.Add(node.Service{Name: "admin", Run: ag.serveAdmin})
+	sup.Add(node.Service{Name: "ticks", Run: ag.tick})
+	sup.Add(node.Service{Name: "bills", Run: ag.writeBills})
+	sup.Add(node.Service{Name: "orders", Run: ag.reconcileVersions})
+	sup.Add(node.Service{Name: "claims", Run: ag.serveClaims})
 	ended := sup.ServeBackground(work)
-	ag.Node.Note(timeline.Entry{Event: event.ProcessStarted, Detail: "agent of " + ag.Node.Settings.Server.Name})
+	ag.Node.Record(timeline.Entry{Event: event.ProcessStarted, Detail: "agent of " + ag.Node.Settings.Server.Name})
 	select {
 	case err := <-ended:
 		return eris.Wrap(err, "agent")
 	case <-ctx.Done():
 	}
 	ag.drain()
-	ag.Node.Note(timeline.Entry{Event: event.ProcessStopped})
+	ag.Node.Record(timeline.Entry{Event: event.ProcessStopped})
 	return nil
 }
 
@@ -132,7 +132,7 @@
 	ag.logs = map[int]*claim.Log{}
 	ag.wake = make(chan struct{}, 1)
 	ag.outcomes = map[string]*wire.Outcome{}
-	ag.Node.Adopted = ag.adopted
+	ag.Node.OnAdopt = ag.adopted
 	ag.Node.Fanout = replica.AgentFanout
 }
 
@@ -150,19 +150,19 @@
 func (ag *Agent) accept(ctx context.Context, w http.ResponseWriter, r *http.Request) {
 	li, err := link.Accept(w, r, ag.Node.Identity(), time.Now())
 	if err != nil {
-		ag.Node.Note(timeline.Entry{Event: event.LinkRefused, Detail: err.Error()})
+		ag.Node.Record(timeline.Entry{Event: event.LinkRefused, Detail: err.Error()})
 		return
 	}
 	li.Handler = ag
 	li.Name = fmt.Sprintf("%s#%d", li.Peer.Box(), ag.links.Add(1))
-	li.Heartbeat = ag.Node.Settings.Limits.Heartbeat()
-	ag.Node.LinkUp(li)
+	li.HeartbeatInterval = ag.Node.Settings.Limits.Heartbeat()
+	ag.Node.AddLink(li)
 	ag.tellPeers()
 	ag.question(li)
-	li.Send(ag.Beat(li))
+	li.Send(ag.Heartbeat(li))
 	err = li.Run(ctx)
 	ag.cutStreams(li)
-	ag.Node.LinkDown(li, err)
+	ag.Node.RemoveLink(li, err)
 	ag.tellPeers()
 }
 
@@ -196,9 +196,9 @@
 	li.Send(&wire.Frame{Kind: wire.Want, Revision: ag.Node.Snapshot().Revision(), Nonce: nonce})
 }
 
-// Beat returns the heartbeat for an entry. The entry that leads the data
+// Heartbeat returns the heartbeat for an entry. The entry that leads the data
 // centre gets the outcomes too.
-func (ag *Agent) Beat(li *link.Link) *wire.Frame {
+func (ag *Agent) Heartbeat(li *link.Link) *wire.Frame {
 	ag.mu.Lock()
 	defer ag.mu.Unlock()
 	lo := ag.load()
@@ -207,7 +207,7 @@
 			lo.Versions = append(lo.Versions, *ou)
 		}
 	}
-	return &wire.Frame{Kind: wire.Beat, Revision: ag.gate.Revision(), Load: &lo, Prints: ag.soundOf()}
+	return &wire.Frame{Kind: wire.Heartbeat, Revision: ag.gate.Revision(), Load: &lo, Fingerprints: ag.soundOf()}
 }
 
 // load returns the load; the lock is held.
@@ -217,27 +217,27 @@
 	return lo
 }
 
-// Frame takes a frame from an entry.
-func (ag *Agent) Frame(li *link.Link, fr *wire.Frame) {
-	if ag.Node.Control(li, fr) {
+// HandleFrame takes a frame from an entry.
+func (ag *Agent) HandleFrame(li *link.Link, fr *wire.Frame) {
+	if ag.Node.HandleConfigFrame(li, fr) {
 		ag.confirm(fr)
 		return
 	}
 	switch fr.Kind {
-	case wire.Beat:
+	case wire.Heartbeat:
 		ag.billed(fr.Bills)
-		ag.hearBlocked(fr.Prints, clock.Now())
+		ag.hearBlocked(fr.Fingerprints, clock.Now())
 	case wire.Open:
 		ag.open(li, fr)
 	case wire.Cancel:
 		ag.cancel(gate.Key{Link: li.Name, Stream: fr.Stream})
 	case wire.Claim:
 		ag.takeClaims(li, fr.Claims)
-	case wire.Bill:
+	case wire.Bills:
 		ag.mu.Lock()
 		ag.writer.Take(li.Peer.Box(), fr.Bills, time.Now())
 		ag.mu.Unlock()
-	case wire.Billed:
+	case wire.BillsStored:
 		ag.billed(fr.Bills)
 	}
 }
@@ -312,7 +312,7 @@
 	ag.act(ag.gate.Leave(clock.Now()))
 	ag.mu.Unlock()
 	for _, li := range ag.Node.Links() {
-		li.Send(ag.Beat(li))
+		li.Send(ag.Heartbeat(li))
 	}
 	until := time.Now().Add(ag.Node.Settings.Limits.Stop())
 	for !ag.drained() && time.Now().Before(until) {
--- a/internal/agent/bills.go
+++ b/internal/agent/bills.go
@@ -32,7 +32,7 @@
 	ag.mu.Unlock()
 	if len(lines) > 0 {
 		li := links[rand.IntN(len(links))]
-		li.Send(&wire.Frame{Kind: wire.Bill, Bills: lines})
+		li.Send(&wire.Frame{Kind: wire.Bills, Bills: lines})
 	}
 }
 
@@ -59,17 +59,17 @@
 
 func (ag *Agent) written(wr bill.Write, err error) {
 	if err != nil {
-		ag.Node.Note(timeline.Entry{Event: event.BillHeld, Detail: wr.Key() + ": " + err.Error()})
+		ag.Node.Record(timeline.Entry{Event: event.BillHeld, Detail: wr.Key() + ": " + err.Error()})
 	} else {
-		ag.Node.Note(timeline.Entry{Event: event.BillWritten, Detail: wr.Key()})
+		ag.Node.Record(timeline.Entry{Event: event.BillWritten, Detail: wr.Key()})
 	}
 	ag.mu.Lock()
 	acs := ag.writer.Written(wr.Key(), err == nil, time.Now())
 	ag.mu.Unlock()
 	for _, ac := range acs {
-		kind := wire.Taken
+		kind := wire.BillsBuffered
 		if ac.Durable() {
-			kind = wire.Billed
+			kind = wire.BillsStored
 		}
 		if li := ag.Node.Link(ac.Peer()); li != nil {
 			li.Send(&wire.Frame{Kind: kind, Bills: ac.Lines()})
--- a/internal/agent/claims.go
+++ b/internal/agent/claims.go
@@ -65,7 +65,7 @@
 func (ag *Agent) replyClaims(res []claim.Reply) {
 	for _, re := range res {
 		if li := ag.Node.Link(re.Peer()); li != nil {
-			li.Send(&wire.Frame{Kind: wire.Claimed, Claims: []wire.ClaimLine{re.Line()}})
+			li.Send(&wire.Frame{Kind: wire.ClaimReply, Claims: []wire.ClaimLine{re.Line()}})
 		}
 	}
 }
@@ -135,7 +135,7 @@
 		ag.mu.Unlock()
 	}
 	if err != nil {
-		ag.Node.Note(timeline.Entry{Event: event.StoreCallFailed, Detail: err.Error()})
+		ag.Node.Record(timeline.Entry{Event: event.StoreCallFailed, Detail: err.Error()})
 	}
 	ag.replyClaims(res)
 	ag.wakeClaims()
--- a/internal/agent/ends.go
+++ b/internal/agent/crash.go
@@ -23,7 +23,7 @@
 func (ru *run) begin() {
 	ru.ag.mu.Lock()
 	defer ru.ag.mu.Unlock()
-	ru.sent = ru.ag.dispatched.Sent(ru.ag.server(), ru.at.Print, ru.at.Request, clock.Now())
+	ru.sent = ru.ag.dispatched.Sent(ru.ag.server(), ru.at.Fingerprint, ru.at.Request, clock.Now())
 }
 
 // answered notes that its answer began.
@@ -72,7 +72,7 @@
 		return !errors.Is(err, syscall.ECONNREFUSED)
 	}
 	if err := conn.Close(); err != nil {
-		ag.Node.Note(timeline.Entry{Event: event.ServerUnclear, Detail: err.Error()})
+		ag.Node.Record(timeline.Entry{Event: event.ServerUnclear, Detail: err.Error()})
 	}
 	return true
 }
@@ -92,8 +92,8 @@
 	if len(suspects) == 0 {
 		return
 	}
-	ag.Node.Note(timeline.Entry{Event: event.ServerEnded, Detail: life + ", suspects: " + strconv.Itoa(len(list))})
+	ag.Node.Record(timeline.Entry{Event: event.ServerEnded, Detail: life + ", suspects: " + strconv.Itoa(len(list))})
 	for _, li := range ag.Node.Links() {
-		li.Send(&wire.Frame{Kind: wire.Suspect, Suspicions: list})
+		li.Send(&wire.Frame{Kind: wire.CrashSuspects, Suspicions: list})
 	}
 }
--- a/internal/agent/orders.go
+++ b/internal/agent/orders.go
@@ -112,7 +112,7 @@
 		ag.reconciler.Took(err, time.Now())
 	default:
 		err := ag.send(ctx, ac)
-		ag.Node.Note(timeline.Entry{Event: event.OrderGiven, Version: ac.Version(), Detail: string(ac.Do()) + orderOutcome(err)})
+		ag.Node.Record(timeline.Entry{Event: event.OrderGiven, Version: ac.Version(), Detail: string(ac.Do()) + orderOutcome(err)})
 		ag.mu.Lock()
 		defer ag.mu.Unlock()
 		ag.reconciler.Ordered(err, time.Now())
--- a/internal/agent/run.go
+++ b/internal/agent/run.go
@@ -59,7 +59,7 @@
 	lo := ru.ag.ended(ru.key, ru.at, co)
 	ru.send(ctx, &wire.Frame{Kind: wire.End, Code: co, Usage: us, Bills: lines, Load: &lo, Stamp: ru.ag.Node.Stamp()})
 	metrics.Attempts.Add(result.Of(co).Name(), 1)
-	ru.ag.Node.Note(timeline.Entry{
+	ru.ag.Node.Record(timeline.Entry{
 		Event: event.AttemptEnded, Request: ru.at.Request, Team: ru.at.Team,
 		Version: ru.at.Version, Detail: result.Of(co).Name(),
 	})
@@ -93,7 +93,7 @@
 		return result.ServerFailed, nil
 	}
 	kind := resp.Header.Get("Content-Type")
-	ru.send(ctx, &wire.Frame{Kind: wire.Head, Head: &wire.AnswerHead{Status: resp.StatusCode, Type: kind}})
+	ru.send(ctx, &wire.Frame{Kind: wire.Head, Head: &wire.ResponseHead{Status: resp.StatusCode, Type: kind}})
 	me := meter{stream: strings.HasPrefix(kind, "text/event-stream"), hideUsage: ru.at.HideUsage}
 	return ru.relay(ctx, resp, &me)
 }
@@ -126,7 +126,7 @@
 	if len(part) == 0 {
 		return true
 	}
-	return ru.send(ctx, &wire.Frame{Kind: wire.Data, Body: part}) || ru.at.Once
+	return ru.send(ctx, &wire.Frame{Kind: wire.Data, Body: part}) || ru.at.AtMostOnce
 }
 
 func (ru *run) send(ctx context.Context, fr *wire.Frame) bool {
--- a/internal/agent/selfreports.go
+++ b/internal/agent/selfreports.go
@@ -30,7 +30,7 @@
 func (ag *Agent) applySelfReport(resp *http.Response) {
 	re := selfReports.Decode(resp.StatusCode, resp.Header, clock.Day())
 	if re.Err != nil {
-		ag.Node.Note(timeline.Entry{Event: event.ReportUnreadable, Detail: re.Err.Error()})
+		ag.Node.Record(timeline.Entry{Event: event.ReportUnreadable, Detail: re.Err.Error()})
 	}
 	ag.mu.Lock()
 	defer ag.mu.Unlock()
@@ -42,7 +42,7 @@
 	case re.RetryAfter == 0:
 		ag.act(ag.gate.Accepted(now))
 	case ag.gate.Pause(re.RetryAfter, now):
-		ag.Node.Note(timeline.Entry{Event: event.ServerPaused, Detail: re.RetryAfter.String()})
+		ag.Node.Record(timeline.Entry{Event: event.ServerPaused, Detail: re.RetryAfter.String()})
 	}
 	if re.Leaving {
 		ag.serverLeaves(now)
@@ -54,9 +54,9 @@
 	change, acs := ag.gate.SetLimit(limit, now)
 	switch change {
 	case backpressure.Limited:
-		ag.Node.Note(timeline.Entry{Event: event.ServerLimited, Detail: strconv.FormatFloat(*limit, 'g', -1, 64) + " requests a second"})
+		ag.Node.Record(timeline.Entry{Event: event.ServerLimited, Detail: strconv.FormatFloat(*limit, 'g', -1, 64) + " requests a second"})
 	case backpressure.Unlimited:
-		ag.Node.Note(timeline.Entry{Event: event.ServerUnlimited})
+		ag.Node.Record(timeline.Entry{Event: event.ServerUnlimited})
 	}
 	ag.act(acs)
 }
@@ -66,7 +66,7 @@
 	if ag.gate.ServerLeaving() {
 		return
 	}
-	ag.Node.Note(timeline.Entry{Event: event.ServerLeaving})
+	ag.Node.Record(timeline.Entry{Event: event.ServerLeaving})
 	ag.act(ag.gate.SetServerLeaving(true, now))
 }
 
@@ -87,7 +87,7 @@
 	defer cancel()
 	resp, err := ag.head(ctx)
 	if err != nil {
-		ag.Node.Note(timeline.Entry{Event: event.ServerUnclear, Detail: err.Error()})
+		ag.Node.Record(timeline.Entry{Event: event.ServerUnclear, Detail: err.Error()})
 		return
 	}
 	if selfReports.Decode(resp.StatusCode, resp.Header, clock.Day()).Leaving {
@@ -95,7 +95,7 @@
 	}
 	ag.mu.Lock()
 	defer ag.mu.Unlock()
-	ag.Node.Note(timeline.Entry{Event: event.ServerRestarted})
+	ag.Node.Record(timeline.Entry{Event: event.ServerRestarted})
 	ag.act(ag.gate.SetServerLeaving(false, clock.Now()))
 }
 
--- a/internal/agent/streams.go
+++ b/internal/agent/streams.go
@@ -33,8 +33,8 @@
 	}
 	ag.act(ag.gate.Submit(key, fr.Open, clock.Now()))
 	if st := ag.streams[key]; st != nil && st.cancel == nil {
-		li.Send(&wire.Frame{Kind: wire.Verdict, Stream: key.Stream, Code: result.Queued})
-		ag.Node.Note(timeline.Entry{Event: event.AttemptQueued, Request: fr.Open.Request, Team: fr.Open.Team, Version: fr.Open.Version})
+		li.Send(&wire.Frame{Kind: wire.Admission, Stream: key.Stream, Code: result.Queued})
+		ag.Node.Record(timeline.Entry{Event: event.AttemptQueued, Request: fr.Open.Request, Team: fr.Open.Team, Version: fr.Open.Version})
 	}
 }
 
@@ -54,11 +54,11 @@
 	delete(ag.streams, key)
 	lo := ag.load()
 	st.li.Send(&wire.Frame{
-		Kind: wire.Verdict, Stream: key.Stream, Code: co, RetryAfterMS: after.Milliseconds(),
+		Kind: wire.Admission, Stream: key.Stream, Code: co, RetryAfterMS: after.Milliseconds(),
 		Load: &lo, Revision: ag.gate.Revision(), Stamp: ag.Node.Stamp(),
 	})
 	metrics.Attempts.Add(result.Of(co).Name(), 1)
-	ag.Node.Note(timeline.Entry{
+	ag.Node.Record(timeline.Entry{
 		Event: event.AttemptRefused, Request: at.Request, Team: at.Team, Version: at.Version,
 		Detail: result.Of(co).Name(),
 	})
@@ -70,10 +70,10 @@
 	st.cancel = cancel
 	lo := ag.load()
 	st.li.Send(&wire.Frame{
-		Kind: wire.Verdict, Stream: key.Stream, Code: result.OK,
+		Kind: wire.Admission, Stream: key.Stream, Code: result.OK,
 		Load: &lo, Revision: ag.gate.Revision(), Stamp: ag.Node.Stamp(),
 	})
-	ag.Node.Note(timeline.Entry{Event: event.AttemptAdmitted, Request: at.Request, Team: at.Team, Version: at.Version})
+	ag.Node.Record(timeline.Entry{Event: event.AttemptAdmitted, Request: at.Request, Team: at.Team, Version: at.Version})
 	ru := &run{ag: ag, li: st.li, key: key, at: at, decided: clock.Now()}
 	go func() {
 		defer cancel()
@@ -95,7 +95,7 @@
 	if st.cancel != nil {
 		st.cancel()
 	}
-	ag.Node.Note(timeline.Entry{Event: event.AttemptCancelled, Request: st.at.Request, Version: st.at.Version})
+	ag.Node.Record(timeline.Entry{Event: event.AttemptCancelled, Request: st.at.Request, Version: st.at.Version})
 }
 
 // cutStreams stops the attempts of a lost link, but for those that run and
@@ -105,7 +105,7 @@
 	ag.ledger.MakeDue(time.Now())
 	var cut []gate.Key
 	for key, st := range ag.streams {
-		if st.li == li && (st.cancel == nil || !st.at.Once) {
+		if st.li == li && (st.cancel == nil || !st.at.AtMostOnce) {
 			cut = append(cut, key)
 		}
 	}
--- a/internal/entry/admin.go
+++ b/internal/entry/admin.go
@@ -29,7 +29,7 @@
 func (en *Entry) adminRouter() *mux.Router {
 	ro := en.Node.AdminRouter()
 	add := func(method, path string, ha http.HandlerFunc) {
-		ro.Handle(path, en.Node.Operator(ha)).Methods(method)
+		ro.Handle(path, en.Node.RequireOperator(ha)).Methods(method)
 	}
 	add(http.MethodGet, "/v1/config", en.getConfig)
 	add(http.MethodPut, "/v1/config", en.putConfig)
@@ -163,12 +163,12 @@
 	ev, err := ch.Apply(r.Context(), re, time.Now())
 	if err != nil {
 		if asResult(err).Code() == result.Conflict {
-			en.Node.Note(timeline.Entry{Event: event.ConfigConflict, Detail: err.Error()})
+			en.Node.Record(timeline.Entry{Event: event.ConfigConflict, Detail: err.Error()})
 		}
 		node.WriteError(w, err)
 		return
 	}
-	en.Node.Note(timeline.Entry{Event: event.ConfigAccepted, Revision: ev.Revision, Detail: re.Operator + ": " + re.Summary})
+	en.Node.Record(timeline.Entry{Event: event.ConfigAccepted, Revision: ev.Revision, Detail: re.Operator + ": " + re.Summary})
 	en.Node.Install(config.Compile(ev.Revision, ev.Document))
 	node.WriteJSON(w, http.StatusOK, ev.Changes[0])
 }
--- a/internal/entry/ask.go
+++ b/internal/entry/ask.go
@@ -64,8 +64,8 @@
 	at := &wire.Attempt{
 		Request: as.id, Number: ac.Attempt(), Step: ac.Step(), Team: as.team, Kind: as.kind,
 		Priority: as.priority, WaitMS: max(0, time.Until(as.deadline).Milliseconds()),
-		Once: as.once, Method: as.method, Path: as.path, Type: as.mime, HideUsage: as.hideUsage,
-		Print: as.print,
+		AtMostOnce: as.once, Method: as.method, Path: as.path, Type: as.mime, HideUsage: as.hideUsage,
+		Fingerprint: as.print,
 	}
 	if as.service != "" {
 		at.Service = as.service
--- a/internal/entry/bills.go
+++ b/internal/entry/bills.go
@@ -70,7 +70,7 @@
 	}
 	for box, part := range byWriter {
 		if li := en.Node.Link(box); li != nil {
-			li.Send(&wire.Frame{Kind: wire.Bill, Bills: part})
+			li.Send(&wire.Frame{Kind: wire.Bills, Bills: part})
 		}
 	}
 }
--- a/internal/entry/blocks.go
+++ b/internal/entry/blocks.go
@@ -57,7 +57,7 @@
 		}
 		en.mu.Unlock()
 		if lifted {
-			en.Node.Note(timeline.Entry{Event: event.RequestUnblocked, Detail: pr.String() + ": a server answered it and lives on"})
+			en.Node.Record(timeline.Entry{Event: event.RequestUnblocked, Detail: pr.String() + ": a server answered it and lives on"})
 		}
 	}
 }
@@ -68,7 +68,7 @@
 	begun := !en.cases.IsHarmless(bl.Fingerprint) && en.blocks.Add(bl, bl.Remaining(clock.Day()), stored, now)
 	en.mu.Unlock()
 	if begun {
-		en.Node.Note(timeline.Entry{Event: event.RequestBlocked, Detail: bl.Fingerprint.String()})
+		en.Node.Record(timeline.Entry{Event: event.RequestBlocked, Detail: bl.Fingerprint.String()})
 	}
 }
 
@@ -96,7 +96,7 @@
 		list, err = poison.DecodeBlocks(pair.Value)
 	}
 	if err != nil {
-		en.Node.Note(timeline.Entry{Event: event.StoreCallFailed, Detail: err.Error()})
+		en.Node.Record(timeline.Entry{Event: event.StoreCallFailed, Detail: err.Error()})
 		return false
 	}
 	for _, bl := range list {
@@ -117,7 +117,7 @@
 	}
 	edit := func(value []byte) ([]byte, error) { return poison.MergeBlocks(value, list, en.isSound, clock.Day()) }
 	if !en.merge(ctx, blocksKey, edit) {
-		en.Node.Note(timeline.Entry{Event: event.StoreCallFailed, Detail: "blocks could not be stored"})
+		en.Node.Record(timeline.Entry{Event: event.StoreCallFailed, Detail: "blocks could not be stored"})
 		return
 	}
 	en.mu.Lock()
@@ -141,6 +141,6 @@
 	en.cases.Expire(now)
 	en.mu.Unlock()
 	for _, pr := range over {
-		en.Node.Note(timeline.Entry{Event: event.RequestUnblocked, Detail: pr.String()})
+		en.Node.Record(timeline.Entry{Event: event.RequestUnblocked, Detail: pr.String()})
 	}
 }
--- a/internal/entry/callers.go
+++ b/internal/entry/callers.go
@@ -114,7 +114,7 @@
 
 // exchange runs the request on the chosen steps.
 func (en *Entry) exchange(w http.ResponseWriter, r *http.Request, as *ask, steps []string) {
-	en.Node.Note(timeline.Entry{Event: event.RequestReceived, Request: as.id, Team: as.team, Detail: as.kind})
+	en.Node.Record(timeline.Entry{Event: event.RequestReceived, Request: as.id, Team: as.team, Detail: as.kind})
 	en.mu.Lock()
 	en.budgets.For(as.team).Deposit(time.Now())
 	en.mu.Unlock()
@@ -138,11 +138,11 @@
 func (en *Entry) refuse(w http.ResponseWriter, as *ask, err error) {
 	er := asResult(err)
 	metrics.Requests.Add(result.Of(er.Code()).Name(), 1)
-	en.Node.Note(timeline.Entry{
+	en.Node.Record(timeline.Entry{
 		Event: event.RequestRefused, Request: as.id, Team: as.team, Detail: result.Of(er.Code()).Name(),
 	})
 	w.Header().Set(headerRequest, as.id)
-	node.WriteProblem(w, node.NewProblem(er, as.id, en.blocked(as.print, clock.Now())))
+	node.WriteErrorBody(w, node.NewErrorBody(er, as.id, en.blocked(as.print, clock.Now())))
 }
 
 // modelList is the answer to /v1/models.
--- a/internal/entry/claims.go
+++ b/internal/entry/claims.go
@@ -66,11 +66,11 @@
 		return err
 	}
 	if won.Code != result.OK {
-		en.Node.Note(timeline.Entry{Event: event.ClaimLost, Request: as.id, Team: as.team, Detail: won.Value})
+		en.Node.Record(timeline.Entry{Event: event.ClaimLost, Request: as.id, Team: as.team, Detail: won.Value})
 		return result.New(result.KeyAlreadyUsed, won.Value)
 	}
 	as.claimed = true
-	en.Node.Note(timeline.Entry{Event: event.ClaimWon, Request: as.id, Team: as.team})
+	en.Node.Record(timeline.Entry{Event: event.ClaimWon, Request: as.id, Team: as.team})
 	return nil
 }
 
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -119,23 +119,23 @@
 	work, stopWork := context.WithCancel(context.WithoutCancel(ctx))
 	defer stopWork()
 	en.supervisor = node.NewSupervisor("entry", en.Node)
-	en.supervisor.Add(node.Service{Name: "callers", Serving: en.serveCallers(ctx)})
-	en.supervisor.Add(node.Service{Name: "admin", Serving: en.serveAdmin})
-	en.supervisor.Add(node.Service{Name: "boxes", Serving: en.followBoxes})
-	en.supervisor.Add(node.Service{Name: "watch", Serving: en.watchStore})
-	en.supervisor.Add(node.Service{Name: "learnt", Serving: en.learn})
-	en.supervisor.Add(node.Service{Name: "blocks", Serving: en.keepBlocks})
-	en.supervisor.Add(node.Service{Name: "rollouts", Serving: en.followRollouts})
-	en.supervisor.Add(node.Service{Name: "ticks", Serving: en.tick})
+	en.supervisor.Add(node.Service{Name: "callers", Run: en.serveCallers(ctx)})
+	en.supervisor.Add(node.Service{Name: "admin", Run: en.serveAdmin})
+	en.supervisor.Add(node.Service{Name: "boxes", Run: en.followBoxes})
+	en.supervisor.Add(node.Service{Name: "watch", Run: en.watchStore})
+	en.supervisor.Add(node.Service{Name: "learnt", Run: en.learn})
+	en.supervisor.Add(node.Service{Name: "blocks", Run: en.keepBlocks})
+	en.supervisor.Add(node.Service{Name: "rollouts", Run: en.followRollouts})
+	en.supervisor.Add(node.Service{Name: "ticks", Run: en.tick})
 	ended := en.supervisor.ServeBackground(work)
-	en.Node.Note(timeline.Entry{Event: event.ProcessStarted, Detail: "entry"})
+	en.Node.Record(timeline.Entry{Event: event.ProcessStarted, Detail: "entry"})
 	select {
 	case err := <-ended:
 		return eris.Wrap(err, "entry")
 	case <-ctx.Done():
 	}
 	en.drain()
-	en.Node.Note(timeline.Entry{Event: event.ProcessStopped})
+	en.Node.Record(timeline.Entry{Event: event.ProcessStopped})
 	return nil
 }
 
@@ -154,7 +154,7 @@
 	en.learnt = newLearnt()
 	en.claims = map[string][]chan wire.ClaimLine{}
 	en.cases = poison.Detector{MinCrashes: poison.MinCrashes}
-	en.Node.Adopted = en.adopted
+	en.Node.OnAdopt = en.adopted
 }
 
 // serveCallers stops taking requests when the process is to stop, and lets
@@ -180,18 +180,18 @@
 	en.board.Reconfigure(sn)
 }
 
-// Beat returns the heartbeat for an agent.
-func (en *Entry) Beat(li *link.Link) *wire.Frame {
-	fr := &wire.Frame{Kind: wire.Beat, Revision: en.Node.Snapshot().Revision(), Bills: en.told(li.Peer.Box())}
+// Heartbeat returns the heartbeat for an agent.
+func (en *Entry) Heartbeat(li *link.Link) *wire.Frame {
+	fr := &wire.Frame{Kind: wire.Heartbeat, Revision: en.Node.Snapshot().Revision(), Bills: en.told(li.Peer.Box())}
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	fr.Prints = en.blocks.Fingerprints()
+	fr.Fingerprints = en.blocks.Fingerprints()
 	return fr
 }
 
-// Frame takes a frame from an agent.
-func (en *Entry) Frame(li *link.Link, fr *wire.Frame) {
-	if en.Node.Control(li, fr) {
+// HandleFrame takes a frame from an agent.
+func (en *Entry) HandleFrame(li *link.Link, fr *wire.Frame) {
+	if en.Node.HandleConfigFrame(li, fr) {
 		return
 	}
 	if fr.Load != nil {
@@ -202,27 +202,27 @@
 		}
 		en.mu.Unlock()
 	}
-	if len(fr.Prints) > 0 {
-		en.liftSound(fr.Prints, clock.Now())
+	if len(fr.Fingerprints) > 0 {
+		en.liftSound(fr.Fingerprints, clock.Now())
 	}
 	switch fr.Kind {
-	case wire.Verdict, wire.Head, wire.Data, wire.End:
+	case wire.Admission, wire.Head, wire.Data, wire.End:
 		en.deliver(li, fr)
 	case wire.Peers:
 		en.mu.Lock()
 		en.view.Peers(li.Peer.Box(), fr.Peers)
 		en.mu.Unlock()
-	case wire.Bill:
+	case wire.Bills:
 		en.hold(fr.Bills)
-	case wire.Taken:
+	case wire.BillsBuffered:
 		en.mu.Lock()
 		en.ledger.Taken(fr.Bills)
 		en.mu.Unlock()
-	case wire.Billed:
+	case wire.BillsStored:
 		en.billed(fr.Bills)
-	case wire.Claimed:
+	case wire.ClaimReply:
 		en.claimed(fr.Claims)
-	case wire.Suspect:
+	case wire.CrashSuspects:
 		en.suspect(fr.Suspicions, clock.Now())
 	}
 }
@@ -257,7 +257,7 @@
 		time.Sleep(drainCheck)
 	}
 	for _, li := range en.Node.Links() {
-		li.Send(&wire.Frame{Kind: wire.Billed, Bills: en.told(li.Peer.Box())})
+		li.Send(&wire.Frame{Kind: wire.BillsStored, Bills: en.told(li.Peer.Box())})
 	}
 	time.Sleep(flushWait)
 }
--- a/internal/entry/exchange.go
+++ b/internal/entry/exchange.go
@@ -147,7 +147,7 @@
 	switch {
 	case ar.frame == nil:
 		return ex.route.LinkLost(ar.number, now)
-	case ar.frame.Kind == wire.Verdict:
+	case ar.frame.Kind == wire.Admission:
 		after := time.Duration(ar.frame.RetryAfterMS) * time.Millisecond
 		return ex.route.Verdict(ar.number, ar.frame.Code, after, now)
 	}
@@ -253,10 +253,10 @@
 	default:
 		ex.note(event.RequestFailed, result.Of(co).Name())
 	}
-	pr := node.NewProblem(result.New(co, ""), ex.ask.id, ac.RetryAfter())
+	pr := node.NewErrorBody(result.New(co, ""), ex.ask.id, ac.RetryAfter())
 	if !ex.started {
 		ex.w.Header().Set(headerRequest, ex.ask.id)
-		node.WriteProblem(ex.w, pr)
+		node.WriteErrorBody(ex.w, pr)
 		return
 	}
 	if strings.HasPrefix(ex.w.Header().Get("Content-Type"), "text/event-stream") {
@@ -276,7 +276,7 @@
 }
 
 func (ex *exchange) note(id event.ID, detail string) {
-	ex.en.Node.Note(timeline.Entry{
+	ex.en.Node.Record(timeline.Entry{
 		Event: id, Request: ex.ask.id, Team: ex.ask.team, Version: ex.version, Detail: detail,
 	})
 }
--- a/internal/entry/learn.go
+++ b/internal/entry/learn.go
@@ -248,7 +248,7 @@
 func (en *Entry) readLearnt(ctx context.Context) {
 	pairs, err := en.Store.List(ctx, ratingsPrefix)
 	if err != nil {
-		en.Node.Note(timeline.Entry{Event: event.StoreCallFailed, Detail: err.Error()})
+		en.Node.Record(timeline.Entry{Event: event.StoreCallFailed, Detail: err.Error()})
 		return
 	}
 	all := &quality.Table{}
--- a/internal/entry/links.go
+++ b/internal/entry/links.go
@@ -42,7 +42,7 @@
 	for {
 		list, err := en.Boxes.List(ctx)
 		if err != nil {
-			en.Node.Note(timeline.Entry{Event: event.StoreCallFailed, Detail: err.Error()})
+			en.Node.Record(timeline.Entry{Event: event.StoreCallFailed, Detail: err.Error()})
 		} else {
 			en.setBoxes(list)
 		}
@@ -83,7 +83,7 @@
 		}
 	}
 	for _, bo := range starting {
-		token := en.supervisor.Add(node.Service{Name: "link to " + bo.Name, Serving: en.keepLink(bo)})
+		token := en.supervisor.Add(node.Service{Name: "link to " + bo.Name, Run: en.keepLink(bo)})
 		en.dialers[bo.Name] = dialer{token: token, address: bo.Address}
 	}
 	en.mu.Unlock()
@@ -91,7 +91,7 @@
 		_ = en.supervisor.Remove(di.token)
 	}
 	if len(starting)+len(ending) > 0 {
-		en.Node.Note(timeline.Entry{Event: event.BoxesChanged})
+		en.Node.Record(timeline.Entry{Event: event.BoxesChanged})
 	}
 }
 
@@ -170,15 +170,15 @@
 		return false
 	}
 	li.Handler = en
-	li.Heartbeat = en.Node.Settings.Limits.Heartbeat()
+	li.HeartbeatInterval = en.Node.Settings.Limits.Heartbeat()
 	en.mu.Lock()
 	en.serverOf[li.Peer.Box()] = bo.Server
 	en.boxOf[bo.Server] = li.Peer.Box()
 	en.board.LinkUp(bo.Server, bo.DataCentre)
 	en.mu.Unlock()
-	en.Node.LinkUp(li)
+	en.Node.AddLink(li)
 	err = li.Run(ctx)
-	if en.Node.LinkDown(li, err) {
+	if en.Node.RemoveLink(li, err) {
 		en.mu.Lock()
 		en.board.LinkDown(bo.Server)
 		en.view.AgentDown(li.Peer.Box())
--- a/internal/entry/rollouts.go
+++ b/internal/entry/rollouts.go
@@ -28,7 +28,7 @@
 		}
 		all, err := en.readOutcomes(ctx)
 		if err != nil {
-			en.Node.Note(timeline.Entry{Event: event.StoreCallFailed, Detail: err.Error()})
+			en.Node.Record(timeline.Entry{Event: event.StoreCallFailed, Detail: err.Error()})
 			continue
 		}
 		for i := range sn.Document().Rollouts {
@@ -105,13 +105,13 @@
 		},
 	}, time.Now())
 	if err != nil {
-		en.Node.Note(timeline.Entry{Event: event.StoreCallFailed, Version: pr.Version, Detail: err.Error()})
+		en.Node.Record(timeline.Entry{Event: event.StoreCallFailed, Version: pr.Version, Detail: err.Error()})
 		return
 	}
 	kind := event.RolloutStep
 	if pr.Verdict == rollout.RolledBack {
 		kind = event.RolloutReversed
 	}
-	en.Node.Note(timeline.Entry{Event: kind, Revision: ev.Revision, Version: pr.Version, Detail: pr.Reason})
+	en.Node.Record(timeline.Entry{Event: kind, Revision: ev.Revision, Version: pr.Version, Detail: pr.Reason})
 	en.Node.Install(config.Compile(ev.Revision, ev.Document))
 }
--- a/internal/entry/store.go
+++ b/internal/entry/store.go
@@ -29,7 +29,7 @@
 		}
 		next, err := en.watchOnce(ctx, index)
 		if err != nil {
-			en.Node.Note(timeline.Entry{Event: event.StoreCallFailed, Detail: err.Error()})
+			en.Node.Record(timeline.Entry{Event: event.StoreCallFailed, Detail: err.Error()})
 			index = 0
 			sleep(ctx, dutyCheck)
 			continue
@@ -47,10 +47,10 @@
 
 func (en *Entry) noteDuty(duty bool) {
 	if duty {
-		en.Node.Note(timeline.Entry{Event: event.WatchStarted})
+		en.Node.Record(timeline.Entry{Event: event.WatchStarted})
 		return
 	}
-	en.Node.Note(timeline.Entry{Event: event.WatchStopped})
+	en.Node.Record(timeline.Entry{Event: event.WatchStopped})
 }
 
 // watchOnce waits for a change and takes it into force. An index that went
@@ -75,12 +75,12 @@
 func (en *Entry) install(ctx context.Context, pair kv.Pair) {
 	ev, err := config.DecodeEnvelope(pair.Value)
 	if err != nil {
-		en.Node.Note(timeline.Entry{Event: event.ConfigRefused, Detail: err.Error()})
+		en.Node.Record(timeline.Entry{Event: event.ConfigRefused, Detail: err.Error()})
 		return
 	}
 	held := en.Node.Snapshot().Revision()
 	if ev.Revision < held {
-		en.Node.Note(timeline.Entry{Event: event.ConfigRefused, Detail: "the store holds a lower revision"})
+		en.Node.Record(timeline.Entry{Event: event.ConfigRefused, Detail: "the store holds a lower revision"})
 		en.writeAgain(ctx, ev, pair.Index)
 		return
 	}
@@ -89,7 +89,7 @@
 	}
 	if ev.Revision > held {
 		if err := ev.Document.Check(); err != nil {
-			en.Node.Note(timeline.Entry{Event: event.ConfigRefused, Detail: err.Error()})
+			en.Node.Record(timeline.Entry{Event: event.ConfigRefused, Detail: err.Error()})
 			return
 		}
 		en.Node.Install(config.Compile(ev.Revision, ev.Document))
@@ -106,15 +106,15 @@
 	}
 	value, err := en.stored.Encode()
 	if err != nil {
-		en.Node.Note(timeline.Entry{Event: event.StoreCallFailed, Detail: err.Error()})
+		en.Node.Record(timeline.Entry{Event: event.StoreCallFailed, Detail: err.Error()})
 		return
 	}
 	made, err := en.Store.Swap(ctx, config.StoreKey, value, index)
 	switch {
 	case err != nil:
-		en.Node.Note(timeline.Entry{Event: event.StoreCallFailed, Detail: err.Error()})
+		en.Node.Record(timeline.Entry{Event: event.StoreCallFailed, Detail: err.Error()})
 	case made:
-		en.Node.Note(timeline.Entry{Event: event.ConfigAccepted, Revision: en.stored.Revision, Detail: "written again to a store that had lost it"})
+		en.Node.Record(timeline.Entry{Event: event.ConfigAccepted, Revision: en.stored.Revision, Detail: "written again to a store that had lost it"})
 	}
 }
 
--- a/internal/entry/store_test.go
+++ b/internal/entry/store_test.go
@@ -43,7 +43,7 @@
 
 // watching returns an entry that watches a store.
 func watching(st Store) *Entry {
-	no := &node.Node{Log: zerolog.Nop(), Ring: &timeline.Ring{}, Adopted: func(*config.Snapshot) {}}
+	no := &node.Node{Log: zerolog.Nop(), Ring: &timeline.Ring{}, OnAdopt: func(*config.Snapshot) {}}
 	return &Entry{Store: st, Node: no}
 }
 
--- a/internal/link/link.go
+++ b/internal/link/link.go
@@ -17,10 +17,10 @@
 
 // Handler takes what arrives on a link.
 type Handler interface {
-	// Frame is called for each frame in order.
-	Frame(li *Link, fr *wire.Frame)
-	// Beat returns the heartbeat to send now.
-	Beat(li *Link) *wire.Frame
+	// HandleFrame is called for each frame in order.
+	HandleFrame(li *Link, fr *wire.Frame)
+	// Heartbeat returns the heartbeat to send now.
+	Heartbeat(li *Link) *wire.Frame
 }
 
 // Peer is the process at the other end.
@@ -66,8 +66,8 @@
 	Name string
 	// Handler takes the frames.
 	Handler Handler
-	// Heartbeat is the time between two heartbeats.
-	Heartbeat time.Duration
+	// HeartbeatInterval is the time between two heartbeats.
+	HeartbeatInterval time.Duration
 
 	once sync.Once
 	// data holds frames of answers.
@@ -97,8 +97,8 @@
 	li.init()
 	ctx, stop := context.WithCancelCause(ctx)
 	defer stop(nil)
-	li.Conn.SetReadLimit(wire.MaxMessage)
-	watchdog := time.AfterFunc(missedBeats*li.Heartbeat, func() { stop(errSilent) })
+	li.Conn.SetReadLimit(wire.MaxMessageBytes)
+	watchdog := time.AfterFunc(missedBeats*li.HeartbeatInterval, func() { stop(errSilent) })
 	defer watchdog.Stop()
 	var wg sync.WaitGroup
 	wg.Go(func() {
@@ -170,11 +170,11 @@
 		if err != nil {
 			return eris.Wrap(err, "read")
 		}
-		watchdog.Reset(missedBeats * li.Heartbeat)
+		watchdog.Reset(missedBeats * li.HeartbeatInterval)
 		frames, err := wire.Decode(msg)
 		metrics.In.Message(len(msg), dataBytes(frames), len(frames))
 		for _, fr := range frames {
-			li.Handler.Frame(li, fr)
+			li.Handler.HandleFrame(li, fr)
 		}
 		if err != nil {
 			return err
@@ -186,7 +186,7 @@
 // has many links.
 func (li *Link) write(ctx context.Context) error {
 	var ba batch
-	ti := time.NewTicker(li.Heartbeat)
+	ti := time.NewTicker(li.HeartbeatInterval)
 	defer ti.Stop()
 	for {
 		ba.reset()
@@ -199,7 +199,7 @@
 		case fr := <-li.data:
 			ba.add(fr)
 		case <-ti.C:
-			ba.add(li.Handler.Beat(li))
+			ba.add(li.Handler.Heartbeat(li))
 		}
 		li.fill(&ba)
 		if err := ba.err; err != nil {
--- a/internal/link/link_test.go
+++ b/internal/link/link_test.go
@@ -29,11 +29,11 @@
 	return &keeper{gate: make(chan struct{}), got: make(chan struct{}), want: want}
 }
 
-func (ke *keeper) Frame(_ *Link, fr *wire.Frame) {
+func (ke *keeper) HandleFrame(_ *Link, fr *wire.Frame) {
 	<-ke.gate
 	ke.mu.Lock()
 	defer ke.mu.Unlock()
-	if fr.Kind == wire.Beat {
+	if fr.Kind == wire.Heartbeat {
 		return
 	}
 	ke.frames = append(ke.frames, fr)
@@ -42,7 +42,7 @@
 	}
 }
 
-func (*keeper) Beat(*Link) *wire.Frame { return &wire.Frame{Kind: wire.Beat} }
+func (*keeper) Heartbeat(*Link) *wire.Frame { return &wire.Frame{Kind: wire.Heartbeat} }
 
 // pair opens a link and serves its far end with a handler.
 func pair(t *testing.T, far Handler, heartbeat time.Duration) *Link {
@@ -52,7 +52,7 @@
 		if err != nil {
 			return
 		}
-		li.Handler, li.Heartbeat = far, heartbeat
+		li.Handler, li.HeartbeatInterval = far, heartbeat
 		_ = li.Run(context.Background())
 	}))
 	t.Cleanup(srv.Close)
@@ -60,7 +60,7 @@
 	li, err := Dial(t.Context(), address, Identity{Box: "entry", DataCentre: "dc", SharedKey: "key"}, time.Now())
 	require.NoError(t, err)
 	require.Equal(t, "agent", li.Peer.Box())
-	li.Heartbeat = heartbeat
+	li.HeartbeatInterval = heartbeat
 	return li
 }
 
@@ -94,12 +94,12 @@
 	ended := make(chan error, 1)
 	big := make([]byte, 4096)
 	go func() { ended <- li.Run(t.Context()) }()
-	for li.Send(&wire.Frame{Kind: wire.Config, Config: &wire.Settings{Document: big}}) {
+	for li.Send(&wire.Frame{Kind: wire.Config, Config: &wire.ConfigUpdate{Document: big}}) {
 	}
 	// The writer may hang in a write to the peer; the link's end frees it.
 	require.NoError(t, li.Conn.CloseNow())
 	require.Error(t, <-ended)
-	require.False(t, li.Send(&wire.Frame{Kind: wire.Beat}))
+	require.False(t, li.Send(&wire.Frame{Kind: wire.Heartbeat}))
 }
 
 func TestASilentPeerLosesTheLink(t *testing.T) {
@@ -108,7 +108,7 @@
 	li := pair(t, far, never)
 	near := newKeeper(0)
 	close(near.gate)
-	li.Handler, li.Heartbeat = near, time.Millisecond
+	li.Handler, li.HeartbeatInterval = near, time.Millisecond
 	require.ErrorIs(t, li.Run(t.Context()), errSilent)
 }
 
--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -36,13 +36,13 @@
 		WriteJSON(w, http.StatusOK, map[string]string{"status": "ok"})
 	})
 	ro.HandleFunc("/ready", no.ready)
-	ro.Handle("/metrics", no.Operator(expvar.Handler().ServeHTTP))
-	ro.Handle("/debug/pprof/profile", no.Operator(pprof.Profile))
-	ro.PathPrefix("/debug/pprof/").Handler(no.Operator(pprof.Index))
-	ro.Handle("/v1/timeline", no.Operator(func(w http.ResponseWriter, _ *http.Request) {
+	ro.Handle("/metrics", no.RequireOperator(expvar.Handler().ServeHTTP))
+	ro.Handle("/debug/pprof/profile", no.RequireOperator(pprof.Profile))
+	ro.PathPrefix("/debug/pprof/").Handler(no.RequireOperator(pprof.Index))
+	ro.Handle("/v1/timeline", no.RequireOperator(func(w http.ResponseWriter, _ *http.Request) {
 		WriteJSON(w, http.StatusOK, no.Ring.Entries())
 	}))
-	ro.Handle("/v1/status", no.Operator(func(w http.ResponseWriter, _ *http.Request) {
+	ro.Handle("/v1/status", no.RequireOperator(func(w http.ResponseWriter, _ *http.Request) {
 		WriteJSON(w, http.StatusOK, no.Status())
 	}))
 	return ro
@@ -70,9 +70,9 @@
 	}
 }
 
-// Operator lets only holders of an operator key through. Without any key in
+// RequireOperator lets only holders of an operator key through. Without any key in
 // the settings, the admin port is open; the settings allow that on loopback.
-func (no *Node) Operator(next http.HandlerFunc) http.Handler {
+func (no *Node) RequireOperator(next http.HandlerFunc) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if !no.isOperator(r) {
 			WriteError(w, result.New(result.NotOperator, ""))
--- a/internal/node/admin_test.go
+++ b/internal/node/admin_test.go
@@ -13,7 +13,7 @@
 )
 
 func newNode() *Node {
-	no := &Node{Ring: &timeline.Ring{Box: "b"}, Adopted: func(*config.Snapshot) {}}
+	no := &Node{Ring: &timeline.Ring{Box: "b"}, OnAdopt: func(*config.Snapshot) {}}
 	no.Settings = settings.Default()
 	no.Settings.OperatorKeys = []string{config.Digest("operator")}
 	return no
--- a/internal/node/spread.go
+++ b/internal/node/configsync.go
@@ -36,8 +36,8 @@
 	if old != nil {
 		no.keepStep(old, sn)
 	}
-	no.Note(timeline.Entry{Event: event.ConfigInForce, Revision: sn.Revision()})
-	no.Adopted(sn)
+	no.Record(timeline.Entry{Event: event.ConfigInForce, Revision: sn.Revision()})
+	no.OnAdopt(sn)
 }
 
 func (no *Node) keepStep(old, sn *config.Snapshot) {
@@ -64,12 +64,12 @@
 	sn := no.replica.Snapshot()
 	doc, err := json.Marshal(sn.Document())
 	if err != nil {
-		no.Note(timeline.Entry{Event: event.ConfigRefused, Detail: err.Error()})
+		no.Record(timeline.Entry{Event: event.ConfigRefused, Detail: err.Error()})
 		return
 	}
 	no.send(peer, &wire.Frame{
 		Kind:   wire.Config,
-		Config: &wire.Settings{Revision: sn.Revision(), Document: doc},
+		Config: &wire.ConfigUpdate{Revision: sn.Revision(), Document: doc},
 		Stamp:  no.stamp(),
 	})
 }
@@ -78,7 +78,7 @@
 	for _, st := range steps {
 		no.send(peer, &wire.Frame{
 			Kind:   wire.Config,
-			Config: &wire.Settings{Revision: st.to, Base: st.from, Document: st.diff, Digest: st.digest},
+			Config: &wire.ConfigUpdate{Revision: st.to, Base: st.from, Document: st.diff, Digest: st.digest},
 			Stamp:  no.stamp(),
 		})
 	}
@@ -86,13 +86,13 @@
 
 // received takes a configuration from a peer; the lock is held. Differences
 // that do not fit are answered by a request for the whole document.
-func (no *Node) received(li *link.Link, se *wire.Settings) []replica.Action {
+func (no *Node) received(li *link.Link, se *wire.ConfigUpdate) []replica.Action {
 	if se.Revision <= no.replica.Revision() {
 		return nil
 	}
 	sn, err := no.decode(se)
 	if err != nil {
-		no.Note(timeline.Entry{Event: event.ConfigRefused, Detail: li.Peer.Box() + ": " + err.Error()})
+		no.Record(timeline.Entry{Event: event.ConfigRefused, Detail: li.Peer.Box() + ": " + err.Error()})
 		if se.Base != 0 {
 			li.Send(&wire.Frame{Kind: wire.Want, Revision: 0})
 		}
@@ -106,7 +106,7 @@
 	errDigest = eris.New("differences lead to another document")
 )
 
-func (no *Node) decode(se *wire.Settings) (*config.Snapshot, error) {
+func (no *Node) decode(se *wire.ConfigUpdate) (*config.Snapshot, error) {
 	if se.Base != 0 {
 		return no.decodeStep(se)
 	}
@@ -120,7 +120,7 @@
 	return config.Compile(se.Revision, &doc), nil
 }
 
-func (no *Node) decodeStep(se *wire.Settings) (*config.Snapshot, error) {
+func (no *Node) decodeStep(se *wire.ConfigUpdate) (*config.Snapshot, error) {
 	if se.Base != no.replica.Revision() {
 		return nil, errBase
 	}
--- a/internal/node/answer.go
+++ b/internal/node/errors.go
@@ -15,15 +15,15 @@
 	"github.com/linnetrudder/linnetrudder/internal/result"
 )
 
-// Problem is the body of every answer that is an error. Its outer form is
+// ErrorBody is the body of every answer that is an error. Its outer form is
 // the one that clients of the chat completions protocol know.
-type Problem struct {
-	Error ProblemDetail `json:"error"`
+type ErrorBody struct {
+	Error ErrorDetail `json:"error"`
 }
 
-// ProblemDetail says what happened, whether the request ran, and when the
+// ErrorDetail says what happened, whether the request ran, and when the
 // caller may come back.
-type ProblemDetail struct {
+type ErrorDetail struct {
 	Message string      `json:"message"`
 	Type    string      `json:"type"`
 	Code    result.Code `json:"code"`
@@ -34,13 +34,13 @@
 	Request string `json:"request,omitempty"`
 }
 
-// NewProblem describes an outcome.
-func NewProblem(er *result.Error, request string, after time.Duration) Problem {
+// NewErrorBody describes an outcome.
+func NewErrorBody(er *result.Error, request string, after time.Duration) ErrorBody {
 	ro := result.Of(er.Code())
 	if after == 0 {
 		after = ro.RetryAfter()
 	}
-	return Problem{Error: ProblemDetail{
+	return ErrorBody{Error: ErrorDetail{
 		Message:      er.Error(),
 		Type:         ro.Name(),
 		Code:         er.Code(),
@@ -51,7 +51,7 @@
 }
 
 // Encode returns the body of the answer.
-func (pr Problem) Encode() ([]byte, error) {
+func (pr ErrorBody) Encode() ([]byte, error) {
 	body, err := json.Marshal(pr)
 	return body, eris.Wrap(err, "encode problem")
 }
@@ -62,11 +62,11 @@
 	if !errors.As(err, &er) {
 		er = result.New(result.BadRequest, err.Error())
 	}
-	WriteProblem(w, NewProblem(er, "", 0))
+	WriteErrorBody(w, NewErrorBody(er, "", 0))
 }
 
-// WriteProblem answers with a described outcome.
-func WriteProblem(w http.ResponseWriter, pr Problem) {
+// WriteErrorBody answers with a described outcome.
+func WriteErrorBody(w http.ResponseWriter, pr ErrorBody) {
 	if pr.Error.RetryAfterMS > 0 {
 		sec := math.Ceil(float64(pr.Error.RetryAfterMS) / 1000)
 		w.Header().Set("Retry-After", strconv.Itoa(int(sec)))
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -27,9 +27,9 @@
 	Ring     *timeline.Ring
 	// Fanout bounds the peers that a change is offered to at once.
 	Fanout int
-	// Adopted is called, one call at a time, for each revision that comes
+	// OnAdopt is called, one call at a time, for each revision that comes
 	// into force.
-	Adopted func(sn *config.Snapshot)
+	OnAdopt func(sn *config.Snapshot)
 
 	// mu guards replica and links.
 	mu      sync.Mutex
@@ -62,12 +62,12 @@
 // Stop begins a planned stop.
 func (no *Node) Stop() {
 	if no.stopping.CompareAndSwap(false, true) {
-		no.Note(timeline.Entry{Event: event.ProcessStopping})
+		no.Record(timeline.Entry{Event: event.ProcessStopping})
 	}
 }
 
-// Note logs an event and puts it on the time line.
-func (no *Node) Note(en timeline.Entry) {
+// Record logs an event and puts it on the time line.
+func (no *Node) Record(en timeline.Entry) {
 	if en.Revision == 0 {
 		en.Revision = no.Snapshot().Revision()
 	}
@@ -86,9 +86,9 @@
 		Msg(en.Name)
 }
 
-// LinkUp takes a new link; an older one to the same peer is left to end.
-func (no *Node) LinkUp(li *link.Link) {
-	no.Note(timeline.Entry{Event: event.LinkUp, Detail: li.Peer.Box()})
+// AddLink takes a new link; an older one to the same peer is left to end.
+func (no *Node) AddLink(li *link.Link) {
+	no.Record(timeline.Entry{Event: event.LinkUp, Detail: li.Peer.Box()})
 	no.mu.Lock()
 	defer no.mu.Unlock()
 	if no.links == nil {
@@ -99,8 +99,8 @@
 	no.act(no.replica.PeerUp(li.Peer.Box()))
 }
 
-// LinkDown forgets a link. It reports whether it was the peer's newest.
-func (no *Node) LinkDown(li *link.Link, why error) bool {
+// RemoveLink forgets a link. It reports whether it was the peer's newest.
+func (no *Node) RemoveLink(li *link.Link, why error) bool {
 	no.mu.Lock()
 	defer no.mu.Unlock()
 	box := li.Peer.Box()
@@ -109,7 +109,7 @@
 	}
 	delete(no.links, box)
 	no.act(no.replica.PeerDown(box, time.Now()))
-	no.Note(timeline.Entry{Event: event.LinkDown, Detail: box + ": " + why.Error()})
+	no.Record(timeline.Entry{Event: event.LinkDown, Detail: box + ": " + why.Error()})
 	return true
 }
 
@@ -153,9 +153,9 @@
 	no.act(no.replica.Tick(now))
 }
 
-// Control handles the frames by which the configuration spreads. It reports
+// HandleConfigFrame handles the frames by which the configuration spreads. It reports
 // whether the frame was one of them.
-func (no *Node) Control(li *link.Link, fr *wire.Frame) bool {
+func (no *Node) HandleConfigFrame(li *link.Link, fr *wire.Frame) bool {
 	if fr.Stamp != nil {
 		no.Ring.Observe(*fr.Stamp)
 	}
@@ -164,7 +164,7 @@
 	no.mu.Lock()
 	defer no.mu.Unlock()
 	switch fr.Kind {
-	case wire.Beat:
+	case wire.Heartbeat:
 		no.act(no.replica.Offered(box, fr.Revision, now))
 		return false
 	case wire.Offer:
--- a/internal/node/supervisor.go
+++ b/internal/node/supervisor.go
@@ -14,12 +14,12 @@
 type Service struct {
 	// Name is shown when the part fails.
 	Name string
-	// Serving runs until the context ends.
-	Serving func(ctx context.Context) error
+	// Run runs until the context ends.
+	Run func(ctx context.Context) error
 }
 
 // Serve runs the part.
-func (se Service) Serve(ctx context.Context) error { return se.Serving(ctx) }
+func (se Service) Serve(ctx context.Context) error { return se.Run(ctx) }
 
 // String returns the name.
 func (se Service) String() string { return se.Name }
@@ -32,7 +32,7 @@
 	return suture.New(name, suture.Spec{
 		FailureBackoff: restartPause,
 		EventHook: func(ev suture.Event) {
-			no.Note(timeline.Entry{Event: event.ServiceRestarted, Detail: ev.String()})
+			no.Record(timeline.Entry{Event: event.ServiceRestarted, Detail: ev.String()})
 		},
 	})
 }
--- a/internal/route/action.go
+++ b/internal/route/action.go
@@ -32,7 +32,7 @@
 	target       string
 	fromFirstTry bool
 	server       string
-	head         *wire.AnswerHead
+	head         *wire.ResponseHead
 	body         []byte
 	code         result.Code
 	retryAfter   time.Duration
@@ -58,7 +58,7 @@
 func (ac Action) Server() string { return ac.server }
 
 // Head returns the status and content type to deliver.
-func (ac Action) Head() *wire.AnswerHead { return ac.head }
+func (ac Action) Head() *wire.ResponseHead { return ac.head }
 
 // Body returns the part of the body to deliver.
 func (ac Action) Body() []byte { return ac.body }
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -69,7 +69,7 @@
 	// buffered holds frames that arrived out of order, by sequence number.
 	buffered map[uint32]*wire.Frame
 	// head and body are buffered until the answer may be delivered.
-	head *wire.AnswerHead
+	head *wire.ResponseHead
 	body []byte
 	// usage is set once the answer is complete.
 	usage *wire.Usage
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -91,7 +91,7 @@
 }
 
 func head() *wire.Frame {
-	return &wire.Frame{Kind: wire.Head, Stream: 1, Seq: 1, Head: &wire.AnswerHead{Status: 200}}
+	return &wire.Frame{Kind: wire.Head, Stream: 1, Seq: 1, Head: &wire.ResponseHead{Status: 200}}
 }
 
 func data(seq uint32, body string) *wire.Frame {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -20,12 +20,12 @@
 
 // The kinds of frames.
 const (
-	// Beat is the heartbeat; it carries the sender's revision and load.
-	Beat Kind = "beat"
+	// Heartbeat is the heartbeat; it carries the sender's revision and load.
+	Heartbeat Kind = "beat"
 	// Open asks an agent to run one attempt.
 	Open Kind = "open"
-	// Verdict says whether the attempt was started or refused.
-	Verdict Kind = "verdict"
+	// Admission says whether the attempt was started or refused.
+	Admission Kind = "verdict"
 	// Head carries the status and content type of an answer.
 	Head Kind = "head"
 	// Data carries a part of an answer.
@@ -44,17 +44,17 @@
 	Peers Kind = "peers"
 	// Claim asks an agent to make a claim durable.
 	Claim Kind = "claim"
-	// Claimed answers a Claim.
-	Claimed Kind = "claimed"
-	// Bill hands bill records on.
-	Bill Kind = "bill"
-	// Taken names records that their writer holds in memory, since the store
+	// ClaimReply answers a Claim.
+	ClaimReply Kind = "claimed"
+	// Bills hands bill records on.
+	Bills Kind = "bill"
+	// BillsBuffered names records that their writer holds in memory, since the store
 	// does not take them now.
-	Taken Kind = "taken"
-	// Suspect names requests that were with the agent's server just before it ended.
-	Suspect Kind = "suspect"
-	// Billed names records that are durable.
-	Billed Kind = "billed"
+	BillsBuffered Kind = "taken"
+	// CrashSuspects names requests that were with the agent's server just before it ended.
+	CrashSuspects Kind = "suspect"
+	// BillsStored names records that are durable.
+	BillsStored Kind = "billed"
 )
 
 // Frame is one message. Only the part that its kind names is set. The fields
@@ -78,20 +78,20 @@
 	// Stamp orders the time lines of the two processes.
 	Stamp *timeline.Stamp `cbor:"9,keyasint,omitempty"`
 
-	Open   *Attempt    `cbor:"10,keyasint,omitempty"`
-	Load   *Load       `cbor:"11,keyasint,omitempty"`
-	Head   *AnswerHead `cbor:"12,keyasint,omitempty"`
-	Usage  *Usage      `cbor:"13,keyasint,omitempty"`
-	Config *Settings   `cbor:"14,keyasint,omitempty"`
-	Peers  []string    `cbor:"15,keyasint,omitempty"`
-	Claims []ClaimLine `cbor:"16,keyasint,omitempty"`
-	Bills  []BillLine  `cbor:"17,keyasint,omitempty"`
-	IDs    []string    `cbor:"18,keyasint,omitempty"`
+	Open   *Attempt      `cbor:"10,keyasint,omitempty"`
+	Load   *Load         `cbor:"11,keyasint,omitempty"`
+	Head   *ResponseHead `cbor:"12,keyasint,omitempty"`
+	Usage  *Usage        `cbor:"13,keyasint,omitempty"`
+	Config *ConfigUpdate `cbor:"14,keyasint,omitempty"`
+	Peers  []string      `cbor:"15,keyasint,omitempty"`
+	Claims []ClaimLine   `cbor:"16,keyasint,omitempty"`
+	Bills  []BillLine    `cbor:"17,keyasint,omitempty"`
+	IDs    []string      `cbor:"18,keyasint,omitempty"`
 
 	Suspicions []poison.Suspicion `cbor:"19,keyasint,omitempty"`
-	// Prints are, in an entry's beat, of the requests that it has blocked; in an agent's, of those
+	// Fingerprints are, in an entry's beat, of the requests that it has blocked; in an agent's, of those
 	// among them that its server has answered as a whole and lived on.
-	Prints []poison.Fingerprint `cbor:"20,keyasint,omitempty"`
+	Fingerprints []poison.Fingerprint `cbor:"20,keyasint,omitempty"`
 }
 
 // Attempt is what an agent needs to judge and run one attempt.
@@ -112,15 +112,15 @@
 	WaitMS int64 `cbor:"10,keyasint"`
 	// HideUsage drops the usage part that the caller did not ask for.
 	HideUsage bool `cbor:"11,keyasint,omitempty"`
-	// Once marks a request that runs at most once; it is let run to its end
+	// AtMostOnce marks a request that runs at most once; it is let run to its end
 	// even if its entry is lost.
-	Once   bool   `cbor:"16,keyasint,omitempty"`
-	Method string `cbor:"12,keyasint"`
-	Path   string `cbor:"13,keyasint"`
-	Type   string `cbor:"14,keyasint,omitempty"`
-	Body   []byte `cbor:"15,keyasint,omitempty"`
-	// Print is the fingerprint of the caller's request, whatever version is asked.
-	Print poison.Fingerprint `cbor:"17,keyasint,omitempty"`
+	AtMostOnce bool   `cbor:"16,keyasint,omitempty"`
+	Method     string `cbor:"12,keyasint"`
+	Path       string `cbor:"13,keyasint"`
+	Type       string `cbor:"14,keyasint,omitempty"`
+	Body       []byte `cbor:"15,keyasint,omitempty"`
+	// Fingerprint is the fingerprint of the caller's request, whatever version is asked.
+	Fingerprint poison.Fingerprint `cbor:"17,keyasint,omitempty"`
 }
 
 // Load is what an agent says of its backend server.
@@ -142,8 +142,8 @@
 	Failed  uint64 `cbor:"3,keyasint,omitempty" json:"failed"`
 }
 
-// AnswerHead opens an answer.
-type AnswerHead struct {
+// ResponseHead opens an answer.
+type ResponseHead struct {
 	Status int    `cbor:"1,keyasint"`
 	Type   string `cbor:"2,keyasint,omitempty"`
 }
@@ -156,8 +156,8 @@
 	Confidence float64 `cbor:"3,keyasint,omitempty" json:"confidence,omitempty"`
 }
 
-// Settings carries the configuration from one process to another.
-type Settings struct {
+// ConfigUpdate carries the configuration from one process to another.
+type ConfigUpdate struct {
 	Revision uint64 `cbor:"1,keyasint"`
 	// Base is the revision that the differences apply to; zero if Document is
 	// whole.
@@ -196,11 +196,11 @@
 	Box string `cbor:"8,keyasint,omitempty" json:"box,omitempty"`
 }
 
-// MaxMessage bounds a message in bytes.
-const MaxMessage = 8 << 20
+// MaxMessageBytes bounds a message in bytes.
+const MaxMessageBytes = 8 << 20
 
-// ErrFrame is the cause of every refusal to decode.
-var ErrFrame = eris.New("malformed frame")
+// ErrMalformedFrame is the cause of every refusal to decode.
+var ErrMalformedFrame = eris.New("malformed frame")
 
 var (
 	encMode = must(cbor.EncOptions{}.EncMode())
@@ -239,7 +239,7 @@
 		var fr Frame
 		rest, err := decMode.UnmarshalFirst(msg, &fr)
 		if err != nil {
-			return frames, errors.Join(ErrFrame, err)
+			return frames, errors.Join(ErrMalformedFrame, err)
 		}
 		if err := fr.check(); err != nil {
 			return frames, err
@@ -260,16 +260,16 @@
 		ok = fr.Head != nil && fr.Stream != 0 && fr.Seq != 0
 	case Data, End:
 		ok = fr.Stream != 0 && fr.Seq != 0
-	case Verdict, Cancel:
+	case Admission, Cancel:
 		ok = fr.Stream != 0
 	case Config:
 		ok = fr.Config != nil
-	case Beat, Offer, Want, Peers, Claim, Claimed, Bill, Taken, Billed, Suspect:
+	case Heartbeat, Offer, Want, Peers, Claim, ClaimReply, Bills, BillsBuffered, BillsStored, CrashSuspects:
 	default:
 		ok = false
 	}
 	if !ok {
-		return eris.Wrapf(ErrFrame, "kind %q", string(fr.Kind))
+		return eris.Wrapf(ErrMalformedFrame, "kind %q", string(fr.Kind))
 	}
 	return nil
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -12,16 +12,16 @@
 
 func samples() []*Frame {
 	return []*Frame{
-		{Kind: Beat, Revision: 7, Load: &Load{Running: 3, Slots: 8, Versions: []Outcome{{Version: "m@v1", Started: 9, Failed: 1}}}},
+		{Kind: Heartbeat, Revision: 7, Load: &Load{Running: 3, Slots: 8, Versions: []Outcome{{Version: "m@v1", Started: 9, Failed: 1}}}},
 		{Kind: Open, Stream: 1, Open: &Attempt{Request: "dc.1", Number: 1, Team: "t", Version: "m@v1", WaitMS: 5, Method: "POST", Path: "/", Body: []byte("{}")}},
-		{Kind: Verdict, Stream: 1, Code: result.Overloaded, RetryAfterMS: 100},
-		{Kind: Head, Stream: 1, Seq: 1, Head: &AnswerHead{Status: 200, Type: "text/event-stream"}},
+		{Kind: Admission, Stream: 1, Code: result.Overloaded, RetryAfterMS: 100},
+		{Kind: Head, Stream: 1, Seq: 1, Head: &ResponseHead{Status: 200, Type: "text/event-stream"}},
 		{Kind: Data, Stream: 1, Seq: 2, Body: []byte("data: x\n\n")},
 		{Kind: End, Stream: 1, Seq: 3, Code: result.OK, Usage: &Usage{Prompt: 1, Completion: 2}, Bills: []BillLine{{Request: "dc.1"}}},
 		{Kind: Cancel, Stream: 1},
 		{Kind: Offer, Revision: 8, Nonce: 3},
-		{Kind: Config, Config: &Settings{Revision: 8, Base: 7, Document: []byte("[]"), Digest: 1}},
-		{Kind: Suspect, Suspicions: []poison.Suspicion{{Fingerprint: poison.Fingerprint{1, 2}, Server: "s@1", SinceCrash: 1}}},
+		{Kind: Config, Config: &ConfigUpdate{Revision: 8, Base: 7, Document: []byte("[]"), Digest: 1}},
+		{Kind: CrashSuspects, Suspicions: []poison.Suspicion{{Fingerprint: poison.Fingerprint{1, 2}, Server: "s@1", SinceCrash: 1}}},
 		{Kind: Claim, Claims: []ClaimLine{{Key: "k", Value: "v", Durable: true}}},
 	}
 }
@@ -48,21 +48,21 @@
 		{Kind: Head, Stream: 1, Seq: 1},
 		{Kind: Data, Stream: 1},
 		{Kind: End, Seq: 1},
-		{Kind: Verdict},
+		{Kind: Admission},
 		{Kind: Cancel},
 		{Kind: Config},
 		{Kind: "other"},
 		{},
 	} {
 		_, err := Decode(encode(t, fr))
-		require.ErrorIs(t, err, ErrFrame, "%+v", fr)
+		require.ErrorIs(t, err, ErrMalformedFrame, "%+v", fr)
 	}
 }
 
 func TestWhatComesBeforeABrokenFrameCounts(t *testing.T) {
 	msg := append(encode(t, samples()[0]), 0xff, 0x01)
 	got, err := Decode(msg)
-	require.ErrorIs(t, err, ErrFrame)
+	require.ErrorIs(t, err, ErrMalformedFrame)
 	require.Len(t, got, 1)
 }
 
@@ -75,7 +75,7 @@
 	f.Fuzz(func(t *testing.T, msg []byte) {
 		frames, err := Decode(msg)
 		if err != nil {
-			require.ErrorIs(t, err, ErrFrame)
+			require.ErrorIs(t, err, ErrMalformedFrame)
 		}
 		again, err := Decode(encode(t, frames...))
 		require.NoError(t, err)
--- a/standin/e2e/site_test.go
+++ b/standin/e2e/site_test.go
@@ -200,7 +200,7 @@
 }
 
 func (ca *call) judge(data []byte) {
-	var pr node.Problem
+	var pr node.ErrorBody
 	if json.Unmarshal(data, &pr) == nil && pr.Error.Code != 0 {
 		ca.code, ca.run = pr.Error.Code, pr.Error.Run
 		return
