--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -1,5 +1,5 @@
-// Package agent is the process beside one backend server: the only way to it
-// and the last check before work starts on it.
+// Package agent implements the process that runs next to one backend server. All requests to the
+// server go through it, and it makes the final admission decision before work starts there.
 package agent
 
 import (
@@ -36,69 +36,69 @@
 )
 
 const (
-	// tickEvery bounds how late a deadline or a freeze is noticed.
-	tickEvery = 200 * time.Millisecond
-	// billsPerOffer bounds the lines of one frame.
-	billsPerOffer = 500
-	// billRepeat is the time after which lines are handed on again.
-	billRepeat = 20 * time.Second
-	// drainCheck is how often a planned stop looks whether all has ended.
-	drainCheck = 20 * time.Millisecond
+	// tickInterval bounds the delay until an expired deadline or a suspension of the process is
+	// detected.
+	tickInterval = 200 * time.Millisecond
+	// maxBillsPerFrame is the maximum number of bill lines in one frame.
+	maxBillsPerFrame = 500
+	// billRetryInterval is the time after which unconfirmed bill lines are sent again.
+	billRetryInterval = 20 * time.Second
+	// drainPollInterval is how often a planned stop checks whether all work has finished.
+	drainPollInterval = 20 * time.Millisecond
 )
 
-// Store is what is used of the key-value service.
+// Store is the part of the key-value service's client that the agent uses.
 type Store interface {
 	Get(ctx context.Context, key string) (kv.Pair, error)
 	List(ctx context.Context, prefix string) ([]kv.Pair, error)
 	Swap(ctx context.Context, key string, value []byte, index uint64) (bool, error)
 }
 
-// Agent runs beside one backend server. Its exported fields are set before
-// Run.
+// Agent controls the access to one backend server. Its exported fields must be set before Run.
 type Agent struct {
 	Node *node.Node
-	// Links and Admin are the open listeners.
+	// Links and Admin are the listeners for links from entries and for the admin port.
 	Links, Admin net.Listener
-	// HTTP calls the backend server.
+	// HTTP is the client for requests to the backend server.
 	HTTP *http.Client
 	// Store is the key-value service.
 	Store Store
 
-	// links numbers the links that were accepted.
-	links atomic.Uint64
+	// linkSeq is the number of links accepted so far.
+	linkSeq atomic.Uint64
 
-	// mu guards what follows. It may be taken while the node's lock is held,
-	// so nothing under it may call what takes the node's lock.
+	// mu guards the fields below. It may be acquired while the node's lock is held, so code that
+	// holds it must not call anything that acquires the node's lock.
 	mu     sync.Mutex
 	gate   gate.Gate
 	ledger bill.Ledger
 	writer bill.Writer
-	// streams holds the attempts that wait or run.
+	// streams holds the attempts that are queued or running.
 	streams map[gate.Key]*stream
-	// leader is the entry that decides on roll-outs for the data centre.
+	// leader is the box of the entry that controls the roll-outs of the data centre.
 	leader string
-	// outcomes counts the ended attempts of each version.
+	// outcomes counts the finished attempts by version.
 	outcomes map[string]*wire.Outcome
-	// logs holds the claim logs that this agent is home to, by shard.
+	// logs holds the claim logs that this agent currently manages, by shard.
 	logs map[int]*claim.Log
-	// reconciler gives orders to the backend server.
+	// reconciler decides which versions the backend server must load or unload.
 	reconciler order.Reconciler
-	// wake has room for one word that a log may have something to do.
-	wake chan struct{}
-	// dispatched knows what the server got lately, cases which requests it answered and lived
-	// on.
+	// claimsReady signals that a claim log may have an operation to execute. Its capacity is one.
+	claimsReady chan struct{}
+	// dispatched tracks the attempts recently sent to the server, and detector the requests that
+	// the server answered completely and survived.
 	dispatched poison.Runs
-	cases      poison.Detector
-	// blocked holds what entries have blocked, and when one of them last said so.
+	detector   poison.Detector
+	// blocked holds the requests that entries block, with the time of the latest report.
 	blocked map[poison.Fingerprint]time.Time
-	// leavingProbed is when a server that announced its shutdown was last asked whether its next
-	// life has begun.
-	leavingProbed time.Time
-	// nonce is the newest question that confirms the configuration.
+	// lastRestartProbe is when a server that announced its shutdown was last probed for a restart.
+	lastRestartProbe time.Time
+	// nonce identifies the latest revision request whose answer can confirm the configuration; zero
+	// if none is pending.
 	nonce uint64
 }
 
-// Run serves until the context ends, and then ends all work in progress.
+// Run serves until the context is cancelled, and then drains the work in progress.
 func (ag *Agent) Run(ctx context.Context) error {
 	ag.prepare()
 	work, stopWork := context.WithCancel(context.WithoutCancel(ctx))
@@ -125,14 +125,14 @@
 func (ag *Agent) prepare() {
 	se := ag.Node.Settings
 	ag.gate = gate.Gate{Server: se.Server.Name, MaxQueued: se.Limits.Queue}
-	ag.ledger = bill.Ledger{Bound: se.Limits.Bills, Grace: ownGrace, Every: billRepeat}
+	ag.ledger = bill.Ledger{Bound: se.Limits.Bills, Grace: billGracePeriod, Every: billRetryInterval}
 	ag.writer = bill.Writer{Flush: se.Limits.BillFlush(), Bound: se.Limits.Bills}
 	ag.streams = map[gate.Key]*stream{}
 	ag.reconciler = order.Reconciler{Holder: se.Box + "/" + uuid.NewString()}
 	ag.logs = map[int]*claim.Log{}
-	ag.wake = make(chan struct{}, 1)
+	ag.claimsReady = make(chan struct{}, 1)
 	ag.outcomes = map[string]*wire.Outcome{}
-	ag.Node.OnAdopt = ag.adopted
+	ag.Node.OnAdopt = ag.applyConfig
 	ag.Node.Fanout = replica.AgentFanout
 }
 
@@ -146,7 +146,7 @@
 	return node.ServeHTTP(ctx, ag.Admin, ag.Node.AdminRouter(), time.Second)
 }
 
-// accept serves one link until it ends.
+// accept accepts a link and serves it until it is closed.
 func (ag *Agent) accept(ctx context.Context, w http.ResponseWriter, r *http.Request) {
 	li, err := link.Accept(w, r, ag.Node.Identity(), time.Now())
 	if err != nil {
@@ -154,21 +154,21 @@
 		return
 	}
 	li.Handler = ag
-	li.Name = fmt.Sprintf("%s#%d", li.Peer.Box(), ag.links.Add(1))
+	li.Name = fmt.Sprintf("%s#%d", li.Peer.Box(), ag.linkSeq.Add(1))
 	li.HeartbeatInterval = ag.Node.Settings.Limits.Heartbeat()
 	ag.Node.AddLink(li)
-	ag.tellPeers()
-	ag.question(li)
+	ag.broadcastPeers()
+	ag.requestRevision(li)
 	li.Send(ag.Heartbeat(li))
 	err = li.Run(ctx)
-	ag.cutStreams(li)
+	ag.cancelLinkStreams(li)
 	ag.Node.RemoveLink(li, err)
-	ag.tellPeers()
+	ag.broadcastPeers()
 }
 
-// tellPeers tells every entry which entries of this data centre are connected
-// here.
-func (ag *Agent) tellPeers() {
+// broadcastPeers sends every connected entry the list of the entries of this data centre that are
+// connected here, and elects the leader among them.
+func (ag *Agent) broadcastPeers() {
 	links := ag.Node.Links()
 	boxes := make([]string, 0, len(links))
 	for _, li := range links {
@@ -184,9 +184,9 @@
 	}
 }
 
-// question asks a peer for its revision, so that the answer is younger than
-// any freeze of this process.
-func (ag *Agent) question(li *link.Link) {
+// requestRevision asks a peer for its revision. The nonce in the answer shows that it was sent after
+// this process had been suspended.
+func (ag *Agent) requestRevision(li *link.Link) {
 	ag.mu.Lock()
 	if ag.nonce == 0 {
 		ag.nonce = rand.Uint64() | 1
@@ -196,8 +196,8 @@
 	li.Send(&wire.Frame{Kind: wire.Want, Revision: ag.Node.Snapshot().Revision(), Nonce: nonce})
 }
 
-// Heartbeat returns the heartbeat for an entry. The entry that leads the data
-// centre gets the outcomes too.
+// Heartbeat returns the heartbeat for an entry. The data centre's leader also gets the outcomes of
+// attempts.
 func (ag *Agent) Heartbeat(li *link.Link) *wire.Frame {
 	ag.mu.Lock()
 	defer ag.mu.Unlock()
@@ -207,69 +207,70 @@
 			lo.Versions = append(lo.Versions, *ou)
 		}
 	}
-	return &wire.Frame{Kind: wire.Heartbeat, Revision: ag.gate.Revision(), Load: &lo, Fingerprints: ag.soundOf()}
+	return &wire.Frame{Kind: wire.Heartbeat, Revision: ag.gate.Revision(), Load: &lo, Fingerprints: ag.harmlessBlocked()}
 }
 
-// load returns the load; the lock is held.
+// load returns the current load. The caller holds ag.mu.
 func (ag *Agent) load() wire.Load {
 	lo := ag.gate.Load()
 	lo.Leaving = lo.Leaving || ag.Node.Stopping()
 	return lo
 }
 
-// HandleFrame takes a frame from an entry.
+// HandleFrame handles a frame from an entry.
 func (ag *Agent) HandleFrame(li *link.Link, fr *wire.Frame) {
 	if ag.Node.HandleConfigFrame(li, fr) {
-		ag.confirm(fr)
+		ag.confirmConfig(fr)
 		return
 	}
 	switch fr.Kind {
 	case wire.Heartbeat:
-		ag.billed(fr.Bills)
-		ag.hearBlocked(fr.Fingerprints, clock.Now())
+		ag.billsStored(fr.Bills)
+		ag.recordBlocked(fr.Fingerprints, clock.Now())
 	case wire.Open:
-		ag.open(li, fr)
+		ag.openStream(li, fr)
 	case wire.Cancel:
-		ag.cancel(gate.Key{Link: li.Name, Stream: fr.Stream})
+		ag.cancelStream(gate.Key{Link: li.Name, Stream: fr.Stream})
 	case wire.Claim:
-		ag.takeClaims(li, fr.Claims)
+		ag.handleClaims(li, fr.Claims)
 	case wire.Bills:
 		ag.mu.Lock()
 		ag.writer.Take(li.Peer.Box(), fr.Bills, time.Now())
 		ag.mu.Unlock()
 	case wire.BillsStored:
-		ag.billed(fr.Bills)
+		ag.billsStored(fr.Bills)
 	}
 }
 
-func (ag *Agent) billed(lines []wire.BillLine) {
+func (ag *Agent) billsStored(lines []wire.BillLine) {
 	ag.mu.Lock()
 	defer ag.mu.Unlock()
 	ag.ledger.Durable(lines)
 }
 
-// confirm takes the answer to the newest question.
-func (ag *Agent) confirm(fr *wire.Frame) {
+// confirmConfig handles the answer to the latest revision request and ignores all others.
+func (ag *Agent) confirmConfig(fr *wire.Frame) {
 	ag.mu.Lock()
 	defer ag.mu.Unlock()
 	if fr.Kind != wire.Offer || fr.Nonce == 0 || fr.Nonce != ag.nonce {
 		return
 	}
-	ag.act(ag.gate.Confirm(fr.Revision, clock.Now()))
+	ag.apply(ag.gate.Confirm(fr.Revision, clock.Now()))
 	if ag.gate.Confirmed() {
 		ag.nonce = 0
 	}
 }
 
-// adopted takes a revision into force; the node's lock is held.
-func (ag *Agent) adopted(sn *config.Snapshot) {
+// applyConfig applies a new revision of the configuration to the gate. The caller holds the node's
+// lock.
+func (ag *Agent) applyConfig(sn *config.Snapshot) {
 	ag.mu.Lock()
 	defer ag.mu.Unlock()
-	ag.act(ag.gate.Reconfigure(sn, clock.Now()))
+	ag.apply(ag.gate.Reconfigure(sn, clock.Now()))
 }
 
-// count notes an outcome; the lock is held.
-func (ag *Agent) count(version string, co result.Code) {
+// countOutcome counts the outcome of an attempt. The caller holds ag.mu.
+func (ag *Agent) countOutcome(version string, co result.Code) {
 	ou := ag.outcomes[version]
 	if ou == nil {
 		ou = &wire.Outcome{Version: version}
@@ -281,42 +282,44 @@
 	}
 }
 
-// tick refuses what is too late, notices a freeze and hands bills on.
+// tick periodically refuses attempts whose deadlines have passed, detects a suspension of the process
+// and sends due bill lines.
 func (ag *Agent) tick(ctx context.Context) error {
-	return node.Every(ctx, tickEvery, func(now time.Time) {
+	return node.Every(ctx, tickInterval, func(now time.Time) {
 		ag.Node.Tick(now)
 		ag.mu.Lock()
-		ag.act(ag.gate.Tick(clock.Now()))
-		ag.settleRuns(ctx, clock.Now())
-		ag.probeLeaving(ctx, clock.Now())
+		ag.apply(ag.gate.Tick(clock.Now()))
+		ag.updateRuns(ctx, clock.Now())
+		ag.startRestartProbe(ctx, clock.Now())
 		confirmed := ag.gate.Confirmed()
 		ag.mu.Unlock()
 		if !confirmed {
-			ag.questionAll()
+			ag.requestRevisions()
 		}
-		ag.offerBills(now)
+		ag.sendDueBills(now)
 	})
 }
 
-func (ag *Agent) questionAll() {
+func (ag *Agent) requestRevisions() {
 	for _, li := range ag.Node.Links() {
-		ag.question(li)
+		ag.requestRevision(li)
 	}
 }
 
-// drain ends all work in progress and hands the bills on.
+// drain refuses new work, waits for running attempts to finish and sends the remaining bill lines, for
+// at most the stop limit of the settings.
 func (ag *Agent) drain() {
 	ag.Node.Stop()
 	ag.mu.Lock()
 	ag.ledger.MakeDue(time.Now())
-	ag.act(ag.gate.Leave(clock.Now()))
+	ag.apply(ag.gate.Leave(clock.Now()))
 	ag.mu.Unlock()
 	for _, li := range ag.Node.Links() {
 		li.Send(ag.Heartbeat(li))
 	}
 	until := time.Now().Add(ag.Node.Settings.Limits.Stop())
 	for !ag.drained() && time.Now().Before(until) {
-		time.Sleep(drainCheck)
+		time.Sleep(drainPollInterval)
 	}
 }
 
--- a/internal/agent/bills.go
+++ b/internal/agent/bills.go
@@ -13,22 +13,22 @@
 )
 
 const (
-	// writeCheck is how often the writer looks for a batch that is due.
-	writeCheck = 250 * time.Millisecond
-	// ownGrace is how long the entry of a request has to hand its line on
-	// before the agent does so too.
-	ownGrace = 30 * time.Second
+	// billWriteInterval is how often the agent checks for batches that are due.
+	billWriteInterval = 250 * time.Millisecond
+	// billGracePeriod is the time that the entry of a request has to deliver its bill line before the
+	// agent delivers it as well.
+	billGracePeriod = 30 * time.Second
 )
 
-// offerBills hands lines that nobody has confirmed to some entry, which finds
-// the writer. The entry of the request does so first; this is for its loss.
-func (ag *Agent) offerBills(now time.Time) {
+// sendDueBills sends unconfirmed bill lines to a random entry, which forwards them to the writer.
+// Normally the entry of the request delivers them first; this covers the loss of that entry.
+func (ag *Agent) sendDueBills(now time.Time) {
 	links := ag.Node.Links()
 	if len(links) == 0 {
 		return
 	}
 	ag.mu.Lock()
-	lines := ag.ledger.Due(billsPerOffer, now)
+	lines := ag.ledger.Due(maxBillsPerFrame, now)
 	ag.mu.Unlock()
 	if len(lines) > 0 {
 		li := links[rand.IntN(len(links))]
@@ -36,12 +36,12 @@
 	}
 }
 
-// writeBills writes the batches that this agent gathers for its data centre.
+// writeBills writes the batches that this agent collects for its data centre.
 func (ag *Agent) writeBills(ctx context.Context) error {
-	return node.Every(ctx, writeCheck, func(time.Time) { ag.writeDue(ctx) })
+	return node.Every(ctx, billWriteInterval, func(time.Time) { ag.writeDueBills(ctx) })
 }
 
-func (ag *Agent) writeDue(ctx context.Context) {
+func (ag *Agent) writeDueBills(ctx context.Context) {
 	for {
 		ag.mu.Lock()
 		wr, ok := ag.writer.Due(time.Now(), ag.Node.Stopping())
@@ -50,14 +50,16 @@
 			return
 		}
 		err := bill.Save(ctx, ag.Store, wr)
-		ag.written(wr, err)
+		ag.billsWritten(wr, err)
 		if err != nil {
 			return
 		}
 	}
 }
 
-func (ag *Agent) written(wr bill.Write, err error) {
+// billsWritten records the result of a write and notifies the peers that sent the lines: they are
+// durable, or buffered in memory here.
+func (ag *Agent) billsWritten(wr bill.Write, err error) {
 	if err != nil {
 		ag.Node.Record(timeline.Entry{Event: event.BillHeld, Detail: wr.Key() + ": " + err.Error()})
 	} else {
--- a/internal/agent/blocked.go
+++ b/internal/agent/blocked.go
@@ -9,12 +9,14 @@
 	"github.com/linnetrudder/linnetrudder/internal/poison"
 )
 
-// blockedKept is how long a request counts as blocked after an entry last said so, some beats.
-const blockedKept = 5 * time.Second
+// blockedTTL is how long a request counts as blocked after the latest report from an entry; it spans
+// several heartbeats.
+const blockedTTL = 5 * time.Second
 
-// hearBlocked takes what an entry has blocked. Only the agent sees whether its server lives on
-// after an answer; without its word entries refused for five minutes what all callers asked alike.
-func (ag *Agent) hearBlocked(prints []poison.Fingerprint, now time.Time) {
+// recordBlocked records the requests that an entry blocks. Only the agent can observe whether its
+// server stays up after an answer. Without its report, entries refused a harmless request that all
+// callers sent alike for five minutes.
+func (ag *Agent) recordBlocked(prints []poison.Fingerprint, now time.Time) {
 	ag.mu.Lock()
 	defer ag.mu.Unlock()
 	if ag.blocked == nil {
@@ -25,35 +27,35 @@
 	}
 }
 
-// soundOf returns the blocked requests that the server has answered and lived on; the lock is
-// held.
-func (ag *Agent) soundOf() []poison.Fingerprint {
-	var sound []poison.Fingerprint
+// harmlessBlocked returns the blocked requests that the server answered completely and survived. The
+// caller holds ag.mu.
+func (ag *Agent) harmlessBlocked() []poison.Fingerprint {
+	var harmless []poison.Fingerprint
 	for pr := range ag.blocked {
-		if ag.cases.IsHarmless(pr) {
-			sound = append(sound, pr)
+		if ag.detector.IsHarmless(pr) {
+			harmless = append(harmless, pr)
 		}
 	}
-	return sound
+	return harmless
 }
 
-// settleRuns notes what the server has answered and lived on, and asks it where that is not known
-// of a blocked request. The lock is held.
-func (ag *Agent) settleRuns(ctx context.Context, now time.Time) {
-	maps.DeleteFunc(ag.blocked, func(_ poison.Fingerprint, said time.Time) bool { return now.Sub(said) >= blockedKept })
-	ag.cases.Update(&ag.dispatched, now)
+// updateRuns marks the requests as harmless that the server answered completely and survived. If that
+// is unknown for a blocked request, it checks whether the server is up. The caller holds ag.mu.
+func (ag *Agent) updateRuns(ctx context.Context, now time.Time) {
+	maps.DeleteFunc(ag.blocked, func(_ poison.Fingerprint, reported time.Time) bool { return now.Sub(reported) >= blockedTTL })
+	ag.detector.Update(&ag.dispatched, now)
 	isBlocked := func(pr poison.Fingerprint) bool { return !ag.blocked[pr].IsZero() }
 	if len(ag.dispatched.Unconfirmed(isBlocked, now)) > 0 {
-		go ag.proveAlive(ctx)
+		go ag.checkServerAlive(ctx)
 	}
 }
 
-// proveAlive notes that the server lives if it takes a connection.
-func (ag *Agent) proveAlive(ctx context.Context) {
-	if !ag.listens(ctx) {
+// checkServerAlive records that the server is up if it accepts a connection.
+func (ag *Agent) checkServerAlive(ctx context.Context) {
+	if !ag.isListening(ctx) {
 		return
 	}
 	ag.mu.Lock()
 	defer ag.mu.Unlock()
-	ag.dispatched.Alive(ag.server(), clock.Now())
+	ag.dispatched.Alive(ag.serverName(), clock.Now())
 }
--- a/internal/agent/claims.go
+++ b/internal/agent/claims.go
@@ -12,57 +12,57 @@
 )
 
 const (
-	// claimCheck bounds how late a waiting claim is answered; claimRest is the
-	// pause while no log is in use, for an idle process should stay idle.
-	claimCheck = 25 * time.Millisecond
-	claimRest  = time.Second
-	// claimPatience is how long a claim waits to become durable.
-	claimPatience = 2 * time.Second
-	// sessionWait is how long the start of a session waits for its claim to
-	// become durable; after that the home's memory counts.
-	sessionWait = 150 * time.Millisecond
-	// logIdle is how long a log that nobody uses is kept in memory.
-	logIdle = 10 * time.Minute
+	// claimInterval bounds the delay of the answer to a pending claim. idleClaimInterval is used
+	// while no log is active, so that an idle process uses little CPU time.
+	claimInterval     = 25 * time.Millisecond
+	idleClaimInterval = time.Second
+	// claimTimeout is how long a claim may take to become durable.
+	claimTimeout = 2 * time.Second
+	// sessionClaimTimeout is how long the start of a session waits for its claim to become durable.
+	// After that, the claim held in the memory of the log's home agent is used.
+	sessionClaimTimeout = 150 * time.Millisecond
+	// logIdleTimeout is how long an unused log stays in memory.
+	logIdleTimeout = 10 * time.Minute
 )
 
-// takeClaims hands an entry's claims to their logs.
-func (ag *Agent) takeClaims(li *link.Link, lines []wire.ClaimLine) {
+// handleClaims adds an entry's claims to their logs.
+func (ag *Agent) handleClaims(li *link.Link, lines []wire.ClaimLine) {
 	now := time.Now()
 	var res []claim.Reply
 	ag.mu.Lock()
 	for _, cl := range lines {
-		lo := ag.log(claim.Shard(cl.Key))
+		lo := ag.claimLog(claim.Shard(cl.Key))
 		if cl.Release {
 			lo.Release(cl, now)
 			continue
 		}
-		res = append(res, lo.Claim(li.Peer.Box(), cl, sessionWait, now)...)
+		res = append(res, lo.Claim(li.Peer.Box(), cl, sessionClaimTimeout, now)...)
 	}
 	ag.mu.Unlock()
-	ag.replyClaims(res)
-	ag.wakeClaims()
+	ag.sendClaimReplies(res)
+	ag.signalClaims()
 }
 
-// log returns the log of a shard; the lock is held.
-func (ag *Agent) log(shard int) *claim.Log {
+// claimLog returns the log of a shard and creates it if needed. The caller holds ag.mu.
+func (ag *Agent) claimLog(shard int) *claim.Log {
 	lo := ag.logs[shard]
 	if lo == nil {
 		flush := ag.Node.Settings.Limits.ClaimFlush()
-		lo = &claim.Log{Shard: shard, Flush: flush, Patience: claimPatience}
+		lo = &claim.Log{Shard: shard, Flush: flush, Patience: claimTimeout}
 		ag.logs[shard] = lo
 	}
 	return lo
 }
 
-func (ag *Agent) wakeClaims() {
+func (ag *Agent) signalClaims() {
 	select {
-	case ag.wake <- struct{}{}:
+	case ag.claimsReady <- struct{}{}:
 	default:
 	}
 }
 
-// replyClaims answers; the lock is not held.
-func (ag *Agent) replyClaims(res []claim.Reply) {
+// sendClaimReplies sends the replies to their entries. The caller must not hold ag.mu.
+func (ag *Agent) sendClaimReplies(res []claim.Reply) {
 	for _, re := range res {
 		if li := ag.Node.Link(re.Peer()); li != nil {
 			li.Send(&wire.Frame{Kind: wire.ClaimReply, Claims: []wire.ClaimLine{re.Line()}})
@@ -70,48 +70,47 @@
 	}
 }
 
-// serveClaims makes the calls that the logs need, one at a time for each log.
+// serveClaims executes the store operations of the claim logs, one at a time per log.
 func (ag *Agent) serveClaims(ctx context.Context) error {
-	ti := time.NewTimer(claimRest)
+	ti := time.NewTimer(idleClaimInterval)
 	defer ti.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-ti.C:
-		case <-ag.wake:
+		case <-ag.claimsReady:
 		}
-		if ag.stepClaims(ctx, time.Now()) {
-			ti.Reset(claimCheck)
+		if ag.advanceClaims(ctx, time.Now()) {
+			ti.Reset(claimInterval)
 		} else {
-			ti.Reset(claimRest)
+			ti.Reset(idleClaimInterval)
 		}
 	}
 }
 
-// stepClaims makes the calls that are due. It reports whether any log has
-// something under way.
-func (ag *Agent) stepClaims(ctx context.Context, now time.Time) bool {
+// advanceClaims starts the store operations that are due. It reports whether any log is active.
+func (ag *Agent) advanceClaims(ctx context.Context, now time.Time) bool {
 	var res []claim.Reply
 	active := false
 	ag.mu.Lock()
 	for shard, lo := range ag.logs {
 		res = append(res, lo.Tick(now)...)
 		if op, ok := lo.Next(now); ok {
-			go ag.callClaims(ctx, lo, op)
+			go ag.executeClaimOp(ctx, lo, op)
 		}
 		active = active || lo.Active()
-		if lo.Idle(now.Add(-logIdle)) {
+		if lo.Idle(now.Add(-logIdleTimeout)) {
 			delete(ag.logs, shard)
 		}
 	}
 	ag.mu.Unlock()
-	ag.replyClaims(res)
+	ag.sendClaimReplies(res)
 	return active
 }
 
-// callClaims makes one call for a log and hands the answer back.
-func (ag *Agent) callClaims(ctx context.Context, lo *claim.Log, op claim.Op) {
+// executeClaimOp executes one store operation for a log and gives the log its result.
+func (ag *Agent) executeClaimOp(ctx context.Context, lo *claim.Log, op claim.Op) {
 	var res []claim.Reply
 	var err error
 	switch op.Call() {
@@ -128,15 +127,15 @@
 		res = lo.Read(pair, err, time.Now())
 		ag.mu.Unlock()
 	case claim.Swap:
-		made, swapErr := ag.Store.Swap(ctx, op.Key(), op.Value(), op.Index())
+		swapped, swapErr := ag.Store.Swap(ctx, op.Key(), op.Value(), op.Index())
 		err = swapErr
 		ag.mu.Lock()
-		res = lo.Swapped(made, err, time.Now())
+		res = lo.Swapped(swapped, err, time.Now())
 		ag.mu.Unlock()
 	}
 	if err != nil {
 		ag.Node.Record(timeline.Entry{Event: event.StoreCallFailed, Detail: err.Error()})
 	}
-	ag.replyClaims(res)
-	ag.wakeClaims()
+	ag.sendClaimReplies(res)
+	ag.signalClaims()
 }
--- a/internal/agent/crash.go
+++ b/internal/agent/crash.go
@@ -16,25 +16,26 @@
 	"github.com/linnetrudder/linnetrudder/internal/wire"
 )
 
-// reachTimeout bounds the question whether the server still listens: it is on the same box.
-const reachTimeout = 200 * time.Millisecond
+// reachabilityTimeout bounds the check whether the server still accepts connections. It can be short
+// because the server is on the same box.
+const reachabilityTimeout = 200 * time.Millisecond
 
-// begin notes that the attempt is sent to the server.
-func (ru *run) begin() {
+// recordSent records that the attempt is sent to the server.
+func (ru *run) recordSent() {
 	ru.ag.mu.Lock()
 	defer ru.ag.mu.Unlock()
-	ru.sent = ru.ag.dispatched.Sent(ru.ag.server(), ru.at.Fingerprint, ru.at.Request, clock.Now())
+	ru.sent = ru.ag.dispatched.Sent(ru.ag.serverName(), ru.at.Fingerprint, ru.at.Request, clock.Now())
 }
 
-// answered notes that its answer began.
-func (ru *run) answered() {
+// recordAnswered records that the server started to answer the attempt.
+func (ru *run) recordAnswered() {
 	ru.ag.mu.Lock()
 	defer ru.ag.mu.Unlock()
 	ru.ag.dispatched.Answered(ru.sent, clock.Now())
 }
 
-// settle notes how the attempt ended, and finds out whether the server has ended with it.
-func (ru *run) settle(ctx context.Context, co result.Code) {
+// recordEnd records the outcome of the attempt and checks whether the server crashed during it.
+func (ru *run) recordEnd(ctx context.Context, co result.Code) {
 	if ru.sent == nil {
 		return
 	}
@@ -44,27 +45,28 @@
 		ru.sent.MarkUnsent()
 	}
 	ru.sent.Finish(co == result.OK, now)
-	if ru.broke {
-		ag.dispatched.Disconnected(ag.server(), now)
+	if ru.connBroken {
+		ag.dispatched.Disconnected(ag.serverName(), now)
 	}
 	ag.mu.Unlock()
 	switch {
 	case ctx.Err() != nil:
-	case ru.refused, ru.broke && !ag.listens(ctx):
-		ag.serverEnded(now)
-	case ru.broke:
+	case ru.connRefused, ru.connBroken && !ag.isListening(ctx):
+		ag.reportCrash(now)
+	case ru.connBroken:
 		ag.mu.Lock()
 		defer ag.mu.Unlock()
-		ag.dispatched.Alive(ag.server(), clock.Now())
+		ag.dispatched.Alive(ag.serverName(), clock.Now())
 	}
 }
 
-// server names the one server of this agent among what it got.
-func (ag *Agent) server() string { return ag.Node.Settings.Server.Name }
+// serverName returns the name of this agent's backend server, the key of its tracked attempts.
+func (ag *Agent) serverName() string { return ag.Node.Settings.Server.Name }
 
-// listens reports whether the server still takes connections.
-func (ag *Agent) listens(ctx context.Context) bool {
-	ctx, cancel := context.WithTimeout(ctx, reachTimeout)
+// isListening reports whether the server still accepts connections. Only a refused connection counts
+// as a crash; other errors, such as a timeout, don't.
+func (ag *Agent) isListening(ctx context.Context) bool {
+	ctx, cancel := context.WithTimeout(ctx, reachabilityTimeout)
 	defer cancel()
 	var di net.Dialer
 	conn, err := di.DialContext(ctx, "tcp", ag.Node.Settings.Server.Address)
@@ -77,22 +79,23 @@
 	return true
 }
 
-// serverEnded tells all connected entries which requests may have ended the server, once.
-func (ag *Agent) serverEnded(now time.Time) {
+// reportCrash sends all connected entries the requests that may have crashed the server, once per
+// crash.
+func (ag *Agent) reportCrash(now time.Time) {
 	ag.mu.Lock()
-	suspects, at := ag.dispatched.Crashed(ag.server(), now)
-	life := ag.server() + "@" + strconv.FormatInt(clock.Day().UnixMilli(), 36)
+	suspects, at := ag.dispatched.Crashed(ag.serverName(), now)
+	instance := ag.serverName() + "@" + strconv.FormatInt(clock.Day().UnixMilli(), 36)
 	var list []poison.Suspicion
 	for _, ru := range suspects {
-		if !ru.Fingerprint().IsZero() && !ag.cases.IsHarmless(ru.Fingerprint()) {
-			list = append(list, ru.Suspicion(life, at, now))
+		if !ru.Fingerprint().IsZero() && !ag.detector.IsHarmless(ru.Fingerprint()) {
+			list = append(list, ru.Suspicion(instance, at, now))
 		}
 	}
 	ag.mu.Unlock()
 	if len(suspects) == 0 {
 		return
 	}
-	ag.Node.Record(timeline.Entry{Event: event.ServerEnded, Detail: life + ", suspects: " + strconv.Itoa(len(list))})
+	ag.Node.Record(timeline.Entry{Event: event.ServerEnded, Detail: instance + ", suspects: " + strconv.Itoa(len(list))})
 	for _, li := range ag.Node.Links() {
 		li.Send(&wire.Frame{Kind: wire.CrashSuspects, Suspicions: list})
 	}
--- a/internal/agent/orders.go
+++ b/internal/agent/orders.go
@@ -16,35 +16,35 @@
 	"github.com/linnetrudder/linnetrudder/internal/timeline"
 )
 
-// orderCheck is how often the server is compared with the configuration.
-const orderCheck = 500 * time.Millisecond
+// reconcileInterval is how often the server's loaded versions are compared with the configuration.
+const reconcileInterval = 500 * time.Millisecond
 
-// ordersPath is where a model engine takes orders and says what it holds.
+// ordersPath is the path at which a model engine accepts orders and reports its loaded versions.
 const ordersPath = "/orders"
 
-// orderBody is an order as the engine takes it.
+// orderBody is the JSON body of an order to the engine.
 type orderBody struct {
 	Do      order.Do `json:"do"`
 	Version string   `json:"version"`
 	Fence   uint64   `json:"fence"`
 }
 
-// heldBody is what the engine says that it holds.
-type heldBody struct {
+// loadedBody is the engine's report of its loaded versions.
+type loadedBody struct {
 	Versions []string `json:"versions"`
 }
 
-// reconcileVersions lets the backend server hold what the configuration says, if
-// the configuration leaves that to the system.
+// reconcileVersions keeps the loaded versions of the backend server in line with the configuration, if
+// the configuration enables orders for the server.
 func (ag *Agent) reconcileVersions(ctx context.Context) error {
-	return node.Every(ctx, orderCheck, func(time.Time) {
-		for ag.orderOnce(ctx) {
+	return node.Every(ctx, reconcileInterval, func(time.Time) {
+		for ag.reconcileOnce(ctx) {
 		}
 	})
 }
 
-// orderOnce does one thing. It reports whether there may be another.
-func (ag *Agent) orderOnce(ctx context.Context) bool {
+// reconcileOnce executes the next action, if any. It reports whether there may be another.
+func (ag *Agent) reconcileOnce(ctx context.Context) bool {
 	sn := ag.Node.Snapshot()
 	if sn == nil {
 		return false
@@ -53,27 +53,27 @@
 	if se == nil || !se.Orders || ag.Node.Stopping() {
 		return false
 	}
-	ac, ok := ag.nextOrder(se)
+	ac, ok := ag.nextAction(se)
 	if ok {
-		ag.doOrder(ctx, ac)
+		ag.execute(ctx, ac)
 	}
 	return ok
 }
 
-// nextOrder returns what to do next for the server, if anything. One that announced its shutdown gets
+// nextAction returns the next action for the server, if any. A server that announced its shutdown gets
 // no orders.
-func (ag *Agent) nextOrder(se *config.Server) (order.Action, bool) {
+func (ag *Agent) nextAction(se *config.Server) (order.Action, bool) {
 	ag.mu.Lock()
 	defer ag.mu.Unlock()
 	ag.reconciler.Want(se.Versions)
 	if ag.gate.ServerLeaving() {
 		return order.Action{}, false
 	}
-	return ag.reconciler.Next(ag.runs, time.Now())
+	return ag.reconciler.Next(ag.isRunning, time.Now())
 }
 
-// runs reports whether work of a version is in progress; the lock is held.
-func (ag *Agent) runs(version string) bool {
+// isRunning reports whether an attempt on a version is queued or running. The caller holds ag.mu.
+func (ag *Agent) isRunning(version string) bool {
 	for _, st := range ag.streams {
 		if st.at.Version == version {
 			return true
@@ -82,22 +82,22 @@
 	return false
 }
 
-func (ag *Agent) doOrder(ctx context.Context, ac order.Action) {
+func (ag *Agent) execute(ctx context.Context, ac order.Action) {
 	key := order.Prefix + ag.Node.Settings.Server.Name
 	switch ac.Do() {
 	case order.Look:
-		held, err := ag.look(ctx)
+		loaded, err := ag.loadedVersions(ctx)
 		ag.mu.Lock()
 		defer ag.mu.Unlock()
-		ag.reconciler.Looked(held, err, time.Now())
+		ag.reconciler.Looked(loaded, err, time.Now())
 		if err == nil {
-			ag.gate.SetLoaded(held)
+			ag.gate.SetLoaded(loaded)
 		}
 	case order.Read:
 		pair, err := ag.Store.Get(ctx, key)
 		var lease order.Lease
 		if err == nil && len(pair.Value) > 0 {
-			err = eris.Wrap(json.Unmarshal(pair.Value, &lease), "lease")
+			err = eris.Wrap(json.Unmarshal(pair.Value, &lease), "decode lease")
 		}
 		ag.mu.Lock()
 		defer ag.mu.Unlock()
@@ -111,7 +111,7 @@
 		defer ag.mu.Unlock()
 		ag.reconciler.Took(err, time.Now())
 	default:
-		err := ag.send(ctx, ac)
+		err := ag.sendOrder(ctx, ac)
 		ag.Node.Record(timeline.Entry{Event: event.OrderGiven, Version: ac.Version(), Detail: string(ac.Do()) + orderOutcome(err)})
 		ag.mu.Lock()
 		defer ag.mu.Unlock()
@@ -126,18 +126,18 @@
 	return ": " + err.Error()
 }
 
-// look asks the server what it holds.
-func (ag *Agent) look(ctx context.Context) ([]string, error) {
-	var held heldBody
-	err := ag.callOrders(ctx, http.MethodGet, nil, &held)
-	return held.Versions, err
+// loadedVersions asks the server for its loaded versions.
+func (ag *Agent) loadedVersions(ctx context.Context) ([]string, error) {
+	var loaded loadedBody
+	err := ag.callOrders(ctx, http.MethodGet, nil, &loaded)
+	return loaded.Versions, err
 }
 
-// send gives an order.
-func (ag *Agent) send(ctx context.Context, ac order.Action) error {
+// sendOrder sends the server an order to load or unload a version.
+func (ag *Agent) sendOrder(ctx context.Context, ac order.Action) error {
 	body, err := json.Marshal(orderBody{Do: ac.Do(), Version: ac.Version(), Fence: ac.Lease().Fence})
 	if err != nil {
-		return eris.Wrap(err, "order")
+		return eris.Wrap(err, "encode order")
 	}
 	return ag.callOrders(ctx, http.MethodPost, body, nil)
 }
@@ -148,19 +148,19 @@
 	url := "http://" + ag.Node.Settings.Server.Address + ordersPath
 	req, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
 	if err != nil {
-		return eris.Wrap(err, "orders")
+		return eris.Wrap(err, "create orders request")
 	}
 	resp, err := ag.HTTP.Do(req)
 	if err != nil {
-		return eris.Wrap(err, "orders")
+		return eris.Wrap(err, "send orders request")
 	}
 	defer resp.Body.Close()
 	ag.applySelfReport(resp)
 	if resp.StatusCode != http.StatusOK {
-		return eris.Errorf("orders: %s", resp.Status)
+		return eris.Errorf("orders request: unexpected status %s", resp.Status)
 	}
 	if into == nil {
 		return nil
 	}
-	return eris.Wrap(json.NewDecoder(resp.Body).Decode(into), "orders")
+	return eris.Wrap(json.NewDecoder(resp.Body).Decode(into), "decode orders response")
 }
--- a/internal/agent/run.go
+++ b/internal/agent/run.go
@@ -25,38 +25,39 @@
 	"github.com/linnetrudder/linnetrudder/internal/wire"
 )
 
-// readBytes is how much of an answer one frame carries at the most.
-const readBytes = 16 << 10
+// readBufferBytes is the maximum length of the response data in one frame.
+const readBufferBytes = 16 << 10
 
-// run is one attempt on the backend server.
+// run is the execution of one attempt on the backend server.
 type run struct {
 	ag  *Agent
 	li  *link.Link
 	key gate.Key
 	at  *wire.Attempt
-	// decided is when the gate let the attempt start.
+	// decided is when the gate admitted the attempt.
 	decided time.Time
 	seq     uint32
-	// sent is what is remembered of the attempt in case the server ends; nil before it is
-	// sent.
+	// sent is the record of the attempt that is used if the server crashes; nil before the attempt
+	// is sent.
 	sent *poison.Run
-	// broke is set if the server broke the connection off, refused if nobody listened.
-	broke, refused bool
+	// connBroken is set if the connection to the server broke, connRefused if the server did not
+	// accept it.
+	connBroken, connRefused bool
 }
 
-// do runs the attempt to its end and tells the entry.
-func (ru *run) do(ctx context.Context) {
+// execute runs the attempt to its end and reports the outcome to the entry.
+func (ru *run) execute(ctx context.Context) {
 	co, us := ru.call(ctx)
 	if co != result.OK && ctx.Err() != nil {
-		// The caller or its entry went away; that says nothing of the server.
+		// The caller or its entry disconnected, so the error does not indicate a server failure.
 		co = result.Stopped
 	}
-	ru.settle(ctx, co)
+	ru.recordEnd(ctx, co)
 	var lines []wire.BillLine
 	if co == result.OK {
-		lines = []wire.BillLine{ru.bill(us)}
+		lines = []wire.BillLine{ru.addBillLine(us)}
 	}
-	lo := ru.ag.ended(ru.key, ru.at, co)
+	lo := ru.ag.finishAttempt(ru.key, ru.at, co)
 	ru.send(ctx, &wire.Frame{Kind: wire.End, Code: co, Usage: us, Bills: lines, Load: &lo, Stamp: ru.ag.Node.Stamp()})
 	metrics.Attempts.Add(result.Of(co).Name(), 1)
 	ru.ag.Node.Record(timeline.Entry{
@@ -65,26 +66,26 @@
 	})
 }
 
-// call sends the request to the backend server and passes the answer on.
+// call sends the request to the backend server and forwards the response.
 func (ru *run) call(ctx context.Context) (result.Code, *wire.Usage) {
-	req, err := ru.request(ctx)
+	req, err := ru.newRequest(ctx)
 	if err != nil {
 		return result.NotDispatched, nil
 	}
 	if gate.Stalled(ru.decided, clock.Now()) {
-		// The process was frozen after the gate decided, so what the gate knew
-		// is out of date.
+		// The process was suspended after the gate's decision, so the state that the decision was
+		// based on may be out of date.
 		return result.NotDispatched, nil
 	}
-	ru.begin()
+	ru.recordSent()
 	resp, err := ru.ag.HTTP.Do(req)
 	if err != nil {
 		co := dialCode(err)
-		ru.broke, ru.refused = co == result.ServerFailed, errors.Is(err, syscall.ECONNREFUSED)
+		ru.connBroken, ru.connRefused = co == result.ServerFailed, errors.Is(err, syscall.ECONNREFUSED)
 		return co, nil
 	}
 	defer resp.Body.Close()
-	ru.answered()
+	ru.recordAnswered()
 	ru.ag.applySelfReport(resp)
 	switch {
 	case resp.StatusCode == http.StatusTooManyRequests && ru.at.Version != "":
@@ -94,39 +95,40 @@
 	}
 	kind := resp.Header.Get("Content-Type")
 	ru.send(ctx, &wire.Frame{Kind: wire.Head, Head: &wire.ResponseHead{Status: resp.StatusCode, Type: kind}})
-	me := meter{stream: strings.HasPrefix(kind, "text/event-stream"), hideUsage: ru.at.HideUsage}
+	me := meter{streamed: strings.HasPrefix(kind, "text/event-stream"), hideUsage: ru.at.HideUsage}
 	return ru.relay(ctx, resp, &me)
 }
 
+// relay forwards the body of the response and reads its usage.
 func (ru *run) relay(ctx context.Context, resp *http.Response, me *meter) (result.Code, *wire.Usage) {
-	buf := make([]byte, readBytes)
+	buf := make([]byte, readBufferBytes)
 	for {
 		n, err := resp.Body.Read(buf)
-		if n > 0 && !ru.data(ctx, me.pass(buf[:n])) {
+		if n > 0 && !ru.sendData(ctx, me.process(buf[:n])) {
 			return result.LinkLost, nil
 		}
 		if err == nil {
 			continue
 		}
-		left, us, whole := me.finish()
-		if !errors.Is(err, io.EOF) || !whole {
-			ru.broke = true
+		remaining, us, complete := me.finish()
+		if !errors.Is(err, io.EOF) || !complete {
+			ru.connBroken = true
 			return result.ServerFailed, nil
 		}
-		if len(left) > 0 {
-			ru.data(ctx, left)
+		if len(remaining) > 0 {
+			ru.sendData(ctx, remaining)
 		}
 		return result.OK, us
 	}
 }
 
-// data passes a part on. It reports whether the attempt should go on: one
-// that may not be repeated goes on without its entry.
-func (ru *run) data(ctx context.Context, part []byte) bool {
-	if len(part) == 0 {
+// sendData forwards a chunk of the response. It reports whether the attempt should continue. An attempt
+// that must run at most once continues even if its entry is disconnected.
+func (ru *run) sendData(ctx context.Context, chunk []byte) bool {
+	if len(chunk) == 0 {
 		return true
 	}
-	return ru.send(ctx, &wire.Frame{Kind: wire.Data, Body: part}) || ru.at.AtMostOnce
+	return ru.send(ctx, &wire.Frame{Kind: wire.Data, Body: chunk}) || ru.at.AtMostOnce
 }
 
 func (ru *run) send(ctx context.Context, fr *wire.Frame) bool {
@@ -136,11 +138,11 @@
 	return ru.li.SendWait(ctx, fr)
 }
 
-func (ru *run) request(ctx context.Context) (*http.Request, error) {
+func (ru *run) newRequest(ctx context.Context) (*http.Request, error) {
 	url := "http://" + ru.ag.Node.Settings.Server.Address + ru.at.Path
 	req, err := http.NewRequestWithContext(ctx, ru.at.Method, url, bytes.NewReader(ru.at.Body))
 	if err != nil {
-		return nil, eris.Wrap(err, "backend request")
+		return nil, eris.Wrap(err, "create request to backend server")
 	}
 	if ru.at.Type != "" {
 		req.Header.Set("Content-Type", ru.at.Type)
@@ -150,8 +152,7 @@
 	return req, nil
 }
 
-// dialCode tells a server that was never reached from one that may have run
-// the request.
+// dialCode distinguishes a server that was never reached from one that may have run the request.
 func dialCode(err error) result.Code {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
@@ -160,9 +161,9 @@
 	return result.ServerFailed
 }
 
-// bill makes the line of a whole answer and holds it. If the entry of the
-// request is gone, the line is handed to another one at once.
-func (ru *run) bill(us *wire.Usage) wire.BillLine {
+// addBillLine creates the bill line of a complete response and adds it to the ledger. If the entry of
+// the request is disconnected, the line is sent to another entry immediately.
+func (ru *run) addBillLine(us *wire.Usage) wire.BillLine {
 	ag, at := ru.ag, ru.at
 	li := wire.BillLine{Request: at.Request, Step: at.Step, Team: at.Team, Version: at.Version, Kind: at.Kind, Usage: *us, Box: ag.Node.Settings.Box}
 	if at.Service != "" {
@@ -183,12 +184,12 @@
 	return li
 }
 
-// ended frees the attempt's place and returns the load after that.
-func (ag *Agent) ended(key gate.Key, at *wire.Attempt, co result.Code) wire.Load {
+// finishAttempt frees the attempt's slot and returns the resulting load.
+func (ag *Agent) finishAttempt(key gate.Key, at *wire.Attempt, co result.Code) wire.Load {
 	ag.mu.Lock()
 	defer ag.mu.Unlock()
-	ag.count(at.Version, co)
+	ag.countOutcome(at.Version, co)
 	delete(ag.streams, key)
-	ag.act(ag.gate.Ended(key, clock.Now()))
+	ag.apply(ag.gate.Ended(key, clock.Now()))
 	return ag.load()
 }
--- a/internal/agent/run_test.go
+++ b/internal/agent/run_test.go
@@ -18,9 +18,9 @@
 	"github.com/linnetrudder/linnetrudder/internal/wire"
 )
 
-// A process that is frozen between the gate's decision and the call must not
-// make the call: the version may have been withdrawn meanwhile.
-func TestADecisionFromBeforeAFreezeIsNotCarriedOut(t *testing.T) {
+// A process that is suspended between the gate's decision and the call must not make the call, since
+// the version may have been withdrawn in the meantime.
+func TestDecisionFromBeforeSuspensionIsNotExecuted(t *testing.T) {
 	calls := 0
 	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { calls++ }))
 	defer server.Close()
@@ -28,17 +28,17 @@
 		HTTP: server.Client(),
 		Node: &node.Node{Settings: settings.Settings{Server: settings.Server{Address: strings.TrimPrefix(server.URL, "http://")}}},
 	}
-	frozen := time.Now().Add(-time.Minute)
-	require.True(t, gate.Stalled(frozen, time.Now()))
-	ru := &run{ag: ag, at: &wire.Attempt{Method: http.MethodGet, Path: "/"}, decided: frozen}
+	beforeSuspension := time.Now().Add(-time.Minute)
+	require.True(t, gate.Stalled(beforeSuspension, time.Now()))
+	ru := &run{ag: ag, at: &wire.Attempt{Method: http.MethodGet, Path: "/"}, decided: beforeSuspension}
 	co, _ := ru.call(context.Background())
 	require.Equal(t, result.NotDispatched, co)
 	require.Zero(t, calls)
 }
 
-// A server that breaks an answer off and lives on has not ended then: what is sent later is
-// suspected if it ends.
-func TestAServerThatLivesAfterABreakHasNotEnded(t *testing.T) {
+// A server that breaks a response off and stays up has not crashed at that time: the requests sent
+// afterwards are suspects if it crashes later.
+func TestServerThatStaysUpAfterBrokenResponseHasNotCrashed(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }))
 	defer server.Close()
 	ag := &Agent{
@@ -48,6 +48,6 @@
 	ru := &run{ag: ag, at: &wire.Attempt{Method: http.MethodGet, Path: "/"}, decided: clock.Now()}
 	co, _ := ru.call(t.Context())
 	require.Equal(t, result.ServerFailed, co)
-	ru.settle(t.Context(), co)
+	ru.recordEnd(t.Context(), co)
 	require.False(t, ag.dispatched.IsDisconnected("s", clock.Now()))
 }
--- a/internal/agent/selfreports.go
+++ b/internal/agent/selfreports.go
@@ -15,18 +15,18 @@
 	"github.com/linnetrudder/linnetrudder/internal/timeline"
 )
 
-// selfReports names the headers by which a backend server reports about itself.
+// selfReports holds the names of the headers in which a backend server reports its state.
 var selfReports = selfreport.Headers{Limit: "X-Rate-Limit", Leaving: "X-Draining"}
 
 const (
-	// leavingProbeEvery is how often a server that announced its shutdown is asked whether its
-	// next life has begun.
-	leavingProbeEvery = time.Second
-	// leavingProbeTimeout bounds the question; the server is on the same box.
-	leavingProbeTimeout = 500 * time.Millisecond
+	// restartProbeInterval is how often a server that announced its shutdown is probed for a restart.
+	restartProbeInterval = time.Second
+	// restartProbeTimeout bounds one probe. It can be short because the server is on the same box.
+	restartProbeTimeout = 500 * time.Millisecond
 )
 
-// applySelfReport records what the server reports about itself in the head of an answer.
+// applySelfReport applies the rate limit, pause or shutdown that the server reports in the headers of
+// a response.
 func (ag *Agent) applySelfReport(resp *http.Response) {
 	re := selfReports.Decode(resp.StatusCode, resp.Header, clock.Day())
 	if re.Err != nil {
@@ -40,50 +40,52 @@
 	}
 	switch {
 	case re.RetryAfter == 0:
-		ag.act(ag.gate.Accepted(now))
+		ag.apply(ag.gate.Accepted(now))
 	case ag.gate.Pause(re.RetryAfter, now):
 		ag.Node.Record(timeline.Entry{Event: event.ServerPaused, Detail: re.RetryAfter.String()})
 	}
 	if re.Leaving {
-		ag.serverLeaves(now)
+		ag.setServerLeaving(now)
 	}
 }
 
-// applyLimit records the rate limit that the server reports, nil for none. The lock is held.
+// applyLimit applies the rate limit that the server reports, nil for none. The caller holds ag.mu.
 func (ag *Agent) applyLimit(limit *float64, now time.Time) {
 	change, acs := ag.gate.SetLimit(limit, now)
 	switch change {
 	case backpressure.Limited:
-		ag.Node.Record(timeline.Entry{Event: event.ServerLimited, Detail: strconv.FormatFloat(*limit, 'g', -1, 64) + " requests a second"})
+		ag.Node.Record(timeline.Entry{Event: event.ServerLimited, Detail: strconv.FormatFloat(*limit, 'g', -1, 64) + " requests per second"})
 	case backpressure.Unlimited:
 		ag.Node.Record(timeline.Entry{Event: event.ServerUnlimited})
 	}
-	ag.act(acs)
+	ag.apply(acs)
 }
 
-// serverLeaves refuses everything new for a server that announced its shutdown; the lock is held.
-func (ag *Agent) serverLeaves(now time.Time) {
+// setServerLeaving records that the server announced its shutdown, so new attempts are refused. The
+// caller holds ag.mu.
+func (ag *Agent) setServerLeaving(now time.Time) {
 	if ag.gate.ServerLeaving() {
 		return
 	}
 	ag.Node.Record(timeline.Entry{Event: event.ServerLeaving})
-	ag.act(ag.gate.SetServerLeaving(true, now))
+	ag.apply(ag.gate.SetServerLeaving(true, now))
 }
 
-// probeLeaving starts to ask a server that announced its shutdown whether its next life has begun,
-// at most once per leavingProbeEvery. The lock is held.
-func (ag *Agent) probeLeaving(ctx context.Context, now time.Time) {
-	if !ag.gate.ServerLeaving() || now.Sub(ag.leavingProbed) < leavingProbeEvery {
+// startRestartProbe starts a probe of a server that announced its shutdown, at most once per
+// restartProbeInterval. The caller holds ag.mu.
+func (ag *Agent) startRestartProbe(ctx context.Context, now time.Time) {
+	if !ag.gate.ServerLeaving() || now.Sub(ag.lastRestartProbe) < restartProbeInterval {
 		return
 	}
-	ag.leavingProbed = now
-	go ag.askLeaving(ctx)
+	ag.lastRestartProbe = now
+	go ag.probeRestart(ctx)
 }
 
-// askLeaving asks the server by a request that starts no work. Any answer without the announcement
-// is the next life's: the same life repeats it in all answers. No answer says nothing.
-func (ag *Agent) askLeaving(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, leavingProbeTimeout)
+// probeRestart sends the server a request that starts no work. A response without the announcement
+// comes from a restarted server, since a server repeats its announcement in all responses until it
+// exits. A missing response is not conclusive.
+func (ag *Agent) probeRestart(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, restartProbeTimeout)
 	defer cancel()
 	resp, err := ag.head(ctx)
 	if err != nil {
@@ -96,18 +98,18 @@
 	ag.mu.Lock()
 	defer ag.mu.Unlock()
 	ag.Node.Record(timeline.Entry{Event: event.ServerRestarted})
-	ag.act(ag.gate.SetServerLeaving(false, clock.Now()))
+	ag.apply(ag.gate.SetServerLeaving(false, clock.Now()))
 }
 
-// head asks the server for the head of an answer.
+// head sends the server a HEAD request.
 func (ag *Agent) head(ctx context.Context) (*http.Response, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodHead, "http://"+ag.Node.Settings.Server.Address+"/", nil)
 	if err != nil {
-		return nil, eris.Wrap(err, "ask server")
+		return nil, eris.Wrap(err, "create probe of backend server")
 	}
 	resp, err := ag.HTTP.Do(req)
 	if err != nil {
-		return nil, eris.Wrap(err, "ask server")
+		return nil, eris.Wrap(err, "probe backend server")
 	}
-	return resp, eris.Wrap(resp.Body.Close(), "ask server")
+	return resp, eris.Wrap(resp.Body.Close(), "close probe response")
 }
--- a/internal/agent/selfreports_test.go
+++ b/internal/agent/selfreports_test.go
@@ -22,8 +22,8 @@
 	"github.com/linnetrudder/linnetrudder/internal/wire"
 )
 
-// openGate returns the gate of a server with four slots and one version.
-func openGate(t *testing.T) gate.Gate {
+// newGate returns the confirmed gate of a server with four slots and one version.
+func newGate(t *testing.T) gate.Gate {
 	t.Helper()
 	doc := &config.Document{
 		Models:   []config.Model{{Name: "m"}},
@@ -41,18 +41,17 @@
 	return ga
 }
 
-// What happened: a server asked in its answers for 2 requests a second and got whatever entries
-// sent. Cause: the agent, which alone decides what starts there, took its slots from the
-// configuration and read nothing of itself in what the server answered; the same as at gateways
-// on the users' platform. Seen by the count of starts, 200 in 20 s in place of 40. It holds since the
-// agent is the only way to its server and starts attempts at the named rate alone.
-func TestAServerBehindAnAgentGetsWhatItNames(t *testing.T) {
+// The rate limit that a server reports must be enforced. An agent that took the server's capacity only
+// from the configuration and ignored the headers of its responses, as gateways did as well, started
+// 200 attempts in 20 s on a server that reported a limit of 2 requests per second, instead of 40. The
+// agent can enforce the limit alone because all requests to its server go through it.
+func TestReportedRateLimitIsEnforced(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("X-Rate-Limit", "2")
 	}))
 	defer server.Close()
 	ag := &Agent{
-		HTTP: server.Client(), gate: openGate(t),
+		HTTP: server.Client(), gate: newGate(t),
 		Node: &node.Node{Ring: &timeline.Ring{Box: "b"}, Settings: settings.Settings{Server: settings.Server{Name: "s", Address: strings.TrimPrefix(server.URL, "http://")}}},
 	}
 	resp, err := server.Client().Get(server.URL)
@@ -86,37 +85,37 @@
 	require.Error(t, selfReports.Decode(http.StatusOK, http.Header{"X-Rate-Limit": {"two"}}, now).Err)
 	_, acs := ag.gate.SetLimit(nil, now)
 	for _, ac := range acs {
-		require.Equal(t, gate.Start, ac.Kind(), "what waited")
+		require.Equal(t, gate.Start, ac.Kind(), "queued attempt")
 		require.Empty(t, ag.gate.Ended(ac.Key(), now))
 	}
 	for i := range 4 {
 		acs := ag.gate.Submit(gate.Key{Link: "m", Stream: uint64(i)}, &wire.Attempt{Team: "one", Version: "m@v1", WaitMS: 1000}, now)
-		require.Equal(t, gate.Start, acs[0].Kind(), "it names none any more")
+		require.Equal(t, gate.Start, acs[0].Kind(), "the server no longer reports a limit")
 	}
 }
 
-// reporting returns an agent before a server that answers as told, and how often the server was asked
-// to work.
-func reporting(t *testing.T, answer func(w http.ResponseWriter)) (*Agent, *atomic.Int64) {
+// newReportingAgent returns an agent whose server responds with the given handler, and the number of
+// requests that the server got, HEAD requests excluded.
+func newReportingAgent(t *testing.T, respond func(w http.ResponseWriter)) (*Agent, *atomic.Int64) {
 	t.Helper()
-	worked := &atomic.Int64{}
+	requests := &atomic.Int64{}
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Method != http.MethodHead {
-			worked.Add(1)
+			requests.Add(1)
 		}
-		answer(w)
+		respond(w)
 	}))
 	t.Cleanup(server.Close)
 	return &Agent{
-		HTTP: server.Client(), gate: openGate(t), streams: map[gate.Key]*stream{},
+		HTTP: server.Client(), gate: newGate(t), streams: map[gate.Key]*stream{},
 		Node: &node.Node{Ring: &timeline.Ring{Box: "b"}, Settings: settings.Settings{
 			Server:   settings.Server{Name: "s", Address: strings.TrimPrefix(server.URL, "http://")},
 			Platform: settings.Platform{TimeoutMS: 1000},
 		}},
-	}, worked
+	}, requests
 }
 
-// tryAttempt asks the gate for an attempt and runs it on the server if it starts.
+// tryAttempt submits an attempt to the gate and runs it on the server if it is admitted.
 func (ag *Agent) tryAttempt(t *testing.T, stream uint64, now time.Time) gate.Action {
 	t.Helper()
 	key := gate.Key{Link: "l", Stream: stream}
@@ -130,14 +129,13 @@
 	return acs[0]
 }
 
-// What happened: a server behind an agent announced its shutdown in its answers and got whatever
-// entries sent until it ended. Cause: the agent took the shutdown from the configuration alone; the
-// same as at gateways. It holds since the agent, which is the only way to its server, refuses everything
-// new from the first such answer on and says so to entries, until the server's next life answers.
-func TestLeavingServerBehindAnAgentGetsNothingNew(t *testing.T) {
+// From the first response in which its server announces a shutdown, the agent must refuse new attempts
+// and report it to entries, until the restarted server responds. An agent that took the shutdown only
+// from the configuration, as gateways did as well, sent the server attempts until it exited.
+func TestAttemptsAreRefusedWhileServerIsLeaving(t *testing.T) {
 	var leaving atomic.Bool
 	leaving.Store(true)
-	ag, worked := reporting(t, func(w http.ResponseWriter) {
+	ag, requests := newReportingAgent(t, func(w http.ResponseWriter) {
 		if leaving.Load() {
 			w.Header().Set("X-Draining", "1")
 		}
@@ -151,25 +149,25 @@
 		require.Equal(t, result.Leaving, ac.Code())
 		require.Equal(t, result.DidNotRun, result.Of(ac.Code()).Run())
 	}
-	require.EqualValues(t, 1, worked.Load())
-	require.True(t, ag.load().Leaving, "entries send it nothing")
-	ag.askLeaving(t.Context())
+	require.EqualValues(t, 1, requests.Load())
+	require.True(t, ag.load().Leaving, "entries must not send it attempts")
+	ag.probeRestart(t.Context())
 	require.True(t, ag.gate.ServerLeaving())
 
 	leaving.Store(false)
-	ag.askLeaving(t.Context())
+	ag.probeRestart(t.Context())
 	require.False(t, ag.load().Leaving)
 	require.Equal(t, gate.Start, ag.tryAttempt(t, 30, now).Kind())
-	require.EqualValues(t, 2, worked.Load())
+	require.EqualValues(t, 2, requests.Load())
 }
 
-// What happened: a server behind an agent rejected attempts and asked for a pause, and got whatever
-// entries sent. Cause: as at gateways, the pause was not remembered for the server.
-func TestPausedServerBehindAnAgentGetsNothing(t *testing.T) {
-	var shed atomic.Bool
-	shed.Store(true)
-	ag, worked := reporting(t, func(w http.ResponseWriter) {
-		if shed.Load() {
+// The pause that a server requests in a rejection must be enforced for all attempts. The agent, like
+// gateways, did not remember the pause, so the server continued to receive whatever entries sent.
+func TestAttemptsAreRefusedDuringRequestedPause(t *testing.T) {
+	var rejecting atomic.Bool
+	rejecting.Store(true)
+	ag, requests := newReportingAgent(t, func(w http.ResponseWriter) {
+		if rejecting.Load() {
 			w.Header().Set("Retry-After", "3")
 			w.WriteHeader(http.StatusTooManyRequests)
 			return
@@ -185,24 +183,24 @@
 		require.Positive(t, ac.RetryAfter())
 		require.LessOrEqual(t, ac.RetryAfter(), 3*time.Second)
 	}
-	require.EqualValues(t, 1, worked.Load())
-	require.Equal(t, 4, ag.load().Running, "entries take it for full")
+	require.EqualValues(t, 1, requests.Load())
+	require.Equal(t, 4, ag.load().Running, "entries must consider it full")
 
-	shed.Store(false)
+	rejecting.Store(false)
 	require.Equal(t, gate.Start, ag.tryAttempt(t, 40, now.Add(4*time.Second)).Kind())
-	require.EqualValues(t, 2, worked.Load())
+	require.EqualValues(t, 2, requests.Load())
 }
 
-// An agent gives a server that announced its shutdown no orders.
+// An agent does not send orders to a server that announced its shutdown.
 func TestLeavingServerGetsNoOrders(t *testing.T) {
-	ag, _ := reporting(t, func(w http.ResponseWriter) { w.Header().Set("X-Draining", "1") })
+	ag, _ := newReportingAgent(t, func(w http.ResponseWriter) { w.Header().Set("X-Draining", "1") })
 	se := &config.Server{Versions: []string{"m@v1"}}
-	ac, ok := ag.nextOrder(se)
+	ac, ok := ag.nextAction(se)
 	require.True(t, ok)
 	require.Equal(t, order.Look, ac.Do())
 	require.NoError(t, ag.callOrders(t.Context(), http.MethodPost, nil, nil))
-	require.True(t, ag.gate.ServerLeaving(), "answers to orders announce it as well")
+	require.True(t, ag.gate.ServerLeaving(), "responses to orders announce it as well")
 	ag.reconciler.Looked(nil, nil, clock.Now())
-	_, ok = ag.nextOrder(se)
+	_, ok = ag.nextAction(se)
 	require.False(t, ok)
 }
--- a/internal/agent/streams.go
+++ b/internal/agent/streams.go
@@ -14,15 +14,16 @@
 	"github.com/linnetrudder/linnetrudder/internal/wire"
 )
 
-// stream is an attempt that waits or runs.
+// stream is an attempt that is queued or running.
 type stream struct {
 	li *link.Link
 	at *wire.Attempt
-	// cancel stops a run; it is nil while the attempt waits.
+	// cancel cancels a running attempt; it is nil while the attempt is queued.
 	cancel context.CancelFunc
 }
 
-func (ag *Agent) open(li *link.Link, fr *wire.Frame) {
+// openStream submits an attempt to the gate and reports to the entry if it is queued.
+func (ag *Agent) openStream(li *link.Link, fr *wire.Frame) {
 	key := gate.Key{Link: li.Name, Stream: fr.Stream}
 	ag.mu.Lock()
 	defer ag.mu.Unlock()
@@ -31,15 +32,15 @@
 		ag.refuse(key, fr.Open, result.BillsFull, 0)
 		return
 	}
-	ag.act(ag.gate.Submit(key, fr.Open, clock.Now()))
+	ag.apply(ag.gate.Submit(key, fr.Open, clock.Now()))
 	if st := ag.streams[key]; st != nil && st.cancel == nil {
 		li.Send(&wire.Frame{Kind: wire.Admission, Stream: key.Stream, Code: result.Queued})
 		ag.Node.Record(timeline.Entry{Event: event.AttemptQueued, Request: fr.Open.Request, Team: fr.Open.Team, Version: fr.Open.Version})
 	}
 }
 
-// act carries out the gate's decisions; the lock is held.
-func (ag *Agent) act(acs []gate.Action) {
+// apply executes the gate's decisions. The caller holds ag.mu.
+func (ag *Agent) apply(acs []gate.Action) {
 	for _, ac := range acs {
 		if ac.Kind() == gate.Refuse {
 			ag.refuse(ac.Key(), ac.Attempt(), ac.Code(), ac.RetryAfter())
@@ -77,12 +78,12 @@
 	ru := &run{ag: ag, li: st.li, key: key, at: at, decided: clock.Now()}
 	go func() {
 		defer cancel()
-		ru.do(ctx)
+		ru.execute(ctx)
 	}()
 }
 
-// cancel stops an attempt that waits or runs.
-func (ag *Agent) cancel(key gate.Key) {
+// cancelStream cancels an attempt that is queued or running.
+func (ag *Agent) cancelStream(key gate.Key) {
 	ag.mu.Lock()
 	defer ag.mu.Unlock()
 	st := ag.streams[key]
@@ -98,19 +99,19 @@
 	ag.Node.Record(timeline.Entry{Event: event.AttemptCancelled, Request: st.at.Request, Version: st.at.Version})
 }
 
-// cutStreams stops the attempts of a lost link, but for those that run and
-// may not be repeated.
-func (ag *Agent) cutStreams(li *link.Link) {
+// cancelLinkStreams cancels the attempts of a lost link, except for running ones that must run at most
+// once.
+func (ag *Agent) cancelLinkStreams(li *link.Link) {
 	ag.mu.Lock()
 	ag.ledger.MakeDue(time.Now())
-	var cut []gate.Key
+	var keys []gate.Key
 	for key, st := range ag.streams {
 		if st.li == li && (st.cancel == nil || !st.at.AtMostOnce) {
-			cut = append(cut, key)
+			keys = append(keys, key)
 		}
 	}
 	ag.mu.Unlock()
-	for _, key := range cut {
-		ag.cancel(key)
+	for _, key := range keys {
+		ag.cancelStream(key)
 	}
 }
--- a/internal/agent/usage.go
+++ b/internal/agent/usage.go
@@ -7,14 +7,14 @@
 	"github.com/linnetrudder/linnetrudder/internal/wire"
 )
 
-// usageBody is the part of an engine's answer that is read here.
+// usageBody holds the fields of a model engine's response that are needed for metering.
 type usageBody struct {
 	Choices []json.RawMessage `json:"choices"`
 	Usage   *struct {
 		Prompt     int64 `json:"prompt_tokens"`
 		Completion int64 `json:"completion_tokens"`
 	} `json:"usage"`
-	// Confidence is an engine's own estimate, if it makes one.
+	// Confidence is the engine's own confidence estimate, if it reports one.
 	Confidence float64 `json:"confidence"`
 }
 
@@ -24,52 +24,51 @@
 	usageMark  = []byte(`"usage":{`)
 )
 
-// maxWhole bounds what is kept of an answer that is not streamed, to read its
-// usage; a longer one is passed on and billed by its bytes.
-const maxWhole = 4 << 20
+// maxBufferedBodyBytes is the maximum length of a response that is buffered to read its usage if it
+// is not streamed. A longer response is still forwarded, and billed by its length.
+const maxBufferedBodyBytes = 4 << 20
 
-// bytesPerToken is the rule of thumb for answers that report no usage.
+// bytesPerToken is the approximate token length that is used to bill responses without usage.
 const bytesPerToken = 4
 
-// meter reads the usage out of an answer that passes through.
+// meter extracts the token usage from a response while it is forwarded.
 type meter struct {
-	// stream is set for server-sent events.
-	stream bool
-	// hideUsage drops the event that only carries usage.
+	// streamed is set if the response is a stream of server-sent events.
+	streamed bool
+	// hideUsage drops the event that carries only usage.
 	hideUsage bool
 
-	// rest is an incomplete line of a stream, or the whole body.
-	rest  []byte
-	size  int64
-	usage *wire.Usage
-	done  bool
-	// skipBlank is set after a hidden event, until the blank line that ends it
-	// has come, which may be in another part.
+	// pending is the incomplete last line of a stream, or the body so far.
+	pending   []byte
+	bytesSeen int64
+	usage     *wire.Usage
+	sawDone   bool
+	// skipBlank is set from a dropped event until the blank line that terminates it, which may be
+	// in a later chunk.
 	skipBlank bool
 }
 
-// pass takes a part of the answer and returns what to pass on.
-func (me *meter) pass(part []byte) []byte {
-	me.size += int64(len(part))
-	if !me.stream {
-		if len(me.rest)+len(part) <= maxWhole {
-			me.rest = append(me.rest, part...)
+// process reads a chunk of the response and returns the bytes to forward.
+func (me *meter) process(chunk []byte) []byte {
+	me.bytesSeen += int64(len(chunk))
+	if !me.streamed {
+		if len(me.pending)+len(chunk) <= maxBufferedBodyBytes {
+			me.pending = append(me.pending, chunk...)
 		}
-		return bytes.Clone(part)
+		return bytes.Clone(chunk)
 	}
-	me.rest = append(me.rest, part...)
-	end := bytes.LastIndexByte(me.rest, '\n') + 1
-	lines := me.rest[:end]
+	me.pending = append(me.pending, chunk...)
+	end := bytes.LastIndexByte(me.pending, '\n') + 1
+	lines := me.pending[:end]
 	out := me.filter(lines)
-	me.rest = append([]byte(nil), me.rest[end:]...)
+	me.pending = append([]byte(nil), me.pending[end:]...)
 	return out
 }
 
-// filter reads whole lines and drops the usage event where it was not asked
-// for.
+// filter reads complete lines and drops the usage event if the caller did not request it.
 func (me *meter) filter(lines []byte) []byte {
 	if bytes.Contains(lines, doneLine) {
-		me.done = true
+		me.sawDone = true
 	}
 	if !me.skipBlank && !bytes.Contains(lines, usageMark) {
 		return lines
@@ -81,7 +80,7 @@
 			me.skipBlank = false
 			continue
 		}
-		if bytes.Contains(line, usageMark) && me.read(bytes.TrimPrefix(line, dataPrefix)) && me.hideUsage {
+		if bytes.Contains(line, usageMark) && me.readUsage(bytes.TrimPrefix(line, dataPrefix)) && me.hideUsage {
 			me.skipBlank = true
 			continue
 		}
@@ -90,9 +89,9 @@
 	return out
 }
 
-// read takes the usage from an event or body. It reports whether the event
-// carries nothing else.
-func (me *meter) read(body []byte) bool {
+// readUsage reads the usage from an event or body. It reports whether the event carries nothing but
+// usage.
+func (me *meter) readUsage(body []byte) bool {
 	var ub usageBody
 	if json.Unmarshal(body, &ub) != nil || ub.Usage == nil {
 		return false
@@ -101,18 +100,17 @@
 	return len(ub.Choices) == 0
 }
 
-// finish returns what is left to pass on, the usage, and whether the answer
-// was whole.
+// finish returns the remaining bytes to forward, the usage, and whether the response was complete.
 func (me *meter) finish() ([]byte, *wire.Usage, bool) {
-	whole := !me.stream || me.done
-	var left []byte
-	if me.stream {
-		left = me.rest
+	complete := !me.streamed || me.sawDone
+	var remaining []byte
+	if me.streamed {
+		remaining = me.pending
 	} else {
-		me.read(me.rest)
+		me.readUsage(me.pending)
 	}
 	if me.usage == nil {
-		me.usage = &wire.Usage{Completion: me.size / bytesPerToken}
+		me.usage = &wire.Usage{Completion: me.bytesSeen / bytesPerToken}
 	}
-	return left, me.usage, whole
+	return remaining, me.usage, complete
 }
--- a/internal/agent/usage_test.go
+++ b/internal/agent/usage_test.go
@@ -18,43 +18,43 @@
 	doneEvent  = "data: [DONE]\n\n"
 )
 
-// TestAStreamPassesWholeHoweverItIsCut cuts a stream at any places. The caller
-// gets every byte but the usage that it did not ask for.
-func TestAStreamPassesWholeHoweverItIsCut(t *testing.T) {
+// A stream may be split into chunks at any position. The caller gets every byte except for usage that
+// it did not request.
+func TestStreamIsForwardedCompletelyForAnyChunking(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		hide := rapid.Bool().Draw(rt, "hide")
 		stream := strings.Repeat(tokenEvent, rapid.IntRange(1, 5).Draw(rt, "tokens")) + usageEvent + doneEvent
-		me := meter{stream: true, hideUsage: hide}
+		me := meter{streamed: true, hideUsage: hide}
 		var got strings.Builder
-		for rest := stream; rest != ""; {
-			n := rapid.IntRange(1, len(rest)).Draw(rt, "part")
-			got.Write(me.pass([]byte(rest[:n])))
-			rest = rest[n:]
+		for input := stream; input != ""; {
+			n := rapid.IntRange(1, len(input)).Draw(rt, "chunk")
+			got.Write(me.process([]byte(input[:n])))
+			input = input[n:]
 		}
-		left, us, whole := me.finish()
-		got.Write(left)
+		remaining, us, complete := me.finish()
+		got.Write(remaining)
 		want := stream
 		if hide {
 			want = strings.Replace(stream, usageEvent, "", 1)
 		}
 		require.Equal(rt, want, got.String())
-		require.True(rt, whole)
+		require.True(rt, complete)
 		require.EqualValues(rt, 7, us.Prompt)
 		require.EqualValues(rt, 9, us.Completion)
 	})
 }
 
-func TestAStreamWithoutItsEndIsNotWhole(t *testing.T) {
-	me := meter{stream: true}
-	me.pass([]byte(tokenEvent))
-	_, _, whole := me.finish()
-	require.False(t, whole)
+func TestStreamWithoutDoneEventIsIncomplete(t *testing.T) {
+	me := meter{streamed: true}
+	me.process([]byte(tokenEvent))
+	_, _, complete := me.finish()
+	require.False(t, complete)
 }
 
-func TestAnAnswerWithoutUsageIsBilledByItsBytes(t *testing.T) {
+func TestResponseWithoutUsageIsBilledByItsLength(t *testing.T) {
 	me := meter{}
-	require.Equal(t, "0123456789abcdef", string(me.pass([]byte("0123456789abcdef"))))
-	_, us, whole := me.finish()
-	require.True(t, whole)
+	require.Equal(t, "0123456789abcdef", string(me.process([]byte("0123456789abcdef"))))
+	_, us, complete := me.finish()
+	require.True(t, complete)
 	require.EqualValues(t, 16/bytesPerToken, us.Completion)
 }
--- a/internal/httpfront/httpfront.go
+++ b/internal/httpfront/httpfront.go
@@ -30,14 +30,14 @@
 
 	mu sync.Mutex
 	// servers holds one server for each set of limits that was in force.
-	servers map[Limits]*handoff
+	servers map[Limits]*connServer
 	// listener is the one being served, nil before Serve.
 	listener net.Listener
 	closed   bool
 }
 
-// handoff is a server that gets its connections one by one.
-type handoff struct {
+// connServer is a server that gets its connections one by one.
+type connServer struct {
 	http  *http.Server
 	conns chan net.Conn
 	done  chan struct{}
@@ -45,7 +45,7 @@
 }
 
 // Accept returns the next connection.
-func (ha *handoff) Accept() (net.Conn, error) {
+func (ha *connServer) Accept() (net.Conn, error) {
 	select {
 	case co := <-ha.conns:
 		return co, nil
@@ -55,7 +55,7 @@
 }
 
 // Close ends Accept; the connections stay open.
-func (ha *handoff) Close() error {
+func (ha *connServer) Close() error {
 	select {
 	case <-ha.done:
 	default:
@@ -65,7 +65,7 @@
 }
 
 // Addr returns the address of the real listener.
-func (ha *handoff) Addr() net.Addr { return ha.addr }
+func (ha *connServer) Addr() net.Addr { return ha.addr }
 
 // Serve accepts connections until Shutdown, after which it returns
 // http.ErrServerClosed.
@@ -95,7 +95,7 @@
 }
 
 // current returns the server for the limits in force, nil after Shutdown.
-func (se *Server) current(addr net.Addr) *handoff {
+func (se *Server) current(addr net.Addr) *connServer {
 	se.mu.Lock()
 	defer se.mu.Unlock()
 	if se.closed {
@@ -105,12 +105,12 @@
 	if ha := se.servers[li]; ha != nil {
 		return ha
 	}
-	ha := &handoff{conns: make(chan net.Conn), done: make(chan struct{}), addr: addr, http: &http.Server{
+	ha := &connServer{conns: make(chan net.Conn), done: make(chan struct{}), addr: addr, http: &http.Server{
 		Handler: se.Handler, MaxHeaderBytes: li.HeaderBytes,
 		ReadHeaderTimeout: li.HeaderTimeout, IdleTimeout: li.IdleTimeout,
 	}}
 	if se.servers == nil {
-		se.servers = map[Limits]*handoff{}
+		se.servers = map[Limits]*connServer{}
 	}
 	se.servers[li] = ha
 	go func() { _ = ha.http.Serve(ha) }()
@@ -131,7 +131,7 @@
 	if se.listener != nil {
 		_ = se.listener.Close()
 	}
-	list := make([]*handoff, 0, len(se.servers))
+	list := make([]*connServer, 0, len(se.servers))
 	for _, ha := range se.servers {
 		list = append(list, ha)
 	}
--- a/internal/link/handshake.go
+++ b/internal/link/handshake.go
@@ -17,8 +17,8 @@
 // Path is where agents take links.
 const Path = "/link"
 
-// proofAge bounds how old a proof may be, clocks that differ included.
-const proofAge = 2 * time.Minute
+// maxHandshakeAge bounds how old a proof may be, clocks that differ included.
+const maxHandshakeAge = 2 * time.Minute
 
 const (
 	headerBox   = "Linnetrudder-Box"
@@ -28,7 +28,7 @@
 	headerProof = "Linnetrudder-Proof"
 )
 
-var errProof = eris.New("peer did not prove the shared key")
+var errNotAuthenticated = eris.New("peer did not prove the shared key")
 
 // Identity is who a process is and the key by which it proves it. Its fields
 // are set before use.
@@ -39,8 +39,8 @@
 	SharedKey string
 }
 
-// proof binds a side's identity to one handshake.
-func (id Identity) proof(side, box, dataCentre, at, nonce string) string {
+// handshakeMAC binds a side's identity to one handshake.
+func (id Identity) handshakeMAC(side, box, dataCentre, at, nonce string) string {
 	mac := hmac.New(sha256.New, []byte(id.SharedKey))
 	for _, part := range []string{side, box, dataCentre, at, nonce} {
 		mac.Write([]byte(part))
@@ -58,16 +58,16 @@
 	he.Set(headerDC, id.DataCentre)
 	he.Set(headerTime, at)
 	he.Set(headerNonce, nonce)
-	he.Set(headerProof, id.proof("entry", id.Box, id.DataCentre, at, nonce))
+	he.Set(headerProof, id.handshakeMAC("entry", id.Box, id.DataCentre, at, nonce))
 	conn, resp, err := websocket.Dial(ctx, "ws://"+address+Path, &websocket.DialOptions{HTTPHeader: he})
 	if err != nil {
 		return nil, eris.Wrap(err, "dial")
 	}
 	pe := Peer{box: resp.Header.Get(headerBox), dataCentre: resp.Header.Get(headerDC)}
-	want := id.proof("agent", pe.box, pe.dataCentre, at, nonce)
+	want := id.handshakeMAC("agent", pe.box, pe.dataCentre, at, nonce)
 	if !hmac.Equal([]byte(want), []byte(resp.Header.Get(headerProof))) {
 		_ = conn.CloseNow()
-		return nil, errProof
+		return nil, errNotAuthenticated
 	}
 	return &Link{Conn: conn, Peer: pe}, nil
 }
@@ -80,14 +80,14 @@
 	nonce := he.Get(headerNonce)
 	sec, err := strconv.ParseInt(at, 10, 64)
 	age := now.Sub(time.Unix(sec, 0)).Abs()
-	want := id.proof("entry", pe.box, pe.dataCentre, at, nonce)
-	if err != nil || age > proofAge || !hmac.Equal([]byte(want), []byte(he.Get(headerProof))) {
-		http.Error(w, errProof.Error(), http.StatusUnauthorized)
-		return nil, errProof
+	want := id.handshakeMAC("entry", pe.box, pe.dataCentre, at, nonce)
+	if err != nil || age > maxHandshakeAge || !hmac.Equal([]byte(want), []byte(he.Get(headerProof))) {
+		http.Error(w, errNotAuthenticated.Error(), http.StatusUnauthorized)
+		return nil, errNotAuthenticated
 	}
 	w.Header().Set(headerBox, id.Box)
 	w.Header().Set(headerDC, id.DataCentre)
-	w.Header().Set(headerProof, id.proof("agent", id.Box, id.DataCentre, at, nonce))
+	w.Header().Set(headerProof, id.handshakeMAC("agent", id.Box, id.DataCentre, at, nonce))
 	conn, err := websocket.Accept(w, r, nil)
 	if err != nil {
 		return nil, eris.Wrap(err, "accept")
--- a/internal/link/link.go
+++ b/internal/link/link.go
@@ -35,24 +35,24 @@
 func (pe Peer) DataCentre() string { return pe.dataCentre }
 
 const (
-	// dataFrames bounds the frames of answers that wait to be sent; their
+	// maxDataFrames bounds the frames of answers that wait to be sent; their
 	// senders wait for room.
-	dataFrames = 128
-	// controlFrames bounds the other frames that wait; a peer so far behind
+	maxDataFrames = 128
+	// maxControlFrames bounds the other frames that wait; a peer so far behind
 	// loses the link.
-	controlFrames = 8192
+	maxControlFrames = 8192
 	// batchBytes is the size at which a batch is sent.
 	batchBytes = 64 << 10
-	// keepBytes is the size up to which a write buffer is kept for the next
+	// maxRetainedBytes is the size up to which a write buffer is kept for the next
 	// batch.
-	keepBytes = 8 << 10
-	// missedBeats is how many heartbeats may be missed.
-	missedBeats = 3
+	maxRetainedBytes = 8 << 10
+	// maxMissedHeartbeats is how many heartbeats may be missed.
+	maxMissedHeartbeats = 3
 )
 
 var (
-	errSilent = eris.New("peer is silent")
-	errSlow   = eris.New("peer reads too slowly")
+	errPeerTimeout = eris.New("peer is silent")
+	errPeerTooSlow   = eris.New("peer reads too slowly")
 )
 
 // Link is one open connection. Its exported fields are set before Run.
@@ -70,25 +70,25 @@
 	HeartbeatInterval time.Duration
 
 	once sync.Once
-	// data holds frames of answers.
-	data chan *wire.Frame
+	// dataQueue holds frames of answers.
+	dataQueue chan *wire.Frame
 	// mu guards control, which holds all other frames; ready has room for one
 	// word that there are some.
 	mu      sync.Mutex
-	control []*wire.Frame
+	controlQueue []*wire.Frame
 	ready   chan struct{}
 	// done is closed when the link has ended.
 	done chan struct{}
-	// slow gets the word that too many control frames wait.
-	slow chan struct{}
+	// overflow gets the word that too many control frames wait.
+	overflow chan struct{}
 }
 
 func (li *Link) init() {
 	li.once.Do(func() {
-		li.data = make(chan *wire.Frame, dataFrames)
+		li.dataQueue = make(chan *wire.Frame, maxDataFrames)
 		li.ready = make(chan struct{}, 1)
 		li.done = make(chan struct{})
-		li.slow = make(chan struct{}, 1)
+		li.overflow = make(chan struct{}, 1)
 	})
 }
 
@@ -98,7 +98,7 @@
 	ctx, stop := context.WithCancelCause(ctx)
 	defer stop(nil)
 	li.Conn.SetReadLimit(wire.MaxMessageBytes)
-	watchdog := time.AfterFunc(missedBeats*li.HeartbeatInterval, func() { stop(errSilent) })
+	watchdog := time.AfterFunc(maxMissedHeartbeats*li.HeartbeatInterval, func() { stop(errPeerTimeout) })
 	defer watchdog.Stop()
 	var wg sync.WaitGroup
 	wg.Go(func() {
@@ -121,21 +121,21 @@
 	default:
 	}
 	li.mu.Lock()
-	full := len(li.control) >= controlFrames
+	full := len(li.controlQueue) >= maxControlFrames
 	if !full {
-		li.control = append(li.control, fr)
+		li.controlQueue = append(li.controlQueue, fr)
 	}
 	li.mu.Unlock()
 	if full {
-		signal(li.slow)
+		notify(li.overflow)
 		return false
 	}
-	signal(li.ready)
+	notify(li.ready)
 	return true
 }
 
-// signal leaves a word in a channel that has room for one.
-func signal(ch chan struct{}) {
+// notify leaves a word in a channel that has room for one.
+func notify(ch chan struct{}) {
 	select {
 	case ch <- struct{}{}:
 	default:
@@ -147,7 +147,7 @@
 func (li *Link) SendWait(ctx context.Context, fr *wire.Frame) bool {
 	li.init()
 	select {
-	case li.data <- fr:
+	case li.dataQueue <- fr:
 		return true
 	case <-li.done:
 		return false
@@ -170,7 +170,7 @@
 		if err != nil {
 			return eris.Wrap(err, "read")
 		}
-		watchdog.Reset(missedBeats * li.HeartbeatInterval)
+		watchdog.Reset(maxMissedHeartbeats * li.HeartbeatInterval)
 		frames, err := wire.Decode(msg)
 		metrics.In.Message(len(msg), dataBytes(frames), len(frames))
 		for _, fr := range frames {
@@ -193,10 +193,10 @@
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-li.slow:
-			return errSlow
+		case <-li.overflow:
+			return errPeerTooSlow
 		case <-li.ready:
-		case fr := <-li.data:
+		case fr := <-li.dataQueue:
 			ba.add(fr)
 		case <-ti.C:
 			ba.add(li.Handler.Heartbeat(li))
@@ -218,15 +218,15 @@
 // fill adds all control frames that wait, and answers up to the batch's size.
 func (li *Link) fill(ba *batch) {
 	li.mu.Lock()
-	control := li.control
-	li.control = nil
+	control := li.controlQueue
+	li.controlQueue = nil
 	li.mu.Unlock()
 	for _, fr := range control {
 		ba.add(fr)
 	}
 	for ba.buf.Len() < batchBytes {
 		select {
-		case fr := <-li.data:
+		case fr := <-li.dataQueue:
 			ba.add(fr)
 		default:
 			return
@@ -244,7 +244,7 @@
 func (ba *batch) reset() {
 	ba.frames = ba.frames[:0]
 	ba.buf.Reset()
-	if ba.buf.Cap() > keepBytes {
+	if ba.buf.Cap() > maxRetainedBytes {
 		ba.buf = bytes.Buffer{}
 	}
 }
@@ -263,7 +263,7 @@
 	data := 0
 	for _, fr := range frames {
 		if len(fr.Body) > 0 {
-			data += len(fr.Body) + dataOverhead
+			data += len(fr.Body) + dataFrameOverheadBytes
 		}
 		if fr.Open != nil {
 			data += len(fr.Open.Body)
@@ -272,5 +272,5 @@
 	return data
 }
 
-// dataOverhead is the size of a data frame without its body.
-const dataOverhead = 20
+// dataFrameOverheadBytes is the size of a data frame without its body.
+const dataFrameOverheadBytes = 20
--- a/internal/link/link_test.go
+++ b/internal/link/link_test.go
@@ -109,13 +109,13 @@
 	near := newKeeper(0)
 	close(near.gate)
 	li.Handler, li.HeartbeatInterval = near, time.Millisecond
-	require.ErrorIs(t, li.Run(t.Context()), errSilent)
+	require.ErrorIs(t, li.Run(t.Context()), errPeerTimeout)
 }
 
 func TestAPeerWithoutTheKeyIsRefused(t *testing.T) {
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_, err := Accept(w, r, Identity{Box: "agent", SharedKey: "key"}, time.Now())
-		require.ErrorIs(t, err, errProof)
+		require.ErrorIs(t, err, errNotAuthenticated)
 	}))
 	t.Cleanup(srv.Close)
 	address := srv.Listener.Addr().(*net.TCPAddr).String()
@@ -131,7 +131,7 @@
 		id := Identity{Box: "agent", SharedKey: "other"}
 		he := r.Header
 		w.Header().Set(headerBox, id.Box)
-		w.Header().Set(headerProof, id.proof("agent", id.Box, "", he.Get(headerTime), he.Get(headerNonce)))
+		w.Header().Set(headerProof, id.handshakeMAC("agent", id.Box, "", he.Get(headerTime), he.Get(headerNonce)))
 		conn, err := websocket.Accept(w, r, nil)
 		require.NoError(t, err)
 		_ = conn.CloseNow()
@@ -139,5 +139,5 @@
 	t.Cleanup(srv.Close)
 	address := srv.Listener.Addr().(*net.TCPAddr).String()
 	_, err := Dial(t.Context(), address, Identity{Box: "entry", SharedKey: "key"}, time.Now())
-	require.ErrorIs(t, err, errProof)
+	require.ErrorIs(t, err, errNotAuthenticated)
 }
--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -35,7 +35,7 @@
 	ro.HandleFunc("/health", func(w http.ResponseWriter, _ *http.Request) {
 		WriteJSON(w, http.StatusOK, map[string]string{"status": "ok"})
 	})
-	ro.HandleFunc("/ready", no.ready)
+	ro.HandleFunc("/ready", no.serveReady)
 	ro.Handle("/metrics", no.RequireOperator(expvar.Handler().ServeHTTP))
 	ro.Handle("/debug/pprof/profile", no.RequireOperator(pprof.Profile))
 	ro.PathPrefix("/debug/pprof/").Handler(no.RequireOperator(pprof.Index))
@@ -59,7 +59,7 @@
 	}
 }
 
-func (no *Node) ready(w http.ResponseWriter, _ *http.Request) {
+func (no *Node) serveReady(w http.ResponseWriter, _ *http.Request) {
 	switch {
 	case no.Stopping():
 		WriteError(w, result.New(result.Leaving, ""))
@@ -98,7 +98,7 @@
 // ServeHTTP serves a handler on a listener until the context ends, and then
 // lets requests in progress end.
 func ServeHTTP(ctx context.Context, ln net.Listener, ha http.Handler, stop time.Duration) error {
-	srv := &http.Server{Handler: ha, ReadHeaderTimeout: headerTimeout}
+	srv := &http.Server{Handler: ha, ReadHeaderTimeout: readHeaderTimeout}
 	failed := make(chan error, 1)
 	go func() { failed <- srv.Serve(ln) }()
 	select {
@@ -114,7 +114,7 @@
 	return ctx.Err()
 }
 
-const headerTimeout = 10 * time.Second
+const readHeaderTimeout = 10 * time.Second
 
 // WriteJSON answers with a value.
 func WriteJSON(w http.ResponseWriter, status int, value any) {
--- a/internal/node/configsync.go
+++ b/internal/node/configsync.go
@@ -14,13 +14,13 @@
 	"github.com/linnetrudder/linnetrudder/internal/wire"
 )
 
-// keptSteps is how many of the newest changes can be sent as differences; a
+// maxDiffs is how many of the newest changes can be sent as differences; a
 // peer that is further behind gets the whole document.
-const keptSteps = 32
+const maxDiffs = 32
 
-// step is the difference between two revisions that were in force here one
+// revisionDiff is the difference between two revisions that were in force here one
 // after the other.
-type step struct {
+type revisionDiff struct {
 	from, to uint64
 	// diff is the encoded list of differences.
 	diff []byte
@@ -34,30 +34,30 @@
 	sn := no.replica.Snapshot()
 	no.snapshot.Store(sn)
 	if old != nil {
-		no.keepStep(old, sn)
+		no.recordDiff(old, sn)
 	}
 	no.Record(timeline.Entry{Event: event.ConfigInForce, Revision: sn.Revision()})
 	no.OnAdopt(sn)
 }
 
-func (no *Node) keepStep(old, sn *config.Snapshot) {
+func (no *Node) recordDiff(old, sn *config.Snapshot) {
 	diff, err := json.Marshal(config.Diff(old.Document(), sn.Document()))
 	if err != nil {
-		no.steps = nil
+		no.diffs = nil
 		return
 	}
-	no.steps = append(no.steps, step{from: old.Revision(), to: sn.Revision(), diff: diff, digest: sn.Digest()})
-	if len(no.steps) > keptSteps {
-		no.steps = no.steps[1:]
+	no.diffs = append(no.diffs, revisionDiff{from: old.Revision(), to: sn.Revision(), diff: diff, digest: sn.Digest()})
+	if len(no.diffs) > maxDiffs {
+		no.diffs = no.diffs[1:]
 	}
 }
 
-// give sends a peer what is above the revision it holds: the kept steps if
+// sendConfig sends a peer what is above the revision it holds: the kept steps if
 // they reach back that far, the whole document otherwise; the lock is held.
-func (no *Node) give(peer string, have uint64) {
-	for i := range no.steps {
-		if no.steps[i].from == have {
-			no.giveSteps(peer, no.steps[i:])
+func (no *Node) sendConfig(peer string, have uint64) {
+	for i := range no.diffs {
+		if no.diffs[i].from == have {
+			no.sendDiffs(peer, no.diffs[i:])
 			return
 		}
 	}
@@ -74,7 +74,7 @@
 	})
 }
 
-func (no *Node) giveSteps(peer string, steps []step) {
+func (no *Node) sendDiffs(peer string, steps []revisionDiff) {
 	for _, st := range steps {
 		no.send(peer, &wire.Frame{
 			Kind:   wire.Config,
@@ -84,9 +84,9 @@
 	}
 }
 
-// received takes a configuration from a peer; the lock is held. Differences
+// receiveConfig takes a configuration from a peer; the lock is held. Differences
 // that do not fit are answered by a request for the whole document.
-func (no *Node) received(li *link.Link, se *wire.ConfigUpdate) []replica.Action {
+func (no *Node) receiveConfig(li *link.Link, se *wire.ConfigUpdate) []replica.Action {
 	if se.Revision <= no.replica.Revision() {
 		return nil
 	}
@@ -102,13 +102,13 @@
 }
 
 var (
-	errBase   = eris.New("differences from a revision that is not held")
-	errDigest = eris.New("differences lead to another document")
+	errBaseMismatch   = eris.New("differences from a revision that is not held")
+	errDigestMismatch = eris.New("differences lead to another document")
 )
 
 func (no *Node) decode(se *wire.ConfigUpdate) (*config.Snapshot, error) {
 	if se.Base != 0 {
-		return no.decodeStep(se)
+		return no.decodeDiff(se)
 	}
 	var doc config.Document
 	if err := json.Unmarshal(se.Document, &doc); err != nil {
@@ -120,9 +120,9 @@
 	return config.Compile(se.Revision, &doc), nil
 }
 
-func (no *Node) decodeStep(se *wire.ConfigUpdate) (*config.Snapshot, error) {
+func (no *Node) decodeDiff(se *wire.ConfigUpdate) (*config.Snapshot, error) {
 	if se.Base != no.replica.Revision() {
-		return nil, errBase
+		return nil, errBaseMismatch
 	}
 	var diff []config.Difference
 	if err := json.Unmarshal(se.Document, &diff); err != nil {
@@ -137,7 +137,7 @@
 	}
 	sn := config.Compile(se.Revision, doc)
 	if sn.Digest() != se.Digest {
-		return nil, errDigest
+		return nil, errDigestMismatch
 	}
 	return sn, nil
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -34,8 +34,8 @@
 	// mu guards replica and links.
 	mu      sync.Mutex
 	replica replica.Replica
-	// steps holds the newest differences, each from where the one before led.
-	steps []step
+	// diffs holds the newest differences, each from where the one before led.
+	diffs []revisionDiff
 	// links holds the open link to each peer.
 	links map[string]*link.Link
 	// snapshot is the replica's, readable without the lock.
@@ -96,7 +96,7 @@
 		no.replica.Self, no.replica.Fanout = no.Settings.Box, no.Fanout
 	}
 	no.links[li.Peer.Box()] = li
-	no.act(no.replica.PeerUp(li.Peer.Box()))
+	no.apply(no.replica.PeerUp(li.Peer.Box()))
 }
 
 // RemoveLink forgets a link. It reports whether it was the peer's newest.
@@ -108,7 +108,7 @@
 		return false
 	}
 	delete(no.links, box)
-	no.act(no.replica.PeerDown(box, time.Now()))
+	no.apply(no.replica.PeerDown(box, time.Now()))
 	no.Record(timeline.Entry{Event: event.LinkDown, Detail: box + ": " + why.Error()})
 	return true
 }
@@ -135,7 +135,7 @@
 func (no *Node) Install(sn *config.Snapshot) {
 	no.mu.Lock()
 	defer no.mu.Unlock()
-	no.act(no.replica.Received(sn, time.Now()))
+	no.apply(no.replica.Received(sn, time.Now()))
 }
 
 // PeerRevisions returns the revision that each connected peer has offered.
@@ -150,7 +150,7 @@
 func (no *Node) Tick(now time.Time) {
 	no.mu.Lock()
 	defer no.mu.Unlock()
-	no.act(no.replica.Tick(now))
+	no.apply(no.replica.Tick(now))
 }
 
 // HandleConfigFrame handles the frames by which the configuration spreads. It reports
@@ -165,25 +165,25 @@
 	defer no.mu.Unlock()
 	switch fr.Kind {
 	case wire.Heartbeat:
-		no.act(no.replica.Offered(box, fr.Revision, now))
+		no.apply(no.replica.Offered(box, fr.Revision, now))
 		return false
 	case wire.Offer:
-		no.act(no.replica.Offered(box, fr.Revision, now))
+		no.apply(no.replica.Offered(box, fr.Revision, now))
 	case wire.Want:
 		if fr.Nonce != 0 {
 			li.Send(&wire.Frame{Kind: wire.Offer, Revision: no.replica.Revision(), Nonce: fr.Nonce})
 		}
-		no.act(no.replica.Wanted(box, fr.Revision))
+		no.apply(no.replica.Wanted(box, fr.Revision))
 	case wire.Config:
-		no.act(no.received(li, fr.Config))
+		no.apply(no.receiveConfig(li, fr.Config))
 	default:
 		return false
 	}
 	return true
 }
 
-// act carries out the replica's decisions; the lock is held.
-func (no *Node) act(acs []replica.Action) {
+// apply carries out the replica's decisions; the lock is held.
+func (no *Node) apply(acs []replica.Action) {
 	for _, ac := range acs {
 		switch ac.Kind() {
 		case replica.Adopt:
@@ -193,7 +193,7 @@
 		case replica.Want:
 			no.send(ac.Peer(), &wire.Frame{Kind: wire.Want, Revision: ac.Revision()})
 		case replica.Give:
-			no.give(ac.Peer(), ac.Revision())
+			no.sendConfig(ac.Peer(), ac.Revision())
 		}
 	}
 }
--- a/internal/node/supervisor.go
+++ b/internal/node/supervisor.go
@@ -24,13 +24,13 @@
 // String returns the name.
 func (se Service) String() string { return se.Name }
 
-// restartPause is how long the supervisor waits after many failures.
-const restartPause = time.Second
+// failureBackoff is how long the supervisor waits after many failures.
+const failureBackoff = time.Second
 
 // NewSupervisor returns a supervisor that notes each restart.
 func NewSupervisor(name string, no *Node) *suture.Supervisor {
 	return suture.New(name, suture.Spec{
-		FailureBackoff: restartPause,
+		FailureBackoff: failureBackoff,
 		EventHook: func(ev suture.Event) {
 			no.Record(timeline.Entry{Event: event.ServiceRestarted, Detail: ev.String()})
 		},
--- a/internal/sse/sse.go
+++ b/internal/sse/sse.go
@@ -10,8 +10,8 @@
 	"strconv"
 )
 
-// maxEvent bounds one event in bytes; a longer one is an error.
-const maxEvent = 1 << 20
+// maxEventBytes bounds one event in bytes; a longer one is an error.
+const maxEventBytes = 1 << 20
 
 // bufferBytes is the first size of the read buffer; events are far smaller.
 const bufferBytes = 2048
@@ -55,7 +55,7 @@
 		ev.raw = append(ev.raw, line...)
 		switch {
 		case err == bufio.ErrBufferFull: //nolint:errorlint // ReadSlice returns it as it is
-			if len(ev.raw) > maxEvent {
+			if len(ev.raw) > maxEventBytes {
 				return Event{}, bufio.ErrTooLong
 			}
 			continue
@@ -64,19 +64,19 @@
 		case err != nil:
 			return Event{}, err //nolint:wrapcheck // the reader's own error is what the caller decides by
 		}
-		if len(bytes.TrimRight(line, "\r\n")) == 0 && wholeLine(ev.raw) {
+		if len(bytes.TrimRight(line, "\r\n")) == 0 && endsWithEmptyLine(ev.raw) {
 			ev.id = findID(ev.raw)
 			return ev, nil
 		}
-		if len(ev.raw) > maxEvent {
+		if len(ev.raw) > maxEventBytes {
 			return Event{}, bufio.ErrTooLong
 		}
 	}
 }
 
-// wholeLine reports whether what ends the event is an empty line, and not the
+// endsWithEmptyLine reports whether what ends the event is an empty line, and not the
 // end of a line longer than the buffer.
-func wholeLine(raw []byte) bool {
+func endsWithEmptyLine(raw []byte) bool {
 	rest := bytes.TrimSuffix(bytes.TrimSuffix(raw, []byte("\n")), []byte("\r"))
 	return len(rest) == 0 || rest[len(rest)-1] == '\n'
 }
