--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -17,19 +17,19 @@
 	"github.com/linnetrudder/linnetrudder/internal/result"
 )
 
-// Status is what a process says of itself.
+// Status is the state that a process reports on its admin port.
 type Status struct {
 	Box        string `json:"box"`
 	DataCentre string `json:"data_centre"`
-	// Revision is the one in force here.
+	// Revision is the revision of the configuration that is in force in the process.
 	Revision uint64 `json:"revision"`
 	Stopping bool   `json:"stopping"`
-	// Peers holds the revision in force at each connected peer.
+	// Peers maps the box of each connected peer to the highest revision that it has offered.
 	Peers map[string]uint64 `json:"peers"`
 }
 
-// AdminRouter returns the admin port's common paths: health and readiness
-// for the balancer without a key, and the rest for operators.
+// AdminRouter returns a router for the paths of the admin port that all processes serve. The health and
+// readiness checks for load balancers need no key; all other paths need an operator key.
 func (no *Node) AdminRouter() *mux.Router {
 	ro := mux.NewRouter()
 	ro.HandleFunc("/health", func(w http.ResponseWriter, _ *http.Request) {
@@ -48,7 +48,7 @@
 	return ro
 }
 
-// Status returns what the process says of itself.
+// Status returns the state of the process.
 func (no *Node) Status() Status {
 	return Status{
 		Box:        no.Settings.Box,
@@ -70,8 +70,9 @@
 	}
 }
 
-// RequireOperator lets only holders of an operator key through. Without any key in
-// the settings, the admin port is open; the settings allow that on loopback.
+// RequireOperator wraps a handler so that requests without a valid operator key are rejected. If the
+// settings contain no operator key, all requests are accepted; the settings allow that only on a
+// loopback address.
 func (no *Node) RequireOperator(next http.HandlerFunc) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if !no.isOperator(r) {
@@ -88,27 +89,28 @@
 		return true
 	}
 	digest := config.Digest(BearerKey(r))
-	found := 0
-	for _, have := range keys {
-		found |= equalDigests(have, digest)
+	// All keys are compared, so that the duration does not depend on which one matches.
+	matched := 0
+	for _, key := range keys {
+		matched |= equalDigests(key, digest)
 	}
-	return found == 1
+	return matched == 1
 }
 
-// ServeHTTP serves a handler on a listener until the context ends, and then
-// lets requests in progress end.
+// ServeHTTP serves a handler on a listener until the context is cancelled. It then shuts down gracefully
+// and waits at most the time stop for requests in progress.
 func ServeHTTP(ctx context.Context, ln net.Listener, ha http.Handler, stop time.Duration) error {
 	srv := &http.Server{Handler: ha, ReadHeaderTimeout: readHeaderTimeout}
-	failed := make(chan error, 1)
-	go func() { failed <- srv.Serve(ln) }()
+	serveErr := make(chan error, 1)
+	go func() { serveErr <- srv.Serve(ln) }()
 	select {
-	case err := <-failed:
+	case err := <-serveErr:
 		return eris.Wrap(err, "serve")
 	case <-ctx.Done():
 	}
-	ending, cancel := context.WithTimeout(context.WithoutCancel(ctx), stop)
+	shutdownCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), stop)
 	defer cancel()
-	if err := srv.Shutdown(ending); err != nil && !errors.Is(err, http.ErrServerClosed) {
+	if err := srv.Shutdown(shutdownCtx); err != nil && !errors.Is(err, http.ErrServerClosed) {
 		return eris.Wrap(err, "shut down")
 	}
 	return ctx.Err()
@@ -116,7 +118,7 @@
 
 const readHeaderTimeout = 10 * time.Second
 
-// WriteJSON answers with a value.
+// WriteJSON writes a response with a JSON value as its body.
 func WriteJSON(w http.ResponseWriter, status int, value any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
--- a/internal/node/admin_test.go
+++ b/internal/node/admin_test.go
@@ -29,7 +29,7 @@
 	return rec.Code
 }
 
-func TestOnlyOperatorsSeeTheInside(t *testing.T) {
+func TestInternalPathsRequireAnOperatorKey(t *testing.T) {
 	no := newNode()
 	for _, path := range []string{"/metrics", "/v1/timeline", "/v1/status", "/debug/pprof/"} {
 		require.Equal(t, http.StatusUnauthorized, get(no, path, ""), path)
@@ -39,7 +39,7 @@
 	require.Equal(t, http.StatusOK, get(no, "/health", ""))
 }
 
-func TestReadyFollowsTheConfigurationAndTheStop(t *testing.T) {
+func TestReadyOnlyWithConfigurationAndBeforeStop(t *testing.T) {
 	no := newNode()
 	require.Equal(t, http.StatusServiceUnavailable, get(no, "/ready", ""))
 	no.Install(config.Compile(1, &config.Document{}))
--- a/internal/node/configsync.go
+++ b/internal/node/configsync.go
@@ -14,21 +14,20 @@
 	"github.com/linnetrudder/linnetrudder/internal/wire"
 )
 
-// maxDiffs is how many of the newest changes can be sent as differences; a
-// peer that is further behind gets the whole document.
+// maxDiffs is the number of latest revisions that can be sent as diffs. A peer that is further behind
+// gets the complete document.
 const maxDiffs = 32
 
-// revisionDiff is the difference between two revisions that were in force here one
-// after the other.
+// revisionDiff is the difference between two revisions that were in force in this process in succession.
 type revisionDiff struct {
 	from, to uint64
-	// diff is the encoded list of differences.
+	// diff is the JSON encoding of the differences.
 	diff []byte
-	// digest is the checksum of the document at to.
+	// digest is the checksum of the document at revision to.
 	digest uint64
 }
 
-// adopt takes the replica's snapshot into force; the lock is held.
+// adopt brings the replica's snapshot into force. The caller holds no.mu.
 func (no *Node) adopt() {
 	old := no.snapshot.Load()
 	sn := no.replica.Snapshot()
@@ -40,6 +39,8 @@
 	no.OnAdopt(sn)
 }
 
+// recordDiff appends the diff between two revisions and drops the oldest one beyond maxDiffs. If the diff
+// can't be encoded, all diffs are dropped, since the list must have no gap.
 func (no *Node) recordDiff(old, sn *config.Snapshot) {
 	diff, err := json.Marshal(config.Diff(old.Document(), sn.Document()))
 	if err != nil {
@@ -52,11 +53,11 @@
 	}
 }
 
-// sendConfig sends a peer what is above the revision it holds: the kept steps if
-// they reach back that far, the whole document otherwise; the lock is held.
-func (no *Node) sendConfig(peer string, have uint64) {
+// sendConfig sends a peer the changes since the revision that it has: as diffs if there are diffs from
+// that revision on, otherwise as the complete document. The caller holds no.mu.
+func (no *Node) sendConfig(peer string, peerRevision uint64) {
 	for i := range no.diffs {
-		if no.diffs[i].from == have {
+		if no.diffs[i].from == peerRevision {
 			no.sendDiffs(peer, no.diffs[i:])
 			return
 		}
@@ -74,18 +75,18 @@
 	})
 }
 
-func (no *Node) sendDiffs(peer string, steps []revisionDiff) {
-	for _, st := range steps {
+func (no *Node) sendDiffs(peer string, diffs []revisionDiff) {
+	for _, rd := range diffs {
 		no.send(peer, &wire.Frame{
 			Kind:   wire.Config,
-			Config: &wire.ConfigUpdate{Revision: st.to, Base: st.from, Document: st.diff, Digest: st.digest},
+			Config: &wire.ConfigUpdate{Revision: rd.to, Base: rd.from, Document: rd.diff, Digest: rd.digest},
 			Stamp:  no.stamp(),
 		})
 	}
 }
 
-// receiveConfig takes a configuration from a peer; the lock is held. Differences
-// that do not fit are answered by a request for the whole document.
+// receiveConfig handles a configuration from a peer. If a diff can't be applied, the complete document is
+// requested. The caller holds no.mu.
 func (no *Node) receiveConfig(li *link.Link, se *wire.ConfigUpdate) []replica.Action {
 	if se.Revision <= no.replica.Revision() {
 		return nil
@@ -102,8 +103,8 @@
 }
 
 var (
-	errBaseMismatch   = eris.New("differences from a revision that is not held")
-	errDigestMismatch = eris.New("differences lead to another document")
+	errBaseMismatch   = eris.New("base of configuration diff is not the revision in force")
+	errDigestMismatch = eris.New("configuration diff results in a document with a different digest")
 )
 
 func (no *Node) decode(se *wire.ConfigUpdate) (*config.Snapshot, error) {
@@ -126,7 +127,7 @@
 	}
 	var diff []config.Difference
 	if err := json.Unmarshal(se.Document, &diff); err != nil {
-		return nil, eris.Wrap(err, "decode differences")
+		return nil, eris.Wrap(err, "decode configuration diff")
 	}
 	doc, err := config.Patch(no.replica.Snapshot().Document(), diff)
 	if err != nil {
--- a/internal/node/errors.go
+++ b/internal/node/errors.go
@@ -15,26 +15,26 @@
 	"github.com/linnetrudder/linnetrudder/internal/result"
 )
 
-// ErrorBody is the body of every answer that is an error. Its outer form is
-// the one that clients of the chat completions protocol know.
+// ErrorBody is the body of every error response. Its structure is that of the chat completions protocol,
+// so that clients of the protocol can parse it.
 type ErrorBody struct {
 	Error ErrorDetail `json:"error"`
 }
 
-// ErrorDetail says what happened, whether the request ran, and when the
-// caller may come back.
+// ErrorDetail describes an error, whether the request ran, and when the caller may retry.
 type ErrorDetail struct {
 	Message string      `json:"message"`
 	Type    string      `json:"type"`
 	Code    result.Code `json:"code"`
 	Run     result.Run  `json:"run"`
-	// RetryAfterMS is zero if the same request will not do better later.
+	// RetryAfterMS is the delay before a retry. It is zero if a retry would fail as well.
 	RetryAfterMS int64 `json:"retry_after_ms,omitempty"`
-	// Request is the id of the request, if it got one.
+	// Request is the id of the request, if one was assigned.
 	Request string `json:"request,omitempty"`
 }
 
-// NewErrorBody describes an outcome.
+// NewErrorBody returns the body for an error. If after is zero, the default Retry-After of the error's
+// code is used.
 func NewErrorBody(er *result.Error, request string, after time.Duration) ErrorBody {
 	ro := result.Of(er.Code())
 	if after == 0 {
@@ -50,13 +50,13 @@
 	}}
 }
 
-// Encode returns the body of the answer.
+// Encode returns the JSON encoding of the body.
 func (pr ErrorBody) Encode() ([]byte, error) {
 	body, err := json.Marshal(pr)
-	return body, eris.Wrap(err, "encode problem")
+	return body, eris.Wrap(err, "encode error body")
 }
 
-// WriteError answers with an error; one without a code is a bad request.
+// WriteError writes an error response. An error without a code is reported as a bad request.
 func WriteError(w http.ResponseWriter, err error) {
 	var er *result.Error
 	if !errors.As(err, &er) {
@@ -65,7 +65,7 @@
 	WriteErrorBody(w, NewErrorBody(er, "", 0))
 }
 
-// WriteErrorBody answers with a described outcome.
+// WriteErrorBody writes an error response with the status and Retry-After that match the body.
 func WriteErrorBody(w http.ResponseWriter, pr ErrorBody) {
 	if pr.Error.RetryAfterMS > 0 {
 		sec := math.Ceil(float64(pr.Error.RetryAfterMS) / 1000)
@@ -77,12 +77,14 @@
 	_ = json.NewEncoder(w).Encode(pr)
 }
 
-// BearerKey returns the key of an Authorization header, or "".
+// BearerKey returns the bearer token of the Authorization header, or "" if there is none.
 func BearerKey(r *http.Request) string {
 	key, _ := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	return key
 }
 
+// equalDigests compares two digests in constant time, ignoring case. It returns 1 if they are equal, and
+// 0 otherwise.
 func equalDigests(a, b string) int {
 	return subtle.ConstantTimeCompare([]byte(strings.ToLower(a)), []byte(strings.ToLower(b)))
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,6 +1,5 @@
-// Package node is what entries and agents have in common: the configuration
-// in force, the links it spreads over, the log, the time line and the admin
-// port.
+// Package node implements the functions that entries and agents have in common: the configuration in
+// force and its propagation over links, the log, the timeline and the admin port.
 package node
 
 import (
@@ -19,32 +18,33 @@
 	"github.com/linnetrudder/linnetrudder/internal/wire"
 )
 
-// Node is the common part of a process. Its exported fields are set before
-// use; its methods may be called concurrently.
+// Node holds the state that every process has. Its exported fields must be set before use; its methods
+// are safe for concurrent use.
 type Node struct {
 	Settings settings.Settings
 	Log      zerolog.Logger
 	Ring     *timeline.Ring
-	// Fanout bounds the peers that a change is offered to at once.
+	// Fanout is the maximum number of peers to which a change is offered simultaneously.
 	Fanout int
-	// OnAdopt is called, one call at a time, for each revision that comes
-	// into force.
+	// OnAdopt is called for each revision that comes into force. Calls don't overlap; the node's lock
+	// is held during each.
 	OnAdopt func(sn *config.Snapshot)
 
-	// mu guards replica and links.
+	// mu guards replica, diffs and links.
 	mu      sync.Mutex
 	replica replica.Replica
-	// diffs holds the newest differences, each from where the one before led.
+	// diffs holds the latest revision diffs. Each one starts at the revision at which the previous one
+	// ends.
 	diffs []revisionDiff
 	// links holds the open link to each peer.
 	links map[string]*link.Link
-	// snapshot is the replica's, readable without the lock.
+	// snapshot is the replica's snapshot. It can be read without the lock.
 	snapshot atomic.Pointer[config.Snapshot]
-	// stopping is set once a planned stop has begun.
+	// stopping is set when a planned stop begins.
 	stopping atomic.Bool
 }
 
-// Identity returns who the process is to its peers.
+// Identity returns the process's identity for handshakes with peers.
 func (no *Node) Identity() link.Identity {
 	return link.Identity{
 		Box:        no.Settings.Box,
@@ -66,7 +66,7 @@
 	}
 }
 
-// Record logs an event and puts it on the time line.
+// Record logs an event and adds it to the timeline.
 func (no *Node) Record(en timeline.Entry) {
 	if en.Revision == 0 {
 		en.Revision = no.Snapshot().Revision()
@@ -86,7 +86,7 @@
 		Msg(en.Name)
 }
 
-// AddLink takes a new link; an older one to the same peer is left to end.
+// AddLink adds a link. It replaces an older link to the same peer, which is not closed here.
 func (no *Node) AddLink(li *link.Link) {
 	no.Record(timeline.Entry{Event: event.LinkUp, Detail: li.Peer.Box()})
 	no.mu.Lock()
@@ -99,8 +99,9 @@
 	no.apply(no.replica.PeerUp(li.Peer.Box()))
 }
 
-// RemoveLink forgets a link. It reports whether it was the peer's newest.
-func (no *Node) RemoveLink(li *link.Link, why error) bool {
+// RemoveLink removes a link after it was closed for the given reason. It reports whether it was the
+// latest link to the peer; otherwise it does nothing.
+func (no *Node) RemoveLink(li *link.Link, reason error) bool {
 	no.mu.Lock()
 	defer no.mu.Unlock()
 	box := li.Peer.Box()
@@ -109,7 +110,7 @@
 	}
 	delete(no.links, box)
 	no.apply(no.replica.PeerDown(box, time.Now()))
-	no.Record(timeline.Entry{Event: event.LinkDown, Detail: box + ": " + why.Error()})
+	no.Record(timeline.Entry{Event: event.LinkDown, Detail: box + ": " + reason.Error()})
 	return true
 }
 
@@ -131,30 +132,30 @@
 	return list
 }
 
-// Install takes a configuration from the store.
+// Install adopts a configuration from the store if its revision is higher than the one in force.
 func (no *Node) Install(sn *config.Snapshot) {
 	no.mu.Lock()
 	defer no.mu.Unlock()
 	no.apply(no.replica.Received(sn, time.Now()))
 }
 
-// PeerRevisions returns the revision that each connected peer has offered.
+// PeerRevisions returns the highest revision that each connected peer has offered.
 func (no *Node) PeerRevisions() map[string]uint64 {
 	no.mu.Lock()
 	defer no.mu.Unlock()
 	return no.replica.PeerRevisions()
 }
 
-// Tick lets a request for the configuration that was not answered be made to
-// another peer.
+// Tick drives the time-outs of the configuration's propagation, for example the one after which an
+// unanswered request is sent to another peer.
 func (no *Node) Tick(now time.Time) {
 	no.mu.Lock()
 	defer no.mu.Unlock()
 	no.apply(no.replica.Tick(now))
 }
 
-// HandleConfigFrame handles the frames by which the configuration spreads. It reports
-// whether the frame was one of them.
+// HandleConfigFrame handles the frames that propagate the configuration. It reports whether the frame
+// needs no further handling; a heartbeat does.
 func (no *Node) HandleConfigFrame(li *link.Link, fr *wire.Frame) bool {
 	if fr.Stamp != nil {
 		no.Ring.Observe(*fr.Stamp)
@@ -182,7 +183,7 @@
 	return true
 }
 
-// apply carries out the replica's decisions; the lock is held.
+// apply executes the replica's decisions. The caller holds no.mu.
 func (no *Node) apply(acs []replica.Action) {
 	for _, ac := range acs {
 		switch ac.Kind() {
@@ -209,5 +210,5 @@
 	return &st
 }
 
-// Stamp returns a fresh stamp to send with a message.
+// Stamp returns the current stamp, to be sent with a message.
 func (no *Node) Stamp() *timeline.Stamp { return no.stamp() }
--- a/internal/node/supervisor.go
+++ b/internal/node/supervisor.go
@@ -10,24 +10,24 @@
 	"github.com/linnetrudder/linnetrudder/internal/timeline"
 )
 
-// Service is one part of a process that the supervisor keeps running.
+// Service is a component of a process that the supervisor restarts if it fails.
 type Service struct {
-	// Name is shown when the part fails.
+	// Name identifies the service in log entries about failures.
 	Name string
-	// Run runs until the context ends.
+	// Run runs the service until the context is cancelled.
 	Run func(ctx context.Context) error
 }
 
-// Serve runs the part.
+// Serve calls Run. It implements suture.Service.
 func (se Service) Serve(ctx context.Context) error { return se.Run(ctx) }
 
-// String returns the name.
+// String returns the name. The supervisor uses it in its events.
 func (se Service) String() string { return se.Name }
 
-// failureBackoff is how long the supervisor waits after many failures.
+// failureBackoff is the delay before the next restart after many failures.
 const failureBackoff = time.Second
 
-// NewSupervisor returns a supervisor that notes each restart.
+// NewSupervisor returns a supervisor that records its events.
 func NewSupervisor(name string, no *Node) *suture.Supervisor {
 	return suture.New(name, suture.Spec{
 		FailureBackoff: failureBackoff,
@@ -37,16 +37,16 @@
 	})
 }
 
-// Every calls a function again and again until the context ends.
-func Every(ctx context.Context, pause time.Duration, do func(now time.Time)) error {
-	ti := time.NewTicker(pause)
+// Every calls a function at a fixed interval until the context is cancelled.
+func Every(ctx context.Context, interval time.Duration, fn func(now time.Time)) error {
+	ti := time.NewTicker(interval)
 	defer ti.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case now := <-ti.C:
-			do(now)
+			fn(now)
 		}
 	}
 }
