--- a/internal/httpfront/httpfront.go
+++ b/internal/httpfront/httpfront.go
@@ -1,5 +1,5 @@
-// Package httpfront serves HTTP with limits that may change while it runs. New
-// connections get the newest limits; open ones keep theirs to the end.
+// Package httpfront implements an HTTP server whose limits can be changed while it runs. A connection is
+// served with the limits that were in force when it was accepted.
 package httpfront
 
 import (
@@ -13,30 +13,32 @@
 	"github.com/rotisserie/eris"
 )
 
-// Limits bound what a caller may send and how long it may take. They are
-// compared, so that all fields must be comparable.
+// Limits holds the size and time limits of requests. It is used as a map key, so all fields must be
+// comparable.
 type Limits struct {
-	// HeaderBytes is the longest head of a request; up to 4 KiB more may pass.
+	// HeaderBytes is the maximum size of a request header. net/http accepts up to 4 KiB more.
 	HeaderBytes int
-	// HeaderTimeout is the time for a head, IdleTimeout that between requests.
+	// HeaderTimeout is the time limit for reading a request header, IdleTimeout the one between the
+	// requests of a connection.
 	HeaderTimeout, IdleTimeout time.Duration
 }
 
-// Server serves a handler. Its exported fields are set before Serve.
+// Server serves a handler. Its exported fields must be set before Serve.
 type Server struct {
 	Handler http.Handler
 	// Limits returns the limits for a new connection.
 	Limits func() Limits
 
 	mu sync.Mutex
-	// servers holds one server for each set of limits that was in force.
+	// servers holds one server for each set of limits with which a connection was accepted.
 	servers map[Limits]*connServer
-	// listener is the one being served, nil before Serve.
+	// listener is the listener being served, nil before Serve.
 	listener net.Listener
 	closed   bool
 }
 
-// connServer is a server that gets its connections one by one.
+// connServer is an HTTP server together with its listener, which returns the connections that are sent to
+// conns.
 type connServer struct {
 	http  *http.Server
 	conns chan net.Conn
@@ -44,28 +46,28 @@
 	addr  net.Addr
 }
 
-// Accept returns the next connection.
-func (ha *connServer) Accept() (net.Conn, error) {
+// Accept returns the next connection from conns. It implements net.Listener.
+func (cs *connServer) Accept() (net.Conn, error) {
 	select {
-	case co := <-ha.conns:
+	case co := <-cs.conns:
 		return co, nil
-	case <-ha.done:
+	case <-cs.done:
 		return nil, net.ErrClosed
 	}
 }
 
-// Close ends Accept; the connections stay open.
-func (ha *connServer) Close() error {
+// Close makes Accept return net.ErrClosed. Accepted connections stay open.
+func (cs *connServer) Close() error {
 	select {
-	case <-ha.done:
+	case <-cs.done:
 	default:
-		close(ha.done)
+		close(cs.done)
 	}
 	return nil
 }
 
-// Addr returns the address of the real listener.
-func (ha *connServer) Addr() net.Addr { return ha.addr }
+// Addr returns the address of the listener that accepted the connections.
+func (cs *connServer) Addr() net.Addr { return cs.addr }
 
 // Serve accepts connections until Shutdown, after which it returns
 // http.ErrServerClosed.
@@ -81,20 +83,21 @@
 		if err != nil {
 			return eris.Wrap(err, "accept")
 		}
-		ha := se.current(li.Addr())
-		if ha == nil {
+		cs := se.current(li.Addr())
+		if cs == nil {
 			_ = co.Close()
 			continue
 		}
 		select {
-		case ha.conns <- co:
-		case <-ha.done:
+		case cs.conns <- co:
+		case <-cs.done:
 			_ = co.Close()
 		}
 	}
 }
 
-// current returns the server for the limits in force, nil after Shutdown.
+// current returns the server for the limits in force, which is created if needed. It returns nil after
+// Shutdown.
 func (se *Server) current(addr net.Addr) *connServer {
 	se.mu.Lock()
 	defer se.mu.Unlock()
@@ -102,19 +105,19 @@
 		return nil
 	}
 	li := se.Limits()
-	if ha := se.servers[li]; ha != nil {
-		return ha
+	if cs := se.servers[li]; cs != nil {
+		return cs
 	}
-	ha := &connServer{conns: make(chan net.Conn), done: make(chan struct{}), addr: addr, http: &http.Server{
+	cs := &connServer{conns: make(chan net.Conn), done: make(chan struct{}), addr: addr, http: &http.Server{
 		Handler: se.Handler, MaxHeaderBytes: li.HeaderBytes,
 		ReadHeaderTimeout: li.HeaderTimeout, IdleTimeout: li.IdleTimeout,
 	}}
 	if se.servers == nil {
 		se.servers = map[Limits]*connServer{}
 	}
-	se.servers[li] = ha
-	go func() { _ = ha.http.Serve(ha) }()
-	return ha
+	se.servers[li] = cs
+	go func() { _ = cs.http.Serve(cs) }()
+	return cs
 }
 
 func (se *Server) isClosed() bool {
@@ -123,8 +126,8 @@
 	return se.closed
 }
 
-// Shutdown closes the listener and lets requests in progress end, until the
-// context does.
+// Shutdown closes the listener and waits for the requests in progress, at most until the context is
+// cancelled.
 func (se *Server) Shutdown(ctx context.Context) error {
 	se.mu.Lock()
 	se.closed = true
@@ -132,14 +135,14 @@
 		_ = se.listener.Close()
 	}
 	list := make([]*connServer, 0, len(se.servers))
-	for _, ha := range se.servers {
-		list = append(list, ha)
+	for _, cs := range se.servers {
+		list = append(list, cs)
 	}
 	se.mu.Unlock()
 	errs := make([]error, len(list))
 	var wg sync.WaitGroup
-	for i, ha := range list {
-		wg.Go(func() { errs[i] = ha.http.Shutdown(ctx) })
+	for i, cs := range list {
+		wg.Go(func() { errs[i] = cs.http.Shutdown(ctx) })
 	}
 	wg.Wait()
 	return errors.Join(errs...)
--- a/internal/httpfront/httpfront_test.go
+++ b/internal/httpfront/httpfront_test.go
@@ -14,7 +14,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func start(t *testing.T, limits func() Limits, handler http.HandlerFunc) (*Server, net.Listener) {
+func startServer(t *testing.T, limits func() Limits, handler http.HandlerFunc) (*Server, net.Listener) {
 	t.Helper()
 	var lc net.ListenConfig
 	li, err := lc.Listen(t.Context(), "tcp", "127.0.0.1:0")
@@ -27,9 +27,10 @@
 
 func ok(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ok") }
 
-func ask(t *testing.T, co net.Conn, extra string) int {
+// sendRequest sends a request with a header of the given value and returns the status of the response.
+func sendRequest(t *testing.T, co net.Conn, value string) int {
 	t.Helper()
-	_, err := io.WriteString(co, "GET / HTTP/1.1\r\nHost: h\r\nX: "+extra+"\r\n\r\n")
+	_, err := io.WriteString(co, "GET / HTTP/1.1\r\nHost: h\r\nX: "+value+"\r\n\r\n")
 	require.NoError(t, err)
 	resp, err := http.ReadResponse(bufio.NewReader(co), nil)
 	require.NoError(t, err)
@@ -47,38 +48,38 @@
 	return co
 }
 
-func TestNewConnectionsGetTheNewLimitsAndOpenOnesKeepTheirs(t *testing.T) {
-	var bytes atomic.Int64
-	bytes.Store(1 << 16)
-	_, li := start(t, func() Limits { return Limits{HeaderBytes: int(bytes.Load())} }, ok)
+func TestChangedLimitsApplyOnlyToNewConnections(t *testing.T) {
+	var headerBytes atomic.Int64
+	headerBytes.Store(1 << 16)
+	_, li := startServer(t, func() Limits { return Limits{HeaderBytes: int(headerBytes.Load())} }, ok)
 	long := strings.Repeat("x", 30_000)
 	open := dial(t, li)
-	require.Equal(t, http.StatusOK, ask(t, open, long))
-	bytes.Store(8 << 10)
-	require.Equal(t, http.StatusOK, ask(t, open, long))
-	require.Equal(t, http.StatusRequestHeaderFieldsTooLarge, ask(t, dial(t, li), long))
-	require.Equal(t, http.StatusOK, ask(t, dial(t, li), "short"))
+	require.Equal(t, http.StatusOK, sendRequest(t, open, long))
+	headerBytes.Store(8 << 10)
+	require.Equal(t, http.StatusOK, sendRequest(t, open, long))
+	require.Equal(t, http.StatusRequestHeaderFieldsTooLarge, sendRequest(t, dial(t, li), long))
+	require.Equal(t, http.StatusOK, sendRequest(t, dial(t, li), "short"))
 }
 
-func TestShutdownWaitsForWhatIsInProgress(t *testing.T) {
-	began, release := make(chan struct{}), make(chan struct{})
-	se, li := start(t, func() Limits { return Limits{HeaderBytes: 4096} }, func(w http.ResponseWriter, r *http.Request) {
-		close(began)
+func TestShutdownWaitsForRequestsInProgress(t *testing.T) {
+	started, release := make(chan struct{}), make(chan struct{})
+	se, li := startServer(t, func() Limits { return Limits{HeaderBytes: 4096} }, func(w http.ResponseWriter, r *http.Request) {
+		close(started)
 		<-release
 		ok(w, r)
 	})
 	co := dial(t, li)
 	status := make(chan int, 1)
-	go func() { status <- ask(t, co, "") }()
-	<-began
-	down := make(chan error, 1)
-	go func() { down <- se.Shutdown(context.Background()) }()
+	go func() { status <- sendRequest(t, co, "") }()
+	<-started
+	shutdownErr := make(chan error, 1)
+	go func() { shutdownErr <- se.Shutdown(context.Background()) }()
 	select {
-	case err := <-down:
-		t.Fatal("did not wait", err)
+	case err := <-shutdownErr:
+		t.Fatal("Shutdown returned before the request had finished", err)
 	case <-time.After(50 * time.Millisecond):
 	}
 	close(release)
 	require.Equal(t, http.StatusOK, <-status)
-	require.NoError(t, <-down)
+	require.NoError(t, <-shutdownErr)
 }
--- a/internal/link/handshake.go
+++ b/internal/link/handshake.go
@@ -14,10 +14,11 @@
 	"github.com/rotisserie/eris"
 )
 
-// Path is where agents take links.
+// Path is the URL path at which agents accept links.
 const Path = "/link"
 
-// maxHandshakeAge bounds how old a proof may be, clocks that differ included.
+// maxHandshakeAge is the maximum difference between the time of a handshake according to the entry and
+// the agent's clock. It allows for clock skew.
 const maxHandshakeAge = 2 * time.Minute
 
 const (
@@ -30,26 +31,27 @@
 
 var errNotAuthenticated = eris.New("peer did not prove the shared key")
 
-// Identity is who a process is and the key by which it proves it. Its fields
-// are set before use.
+// Identity is the identity of a process, with the key that authenticates it to its peers. Its fields
+// must be set before use.
 type Identity struct {
-	// Box and DataCentre name the process to its peers.
+	// Box and DataCentre identify the process.
 	Box, DataCentre string
-	// SharedKey is known to every process of the system.
+	// SharedKey is the secret that all processes of the system share.
 	SharedKey string
 }
 
-// handshakeMAC binds a side's identity to one handshake.
-func (id Identity) handshakeMAC(side, box, dataCentre, at, nonce string) string {
+// handshakeMAC returns a message authentication code for a process's role and identity, the time and the
+// nonce of a handshake. It is not valid for any other handshake.
+func (id Identity) handshakeMAC(role, box, dataCentre, at, nonce string) string {
 	mac := hmac.New(sha256.New, []byte(id.SharedKey))
-	for _, part := range []string{side, box, dataCentre, at, nonce} {
-		mac.Write([]byte(part))
+	for _, field := range []string{role, box, dataCentre, at, nonce} {
+		mac.Write([]byte(field))
 		mac.Write([]byte{0})
 	}
 	return hex.EncodeToString(mac.Sum(nil))
 }
 
-// Dial opens a link to an agent and proves both sides.
+// Dial opens a link to an agent. Both sides authenticate each other.
 func Dial(ctx context.Context, address string, id Identity, now time.Time) (*Link, error) {
 	at := strconv.FormatInt(now.Unix(), 10)
 	nonce := rand.Text()
@@ -72,7 +74,7 @@
 	return &Link{Conn: conn, Peer: pe}, nil
 }
 
-// Accept takes a link from an entry and proves both sides.
+// Accept accepts a link from an entry. Both sides authenticate each other.
 func Accept(w http.ResponseWriter, r *http.Request, id Identity, now time.Time) (*Link, error) {
 	he := r.Header
 	pe := Peer{box: he.Get(headerBox), dataCentre: he.Get(headerDC)}
--- a/internal/link/link.go
+++ b/internal/link/link.go
@@ -1,5 +1,5 @@
-// Package link keeps one WebSocket connection between an entry and an agent:
-// it proves the peer, sends frames in batches and notices a silent peer.
+// Package link implements the WebSocket connection between an entry and an agent. It authenticates the
+// peer, sends frames in batches and detects an unresponsive peer.
 package link
 
 import (
@@ -15,15 +15,15 @@
 	"github.com/linnetrudder/linnetrudder/internal/wire"
 )
 
-// Handler takes what arrives on a link.
+// Handler handles the frames that arrive on a link.
 type Handler interface {
-	// HandleFrame is called for each frame in order.
+	// HandleFrame is called for each frame, in the order of arrival.
 	HandleFrame(li *Link, fr *wire.Frame)
 	// Heartbeat returns the heartbeat to send now.
 	Heartbeat(li *Link) *wire.Frame
 }
 
-// Peer is the process at the other end.
+// Peer identifies the process at the other end of a link.
 type Peer struct {
 	box, dataCentre string
 }
@@ -35,51 +35,51 @@
 func (pe Peer) DataCentre() string { return pe.dataCentre }
 
 const (
-	// maxDataFrames bounds the frames of answers that wait to be sent; their
-	// senders wait for room.
+	// maxDataFrames is the capacity of the queue for data frames, which carry responses. If it is
+	// full, senders block.
 	maxDataFrames = 128
-	// maxControlFrames bounds the other frames that wait; a peer so far behind
-	// loses the link.
+	// maxControlFrames is the capacity of the queue for all other frames. If it is full, the link is
+	// closed.
 	maxControlFrames = 8192
-	// batchBytes is the size at which a batch is sent.
+	// batchBytes is the size from which on no more data frames are added to a batch.
 	batchBytes = 64 << 10
-	// maxRetainedBytes is the size up to which a write buffer is kept for the next
-	// batch.
+	// maxRetainedBytes is the maximum capacity of a write buffer that is reused for the next batch.
 	maxRetainedBytes = 8 << 10
-	// maxMissedHeartbeats is how many heartbeats may be missed.
+	// maxMissedHeartbeats is the number of heartbeat intervals without any message after which the
+	// link is closed.
 	maxMissedHeartbeats = 3
 )
 
 var (
-	errPeerTimeout = eris.New("peer is silent")
-	errPeerTooSlow   = eris.New("peer reads too slowly")
+	errPeerTimeout = eris.New("no message from peer within the heartbeat time-out")
+	errPeerTooSlow = eris.New("peer reads too slowly: queue of control frames is full")
 )
 
-// Link is one open connection. Its exported fields are set before Run.
+// Link is an open connection. Its exported fields must be set before Run.
 type Link struct {
-	// Conn is the open connection.
+	// Conn is the WebSocket connection.
 	Conn *websocket.Conn
-	// Peer is who was proved to be at the other end.
+	// Peer is the authenticated process at the other end.
 	Peer Peer
-	// Name is unique among the links that a process has had, so that a peer
-	// that starts anew is not taken for what it was before.
+	// Name is unique among all links of a process over its lifetime, so that a restarted peer is not
+	// confused with its predecessor.
 	Name string
-	// Handler takes the frames.
+	// Handler handles the received frames.
 	Handler Handler
-	// HeartbeatInterval is the time between two heartbeats.
+	// HeartbeatInterval is the interval between heartbeats.
 	HeartbeatInterval time.Duration
 
 	once sync.Once
-	// dataQueue holds frames of answers.
+	// dataQueue holds the data frames to send.
 	dataQueue chan *wire.Frame
-	// mu guards control, which holds all other frames; ready has room for one
-	// word that there are some.
-	mu      sync.Mutex
+	// mu guards controlQueue, which holds all other frames to send. ready signals that it is not
+	// empty; its capacity is one.
+	mu           sync.Mutex
 	controlQueue []*wire.Frame
-	ready   chan struct{}
-	// done is closed when the link has ended.
+	ready        chan struct{}
+	// done is closed when the link is closed.
 	done chan struct{}
-	// overflow gets the word that too many control frames wait.
+	// overflow signals that the control queue is full.
 	overflow chan struct{}
 }
 
@@ -92,7 +92,7 @@
 	})
 }
 
-// Run serves the link until it breaks or the context ends, and returns why.
+// Run serves the link until it fails or the context is cancelled, and returns the cause.
 func (li *Link) Run(ctx context.Context) error {
 	li.init()
 	ctx, stop := context.WithCancelCause(ctx)
@@ -111,8 +111,8 @@
 	return context.Cause(ctx)
 }
 
-// Send queues a frame ahead of answers. A peer that reads so slowly that too
-// many wait loses the link. It reports whether the frame was queued.
+// Send queues a control frame, which is sent before all data frames. If the queue is full because the
+// peer reads too slowly, the link is closed. Send reports whether the frame was queued.
 func (li *Link) Send(fr *wire.Frame) bool {
 	li.init()
 	select {
@@ -134,7 +134,7 @@
 	return true
 }
 
-// notify leaves a word in a channel that has room for one.
+// notify sends to a channel with a capacity of one, unless a notification is already pending.
 func notify(ch chan struct{}) {
 	select {
 	case ch <- struct{}{}:
@@ -142,7 +142,7 @@
 	}
 }
 
-// SendWait queues a frame and waits for room; it serves answers, whose
+// SendWait queues a data frame and blocks while the queue is full. It is meant for responses, whose
 // source can be slowed down. It reports whether the frame was queued.
 func (li *Link) SendWait(ctx context.Context, fr *wire.Frame) bool {
 	li.init()
@@ -156,14 +156,14 @@
 	}
 }
 
-// Done is closed when the link has ended.
+// Done returns a channel that is closed when the link is closed.
 func (li *Link) Done() <-chan struct{} {
 	li.init()
 	return li.done
 }
 
-// read hands frames on. Each message puts off the end that a silent peer
-// comes to.
+// read passes received frames to the handler. Each message resets the watchdog, which closes the link of
+// an unresponsive peer.
 func (li *Link) read(ctx context.Context, watchdog *time.Timer) error {
 	for {
 		_, msg, err := li.Conn.Read(ctx)
@@ -182,8 +182,8 @@
 	}
 }
 
-// write sends what is queued and the heartbeats, in one goroutine: a process
-// has many links.
+// write sends queued frames and heartbeats. It uses only one goroutine for both because a process has
+// many links.
 func (li *Link) write(ctx context.Context) error {
 	var ba batch
 	ti := time.NewTicker(li.HeartbeatInterval)
@@ -215,7 +215,8 @@
 	}
 }
 
-// fill adds all control frames that wait, and answers up to the batch's size.
+// fill adds all queued control frames to the batch, and then queued data frames until the batch has
+// batchBytes.
 func (li *Link) fill(ba *batch) {
 	li.mu.Lock()
 	control := li.controlQueue
@@ -234,7 +235,7 @@
 	}
 }
 
-// batch is the frames of one message.
+// batch collects the frames of one message.
 type batch struct {
 	frames []*wire.Frame
 	buf    bytes.Buffer
@@ -256,9 +257,9 @@
 	}
 }
 
-// dataBytes returns the callers' part of a message, so that the budget for
-// control can be watched. The few bytes around a part of an answer count as
-// data too: they would not be there without it.
+// dataBytes returns the number of bytes in a message that carry callers' data, so that the budget for
+// control traffic can be monitored. The overhead of a data frame counts as data too, since it would not
+// exist without the data.
 func dataBytes(frames []*wire.Frame) int {
 	data := 0
 	for _, fr := range frames {
@@ -272,5 +273,5 @@
 	return data
 }
 
-// dataFrameOverheadBytes is the size of a data frame without its body.
+// dataFrameOverheadBytes is the approximate size of a data frame without its body.
 const dataFrameOverheadBytes = 20
--- a/internal/link/link_test.go
+++ b/internal/link/link_test.go
@@ -15,44 +15,45 @@
 	"github.com/linnetrudder/linnetrudder/internal/wire"
 )
 
-// keeper keeps the frames that come, once it is let.
-type keeper struct {
+// recorder is a Handler that records frames after it was unblocked.
+type recorder struct {
 	mu     sync.Mutex
 	frames []*wire.Frame
-	// gate is closed when frames may be taken.
-	gate chan struct{}
-	got  chan struct{}
-	want int
+	// unblock is closed to let the handler process frames.
+	unblock chan struct{}
+	// complete is closed when want frames were recorded.
+	complete chan struct{}
+	want     int
 }
 
-func newKeeper(want int) *keeper {
-	return &keeper{gate: make(chan struct{}), got: make(chan struct{}), want: want}
+func newRecorder(want int) *recorder {
+	return &recorder{unblock: make(chan struct{}), complete: make(chan struct{}), want: want}
 }
 
-func (ke *keeper) HandleFrame(_ *Link, fr *wire.Frame) {
-	<-ke.gate
-	ke.mu.Lock()
-	defer ke.mu.Unlock()
+func (re *recorder) HandleFrame(_ *Link, fr *wire.Frame) {
+	<-re.unblock
+	re.mu.Lock()
+	defer re.mu.Unlock()
 	if fr.Kind == wire.Heartbeat {
 		return
 	}
-	ke.frames = append(ke.frames, fr)
-	if len(ke.frames) == ke.want {
-		close(ke.got)
+	re.frames = append(re.frames, fr)
+	if len(re.frames) == re.want {
+		close(re.complete)
 	}
 }
 
-func (*keeper) Heartbeat(*Link) *wire.Frame { return &wire.Frame{Kind: wire.Heartbeat} }
+func (*recorder) Heartbeat(*Link) *wire.Frame { return &wire.Frame{Kind: wire.Heartbeat} }
 
-// pair opens a link and serves its far end with a handler.
-func pair(t *testing.T, far Handler, heartbeat time.Duration) *Link {
+// dialPair opens a link to a server that handles its frames with remote.
+func dialPair(t *testing.T, remote Handler, heartbeat time.Duration) *Link {
 	id := Identity{Box: "agent", DataCentre: "dc", SharedKey: "key"}
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		li, err := Accept(w, r, id, time.Now())
 		if err != nil {
 			return
 		}
-		li.Handler, li.HeartbeatInterval = far, heartbeat
+		li.Handler, li.HeartbeatInterval = remote, heartbeat
 		_ = li.Run(context.Background())
 	}))
 	t.Cleanup(srv.Close)
@@ -64,55 +65,56 @@
 	return li
 }
 
-const never = time.Hour
+// noHeartbeat is an interval at which no heartbeat is sent during a test.
+const noHeartbeat = time.Hour
 
-func TestABurstOfControlFramesOutlivesASlowReader(t *testing.T) {
+func TestBurstOfControlFramesIsDeliveredToASlowReader(t *testing.T) {
 	const burst = 4000
-	far := newKeeper(burst)
-	li := pair(t, far, never)
-	near := newKeeper(0)
-	close(near.gate)
-	li.Handler = near
+	remote := newRecorder(burst)
+	li := dialPair(t, remote, noHeartbeat)
+	local := newRecorder(0)
+	close(local.unblock)
+	li.Handler = local
 	go func() { _ = li.Run(t.Context()) }()
 	for i := range burst {
 		require.True(t, li.Send(&wire.Frame{Kind: wire.Cancel, Stream: uint64(i + 1)}))
 	}
-	close(far.gate)
-	<-far.got
-	for i, fr := range far.frames {
+	close(remote.unblock)
+	<-remote.complete
+	for i, fr := range remote.frames {
 		require.Equal(t, uint64(i+1), fr.Stream, "in order")
 	}
 }
 
-func TestAPeerTooFarBehindLosesTheLink(t *testing.T) {
-	far := newKeeper(0)
-	t.Cleanup(func() { close(far.gate) })
-	li := pair(t, far, never)
-	near := newKeeper(0)
-	close(near.gate)
-	li.Handler = near
-	ended := make(chan error, 1)
+func TestLinkIsClosedIfControlQueueIsFull(t *testing.T) {
+	remote := newRecorder(0)
+	t.Cleanup(func() { close(remote.unblock) })
+	li := dialPair(t, remote, noHeartbeat)
+	local := newRecorder(0)
+	close(local.unblock)
+	li.Handler = local
+	runErr := make(chan error, 1)
 	big := make([]byte, 4096)
-	go func() { ended <- li.Run(t.Context()) }()
+	go func() { runErr <- li.Run(t.Context()) }()
 	for li.Send(&wire.Frame{Kind: wire.Config, Config: &wire.ConfigUpdate{Document: big}}) {
 	}
-	// The writer may hang in a write to the peer; the link's end frees it.
+	// The writer may be blocked in a write to the peer until the connection is closed.
 	require.NoError(t, li.Conn.CloseNow())
-	require.Error(t, <-ended)
+	require.Error(t, <-runErr)
 	require.False(t, li.Send(&wire.Frame{Kind: wire.Heartbeat}))
 }
 
-func TestASilentPeerLosesTheLink(t *testing.T) {
-	far := newKeeper(0)
-	t.Cleanup(func() { close(far.gate) })
-	li := pair(t, far, never)
-	near := newKeeper(0)
-	close(near.gate)
-	li.Handler, li.HeartbeatInterval = near, time.Millisecond
+func TestLinkToUnresponsivePeerIsClosed(t *testing.T) {
+	remote := newRecorder(0)
+	t.Cleanup(func() { close(remote.unblock) })
+	li := dialPair(t, remote, noHeartbeat)
+	local := newRecorder(0)
+	close(local.unblock)
+	li.Handler, li.HeartbeatInterval = local, time.Millisecond
 	require.ErrorIs(t, li.Run(t.Context()), errPeerTimeout)
 }
 
-func TestAPeerWithoutTheKeyIsRefused(t *testing.T) {
+func TestEntryWithoutTheKeyIsRejected(t *testing.T) {
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_, err := Accept(w, r, Identity{Box: "agent", SharedKey: "key"}, time.Now())
 		require.ErrorIs(t, err, errNotAuthenticated)
@@ -122,12 +124,12 @@
 	_, err := Dial(t.Context(), address, Identity{Box: "entry", SharedKey: "other"}, time.Now())
 	require.Error(t, err)
 	_, err = Dial(t.Context(), address, Identity{Box: "entry", SharedKey: "key"}, time.Now().Add(-time.Hour))
-	require.Error(t, err, "an old proof is worth nothing")
+	require.Error(t, err, "an expired handshake must be rejected")
 }
 
-func TestAnAgentWithoutTheKeyIsNotTrusted(t *testing.T) {
+func TestAgentWithoutTheKeyIsRejected(t *testing.T) {
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		// It takes anybody in and proves itself with a key of its own.
+		// This agent accepts any entry and authenticates itself with a different key.
 		id := Identity{Box: "agent", SharedKey: "other"}
 		he := r.Header
 		w.Header().Set(headerBox, id.Box)
--- a/internal/sse/sse.go
+++ b/internal/sse/sse.go
@@ -1,6 +1,5 @@
-// Package sse splits a stream of server-sent events into whole events, so that
-// a stream that breaks inside an event can be continued after the last whole
-// one.
+// Package sse splits a stream of server-sent events into complete events, so that a stream that breaks off
+// within an event can be resumed after the last complete one.
 package sse
 
 import (
@@ -10,51 +9,51 @@
 	"strconv"
 )
 
-// maxEventBytes bounds one event in bytes; a longer one is an error.
+// maxEventBytes is the maximum size of an event. A larger event is an error.
 const maxEventBytes = 1 << 20
 
-// bufferBytes is the first size of the read buffer; events are far smaller.
-const bufferBytes = 2048
+// readBufferBytes is the size of the read buffer. Most events are far smaller.
+const readBufferBytes = 2048
 
-// Event is one whole event.
+// Event is a complete event.
 type Event struct {
 	raw []byte
 	id  string
 }
 
-// Raw returns the bytes of the event, its final blank line included. They are
-// valid until the next event is read.
+// Raw returns the bytes of the event, including the terminating blank line. They are valid until the next
+// event is read.
 func (ev Event) Raw() []byte { return ev.raw }
 
-// ID returns the event's id, "" if it has none.
+// ID returns the event's id, or "" if it has none.
 func (ev Event) ID() string { return ev.id }
 
-// Number returns the event's id as a number.
+// Number returns the event's id as a number, or false if it is not a number.
 func (ev Event) Number() (int64, bool) { return Number(ev.id) }
 
-// Number returns an event's id as a number, or false if it is none.
+// Number returns an event id as a number, or false if it is not a number.
 func Number(id string) (int64, bool) {
 	n, err := strconv.ParseInt(id, 10, 64)
 	return n, err == nil
 }
 
-// Reader reads events.
+// Reader reads events from a stream.
 type Reader struct{ br *bufio.Reader }
 
-// NewReader returns a reader of a stream.
+// NewReader returns a Reader for a stream.
 func NewReader(r io.Reader) *Reader {
-	return &Reader{br: bufio.NewReaderSize(r, bufferBytes)}
+	return &Reader{br: bufio.NewReaderSize(r, readBufferBytes)}
 }
 
-// Next returns the next whole event. At the end of the stream it returns
-// io.EOF, and io.ErrUnexpectedEOF if the stream ended inside an event.
+// Next returns the next complete event. At the end of the stream it returns io.EOF, or
+// io.ErrUnexpectedEOF if the stream ended within an event.
 func (re *Reader) Next() (Event, error) {
 	var ev Event
 	for {
 		line, err := re.br.ReadSlice('\n')
 		ev.raw = append(ev.raw, line...)
 		switch {
-		case err == bufio.ErrBufferFull: //nolint:errorlint // ReadSlice returns it as it is
+		case err == bufio.ErrBufferFull: //nolint:errorlint // ReadSlice returns this error unwrapped
 			if len(ev.raw) > maxEventBytes {
 				return Event{}, bufio.ErrTooLong
 			}
@@ -62,7 +61,7 @@
 		case err == io.EOF && len(ev.raw) > 0:
 			return Event{}, io.ErrUnexpectedEOF
 		case err != nil:
-			return Event{}, err //nolint:wrapcheck // the reader's own error is what the caller decides by
+			return Event{}, err //nolint:wrapcheck // callers compare the reader's error
 		}
 		if len(bytes.TrimRight(line, "\r\n")) == 0 && endsWithEmptyLine(ev.raw) {
 			ev.id = findID(ev.raw)
@@ -74,8 +73,8 @@
 	}
 }
 
-// endsWithEmptyLine reports whether what ends the event is an empty line, and not the
-// end of a line longer than the buffer.
+// endsWithEmptyLine reports whether an event ends with an empty line, and not with the last bytes of a line
+// that is longer than the buffer.
 func endsWithEmptyLine(raw []byte) bool {
 	rest := bytes.TrimSuffix(bytes.TrimSuffix(raw, []byte("\n")), []byte("\r"))
 	return len(rest) == 0 || rest[len(rest)-1] == '\n'
@@ -83,6 +82,7 @@
 
 var idField = []byte("id:")
 
+// findID returns the value of the first id field, or "" if there is none.
 func findID(raw []byte) string {
 	for line := range bytes.Lines(raw) {
 		if value, ok := bytes.CutPrefix(line, idField); ok {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,6 +1,5 @@
-// Package wire defines the frames that entries and agents exchange, and
-// their encoding: each WebSocket message is a sequence of CBOR items, one
-// frame an item.
+// Package wire defines the frames that entries and agents exchange, and their encoding. Each WebSocket
+// message is a sequence of CBOR items, one per frame.
 package wire
 
 import (
@@ -15,67 +14,68 @@
 	"github.com/linnetrudder/linnetrudder/internal/timeline"
 )
 
-// Kind tells frames apart.
+// Kind is the kind of a frame.
 type Kind string
 
 // The kinds of frames.
 const (
-	// Heartbeat is the heartbeat; it carries the sender's revision and load.
+	// Heartbeat is sent periodically and carries the sender's revision and load.
 	Heartbeat Kind = "beat"
 	// Open asks an agent to run one attempt.
 	Open Kind = "open"
-	// Admission says whether the attempt was started or refused.
+	// Admission reports whether an attempt was queued, started or refused.
 	Admission Kind = "verdict"
-	// Head carries the status and content type of an answer.
+	// Head carries the status and content type of a response.
 	Head Kind = "head"
-	// Data carries a part of an answer.
+	// Data carries a chunk of a response body.
 	Data Kind = "data"
-	// End closes an attempt that was started.
+	// End reports the outcome of an attempt that was started.
 	End Kind = "end"
-	// Cancel stops an attempt.
+	// Cancel asks an agent to cancel an attempt.
 	Cancel Kind = "cancel"
-	// Offer says that the sender holds a revision.
+	// Offer reports the revision of the configuration that the sender has.
 	Offer Kind = "offer"
-	// Want asks for the configuration above a revision.
+	// Want requests the changes of the configuration after a revision.
 	Want Kind = "want"
-	// Config carries a configuration.
+	// Config carries a configuration or a diff.
 	Config Kind = "config"
-	// Peers lists the entries that an agent is connected to.
+	// Peers lists the entries of the data centre that are connected to an agent.
 	Peers Kind = "peers"
 	// Claim asks an agent to make a claim durable.
 	Claim Kind = "claim"
 	// ClaimReply answers a Claim.
 	ClaimReply Kind = "claimed"
-	// Bills hands bill records on.
+	// Bills delivers bill lines towards their writer.
 	Bills Kind = "bill"
-	// BillsBuffered names records that their writer holds in memory, since the store
-	// does not take them now.
+	// BillsBuffered lists bill lines that their writer has buffered in memory because the store does
+	// not accept them at the moment.
 	BillsBuffered Kind = "taken"
-	// CrashSuspects names requests that were with the agent's server just before it ended.
+	// CrashSuspects lists requests that were on the agent's server shortly before it crashed.
 	CrashSuspects Kind = "suspect"
-	// BillsStored names records that are durable.
+	// BillsStored lists bill lines that are durable.
 	BillsStored Kind = "billed"
 )
 
-// Frame is one message. Only the part that its kind names is set. The fields
-// are exported because the codec needs them.
+// Frame is the unit of communication between an entry and an agent. Only the fields that its kind requires
+// are set. The fields are exported because the codec needs them.
 type Frame struct {
 	Kind Kind `cbor:"1,keyasint"`
-	// Stream names an attempt; the entry numbers attempts per connection.
+	// Stream identifies an attempt. The entry numbers the attempts of each link.
 	Stream uint64 `cbor:"2,keyasint,omitempty"`
-	// Seq numbers the Head, Data and End frames of an attempt from 1.
+	// Seq is the sequence number of a Head, Data or End frame within its attempt, starting at 1.
 	Seq uint32 `cbor:"3,keyasint,omitempty"`
-	// Body is a part of an answer.
+	// Body is a chunk of a response body.
 	Body []byte `cbor:"4,keyasint,omitempty"`
-	// Code is set in Verdict, End and Claimed.
+	// Code is set in Admission and End.
 	Code result.Code `cbor:"5,keyasint,omitempty"`
-	// RetryAfterMS is set in a Verdict that refuses.
+	// RetryAfterMS is set in an Admission that refuses the attempt.
 	RetryAfterMS int64 `cbor:"6,keyasint,omitempty"`
-	// Revision is set in Beat, Offer, Want and Verdict.
+	// Revision is set in Heartbeat, Offer, Want and Admission.
 	Revision uint64 `cbor:"7,keyasint,omitempty"`
-	// Nonce is echoed, so that an answer is known to be younger than its question.
+	// Nonce is set in Want and echoed in the Offer that answers it. It shows that the Offer was sent
+	// after the Want.
 	Nonce uint64 `cbor:"8,keyasint,omitempty"`
-	// Stamp orders the time lines of the two processes.
+	// Stamp is a clock value that orders the timelines of the two processes.
 	Stamp *timeline.Stamp `cbor:"9,keyasint,omitempty"`
 
 	Open   *Attempt      `cbor:"10,keyasint,omitempty"`
@@ -89,117 +89,116 @@
 	IDs    []string      `cbor:"18,keyasint,omitempty"`
 
 	Suspicions []poison.Suspicion `cbor:"19,keyasint,omitempty"`
-	// Fingerprints are, in an entry's beat, of the requests that it has blocked; in an agent's, of those
-	// among them that its server has answered as a whole and lived on.
+	// Fingerprints identifies requests: in an entry's heartbeat, those that it blocks; in an agent's
+	// heartbeat, those among them that its server answered completely and survived.
 	Fingerprints []poison.Fingerprint `cbor:"20,keyasint,omitempty"`
 }
 
-// Attempt is what an agent needs to judge and run one attempt.
+// Attempt holds what an agent needs to admit and run one attempt.
 type Attempt struct {
 	Request string `cbor:"1,keyasint"`
 	Number  int    `cbor:"2,keyasint"`
-	// Step is the place of this call in a cascade, from 0.
+	// Step is the position of this call in a cascade, starting at 0.
 	Step int    `cbor:"3,keyasint,omitempty"`
 	Team string `cbor:"4,keyasint"`
-	// Version is empty for a plain service.
+	// Version is the model version; it is empty for a plain service.
 	Version string `cbor:"5,keyasint,omitempty"`
 	Service string `cbor:"6,keyasint,omitempty"`
 	Kind    string `cbor:"7,keyasint,omitempty"`
 	// InSession is set if the request belongs to a session of this version.
 	InSession bool `cbor:"8,keyasint,omitempty"`
 	Priority  int  `cbor:"9,keyasint,omitempty"`
-	// WaitMS is how long the attempt may wait for its start.
+	// WaitMS is the maximum time in the queue, in milliseconds.
 	WaitMS int64 `cbor:"10,keyasint"`
-	// HideUsage drops the usage part that the caller did not ask for.
+	// HideUsage is set if the caller did not request usage, so that it is removed from the response.
 	HideUsage bool `cbor:"11,keyasint,omitempty"`
-	// AtMostOnce marks a request that runs at most once; it is let run to its end
-	// even if its entry is lost.
+	// AtMostOnce marks a request that must not be repeated. Once started, it runs to completion even
+	// if its entry disconnects.
 	AtMostOnce bool   `cbor:"16,keyasint,omitempty"`
 	Method     string `cbor:"12,keyasint"`
 	Path       string `cbor:"13,keyasint"`
 	Type       string `cbor:"14,keyasint,omitempty"`
 	Body       []byte `cbor:"15,keyasint,omitempty"`
-	// Fingerprint is the fingerprint of the caller's request, whatever version is asked.
+	// Fingerprint is the fingerprint of the caller's request. It does not depend on the version that
+	// the attempt uses.
 	Fingerprint poison.Fingerprint `cbor:"17,keyasint,omitempty"`
 }
 
-// Load is what an agent says of its backend server.
+// Load is the load of a backend server, as its agent reports it.
 type Load struct {
 	Running int `cbor:"1,keyasint,omitempty"`
 	Queued  int `cbor:"2,keyasint,omitempty"`
 	Slots   int `cbor:"3,keyasint,omitempty"`
-	// Leaving is set once the server takes nothing new.
+	// Leaving is set if the server accepts no new attempts because it or its agent is shutting down.
 	Leaving bool `cbor:"4,keyasint,omitempty"`
-	// Versions are the outcome counters of the versions served here, since
-	// the agent started.
+	// Versions holds the outcome counters of the versions on this server since the agent started.
 	Versions []Outcome `cbor:"5,keyasint,omitempty"`
 }
 
-// Outcome counts the attempts of one version at one agent.
+// Outcome counts the finished and the failed attempts of one version at one agent.
 type Outcome struct {
 	Version string `cbor:"1,keyasint" json:"version"`
 	Started uint64 `cbor:"2,keyasint,omitempty" json:"started"`
 	Failed  uint64 `cbor:"3,keyasint,omitempty" json:"failed"`
 }
 
-// ResponseHead opens an answer.
+// ResponseHead holds the status and content type of a response.
 type ResponseHead struct {
 	Status int    `cbor:"1,keyasint"`
 	Type   string `cbor:"2,keyasint,omitempty"`
 }
 
-// Usage is what an attempt consumed, in tokens.
+// Usage is the token consumption of an attempt.
 type Usage struct {
 	Prompt     int64 `cbor:"1,keyasint,omitempty" json:"prompt"`
 	Completion int64 `cbor:"2,keyasint,omitempty" json:"completion"`
-	// Confidence is the engine's own estimate from 0 to 1, negative if none.
+	// Confidence is the engine's own confidence estimate from 0 to 1, negative if there is none.
 	Confidence float64 `cbor:"3,keyasint,omitempty" json:"confidence,omitempty"`
 }
 
-// ConfigUpdate carries the configuration from one process to another.
+// ConfigUpdate carries a revision of the configuration from one process to another.
 type ConfigUpdate struct {
 	Revision uint64 `cbor:"1,keyasint"`
-	// Base is the revision that the differences apply to; zero if Document is
-	// whole.
+	// Base is the revision to which the differences apply; zero if Document is a complete document.
 	Base uint64 `cbor:"2,keyasint,omitempty"`
-	// Document is the whole document, or the list of differences, in JSON.
+	// Document is the complete document or the list of differences, in JSON.
 	Document []byte `cbor:"3,keyasint,omitempty"`
-	// Digest is the checksum of the document that differences lead to.
+	// Digest is the checksum of the document that results from the differences.
 	Digest uint64 `cbor:"4,keyasint,omitempty"`
 }
 
-// ClaimLine asks for, or answers, one claim.
+// ClaimLine is a request for a claim, or the reply to it.
 type ClaimLine struct {
-	// Key is what is claimed; Value is what the claimant wants it to be.
+	// Key is the claimed key; Value is the value that the claimant proposes, or the winning one.
 	Key   string `cbor:"1,keyasint"`
 	Value string `cbor:"2,keyasint"`
-	// Durable waits for the key-value service whatever it takes.
+	// Durable rules out a reply before the claim is stored in the key-value service.
 	Durable bool `cbor:"3,keyasint,omitempty"`
-	// Release gives the claim up if Value still holds it.
+	// Release gives up the claim if Value is still its owner.
 	Release bool `cbor:"5,keyasint,omitempty"`
-	// Code says in an answer whether Value is the winner.
+	// Code is set in a reply and reports whether the proposed value won.
 	Code result.Code `cbor:"4,keyasint,omitempty"`
 }
 
-// BillLine is one line of a request's bill.
+// BillLine is a line item of a request's bill.
 type BillLine struct {
 	Request string `cbor:"1,keyasint" json:"request"`
-	// Step is the place of the call in a cascade; (Request, Step) is unique.
+	// Step is the position of the call in a cascade. The pair of Request and Step is unique.
 	Step    int    `cbor:"2,keyasint,omitempty" json:"step"`
 	Team    string `cbor:"3,keyasint,omitempty" json:"team"`
 	Version string `cbor:"4,keyasint,omitempty" json:"version"`
 	Kind    string `cbor:"5,keyasint,omitempty" json:"kind,omitempty"`
 	Usage   Usage  `cbor:"6,keyasint,omitempty" json:"usage"`
-	// Cost is in millionths of the operators' unit of money.
+	// Cost is in millionths of the operators' currency unit.
 	Cost int64 `cbor:"7,keyasint,omitempty" json:"cost"`
 	// Box is the box of the agent that ran the call.
 	Box string `cbor:"8,keyasint,omitempty" json:"box,omitempty"`
 }
 
-// MaxMessageBytes bounds a message in bytes.
+// MaxMessageBytes is the maximum size of a message.
 const MaxMessageBytes = 8 << 20
 
-// ErrMalformedFrame is the cause of every refusal to decode.
+// ErrMalformedFrame is wrapped by all errors of Decode.
 var ErrMalformedFrame = eris.New("malformed frame")
 
 var (
@@ -226,13 +225,13 @@
 	return dm
 }
 
-// Append encodes a frame behind what the writer holds.
+// Append encodes a frame and writes it.
 func Append(wr io.Writer, fr *Frame) error {
 	return eris.Wrap(encMode.NewEncoder(wr).Encode(fr), "encode frame")
 }
 
-// Decode reads the frames of one message. It stops at the first that is
-// malformed or incomplete.
+// Decode decodes the frames of one message. At the first malformed or incomplete frame it returns an error
+// with the frames before it.
 func Decode(msg []byte) ([]*Frame, error) {
 	var frames []*Frame
 	for len(msg) > 0 {
@@ -250,25 +249,25 @@
 	return frames, nil
 }
 
-// check refuses a frame that lacks the part that its kind names.
+// check returns an error if a frame lacks a field that its kind requires.
 func (fr *Frame) check() error {
-	ok := true
+	valid := true
 	switch fr.Kind {
 	case Open:
-		ok = fr.Open != nil && fr.Stream != 0
+		valid = fr.Open != nil && fr.Stream != 0
 	case Head:
-		ok = fr.Head != nil && fr.Stream != 0 && fr.Seq != 0
+		valid = fr.Head != nil && fr.Stream != 0 && fr.Seq != 0
 	case Data, End:
-		ok = fr.Stream != 0 && fr.Seq != 0
+		valid = fr.Stream != 0 && fr.Seq != 0
 	case Admission, Cancel:
-		ok = fr.Stream != 0
+		valid = fr.Stream != 0
 	case Config:
-		ok = fr.Config != nil
+		valid = fr.Config != nil
 	case Heartbeat, Offer, Want, Peers, Claim, ClaimReply, Bills, BillsBuffered, BillsStored, CrashSuspects:
 	default:
-		ok = false
+		valid = false
 	}
-	if !ok {
+	if !valid {
 		return eris.Wrapf(ErrMalformedFrame, "kind %q", string(fr.Kind))
 	}
 	return nil
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -10,7 +10,7 @@
 	"github.com/linnetrudder/linnetrudder/internal/result"
 )
 
-func samples() []*Frame {
+func sampleFrames() []*Frame {
 	return []*Frame{
 		{Kind: Heartbeat, Revision: 7, Load: &Load{Running: 3, Slots: 8, Versions: []Outcome{{Version: "m@v1", Started: 9, Failed: 1}}}},
 		{Kind: Open, Stream: 1, Open: &Attempt{Request: "dc.1", Number: 1, Team: "t", Version: "m@v1", WaitMS: 5, Method: "POST", Path: "/", Body: []byte("{}")}},
@@ -34,14 +34,14 @@
 	return buf.Bytes()
 }
 
-func TestAMessageCarriesItsFramesInOrder(t *testing.T) {
-	want := samples()
+func TestDecodeReturnsFramesInOrder(t *testing.T) {
+	want := sampleFrames()
 	got, err := Decode(encode(t, want...))
 	require.NoError(t, err)
 	require.Equal(t, want, got)
 }
 
-func TestAFrameWithoutItsPartIsRefused(t *testing.T) {
+func TestFrameWithoutRequiredFieldIsRejected(t *testing.T) {
 	for _, fr := range []*Frame{
 		{Kind: Open, Stream: 1},
 		{Kind: Open, Open: &Attempt{}},
@@ -59,18 +59,18 @@
 	}
 }
 
-func TestWhatComesBeforeABrokenFrameCounts(t *testing.T) {
-	msg := append(encode(t, samples()[0]), 0xff, 0x01)
+func TestFramesBeforeAMalformedOneAreReturned(t *testing.T) {
+	msg := append(encode(t, sampleFrames()[0]), 0xff, 0x01)
 	got, err := Decode(msg)
 	require.ErrorIs(t, err, ErrMalformedFrame)
 	require.Len(t, got, 1)
 }
 
 func FuzzDecode(f *testing.F) {
-	for _, fr := range samples() {
+	for _, fr := range sampleFrames() {
 		f.Add(encode(f, fr))
 	}
-	f.Add(encode(f, samples()...))
+	f.Add(encode(f, sampleFrames()...))
 	f.Add([]byte{0x9f, 0xff})
 	f.Fuzz(func(t *testing.T, msg []byte) {
 		frames, err := Decode(msg)
