--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -135,7 +135,7 @@
 	Versions []Outcome `cbor:"5,keyasint,omitempty"`
 }
 
-// Outcome counts the finished and the failed attempts of one version at one agent.
+// Outcome counts the finished attempts of one version at one agent, and the failed ones among them.
 type Outcome struct {
 	Version string `cbor:"1,keyasint" json:"version"`
 	Started uint64 `cbor:"2,keyasint,omitempty" json:"started"`
