--- a/internal/agent/usage.go
+++ b/internal/agent/usage.go
@@ -21,7 +21,7 @@
 var (
 	dataPrefix = []byte("data: ")
 	doneLine   = []byte("data: [DONE]")
-	usageMark  = []byte(`"usage":{`)
+	usageMarker  = []byte(`"usage":{`)
 )
 
 // maxBufferedBodyBytes is the maximum length of a response that is buffered to read its usage if it
@@ -70,7 +70,7 @@
 	if bytes.Contains(lines, doneLine) {
 		me.sawDone = true
 	}
-	if !me.skipBlank && !bytes.Contains(lines, usageMark) {
+	if !me.skipBlank && !bytes.Contains(lines, usageMarker) {
 		return lines
 	}
 	out := make([]byte, 0, len(lines))
@@ -80,7 +80,7 @@
 			me.skipBlank = false
 			continue
 		}
-		if bytes.Contains(line, usageMark) && me.readUsage(bytes.TrimPrefix(line, dataPrefix)) && me.hideUsage {
+		if bytes.Contains(line, usageMarker) && me.readUsage(bytes.TrimPrefix(line, dataPrefix)) && me.hideUsage {
 			me.skipBlank = true
 			continue
 		}
