--- a/internal/agent/usage.go
+++ b/internal/agent/usage.go
@@ -19,9 +19,9 @@
 }
 
 var (
-	dataPrefix = []byte("data: ")
-	doneLine   = []byte("data: [DONE]")
-	usageMarker  = []byte(`"usage":{`)
+	dataPrefix  = []byte("data: ")
+	doneLine    = []byte("data: [DONE]")
+	usageMarker = []byte(`"usage":{`)
 )
 
 // maxBufferedBodyBytes is the maximum length of a response that is buffered to read its usage if it
