--- a/standin/e2e/caller_test.go
+++ b/standin/e2e/caller_test.go
@@ -19,28 +19,28 @@
 	"github.com/linnetrudder/linnetrudder/standin/fleet"
 )
 
-func TestAStockClientWorksUnchanged(t *testing.T) {
-	si := newSite(t, 1, time.Millisecond)
-	cl := openai.NewClient(option.WithBaseURL("http://"+si.entries[0].Address+"/v1"), option.WithAPIKey(key))
-	ask := openai.ChatCompletionNewParams{
+func TestOpenAIClientWorksUnmodified(t *testing.T) {
+	sy := newSystem(t, 1, time.Millisecond)
+	cl := openai.NewClient(option.WithBaseURL("http://"+sy.entries[0].Address+"/v1"), option.WithAPIKey(teamKey))
+	params := openai.ChatCompletionNewParams{
 		Model:    "m",
 		Messages: []openai.ChatCompletionMessageParamUnion{openai.UserMessage("x")},
 	}
-	done, err := cl.Chat.Completions.New(t.Context(), ask)
+	done, err := cl.Chat.Completions.New(t.Context(), params)
 	require.NoError(t, err)
-	require.Equal(t, engine.Answer(done.Model, tokens), done.Choices[0].Message.Content)
-	require.EqualValues(t, tokens, done.Usage.CompletionTokens)
+	require.Equal(t, engine.Answer(done.Model, answerTokens), done.Choices[0].Message.Content)
+	require.EqualValues(t, answerTokens, done.Usage.CompletionTokens)
 
 	for _, usage := range []bool{false, true} {
-		ask.StreamOptions.IncludeUsage = openai.Bool(usage)
-		st := cl.Chat.Completions.NewStreaming(t.Context(), ask)
+		params.StreamOptions.IncludeUsage = openai.Bool(usage)
+		st := cl.Chat.Completions.NewStreaming(t.Context(), params)
 		acc := openai.ChatCompletionAccumulator{}
 		for st.Next() {
 			require.True(t, acc.AddChunk(st.Current()))
 		}
 		require.NoError(t, st.Err())
-		require.Equal(t, engine.Answer(acc.Model, tokens), acc.Choices[0].Message.Content)
-		require.Equal(t, usage, acc.Usage.CompletionTokens > 0, "usage comes only to who asks for it")
+		require.Equal(t, engine.Answer(acc.Model, answerTokens), acc.Choices[0].Message.Content)
+		require.Equal(t, usage, acc.Usage.CompletionTokens > 0, "usage is sent only if include_usage is set")
 	}
 
 	models, err := cl.Models.List(t.Context())
@@ -48,15 +48,15 @@
 	require.Len(t, models.Data, 1)
 	require.Equal(t, "m", models.Data[0].ID)
 
-	_, err = cl.Chat.Completions.New(t.Context(), openai.ChatCompletionNewParams{Model: "none", Messages: ask.Messages})
+	_, err = cl.Chat.Completions.New(t.Context(), openai.ChatCompletionNewParams{Model: "none", Messages: params.Messages})
 	var apiErr *openai.Error
 	require.ErrorAs(t, err, &apiErr)
 	require.Equal(t, http.StatusNotFound, apiErr.StatusCode)
 	require.Equal(t, "unknown_model", apiErr.Type)
 }
 
-func TestEveryBadInputHasItsOwnCode(t *testing.T) {
-	si := newSite(t, 1, time.Millisecond)
+func TestInvalidRequestsReturnTheExpectedCode(t *testing.T) {
+	sy := newSystem(t, 1, time.Millisecond)
 	good := `{"model":"m","messages":[{"role":"user","content":"x"}]}`
 	for _, tc := range []struct {
 		name, path, key, body string
@@ -65,21 +65,21 @@
 	}{
 		{name: "no key", body: good, want: result.UnknownKey},
 		{name: "wrong key", key: "other", body: good, want: result.UnknownKey},
-		{name: "not JSON", key: key, body: `{"model":`, want: result.BadRequest},
-		{name: "no model", key: key, body: `{"messages":[{}]}`, want: result.BadRequest},
-		{name: "no messages", key: key, body: `{"model":"m","messages":[]}`, want: result.BadRequest},
-		{name: "unknown model", key: key, body: strings.Replace(good, `"m"`, `"none"`, 1), want: result.UnknownModel},
-		{name: "large body", key: key, body: good + strings.Repeat(" ", 2<<20), want: result.BodyTooLarge},
-		{name: "long session", key: key, body: good, header: [2]string{"X-Linnetrudder-Session", strings.Repeat("s", 200)}, want: result.BadSession},
-		{name: "long key", key: key, body: good, header: [2]string{"Idempotency-Key", strings.Repeat("k", 200)}, want: result.BadIdempotencyKey},
-		{name: "no service", path: "/services/none/x", key: key, want: result.UnknownPath},
-		{name: "no path", path: "/v2/chat", key: key, want: result.UnknownPath},
+		{name: "not JSON", key: teamKey, body: `{"model":`, want: result.BadRequest},
+		{name: "no model", key: teamKey, body: `{"messages":[{}]}`, want: result.BadRequest},
+		{name: "no messages", key: teamKey, body: `{"model":"m","messages":[]}`, want: result.BadRequest},
+		{name: "unknown model", key: teamKey, body: strings.Replace(good, `"m"`, `"none"`, 1), want: result.UnknownModel},
+		{name: "large body", key: teamKey, body: good + strings.Repeat(" ", 2<<20), want: result.BodyTooLarge},
+		{name: "long session", key: teamKey, body: good, header: [2]string{"X-Linnetrudder-Session", strings.Repeat("s", 200)}, want: result.BadSession},
+		{name: "long key", key: teamKey, body: good, header: [2]string{"Idempotency-Key", strings.Repeat("k", 200)}, want: result.BadIdempotencyKey},
+		{name: "no service", path: "/services/none/x", key: teamKey, want: result.UnknownPath},
+		{name: "no path", path: "/v2/chat", key: teamKey, want: result.UnknownPath},
 	} {
 		path := tc.path
 		if path == "" {
 			path = "/v1/chat/completions"
 		}
-		req, err := http.NewRequestWithContext(t.Context(), http.MethodPost, "http://"+si.entries[0].Address+path, strings.NewReader(tc.body))
+		req, err := http.NewRequestWithContext(t.Context(), http.MethodPost, "http://"+sy.entries[0].Address+path, strings.NewReader(tc.body))
 		require.NoError(t, err)
 		req.Header.Set("Authorization", "Bearer "+tc.key)
 		if tc.header[0] != "" {
@@ -91,84 +91,84 @@
 		require.NoError(t, err)
 		require.NoError(t, resp.Body.Close())
 		var ca call
-		ca.judge(data)
+		ca.parseResponse(data)
 		require.Equal(t, tc.want, ca.code, "%s: %s", tc.name, data)
 		require.Equal(t, result.DidNotRun, ca.run, tc.name)
 	}
-	require.True(t, si.ask(si.entries[0], call{}).whole, "and the process goes on")
-	require.Len(t, si.runs(), 1, "nothing of that has run")
+	require.True(t, sy.send(sy.entries[0], call{}).complete, "the entry still serves valid requests")
+	require.Len(t, sy.runsByRequest(), 1, "none of the invalid requests ran")
 }
 
-func TestACallerThatGoesAwayFreesTheEngine(t *testing.T) {
-	si := newSite(t, 1, time.Second)
+func TestClientDisconnectFreesTheEngineSlot(t *testing.T) {
+	sy := newSystem(t, 1, time.Second)
 	ctx, cancel := context.WithCancel(t.Context())
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+si.entries[0].Address+"/v1/chat/completions",
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+sy.entries[0].Address+"/v1/chat/completions",
 		strings.NewReader(`{"model":"m","stream":true,"messages":[{"role":"user","content":"x"}]}`))
 	require.NoError(t, err)
-	req.Header.Set("Authorization", "Bearer "+key)
+	req.Header.Set("Authorization", "Bearer "+teamKey)
 	resp, err := http.DefaultClient.Do(req)
 	require.NoError(t, err)
 	defer resp.Body.Close()
-	require.Equal(t, 1, si.running())
+	require.Equal(t, 1, sy.runningCount())
 	cancel()
-	require.NoError(t, fleet.Until(bound, "the slot to be free", func() bool { return si.running() == 0 }))
+	require.NoError(t, fleet.Until(waitTimeout, "the engine's slot to be free", func() bool { return sy.runningCount() == 0 }))
 }
 
-// running returns how many requests run on the first engine.
-func (si *site) running() int {
+// runningCount returns the number of requests in progress on the first engine.
+func (sy *system) runningCount() int {
 	var n int
-	require.NoError(si.t, si.getJSON("http://"+si.agents[0].Backend+"/running", &n))
+	require.NoError(sy.t, sy.getJSON("http://"+sy.agents[0].Backend+"/running", &n))
 	return n
 }
 
-func TestAServerThatLeavesGetsNothingNew(t *testing.T) {
+func TestLeavingServerGetsNoNewRequests(t *testing.T) {
 	for _, signal := range []string{"configuration", "list"} {
 		t.Run(signal, func(t *testing.T) {
-			si := newSite(t, 2, time.Millisecond)
-			stop := si.load(4, func(int) call { return call{kind: "patient"} })
-			si.served(2)
+			sy := newSystem(t, 2, time.Millisecond)
+			stop := sy.startLoad(4, func(int) call { return call{kind: "patient"} })
+			sy.waitAnswers(2)
 			if signal == "configuration" {
-				doc := si.document()
+				doc := sy.baseConfig()
 				doc.Servers[0].Leaving = true
-				si.apply(doc)
-				si.waitRevision(2, si.fleet.Members()...)
+				sy.applyConfig(doc)
+				sy.waitRevision(2, sy.fleet.Members()...)
 			} else {
-				require.NoError(t, si.fleet.PublishLeaving(si.agents[0]))
+				require.NoError(t, sy.fleet.PublishLeaving(sy.agents[0]))
 			}
-			// It has left once a while goes by in which others serve and it
-			// does not.
-			require.NoError(t, fleet.Until(bound, "nothing new", func() bool {
-				before := si.total(si.agents[0])
-				si.served(5)
-				return si.total(si.agents[0]) == before
+			// The change is in force once five requests are answered and none of them starts on this
+			// server.
+			require.NoError(t, fleet.Until(waitTimeout, "no new requests on the leaving server", func() bool {
+				before := sy.totalStarted(sy.agents[0])
+				sy.waitAnswers(5)
+				return sy.totalStarted(sy.agents[0]) == before
 			}))
-			quiet := si.total(si.agents[0])
-			si.served(10)
-			require.Equal(t, quiet, si.total(si.agents[0]))
+			started := sy.totalStarted(sy.agents[0])
+			sy.waitAnswers(10)
+			require.Equal(t, started, sy.totalStarted(sy.agents[0]))
 			calls := stop()
 			for _, ca := range calls {
-				require.True(t, ca.whole, "%+v", ca)
+				require.True(t, ca.complete, "%+v", ca)
 			}
-			si.checkCalls(calls)
+			sy.checkCalls(calls)
 		})
 	}
 }
 
-// total returns how many requests began on an agent's engine.
-func (si *site) total(ag *fleet.Member) int {
-	return si.began(ag, "m@v1") + si.began(ag, "m@v2")
+// totalStarted returns the number of requests of both versions that started on an agent's engine.
+func (sy *system) totalStarted(ag *fleet.Member) int {
+	return sy.startedCount(ag, "m@v1") + sy.startedCount(ag, "m@v2")
 }
 
-func TestAnotherTeamReachesNothing(t *testing.T) {
-	si := newSite(t, 1, time.Millisecond)
-	doc := si.document()
+func TestTeamWithoutGrantSeesNoModels(t *testing.T) {
+	sy := newSystem(t, 1, time.Millisecond)
+	doc := sy.baseConfig()
 	doc.Teams = append(doc.Teams, config.Team{Name: "other", KeyDigests: []string{config.Digest("other-key")}})
 	doc.Grants[0].Teams.Equal = map[string]string{"team": "team"}
-	si.apply(doc)
-	si.waitRevision(2, si.fleet.Members()...)
-	mine := si.ask(si.entries[0], call{idempotency: "k", session: "s"})
-	require.True(t, mine.whole)
-	req, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+si.entries[0].Address+"/v1/models", http.NoBody)
+	sy.applyConfig(doc)
+	sy.waitRevision(2, sy.fleet.Members()...)
+	granted := sy.send(sy.entries[0], call{idempotencyKey: "k", session: "s"})
+	require.True(t, granted.complete)
+	req, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+sy.entries[0].Address+"/v1/models", http.NoBody)
 	require.NoError(t, err)
 	req.Header.Set("Authorization", "Bearer other-key")
 	resp, err := http.DefaultClient.Do(req)
--- a/standin/e2e/failure_test.go
+++ b/standin/e2e/failure_test.go
@@ -16,11 +16,11 @@
 	"github.com/linnetrudder/linnetrudder/standin/store"
 )
 
-// freeze is longer than the gap at which an agent knows that it was frozen.
-const freeze = 3 * time.Second
+// freezeTime is longer than the pause after which an agent detects that it was suspended.
+const freezeTime = 3 * time.Second
 
-// mixed makes streamed and whole, repeatable and not repeatable calls.
-func mixed(n int) call {
+// mixedCall alternates streamed and unstreamed, repeatable and non-repeatable calls.
+func mixedCall(n int) call {
 	ca := call{stream: n%2 == 0}
 	if n%3 == 0 {
 		ca.kind = "once"
@@ -28,362 +28,362 @@
 	return ca
 }
 
-// served waits until more calls were answered than before.
-func (si *site) served(calls int) {
+// waitAnswers sends requests until the given number of them are answered in full.
+func (sy *system) waitAnswers(calls int) {
 	for range calls {
-		require.NoError(si.t, fleet.Until(bound, "an answer", func() bool {
-			return si.ask(si.entries[0], call{kind: "patient"}).whole
+		require.NoError(sy.t, fleet.Until(waitTimeout, "an answer", func() bool {
+			return sy.send(sy.entries[0], call{kind: "patient"}).complete
 		}))
 	}
 }
 
-func TestAnAgentIsKilledUnderLoad(t *testing.T) {
-	si := newSite(t, 3, 3*time.Millisecond)
-	stop := si.load(8, mixed)
-	si.served(2)
-	require.NoError(t, si.agents[0].Process.Signal(syscall.SIGKILL))
-	require.True(t, si.agents[0].Process.Wait(bound))
-	si.served(3)
-	require.NoError(t, si.fleet.Restart(si.agents[0]))
-	si.waitRevision(1, si.agents[0])
-	si.served(2)
-	si.checkCalls(stop())
+func TestAgentKilledUnderLoad(t *testing.T) {
+	sy := newSystem(t, 3, 3*time.Millisecond)
+	stop := sy.startLoad(8, mixedCall)
+	sy.waitAnswers(2)
+	require.NoError(t, sy.agents[0].Process.Signal(syscall.SIGKILL))
+	require.True(t, sy.agents[0].Process.Wait(waitTimeout))
+	sy.waitAnswers(3)
+	require.NoError(t, sy.fleet.Restart(sy.agents[0]))
+	sy.waitRevision(1, sy.agents[0])
+	sy.waitAnswers(2)
+	sy.checkCalls(stop())
 }
 
-func TestAnEntryIsKilledUnderLoad(t *testing.T) {
-	si := newSite(t, 2, 3*time.Millisecond)
-	stop := si.load(8, mixed)
-	si.served(2)
-	require.NoError(t, si.entries[1].Process.Signal(syscall.SIGKILL))
-	require.True(t, si.entries[1].Process.Wait(bound))
-	si.served(3)
-	si.checkCalls(stop())
-	// What ran to its end under the lost entry is billed through the other.
-	require.NoError(t, si.fleet.Restart(si.entries[1]))
-	si.waitRevision(1, si.entries[1])
+func TestEntryKilledUnderLoad(t *testing.T) {
+	sy := newSystem(t, 2, 3*time.Millisecond)
+	stop := sy.startLoad(8, mixedCall)
+	sy.waitAnswers(2)
+	require.NoError(t, sy.entries[1].Process.Signal(syscall.SIGKILL))
+	require.True(t, sy.entries[1].Process.Wait(waitTimeout))
+	sy.waitAnswers(3)
+	sy.checkCalls(stop())
+	// Requests that completed through the killed entry are billed by the other one.
+	require.NoError(t, sy.fleet.Restart(sy.entries[1]))
+	sy.waitRevision(1, sy.entries[1])
 }
 
-func TestAnAgentIsFrozenUnderLoad(t *testing.T) {
-	si := newSite(t, 3, 3*time.Millisecond)
-	stop := si.load(8, mixed)
-	si.served(2)
-	require.NoError(t, si.agents[0].Process.Signal(syscall.SIGSTOP))
-	si.served(5)
-	require.NoError(t, si.agents[0].Process.Signal(syscall.SIGCONT))
-	si.served(2)
-	si.checkCalls(stop())
+func TestAgentFrozenUnderLoad(t *testing.T) {
+	sy := newSystem(t, 3, 3*time.Millisecond)
+	stop := sy.startLoad(8, mixedCall)
+	sy.waitAnswers(2)
+	require.NoError(t, sy.agents[0].Process.Signal(syscall.SIGSTOP))
+	sy.waitAnswers(5)
+	require.NoError(t, sy.agents[0].Process.Signal(syscall.SIGCONT))
+	sy.waitAnswers(2)
+	sy.checkCalls(stop())
 }
 
-func TestTheStoreIsDownUnderLoad(t *testing.T) {
-	si := newSite(t, 2, time.Millisecond)
-	stop := si.load(4, mixed)
-	si.served(2)
-	require.NoError(t, si.fleet.Fault(store.Faults{Down: true}))
-	si.served(10)
-	require.NoError(t, si.fleet.Fault(store.Faults{DropAnswers: 5}))
-	si.served(2)
+func TestStoreDownUnderLoad(t *testing.T) {
+	sy := newSystem(t, 2, time.Millisecond)
+	stop := sy.startLoad(4, mixedCall)
+	sy.waitAnswers(2)
+	require.NoError(t, sy.fleet.Fault(store.Faults{Down: true}))
+	sy.waitAnswers(10)
+	require.NoError(t, sy.fleet.Fault(store.Faults{DropAnswers: 5}))
+	sy.waitAnswers(2)
 	calls := stop()
-	require.NoError(t, si.fleet.Fault(store.Faults{}))
+	require.NoError(t, sy.fleet.Fault(store.Faults{}))
 	for _, ca := range calls {
-		require.True(t, ca.whole, "an outage of the store fails no request without a key: %+v", ca)
+		require.True(t, ca.complete, "a store outage must not fail requests without an idempotency key: %+v", ca)
 	}
-	si.checkCalls(calls)
+	sy.checkCalls(calls)
 }
 
-func TestTheStoreIsDownAndAnAgentIsKilled(t *testing.T) {
-	si := newSite(t, 3, time.Millisecond)
-	stop := si.load(4, mixed)
-	si.served(2)
-	require.NoError(t, si.fleet.Fault(store.Faults{Down: true}))
-	si.served(2)
-	require.NoError(t, si.agents[1].Process.Signal(syscall.SIGKILL))
-	require.True(t, si.agents[1].Process.Wait(bound))
-	si.served(4)
+func TestAgentKilledWhileStoreDown(t *testing.T) {
+	sy := newSystem(t, 3, time.Millisecond)
+	stop := sy.startLoad(4, mixedCall)
+	sy.waitAnswers(2)
+	require.NoError(t, sy.fleet.Fault(store.Faults{Down: true}))
+	sy.waitAnswers(2)
+	require.NoError(t, sy.agents[1].Process.Signal(syscall.SIGKILL))
+	require.True(t, sy.agents[1].Process.Wait(waitTimeout))
+	sy.waitAnswers(4)
 	calls := stop()
-	require.NoError(t, si.fleet.Fault(store.Faults{}))
-	si.checkCalls(calls)
+	require.NoError(t, sy.fleet.Fault(store.Faults{}))
+	sy.checkCalls(calls)
 }
 
-func TestAPlannedStopCutsNothing(t *testing.T) {
-	si := newSite(t, 3, 10*time.Millisecond)
-	stop := si.load(6, func(n int) call { return call{stream: n%2 == 0, kind: "patient"} })
-	si.served(2)
-	require.NoError(t, si.agents[0].Process.Signal(syscall.SIGTERM))
-	require.True(t, si.agents[0].Process.Wait(bound))
-	require.Zero(t, si.agents[0].Process.Code())
-	si.served(2)
+func TestAgentShutdownCompletesRequests(t *testing.T) {
+	sy := newSystem(t, 3, 10*time.Millisecond)
+	stop := sy.startLoad(6, func(n int) call { return call{stream: n%2 == 0, kind: "patient"} })
+	sy.waitAnswers(2)
+	require.NoError(t, sy.agents[0].Process.Signal(syscall.SIGTERM))
+	require.True(t, sy.agents[0].Process.Wait(waitTimeout))
+	require.Zero(t, sy.agents[0].Process.Code())
+	sy.waitAnswers(2)
 	calls := stop()
 	for _, ca := range calls {
-		require.True(t, ca.whole, "%+v", ca)
+		require.True(t, ca.complete, "%+v", ca)
 	}
-	si.checkCalls(calls)
+	sy.checkCalls(calls)
 }
 
-func TestAnEntrysPlannedStopCutsNothing(t *testing.T) {
-	si := newSite(t, 2, 20*time.Millisecond)
+func TestEntryShutdownCompletesRequests(t *testing.T) {
+	sy := newSystem(t, 2, 20*time.Millisecond)
 	var wg sync.WaitGroup
 	calls := make([]call, 12)
 	for i := range calls {
-		wg.Go(func() { calls[i] = si.ask(si.entries[1], call{stream: i%2 == 0}) })
+		wg.Go(func() { calls[i] = sy.send(sy.entries[1], call{stream: i%2 == 0}) })
 	}
-	require.NoError(t, fleet.Until(bound, "all under way", func() bool { return len(si.runs()) >= len(calls) }))
-	require.NoError(t, si.entries[1].Process.Signal(syscall.SIGTERM))
-	require.True(t, si.entries[1].Process.Wait(bound))
-	require.Zero(t, si.entries[1].Process.Code())
+	require.NoError(t, fleet.Until(waitTimeout, "all requests to start", func() bool { return len(sy.runsByRequest()) >= len(calls) }))
+	require.NoError(t, sy.entries[1].Process.Signal(syscall.SIGTERM))
+	require.True(t, sy.entries[1].Process.Wait(waitTimeout))
+	require.Zero(t, sy.entries[1].Process.Code())
 	wg.Wait()
 	for _, ca := range calls {
-		require.True(t, ca.whole, "%+v", ca)
+		require.True(t, ca.complete, "%+v", ca)
 	}
-	si.checkCalls(calls)
+	sy.checkCalls(calls)
 }
 
-func TestAWithdrawnVersionGetsNothingNewFromAFrozenAgent(t *testing.T) {
-	si := newSite(t, 2, time.Millisecond)
-	stop := si.load(6, func(int) call { return call{kind: "patient"} })
-	si.served(2)
-	frozen := si.agents[0]
+func TestResumedAgentStartsNothingOnWithdrawnVersion(t *testing.T) {
+	sy := newSystem(t, 2, time.Millisecond)
+	stop := sy.startLoad(6, func(int) call { return call{kind: "patient"} })
+	sy.waitAnswers(2)
+	frozen := sy.agents[0]
 	require.NoError(t, frozen.Process.Signal(syscall.SIGSTOP))
-	// A shorter freeze is within the seconds that a change may take to be in
-	// force; a longer one must not lead to an old decision.
-	time.Sleep(freeze)
-	revision := si.setV2(config.Withdrawn)
-	si.waitRevision(revision, si.agents[1], si.entries[0], si.entries[1])
-	before := si.began(frozen, "m@v2")
+	// A shorter pause would be within the time that a change may take to be in force. After a
+	// longer one the agent must not act on its old configuration.
+	time.Sleep(freezeTime)
+	revision := sy.setV2State(config.Withdrawn)
+	sy.waitRevision(revision, sy.agents[1], sy.entries[0], sy.entries[1])
+	before := sy.startedCount(frozen, "m@v2")
 	require.NoError(t, frozen.Process.Signal(syscall.SIGCONT))
-	si.waitRevision(revision, frozen)
-	si.served(5)
-	si.checkCalls(stop())
-	require.Equal(t, before, si.began(frozen, "m@v2"), "it asked a peer before it started anything")
+	sy.waitRevision(revision, frozen)
+	sy.waitAnswers(5)
+	sy.checkCalls(stop())
+	require.Equal(t, before, sy.startedCount(frozen, "m@v2"), "the agent must get the current configuration from a peer before it starts requests")
 }
 
-// began returns how many requests of a version began on an agent's engine.
-func (si *site) began(ag *fleet.Member, version string) int {
+// startedCount returns the number of requests of a version that started on an agent's engine.
+func (sy *system) startedCount(ag *fleet.Member, version string) int {
 	var count map[string]int
-	require.NoError(si.t, si.getJSON("http://"+ag.Backend+"/versions", &count))
+	require.NoError(sy.t, sy.getJSON("http://"+ag.Backend+"/versions", &count))
 	return count[version]
 }
 
-func TestANewEntryLearnsTheConfigurationWhileTheStoreIsDown(t *testing.T) {
-	si := newSite(t, 2, time.Millisecond)
-	revision := si.setV2(config.RollingOut)
-	si.waitRevision(revision, si.fleet.Members()...)
-	require.NoError(t, si.fleet.Fault(store.Faults{Down: true}))
-	en := si.addEntry("entry-new", "dc-0")
-	si.waitRevision(revision, en)
-	require.True(t, si.ask(en, call{kind: "patient"}).whole)
+func TestNewEntryGetsConfigWhileStoreDown(t *testing.T) {
+	sy := newSystem(t, 2, time.Millisecond)
+	revision := sy.setV2State(config.RollingOut)
+	sy.waitRevision(revision, sy.fleet.Members()...)
+	require.NoError(t, sy.fleet.Fault(store.Faults{Down: true}))
+	en := sy.addEntry("entry-new", "dc-0")
+	sy.waitRevision(revision, en)
+	require.True(t, sy.send(en, call{kind: "patient"}).complete)
 }
 
-func TestAStoreThatLostItsDataRevertsNothing(t *testing.T) {
-	si := newSite(t, 2, time.Millisecond)
-	revision := si.setV2(config.Withdrawn)
-	si.waitRevision(revision, si.fleet.Members()...)
-	old := config.Envelope{Revision: 1, Document: si.document()}
-	require.NoError(t, si.putStore(config.StoreKey, old))
+func TestStoreDataLossDoesNotRevertConfig(t *testing.T) {
+	sy := newSystem(t, 2, time.Millisecond)
+	revision := sy.setV2State(config.Withdrawn)
+	sy.waitRevision(revision, sy.fleet.Members()...)
+	old := config.Envelope{Revision: 1, Document: sy.baseConfig()}
+	require.NoError(t, sy.putStore(config.StoreKey, old))
 	for range 5 {
-		si.served(1)
-		for _, me := range si.fleet.Members() {
-			require.Equal(t, revision, si.revision(me), me.Box)
+		sy.waitAnswers(1)
+		for _, me := range sy.fleet.Members() {
+			require.Equal(t, revision, sy.currentRevision(me), me.Box)
 		}
 	}
-	require.Equal(t, result.VersionWithdrawn, si.ask(si.entries[0], call{model: "m", session: "none"}).orWithdrawn())
+	require.Equal(t, result.VersionWithdrawn, sy.send(sy.entries[0], call{model: "m", session: "none"}).codeOrWithdrawn())
 }
 
-func TestChangeAfterTheStoreLostOneComesIntoForce(t *testing.T) {
-	si := newSite(t, 2, time.Millisecond)
-	si.waitRevision(si.setV2(config.RollingOut), si.fleet.Members()...)
-	copied, err := si.stored()
+func TestConfigChangeAppliesAfterStoreLostARevision(t *testing.T) {
+	sy := newSystem(t, 2, time.Millisecond)
+	sy.waitRevision(sy.setV2State(config.RollingOut), sy.fleet.Members()...)
+	copied, err := sy.storedConfig()
 	require.NoError(t, err)
-	withdrawn := si.setV2(config.Withdrawn)
-	si.waitRevision(withdrawn, si.fleet.Members()...)
-	require.NoError(t, si.putStore(config.StoreKey, copied))
-	require.NoError(t, fleet.Until(bound, "the newest configuration is written again", func() bool {
-		held, err := si.stored()
-		return err == nil && held.Revision == withdrawn
+	withdrawn := sy.setV2State(config.Withdrawn)
+	sy.waitRevision(withdrawn, sy.fleet.Members()...)
+	require.NoError(t, sy.putStore(config.StoreKey, copied))
+	require.NoError(t, fleet.Until(waitTimeout, "the newest configuration to be written again", func() bool {
+		current, err := sy.storedConfig()
+		return err == nil && current.Revision == withdrawn
 	}))
-	next := si.setV2(config.RollingOut)
+	next := sy.setV2State(config.RollingOut)
 	require.Greater(t, next, withdrawn)
-	si.waitRevision(next, si.fleet.Members()...)
+	sy.waitRevision(next, sy.fleet.Members()...)
 }
 
-// orWithdrawn reads an answer by the other version as the refusal that it
-// stands for: the withdrawn one was not chosen.
-func (ca call) orWithdrawn() result.Code {
-	if ca.whole && ca.version == "m@v1" {
+// codeOrWithdrawn returns VersionWithdrawn for an answer by m@v1, which shows that the withdrawn
+// version was not chosen, and the call's own code otherwise.
+func (ca call) codeOrWithdrawn() result.Code {
+	if ca.complete && ca.version == "m@v1" {
 		return result.VersionWithdrawn
 	}
 	return ca.code
 }
 
-func TestASessionKeepsItsVersionThroughReplacements(t *testing.T) {
-	si := newSite(t, 3, time.Millisecond)
+func TestSessionKeepsItsVersionAcrossRestarts(t *testing.T) {
+	sy := newSystem(t, 3, time.Millisecond)
 	const sessions = 12
 	first := make([]string, sessions)
 	var wg sync.WaitGroup
-	// Each session starts on both entries at once.
+	// Each session starts on both entries concurrently.
 	both := make([][2]call, sessions)
 	for i := range sessions {
 		for e := range 2 {
 			wg.Go(func() {
-				both[i][e] = si.ask(si.entries[e], call{session: fmt.Sprint("s", i), kind: "patient"})
+				both[i][e] = sy.send(sy.entries[e], call{session: fmt.Sprint("s", i), kind: "patient"})
 			})
 		}
 	}
 	wg.Wait()
 	for i := range sessions {
-		require.True(t, both[i][0].whole, "%+v", both[i][0])
+		require.True(t, both[i][0].complete, "%+v", both[i][0])
 		require.Equal(t, both[i][0].version, both[i][1].version)
 		first[i] = both[i][0].version
 	}
 	check := func(en *fleet.Member) {
 		for i := range sessions {
 			var ca call
-			require.NoError(t, fleet.Until(bound, "the session's answer", func() bool {
-				ca = si.ask(en, call{session: fmt.Sprint("s", i), kind: "patient"})
-				return ca.whole
+			require.NoError(t, fleet.Until(waitTimeout, "an answer within the session", func() bool {
+				ca = sy.send(en, call{session: fmt.Sprint("s", i), kind: "patient"})
+				return ca.complete
 			}))
 			require.Equal(t, first[i], ca.version)
 		}
 	}
-	// Every box is replaced, one after the other; only the store remembers.
-	for _, me := range append(append([]*fleet.Member{}, si.entries...), si.agents...) {
+	// Every box is restarted, one after the other, so that only the store retains the sessions.
+	for _, me := range append(append([]*fleet.Member{}, sy.entries...), sy.agents...) {
 		require.NoError(t, me.Process.Signal(syscall.SIGKILL))
-		require.True(t, me.Process.Wait(bound))
-		require.NoError(t, si.fleet.Restart(me))
-		si.waitRevision(1, me)
+		require.True(t, me.Process.Wait(waitTimeout))
+		require.NoError(t, sy.fleet.Restart(me))
+		sy.waitRevision(1, me)
 	}
-	check(si.entries[0])
-	check(si.entries[1])
+	check(sy.entries[0])
+	check(sy.entries[1])
 }
 
-func TestAKeyRunsOnceThroughTwoEntries(t *testing.T) {
-	si := newSite(t, 3, time.Millisecond)
+func TestIdempotencyKeyRunsOnceAcrossEntries(t *testing.T) {
+	sy := newSystem(t, 3, time.Millisecond)
 	const keys = 10
 	var wg sync.WaitGroup
 	calls := make([]call, 2*keys)
 	for i := range calls {
 		wg.Go(func() {
-			calls[i] = si.ask(si.entries[i%2], call{idempotency: fmt.Sprint("k", i/2), kind: "once"})
+			calls[i] = sy.send(sy.entries[i%2], call{idempotencyKey: fmt.Sprint("k", i/2), kind: "once"})
 		})
 	}
 	wg.Wait()
 	for k := range keys {
 		a, b := calls[2*k], calls[2*k+1]
-		require.NotEqual(t, a.whole, b.whole, "one of the two ran: %+v %+v", a, b)
-		lost := a
-		if a.whole {
-			lost = b
+		require.NotEqual(t, a.complete, b.complete, "exactly one of the two requests must run: %+v %+v", a, b)
+		refused := a
+		if a.complete {
+			refused = b
 		}
-		require.Equal(t, result.KeyAlreadyUsed, lost.code, "%+v", lost)
+		require.Equal(t, result.KeyAlreadyUsed, refused.code, "%+v", refused)
 	}
-	si.checkCalls(calls)
-	for _, ag := range si.agents {
+	sy.checkCalls(calls)
+	for _, ag := range sy.agents {
 		require.NoError(t, ag.Process.Signal(syscall.SIGKILL))
-		require.True(t, ag.Process.Wait(bound))
-		require.NoError(t, si.fleet.Restart(ag))
+		require.True(t, ag.Process.Wait(waitTimeout))
+		require.NoError(t, sy.fleet.Restart(ag))
 	}
-	si.waitRevision(1, si.agents...)
+	sy.waitRevision(1, sy.agents...)
 	var again call
-	require.NoError(t, fleet.Until(bound, "a verdict on the key", func() bool {
-		again = si.ask(si.entries[0], call{idempotency: "k0", kind: "once"})
+	require.NoError(t, fleet.Until(waitTimeout, "the claim on the key to be readable", func() bool {
+		again = sy.send(sy.entries[0], call{idempotencyKey: "k0", kind: "once"})
 		return again.code != result.ClaimsUnavailable
 	}))
 	require.Equal(t, result.KeyAlreadyUsed, again.code)
 }
 
-func TestAKeyIsRefusedAtOnceWhileTheStoreIsDown(t *testing.T) {
-	si := newSite(t, 2, time.Millisecond)
-	require.NoError(t, si.fleet.Fault(store.Faults{Down: true}))
-	ca := si.ask(si.entries[0], call{idempotency: "k", kind: "once"})
+func TestIdempotencyKeyRefusedWhileStoreDown(t *testing.T) {
+	sy := newSystem(t, 2, time.Millisecond)
+	require.NoError(t, sy.fleet.Fault(store.Faults{Down: true}))
+	ca := sy.send(sy.entries[0], call{idempotencyKey: "k", kind: "once"})
 	require.Equal(t, result.ClaimsUnavailable, ca.code)
 	require.Equal(t, result.DidNotRun, ca.run)
-	require.Zero(t, si.runs()[ca.id])
-	require.NoError(t, si.fleet.Fault(store.Faults{}))
-	require.NoError(t, fleet.Until(bound, "the key runs after the outage", func() bool {
-		return si.ask(si.entries[0], call{idempotency: "k", kind: "once"}).whole
+	require.Zero(t, sy.runsByRequest()[ca.id])
+	require.NoError(t, sy.fleet.Fault(store.Faults{}))
+	require.NoError(t, fleet.Until(waitTimeout, "a request with the key to run after the outage", func() bool {
+		return sy.send(sy.entries[0], call{idempotencyKey: "k", kind: "once"}).complete
 	}))
 }
 
-func TestOperatorsRaceUnderLostAnswers(t *testing.T) {
-	si := newSite(t, 2, time.Millisecond)
-	require.NoError(t, si.fleet.Fault(store.Faults{DropAnswers: 4, DelayMS: 5}))
+func TestConcurrentConfigChangesWithLostStoreResponses(t *testing.T) {
+	sy := newSystem(t, 2, time.Millisecond)
+	require.NoError(t, sy.fleet.Fault(store.Faults{DropAnswers: 4, DelayMS: 5}))
 	var wg sync.WaitGroup
-	told := make([]uint64, 8)
-	for i := range told {
+	revisions := make([]uint64, 8)
+	for i := range revisions {
 		wg.Go(func() {
 			var ch config.Change
 			body := map[string]any{"share": float64(i) / 10}
-			if si.admin(si.entries[i%2], http.MethodPost, "/v1/versions/m/v2", body, &ch) == nil {
-				told[i] = ch.Revision
+			if sy.callAdmin(sy.entries[i%2], http.MethodPost, "/v1/versions/m/v2", body, &ch) == nil {
+				revisions[i] = ch.Revision
 			}
 		})
 	}
 	wg.Wait()
 	seen := map[uint64]bool{}
 	highest := uint64(0)
-	for _, revision := range told {
+	for _, revision := range revisions {
 		if revision == 0 {
 			continue
 		}
-		require.False(t, seen[revision], "two operators were told the same revision")
+		require.False(t, seen[revision], "two changes got the same revision")
 		seen[revision] = true
 		highest = max(highest, revision)
 	}
 	require.NotEmpty(t, seen)
-	si.waitRevision(highest, si.fleet.Members()...)
+	sy.waitRevision(highest, sy.fleet.Members()...)
 }
 
-func TestAKeyRunsOnceThroughOneEntry(t *testing.T) {
-	si := newSite(t, 2, time.Millisecond)
+func TestIdempotencyKeyRunsOnceThroughOneEntry(t *testing.T) {
+	sy := newSystem(t, 2, time.Millisecond)
 	const copies = 8
 	for round := range 5 {
 		var wg sync.WaitGroup
 		calls := make([]call, copies)
 		for i := range calls {
 			wg.Go(func() {
-				calls[i] = si.ask(si.entries[0], call{idempotency: fmt.Sprint("k", round), kind: "once"})
+				calls[i] = sy.send(sy.entries[0], call{idempotencyKey: fmt.Sprint("k", round), kind: "once"})
 			})
 		}
 		wg.Wait()
-		whole := 0
+		completed := 0
 		for _, ca := range calls {
-			if ca.whole {
-				whole++
+			if ca.complete {
+				completed++
 				continue
 			}
 			require.Equal(t, result.KeyAlreadyUsed, ca.code, "%+v", ca)
 		}
-		require.Equal(t, 1, whole)
-		si.checkCalls(calls)
+		require.Equal(t, 1, completed)
+		sy.checkCalls(calls)
 	}
 }
 
-// TestAnEntryComesBackWhileItsOldCallStillRuns kills an entry whose call may
-// not be cut, and starts it again under the same name: its attempts are
-// numbered from one again, and must not be taken for the old ones.
-func TestAnEntryComesBackWhileItsOldCallStillRuns(t *testing.T) {
-	si := newSite(t, 1, 250*time.Millisecond)
-	doc := si.document()
+// Kills an entry during a request that must not be aborted and restarts it under the same name.
+// Its attempts are numbered from one again; the agent must not confuse them with those from before
+// the restart.
+func TestEntryRestartedWhileOldAttemptRuns(t *testing.T) {
+	sy := newSystem(t, 1, 250*time.Millisecond)
+	doc := sy.baseConfig()
 	doc.Servers[0].Slots = 1
 	doc.Kinds[0].DeadlineMS = 30_000
-	si.apply(doc)
-	si.waitRevision(2, si.fleet.Members()...)
-	go si.ask(si.entries[1], call{kind: "once"})
-	require.NoError(t, fleet.Until(bound, "the call to run", func() bool { return len(si.runs()) == 1 }))
-	require.NoError(t, si.entries[1].Process.Signal(syscall.SIGKILL))
-	require.True(t, si.entries[1].Process.Wait(bound))
-	require.NoError(t, si.fleet.Restart(si.entries[1]))
-	si.waitRevision(2, si.entries[1])
-	ca := si.ask(si.entries[1], call{kind: "once"})
-	require.True(t, ca.whole, "%+v", ca)
-	require.Equal(t, 1, si.most(), "one slot, one at a time")
-	require.False(t, si.agents[0].Process.Wait(0), "the agent lives")
-	require.NoError(t, fleet.Until(bound, "both calls on the bill", func() bool { return len(si.bills()) == 2 }))
-	si.checkCalls([]call{ca})
+	sy.applyConfig(doc)
+	sy.waitRevision(2, sy.fleet.Members()...)
+	go sy.send(sy.entries[1], call{kind: "once"})
+	require.NoError(t, fleet.Until(waitTimeout, "the call to run", func() bool { return len(sy.runsByRequest()) == 1 }))
+	require.NoError(t, sy.entries[1].Process.Signal(syscall.SIGKILL))
+	require.True(t, sy.entries[1].Process.Wait(waitTimeout))
+	require.NoError(t, sy.fleet.Restart(sy.entries[1]))
+	sy.waitRevision(2, sy.entries[1])
+	ca := sy.send(sy.entries[1], call{kind: "once"})
+	require.True(t, ca.complete, "%+v", ca)
+	require.Equal(t, 1, sy.maxConcurrent(), "one slot runs one request at a time")
+	require.False(t, sy.agents[0].Process.Wait(0), "the agent still runs")
+	require.NoError(t, fleet.Until(waitTimeout, "both calls to be billed", func() bool { return len(sy.billLinesByRequest()) == 2 }))
+	sy.checkCalls([]call{ca})
 }
 
-// most returns how many requests ran at once on the first engine at the most.
-func (si *site) most() int {
+// maxConcurrent returns the highest number of requests that ran concurrently on the first engine.
+func (sy *system) maxConcurrent() int {
 	var n int
-	require.NoError(si.t, si.getJSON("http://"+si.agents[0].Backend+"/most", &n))
+	require.NoError(sy.t, sy.getJSON("http://"+sy.agents[0].Backend+"/most", &n))
 	return n
 }
--- a/standin/e2e/http_test.go
+++ b/standin/e2e/http_test.go
@@ -8,7 +8,7 @@
 	"github.com/linnetrudder/linnetrudder/internal/config"
 )
 
-func (si *site) getJSON(url string, into any) error {
+func (sy *system) getJSON(url string, into any) error {
 	resp, err := http.Get(url)
 	if err != nil {
 		return err
@@ -17,22 +17,22 @@
 	return json.NewDecoder(resp.Body).Decode(into)
 }
 
-// stored returns the configuration that the key-value service holds.
-func (si *site) stored() (*config.Envelope, error) {
+// storedConfig returns the configuration in the key-value service.
+func (sy *system) storedConfig() (*config.Envelope, error) {
 	var pairs []struct{ Value []byte }
-	if err := si.getJSON("http://"+si.fleet.Store+"/v1/kv/"+config.StoreKey, &pairs); err != nil {
+	if err := sy.getJSON("http://"+sy.fleet.Store+"/v1/kv/"+config.StoreKey, &pairs); err != nil {
 		return nil, err
 	}
 	return config.DecodeEnvelope(pairs[0].Value)
 }
 
-// putStore writes a value as another client of the key-value service would.
-func (si *site) putStore(key string, value any) error {
+// putStore writes a value to the key-value service directly, bypassing the system.
+func (sy *system) putStore(key string, value any) error {
 	body, err := json.Marshal(value)
 	if err != nil {
 		return err
 	}
-	req, err := http.NewRequest(http.MethodPut, "http://"+si.fleet.Store+"/v1/kv/"+key, bytes.NewReader(body))
+	req, err := http.NewRequest(http.MethodPut, "http://"+sy.fleet.Store+"/v1/kv/"+key, bytes.NewReader(body))
 	if err != nil {
 		return err
 	}
--- a/standin/e2e/main_test.go
+++ b/standin/e2e/main_test.go
@@ -1,7 +1,6 @@
-// Package e2e tests the system as separate processes on loopback, with kills,
-// freezes, outages and planned stops. Waits end when something has happened,
-// and their bounds are reached only by a broken system, so that a slow machine
-// does not change a verdict.
+// Package e2e tests the system as separate processes on loopback, with kills, suspended processes,
+// outages and graceful shutdowns. Tests poll for conditions, with time-outs that only a faulty
+// system reaches, so that a slow machine does not change a result.
 package e2e
 
 import (
@@ -11,8 +10,8 @@
 	"testing"
 )
 
-// bin is the folder of the built programs.
-var bin string
+// binDir is the directory of the built programs.
+var binDir string
 
 func TestMain(m *testing.M) { os.Exit(run(m)) }
 
@@ -23,7 +22,7 @@
 		return 1
 	}
 	defer os.RemoveAll(dir)
-	bin = dir
+	binDir = dir
 	cmd := exec.Command("go", "build", "-o", dir+"/",
 		"github.com/linnetrudder/linnetrudder/cmd/...", "github.com/linnetrudder/linnetrudder/standin/cmd/standin")
 	if out, err := cmd.CombinedOutput(); err != nil {
--- a/standin/e2e/order_test.go
+++ b/standin/e2e/order_test.go
@@ -12,38 +12,38 @@
 	"github.com/linnetrudder/linnetrudder/standin/fleet"
 )
 
-func TestVersionsAreLoadedByOrderAndAFrozenAgentGivesNone(t *testing.T) {
-	si := newSite(t, 2, time.Millisecond)
-	doc := si.document()
+func TestLoadOrdersIgnoreResumedAgent(t *testing.T) {
+	sy := newSystem(t, 2, time.Millisecond)
+	doc := sy.baseConfig()
 	for i := range doc.Servers {
 		doc.Servers[i].Orders = true
 	}
-	si.apply(doc)
-	held := func() engine.Held {
+	sy.applyConfig(doc)
+	backendState := func() engine.Held {
 		var he engine.Held
-		require.NoError(t, si.getJSON("http://"+si.agents[0].Backend+"/orders", &he))
+		require.NoError(t, sy.getJSON("http://"+sy.agents[0].Backend+"/orders", &he))
 		return he
 	}
-	require.NoError(t, fleet.Until(bound, "both versions loaded", func() bool { return len(held().Versions) == 2 }))
-	si.served(2)
+	require.NoError(t, fleet.Until(waitTimeout, "both versions to be loaded", func() bool { return len(backendState().Versions) == 2 }))
+	sy.waitAnswers(2)
 
-	// The agent is frozen and replaced on the same backend server. The new one
-	// drops a version; the old one wakes up and must not bring it back.
-	old := si.agents[0]
+	// The agent is suspended and a second one is started for the same backend server. The new agent
+	// unloads a version; the old one resumes and must not load it again.
+	old := sy.agents[0]
 	require.NoError(t, old.Process.Signal(syscall.SIGSTOP))
-	young, err := si.fleet.Add(fleet.Member{
+	replacement, err := sy.fleet.Add(fleet.Member{
 		Box: old.Box + "-new", Role: "agent", DataCentre: old.DataCentre, Server: old.Server, Backend: old.Backend,
 	})
 	require.NoError(t, err)
 	doc.Servers[0].Versions = []string{"m@v1"}
-	si.apply(doc)
-	si.waitRevision(3, young)
-	require.NoError(t, fleet.Until(bound, "one version dropped", func() bool {
-		return slices.Equal(held().Versions, []string{"m@v1"})
+	sy.applyConfig(doc)
+	sy.waitRevision(3, replacement)
+	require.NoError(t, fleet.Until(waitTimeout, "one version to be unloaded", func() bool {
+		return slices.Equal(backendState().Versions, []string{"m@v1"})
 	}))
 	require.NoError(t, old.Process.Signal(syscall.SIGCONT))
-	si.waitRevision(3, old)
-	si.served(5)
-	require.Equal(t, []string{"m@v1"}, held().Versions)
-	require.True(t, slices.IsSorted(held().Fences), "fencing numbers only grow: %v", held().Fences)
+	sy.waitRevision(3, old)
+	sy.waitAnswers(5)
+	require.Equal(t, []string{"m@v1"}, backendState().Versions)
+	require.True(t, slices.IsSorted(backendState().Fences), "fencing numbers must not decrease: %v", backendState().Fences)
 }
--- a/standin/e2e/partition_test.go
+++ b/standin/e2e/partition_test.go
@@ -12,121 +12,122 @@
 	"github.com/linnetrudder/linnetrudder/standin/fleet"
 )
 
-// parting is a site of two data centres whose ways to each other, and the
-// second one's way to the store, run over cables.
-type parting struct {
-	*site
-	cables []*fleet.Cable
-	// lists holds the address of each data centre's list of boxes, which names
-	// the other one's agents at the cables' ends.
-	lists [2]string
+// partitionedSystem has two data centres. Connections between them, and those of the second one to
+// the store, run through TCP proxies that can be cut.
+type partitionedSystem struct {
+	*system
+	proxies []*fleet.Cable
+	// boxLists contains the address of each data centre's list of boxes, in which the agents of the
+	// other data centre have the addresses of their proxies.
+	boxLists [2]string
 }
 
-func (pa *parting) cable(to string) string {
+// addProxy starts a proxy to an address and returns the proxy's own address.
+func (ps *partitionedSystem) addProxy(to string) string {
 	ca, err := fleet.NewCable(to)
-	require.NoError(pa.t, err)
-	pa.t.Cleanup(ca.Close)
-	pa.cables = append(pa.cables, ca)
+	require.NoError(ps.t, err)
+	ps.t.Cleanup(ca.Close)
+	ps.proxies = append(ps.proxies, ca)
 	return ca.Address()
 }
 
-func (pa *parting) cut(cut bool) {
-	for _, ca := range pa.cables {
+func (ps *partitionedSystem) setPartitioned(cut bool) {
+	for _, ca := range ps.proxies {
 		ca.Cut(cut)
 	}
 }
 
-func newParting(t *testing.T) *parting {
-	pa := &parting{site: &site{t: t, fleet: &fleet.Fleet{Bin: bin, Dir: t.TempDir(), Unlisted: true}}}
+func newPartitionedSystem(t *testing.T) *partitionedSystem {
+	ps := &partitionedSystem{system: &system{t: t, fleet: &fleet.Fleet{Bin: binDir, Dir: t.TempDir(), Unlisted: true}}}
 	t.Cleanup(func() {
-		pa.cut(false)
-		_ = pa.fleet.Stop()
+		ps.setPartitioned(false)
+		_ = ps.fleet.Stop()
 	})
-	require.NoError(t, pa.fleet.Platform())
-	pa.lists[0] = pa.fleet.Boxes
-	other, _, err := pa.fleet.StandIn("boxes-1", "boxes")
+	require.NoError(t, ps.fleet.Platform())
+	ps.boxLists[0] = ps.fleet.Boxes
+	other, _, err := ps.fleet.StandIn("boxes-1", "boxes")
 	require.NoError(t, err)
-	pa.lists[1] = other
-	farStore := pa.cable(pa.fleet.Store)
-	pa.fleet.Tune = func(se map[string]any) {
+	ps.boxLists[1] = other
+	proxiedStore := ps.addProxy(ps.fleet.Store)
+	ps.fleet.Tune = func(se map[string]any) {
 		if se["data_centre"] == dataCentre(1) {
 			se["platform"] = map[string]any{
-				"store": farStore, "boxes": pa.lists[1], "calls_per_second": 50, "watch_ms": 2000, "boxes_ms": 200,
+				"store": proxiedStore, "boxes": ps.boxLists[1], "calls_per_second": 50, "watch_ms": 2000, "boxes_ms": 200,
 			}
 		}
 	}
 	for i := range 2 {
 		name := []string{"s-0", "s-1"}[i]
-		address, _, err := pa.fleet.StandIn(name, "engine", "--tokens", "12", "--pace", "1ms")
+		address, _, err := ps.fleet.StandIn(name, "engine", "--tokens", "12", "--pace", "1ms")
 		require.NoError(t, err)
 		me := fleet.Member{Box: "agent-" + name, Role: "agent", DataCentre: dataCentre(i), Server: name, Backend: address}
-		added, err := pa.fleet.Add(me)
+		added, err := ps.fleet.Add(me)
 		require.NoError(t, err)
-		pa.agents = append(pa.agents, added)
+		ps.agents = append(ps.agents, added)
 	}
-	pa.addEntry("entry-0", dataCentre(0))
-	pa.addEntry("entry-1", dataCentre(1))
-	pa.publish()
-	pa.apply(pa.document())
-	pa.waitRevision(1, pa.fleet.Members()...)
-	return pa
+	ps.addEntry("entry-0", dataCentre(0))
+	ps.addEntry("entry-1", dataCentre(1))
+	ps.publishBoxLists()
+	ps.applyConfig(ps.baseConfig())
+	ps.waitRevision(1, ps.fleet.Members()...)
+	return ps
 }
 
-// publish writes each data centre's list.
-func (pa *parting) publish() {
+// publishBoxLists writes each data centre's list of boxes.
+func (ps *partitionedSystem) publishBoxLists() {
 	for here := range 2 {
 		var list []boxes.Box
-		for i, ag := range pa.agents {
+		for i, ag := range ps.agents {
 			address := ag.Address
 			if i != here {
-				address = pa.cable(ag.Address)
+				address = ps.addProxy(ag.Address)
 			}
 			list = append(list, boxes.Box{
 				Name: ag.Box, Role: boxes.Agent, DataCentre: ag.DataCentre, Address: address,
 				Admin: ag.Admin, Server: ag.Server, State: boxes.Live,
 			})
 		}
-		saved := pa.fleet.Boxes
-		pa.fleet.Boxes = pa.lists[here]
-		require.NoError(pa.t, pa.fleet.List(list))
-		pa.fleet.Boxes = saved
+		saved := ps.fleet.Boxes
+		ps.fleet.Boxes = ps.boxLists[here]
+		require.NoError(ps.t, ps.fleet.List(list))
+		ps.fleet.Boxes = saved
 	}
 }
 
-func TestTwoDataCentresPartAndComeTogether(t *testing.T) {
-	pa := newParting(t)
-	stop := pa.load(6, func(n int) call { return call{kind: "patient", stream: n%2 == 0} })
-	pa.served(2)
-	pa.cut(true)
-	require.NoError(t, fleet.Until(bound, "the parting to be noticed", func() bool {
+func TestDataCentrePartitionAndRecovery(t *testing.T) {
+	ps := newPartitionedSystem(t)
+	stop := ps.startLoad(6, func(n int) call { return call{kind: "patient", stream: n%2 == 0} })
+	ps.waitAnswers(2)
+	ps.setPartitioned(true)
+	require.NoError(t, fleet.Until(waitTimeout, "the second data centre to lose its peers", func() bool {
 		var st struct {
 			Peers map[string]uint64 `json:"peers"`
 		}
-		return pa.admin(pa.entries[1], http.MethodGet, "/v1/status", nil, &st) == nil && len(st.Peers) == 1
+		return ps.callAdmin(ps.entries[1], http.MethodGet, "/v1/status", nil, &st) == nil && len(st.Peers) == 1
 	}))
 
-	// One side changes the configuration; the other keeps serving what it
-	// holds, makes no change of its own, and refuses keys at once.
-	revision := pa.setV2(config.Withdrawn)
-	pa.waitRevision(revision, pa.entries[0], pa.agents[0])
-	pa.served(3)
-	require.NoError(t, fleet.Until(bound, "an answer on the cut-off side", func() bool {
-		return pa.ask(pa.entries[1], call{kind: "patient"}).whole
+	// The configuration changes in the first data centre. The second one keeps serving with its
+	// current configuration, accepts no change and refuses requests with idempotency keys.
+	revision := ps.setV2State(config.Withdrawn)
+	ps.waitRevision(revision, ps.entries[0], ps.agents[0])
+	ps.waitAnswers(3)
+	require.NoError(t, fleet.Until(waitTimeout, "an answer in the cut-off data centre", func() bool {
+		return ps.send(ps.entries[1], call{kind: "patient"}).complete
 	}))
-	require.Equal(t, uint64(1), pa.revision(pa.entries[1]))
-	require.Equal(t, uint64(1), pa.revision(pa.agents[1]))
+	require.Equal(t, uint64(1), ps.currentRevision(ps.entries[1]))
+	require.Equal(t, uint64(1), ps.currentRevision(ps.agents[1]))
 	var ch config.Change
-	require.Error(t, pa.admin(pa.entries[1], http.MethodPost, "/v1/versions/m/v1", map[string]any{"share": 0.5}, &ch))
-	keyed := pa.ask(pa.entries[1], call{idempotency: "k", kind: "once"})
+	require.Error(t, ps.callAdmin(ps.entries[1], http.MethodPost, "/v1/versions/m/v1", map[string]any{"share": 0.5}, &ch))
+	keyed := ps.send(ps.entries[1], call{idempotencyKey: "k", kind: "once"})
 	require.Equal(t, result.ClaimsUnavailable, keyed.code, "%+v", keyed)
 
-	pa.cut(false)
-	pa.waitRevision(revision, pa.fleet.Members()...)
-	before := pa.began(pa.agents[1], "m@v2")
-	pa.served(3)
-	require.NoError(t, fleet.Until(bound, "the key runs after the parting", func() bool {
-		return pa.ask(pa.entries[1], call{idempotency: "k", kind: "once"}).whole
+	ps.setPartitioned(false)
+	ps.waitRevision(revision, ps.fleet.Members()...)
+	before := ps.startedCount(ps.agents[1], "m@v2")
+	ps.waitAnswers(3)
+	require.NoError(t, fleet.Until(waitTimeout, "a request with the key to run after the partition", func() bool {
+		return ps.send(ps.entries[1], call{idempotencyKey: "k", kind: "once"}).complete
 	}))
-	require.Equal(t, before, pa.began(pa.agents[1], "m@v2"), "the withdrawal holds on both sides now")
-	pa.checkCalls(stop())
+	require.Equal(t, before, ps.startedCount(ps.agents[1], "m@v2"), "the version must be withdrawn in both data centres")
+	ps.checkCalls(stop())
 }
--- a/standin/e2e/poison_test.go
+++ b/standin/e2e/poison_test.go
@@ -13,22 +13,23 @@
 	"github.com/linnetrudder/linnetrudder/standin/fleet"
 )
 
-// blocksKey is where entries keep blocks.
+// blocksKey is the key under which entries store blocked requests.
 const blocksKey = "linnetrudder/blocks"
 
-// kept reports whether the key-value service holds a key.
-func (si *site) kept(key string) bool {
-	resp, err := http.Get("http://" + si.fleet.Store + "/v1/kv/" + key)
-	require.NoError(si.t, err)
+// keyExists reports whether a key is present in the key-value service.
+func (sy *system) keyExists(key string) bool {
+	resp, err := http.Get("http://" + sy.fleet.Store + "/v1/kv/" + key)
+	require.NoError(sy.t, err)
 	defer resp.Body.Close()
 	return resp.StatusCode == http.StatusOK
 }
 
-// poisonRuns returns how often a request under which engines end began.
-func (si *site) poisonRuns(ids map[string]bool) int {
-	si.t.Helper()
-	require.NoError(si.t, fleet.Until(bound, "all engines are back", func() bool {
-		for _, ag := range si.agents {
+// countRuns waits until all engines have restarted and returns how often the requests with the
+// given ids started on any of them.
+func (sy *system) countRuns(ids map[string]bool) int {
+	sy.t.Helper()
+	require.NoError(sy.t, fleet.Until(waitTimeout, "all engines to restart", func() bool {
+		for _, ag := range sy.agents {
 			resp, err := http.Get("http://" + ag.Backend + "/runs")
 			if err != nil {
 				return false
@@ -38,7 +39,7 @@
 		return true
 	}))
 	all := 0
-	for id, n := range si.runs() {
+	for id, n := range sy.runsByRequest() {
 		if ids[id] {
 			all += n
 		}
@@ -46,74 +47,75 @@
 	return all
 }
 
-// One request ends each engine that runs it, and comes again through either entry. Before it
-// was blocked, each copy ended up to four engines, and so did the next one. Once it had ended
-// seven: what each entry was asked under a host of its own was no copy of the other's for them, so
-// that each ended three engines, always six together, and one more where an end's word came late.
-// It holds since entries leave the host out.
-func TestARequestUnderWhichEnginesEndIsNotSentToMore(t *testing.T) {
-	si := newSite(t, 6, 3*time.Millisecond)
-	stop := si.load(4, func(n int) call { return call{stream: n%2 == 0, kind: "patient"} })
-	si.served(2)
-	time.Sleep(2 * time.Second) // what the callers of the load ask is known to do no harm by then
+// A request crashes every engine that runs it and is sent again through both entries. Without
+// blocking, each copy crashed up to four engines. When the entries included the Host header in the
+// comparison of requests, copies sent to different entries did not match, so that each entry
+// allowed three crashes, six in total, and a seventh when a crash was reported late. Entries
+// therefore leave the host out.
+func TestRequestThatCrashesEnginesIsBlocked(t *testing.T) {
+	sy := newSystem(t, 6, 3*time.Millisecond)
+	stop := sy.startLoad(4, func(n int) call { return call{stream: n%2 == 0, kind: "patient"} })
+	sy.waitAnswers(2)
+	time.Sleep(2 * time.Second) // by then the entries have recorded the load's requests as harmless
 	ids := map[string]bool{}
-	ask := func(n int) call {
-		ca := si.ask(si.entries[n%len(si.entries)], call{content: engine.Poison, stream: true})
+	send := func(n int) call {
+		ca := sy.send(sy.entries[n%len(sy.entries)], call{content: engine.Poison, stream: true})
 		ids[ca.id] = true
 		return ca
 	}
-	require.NoError(t, fleet.Until(bound, "both entries block it", func() bool {
-		return ask(0).code == result.RequestBlocked && ask(1).code == result.RequestBlocked
+	require.NoError(t, fleet.Until(waitTimeout, "both entries to block the request", func() bool {
+		return send(0).code == result.RequestBlocked && send(1).code == result.RequestBlocked
 	}))
-	runs := si.poisonRuns(ids)
+	runs := sy.countRuns(ids)
 	require.LessOrEqual(t, runs, 6)
-	require.LessOrEqual(t, runs, 4, "three, of which both entries know, and one whose word came late")
+	require.LessOrEqual(t, runs, 4, "three crashes known to both entries, and one that was reported late")
 	for n := range 6 {
-		ca := ask(n)
+		ca := send(n)
 		require.Equal(t, result.RequestBlocked, ca.code)
 		require.Equal(t, result.DidNotRun, ca.run)
 	}
-	si.served(2)
-	require.Equal(t, runs, si.poisonRuns(ids))
+	sy.waitAnswers(2)
+	require.Equal(t, runs, sy.countRuns(ids))
 
-	// Both entries are lost at once; what they knew is kept.
-	require.NoError(t, fleet.Until(bound, "kept", func() bool { return si.kept(blocksKey) }))
-	for _, en := range si.entries {
+	// Both entries are killed; blocked requests must persist in the store.
+	require.NoError(t, fleet.Until(waitTimeout, "blocked requests to be stored", func() bool { return sy.keyExists(blocksKey) }))
+	for _, en := range sy.entries {
 		require.NoError(t, en.Process.Signal(syscall.SIGKILL))
-		require.True(t, en.Process.Wait(bound))
+		require.True(t, en.Process.Wait(waitTimeout))
 	}
 	stop()
-	for _, en := range si.entries {
-		require.NoError(t, si.fleet.Restart(en))
+	for _, en := range sy.entries {
+		require.NoError(t, sy.fleet.Restart(en))
 	}
-	si.waitRevision(1, si.entries...)
-	si.served(1)
+	sy.waitRevision(1, sy.entries...)
+	sy.waitAnswers(1)
 	for n := range 4 {
-		require.Equal(t, result.RequestBlocked, ask(n).code)
+		require.Equal(t, result.RequestBlocked, send(n).code)
 	}
-	require.Equal(t, runs, si.poisonRuns(ids))
+	require.Equal(t, runs, sy.countRuns(ids))
 }
 
-// What all callers ask alike is with each engine that ends under another request. Where nothing
-// spoke for it yet it was blocked as well, and stayed so for five minutes at both entries. It holds
-// since an agent asks its server whether it lives on after a whole answer, and tells the entries.
-func TestWhatAllCallersAskAlikeIsServedBesideIt(t *testing.T) {
-	si := newSite(t, 6, 3*time.Millisecond)
-	stop := si.load(4, func(int) call { return call{stream: true, kind: "patient"} })
+// A request that all callers send runs on every engine that another request crashes. Before any
+// evidence showed that it is harmless, it was blocked too, for five minutes at both entries. An
+// agent therefore checks that its server is still alive after a complete answer and reports that
+// to the entries.
+func TestCommonRequestIsServedBesideCrashingRequest(t *testing.T) {
+	sy := newSystem(t, 6, 3*time.Millisecond)
+	stop := sy.startLoad(4, func(int) call { return call{stream: true, kind: "patient"} })
 	defer stop()
-	require.NoError(t, fleet.Until(bound, "both entries block it", func() bool {
+	require.NoError(t, fleet.Until(waitTimeout, "both entries to block the request", func() bool {
 		blocked := 0
-		for _, en := range si.entries {
-			if si.ask(en, call{content: engine.Poison, stream: true}).code == result.RequestBlocked {
+		for _, en := range sy.entries {
+			if sy.send(en, call{content: engine.Poison, stream: true}).code == result.RequestBlocked {
 				blocked++
 			}
 		}
-		return blocked == len(si.entries)
+		return blocked == len(sy.entries)
 	}))
 	time.Sleep(5 * time.Second)
 	for range 5 {
-		for _, en := range si.entries {
-			ca := si.ask(en, call{stream: true, kind: "patient"})
+		for _, en := range sy.entries {
+			ca := sy.send(en, call{stream: true, kind: "patient"})
 			require.NotEqual(t, result.RequestBlocked, ca.code)
 		}
 	}
--- a/standin/e2e/rollout_test.go
+++ b/standin/e2e/rollout_test.go
@@ -12,20 +12,21 @@
 	"github.com/linnetrudder/linnetrudder/standin/fleet"
 )
 
-// withRollout plans that m@v2 takes over from m@v1 in a few quick steps.
-func (si *site) withRollout() {
-	doc := si.document()
+// startRollout configures a rollout from m@v1 to m@v2 in three steps of one second each.
+func (sy *system) startRollout() {
+	doc := sy.baseConfig()
 	doc.Versions[1].State = config.RollingIn
 	doc.Rollouts = []config.Rollout{{
 		Model: "m", To: "v2", Steps: []float64{0.2, 0.6, 1}, HoldSeconds: 1, MaxFailureRate: 0.2,
 	}}
-	si.apply(doc)
+	sy.applyConfig(doc)
 }
 
-// state returns a version's state as it is in force at an entry.
-func (si *site) state(version string) config.State {
+// versionState returns a version's state in the configuration in force at the first entry, "" if it
+// is not known.
+func (sy *system) versionState(version string) config.State {
 	var ev config.Envelope
-	if si.admin(si.entries[0], http.MethodGet, "/v1/config", nil, &ev) != nil {
+	if sy.callAdmin(sy.entries[0], http.MethodGet, "/v1/config", nil, &ev) != nil {
 		return ""
 	}
 	for i := range ev.Document.Versions {
@@ -36,43 +37,44 @@
 	return ""
 }
 
-func (si *site) waitState(version string, state config.State) {
-	require.NoError(si.t, fleet.Until(bound, version+" "+string(state), func() bool {
-		return si.state(version) == state
+func (sy *system) waitVersionState(version string, state config.State) {
+	require.NoError(sy.t, fleet.Until(waitTimeout, version+" "+string(state), func() bool {
+		return sy.versionState(version) == state
 	}))
 }
 
-func (si *site) setBad(version string, bad string) {
-	for _, ag := range si.agents {
+// setBad makes the engines fail requests of a version if bad is "true".
+func (sy *system) setBad(version string, bad string) {
+	for _, ag := range sy.agents {
 		req, err := http.NewRequest(http.MethodPut, "http://"+ag.Backend+"/bad?version="+version+"&bad="+bad, http.NoBody)
-		require.NoError(si.t, err)
+		require.NoError(sy.t, err)
 		resp, err := http.DefaultClient.Do(req)
-		require.NoError(si.t, err)
-		require.NoError(si.t, resp.Body.Close())
+		require.NoError(sy.t, err)
+		require.NoError(sy.t, resp.Body.Close())
 	}
 }
 
-func TestAGoodVersionTakesOverByItself(t *testing.T) {
-	si := newSite(t, 2, time.Millisecond)
-	stop := si.load(6, func(int) call { return call{kind: "patient"} })
-	si.withRollout()
-	si.waitState("m@v2", config.Serving)
-	si.waitState("m@v1", config.RollingOut)
-	si.checkCalls(stop())
+func TestRolloutPromotesHealthyVersion(t *testing.T) {
+	sy := newSystem(t, 2, time.Millisecond)
+	stop := sy.startLoad(6, func(int) call { return call{kind: "patient"} })
+	sy.startRollout()
+	sy.waitVersionState("m@v2", config.Serving)
+	sy.waitVersionState("m@v1", config.RollingOut)
+	sy.checkCalls(stop())
 }
 
-func TestABadVersionIsWithdrawnByItself(t *testing.T) {
-	si := newSite(t, 2, time.Millisecond)
-	si.setBad("m@v2", "true")
-	stop := si.load(6, func(int) call { return call{kind: "patient"} })
-	si.withRollout()
-	si.waitState("m@v2", config.Withdrawn)
-	require.Equal(t, config.Serving, si.state("m@v1"))
-	// The leader is replaced; what was decided stays.
-	require.NoError(t, si.entries[0].Process.Signal(syscall.SIGKILL))
-	require.True(t, si.entries[0].Process.Wait(bound))
-	require.NoError(t, si.fleet.Restart(si.entries[0]))
-	si.waitRevision(1, si.entries[0])
-	si.waitState("m@v2", config.Withdrawn)
-	si.checkCalls(stop())
+func TestRolloutWithdrawsFailingVersion(t *testing.T) {
+	sy := newSystem(t, 2, time.Millisecond)
+	sy.setBad("m@v2", "true")
+	stop := sy.startLoad(6, func(int) call { return call{kind: "patient"} })
+	sy.startRollout()
+	sy.waitVersionState("m@v2", config.Withdrawn)
+	require.Equal(t, config.Serving, sy.versionState("m@v1"))
+	// The leader is restarted; its decision must persist.
+	require.NoError(t, sy.entries[0].Process.Signal(syscall.SIGKILL))
+	require.True(t, sy.entries[0].Process.Wait(waitTimeout))
+	require.NoError(t, sy.fleet.Restart(sy.entries[0]))
+	sy.waitRevision(1, sy.entries[0])
+	sy.waitVersionState("m@v2", config.Withdrawn)
+	sy.checkCalls(stop())
 }
