--- a/standin/cmd/demo/main.go
+++ b/standin/cmd/demo/main.go
@@ -1,7 +1,6 @@
-// Command demo runs the whole path as separate processes on loopback: two
-// entries and three agents in two data centres before stand-ins. It sends
-// real requests, prints what came of them, and exits non-zero if any answer
-// was wrong.
+// Command demo runs the complete system as separate processes on loopback: two entries, three
+// agents and stand-ins for the backend servers and the platform, in two data centres. It sends
+// requests, prints the results and exits with a non-zero status if any of them is wrong.
 package main
 
 import (
@@ -15,8 +14,8 @@
 )
 
 type flags struct {
-	Bin    string `required:"" help:"Folder of the programs." type:"path"`
-	Config string `required:"" help:"Configuration to apply." type:"path"`
+	Bin    string `required:"" help:"Directory of the built programs." type:"path"`
+	Config string `required:"" help:"Configuration file to apply." type:"path"`
 }
 
 func main() {
--- a/standin/cmd/demo/steps.go
+++ b/standin/cmd/demo/steps.go
@@ -23,40 +23,40 @@
 	"github.com/linnetrudder/linnetrudder/standin/plain"
 )
 
-// tokens is the length of the stand-in engines' answers.
-const tokens = 8
+// answerTokens is the length of the stand-in engines' answers in tokens.
+const answerTokens = 8
 
-// bound is reached only by a broken system.
-const bound = 20 * time.Second
+// waitTimeout is long enough that only a faulty system reaches it.
+const waitTimeout = 20 * time.Second
 
-// demo is the state that the steps share.
+// demo is the state shared by the steps.
 type demo struct {
 	fleet       *fleet.Fleet
 	bin, config string
 	entries     []*fleet.Member
-	// requests counts what must stand on the bill.
-	requests int
-	// last is the id of the newest chat request.
-	last string
+	// billedRequests is the expected number of bill lines.
+	billedRequests int
+	// lastRequestID is the id of the latest chat request.
+	lastRequestID string
 }
 
-// steps is the demo in its order.
+// steps lists the steps of the demo in the order in which they run.
 var steps = []struct {
 	name string
 	run  func(de *demo) error
 }{
 	{"start stand-ins, agents and entries", (*demo).start},
-	{"apply the configuration", (*demo).apply},
-	{"chat through both entries", (*demo).chat},
-	{"stream", (*demo).stream},
-	{"a session keeps its version", (*demo).session},
-	{"ratings of first tries", (*demo).rate},
-	{"a cascade", (*demo).cascade},
-	{"a plain call that may not be repeated", (*demo).plainCall},
-	{"withdraw a version", (*demo).withdraw},
-	{"the bill", (*demo).bill},
-	{"the time line", (*demo).timeline},
-	{"planned stop", (*demo).stop},
+	{"apply the configuration", (*demo).applyConfig},
+	{"send chat requests through both entries", (*demo).checkChat},
+	{"stream a chat response", (*demo).checkStream},
+	{"keep the version within a session", (*demo).checkSession},
+	{"submit ratings", (*demo).submitRatings},
+	{"escalate a request in a cascade", (*demo).checkCascade},
+	{"send a plain call with an idempotency key", (*demo).checkPlainCall},
+	{"withdraw a version", (*demo).withdrawVersion},
+	{"check the bill", (*demo).checkBill},
+	{"show the timeline", (*demo).checkTimeline},
+	{"shut down gracefully", (*demo).stop},
 }
 
 func (de *demo) start() error {
@@ -67,8 +67,8 @@
 		server, dataCentre, kind string
 		args                     []string
 	}{
-		{"a-model-1", "dc-a", "engine", []string{"--tokens", fmt.Sprint(tokens), "--confidence", "0.4"}},
-		{"b-model-1", "dc-b", "engine", []string{"--tokens", fmt.Sprint(tokens), "--confidence", "0.4"}},
+		{"a-model-1", "dc-a", "engine", []string{"--tokens", fmt.Sprint(answerTokens), "--confidence", "0.4"}},
+		{"b-model-1", "dc-b", "engine", []string{"--tokens", fmt.Sprint(answerTokens), "--confidence", "0.4"}},
 		{"a-track-1", "dc-a", "plain", nil},
 	}
 	for _, ba := range backends {
@@ -91,7 +91,8 @@
 	return nil
 }
 
-func (de *demo) ctl(args ...string) (string, error) {
+// runCtl runs linnetrudderctl against all entries, prints its output and returns it.
+func (de *demo) runCtl(args ...string) (string, error) {
 	admins := make([]string, 0, len(de.entries))
 	for _, en := range de.entries {
 		admins = append(admins, en.Admin)
@@ -102,11 +103,11 @@
 	return string(out), err
 }
 
-func (de *demo) apply() error {
-	if _, err := de.ctl("apply", de.config, "--operator", "demo"); err != nil {
+func (de *demo) applyConfig() error {
+	if _, err := de.runCtl("apply", de.config, "--operator", "demo"); err != nil {
 		return err
 	}
-	return fleet.Until(bound, "revision 1 in force everywhere", func() bool {
+	return fleet.Until(waitTimeout, "revision 1 to be in force in all processes", func() bool {
 		for _, me := range de.fleet.Members() {
 			if !ready(me) {
 				return false
@@ -129,49 +130,50 @@
 	return openai.NewClient(option.WithBaseURL("http://"+de.entries[i].Address+"/v1"), option.WithAPIKey(key), option.WithMaxRetries(3))
 }
 
-func params(model string) openai.ChatCompletionNewParams {
+func chatParams(model string) openai.ChatCompletionNewParams {
 	return openai.ChatCompletionNewParams{
 		Model:    model,
 		Messages: []openai.ChatCompletionMessageParamUnion{openai.UserMessage("What can I cook from rice and beans?")},
 	}
 }
 
-// ask makes one chat request and returns the version that answered.
-func (de *demo) ask(i int, key, model string, opts ...option.RequestOption) (string, error) {
+// sendChat sends a chat request through the i-th entry, checks the answer and returns the version
+// that gave it.
+func (de *demo) sendChat(i int, key, model string, opts ...option.RequestOption) (string, error) {
 	var resp *http.Response
 	opts = append(opts, option.WithResponseInto(&resp))
 	cl := de.client(i, key)
-	done, err := cl.Chat.Completions.New(context.Background(), params(model), opts...)
+	done, err := cl.Chat.Completions.New(context.Background(), chatParams(model), opts...)
 	if err != nil {
 		return "", err
 	}
-	de.requests++
-	de.last = resp.Header.Get("X-Linnetrudder-Request")
+	de.billedRequests++
+	de.lastRequestID = resp.Header.Get("X-Linnetrudder-Request")
 	version := resp.Header.Get("X-Linnetrudder-Version")
 	text := done.Choices[0].Message.Content
 	fmt.Printf("%s answered %q\n", version, text)
-	if want := engine.Answer(version, tokens); text != want {
+	if want := engine.Answer(version, answerTokens); text != want {
 		return "", fmt.Errorf("answer %q, want %q", text, want)
 	}
 	return version, nil
 }
 
-func (de *demo) chat() error {
+func (de *demo) checkChat() error {
 	for i := range de.entries {
-		version, err := de.ask(i, "kitchen-key", "menu")
+		version, err := de.sendChat(i, "kitchen-key", "menu")
 		if err != nil {
 			return err
 		}
 		if version != "menu@v1" {
-			return fmt.Errorf("the kitchen got %s, which no grant opens", version)
+			return fmt.Errorf("kitchen request served by %s, which no grant allows", version)
 		}
 	}
 	return nil
 }
 
-func (de *demo) stream() error {
+func (de *demo) checkStream() error {
 	cl := de.client(0, "cooperative-key")
-	st := cl.Chat.Completions.NewStreaming(context.Background(), params("notes"))
+	st := cl.Chat.Completions.NewStreaming(context.Background(), chatParams("notes"))
 	var text strings.Builder
 	version := ""
 	for st.Next() {
@@ -184,19 +186,19 @@
 	if err := st.Err(); err != nil {
 		return err
 	}
-	de.requests++
+	de.billedRequests++
 	fmt.Printf("%s streamed %q\n", version, text.String())
-	if want := engine.Answer(version, tokens); text.String() != want {
+	if want := engine.Answer(version, answerTokens); text.String() != want {
 		return fmt.Errorf("streamed %q, want %q", text.String(), want)
 	}
 	return nil
 }
 
-func (de *demo) session() error {
+func (de *demo) checkSession() error {
 	opt := option.WithHeader("X-Linnetrudder-Session", "voyage-7")
 	first := ""
 	for n := range 6 {
-		version, err := de.ask(n%len(de.entries), "cooperative-key", "menu", opt)
+		version, err := de.sendChat(n%len(de.entries), "cooperative-key", "menu", opt)
 		if err != nil {
 			return err
 		}
@@ -204,23 +206,24 @@
 			first = version
 		}
 		if version != first {
-			return fmt.Errorf("the session moved from %s to %s", first, version)
+			return fmt.Errorf("version changed within the session from %s to %s", first, version)
 		}
 	}
 	return nil
 }
 
-// ratings is how many ratings of each sort make the system sure.
-const ratings = 60
+// ratingsPerCase is the number of ratings for each version and value of Kept, enough for the system
+// to rely on them.
+const ratingsPerCase = 60
 
-// rate plays the rating service: the strong model's drafts are good, the cheap
-// one's are not, but its first tries that were kept are. Without that the system
-// goes straight to the strong model, and now and then tries the cheap one.
-func (de *demo) rate() error {
+// submitRatings sends ratings as the rating service would: the strong model's drafts are good, the
+// cheap one's are poor except for first attempts that the cascade kept. Without these ratings the
+// system sends drafts to the strong model directly and tries the cheap one only occasionally.
+func (de *demo) submitRatings() error {
 	var list []entry.Rating
 	add := func(version string, kept bool, score float64) {
-		one := entry.Rating{Team: "kitchen-a", Kind: "draft", Version: version, Kept: kept, Score: score}
-		list = append(list, slices.Repeat([]entry.Rating{one}, ratings)...)
+		rating := entry.Rating{Team: "kitchen-a", Kind: "draft", Version: version, Kept: kept, Score: score}
+		list = append(list, slices.Repeat([]entry.Rating{rating}, ratingsPerCase)...)
 	}
 	add("menu@v1", false, 1)
 	for _, version := range []string{"notes@v1", "notes@v2"} {
@@ -237,24 +240,24 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return fmt.Errorf("ratings: %s", resp.Status)
+		return fmt.Errorf("submit ratings: %s", resp.Status)
 	}
 	return nil
 }
 
-func (de *demo) cascade() error {
-	version, err := de.ask(0, "kitchen-key", "auto", option.WithHeader("X-Linnetrudder-Kind", "draft"))
+func (de *demo) checkCascade() error {
+	version, err := de.sendChat(0, "kitchen-key", "auto", option.WithHeader("X-Linnetrudder-Kind", "draft"))
 	if err != nil {
 		return err
 	}
 	if version != "menu@v1" {
-		return fmt.Errorf("the cascade ended on %s", version)
+		return fmt.Errorf("cascade answered by %s, want menu@v1", version)
 	}
-	de.requests++ // its first try is a line of its own
+	de.billedRequests++ // the first attempt has its own bill line
 	return nil
 }
 
-func (de *demo) plainCall() error {
+func (de *demo) checkPlainCall() error {
 	req, err := http.NewRequest(http.MethodPost, "http://"+de.entries[0].Address+"/services/tracking/seals/42", http.NoBody)
 	if err != nil {
 		return err
@@ -272,32 +275,33 @@
 	}
 	fmt.Printf("%s %s\n", an.Method, an.Path)
 	if resp.StatusCode != http.StatusOK || an.Path != "/seals/42" {
-		return fmt.Errorf("plain call: %s", resp.Status)
+		return fmt.Errorf("plain call failed: %s", resp.Status)
 	}
-	de.requests++
+	de.billedRequests++
 	return nil
 }
 
-func (de *demo) withdraw() error {
-	if _, err := de.ctl("withdraw", "notes@v2"); err != nil {
+func (de *demo) withdrawVersion() error {
+	if _, err := de.runCtl("withdraw", "notes@v2"); err != nil {
 		return err
 	}
-	if err := fleet.Until(bound, "the change in force", func() bool { return de.inForce("2") }); err != nil {
+	if err := fleet.Until(waitTimeout, "the withdrawal to be in force", func() bool { return de.revisionInForce("2") }); err != nil {
 		return err
 	}
 	for n := range 10 {
-		version, err := de.ask(n%len(de.entries), "cooperative-key", "notes")
+		version, err := de.sendChat(n%len(de.entries), "cooperative-key", "notes")
 		if err != nil {
 			return err
 		}
 		if version == "notes@v2" {
-			return fmt.Errorf("a withdrawn version answered")
+			return fmt.Errorf("request served by a withdrawn version")
 		}
 	}
 	return nil
 }
 
-func (de *demo) inForce(revision string) bool {
+// revisionInForce reports whether all processes have the configuration of the given revision.
+func (de *demo) revisionInForce(revision string) bool {
 	for _, me := range de.fleet.Members() {
 		resp, err := http.Get("http://" + me.Admin + "/v1/status")
 		if err != nil {
@@ -312,36 +316,36 @@
 	return true
 }
 
-func (de *demo) bill() error {
+func (de *demo) checkBill() error {
 	lines := 0
-	err := fleet.Until(bound, "the bill", func() bool {
+	err := fleet.Until(waitTimeout, "all requests to be billed", func() bool {
 		out, err := exec.Command(filepath.Join(de.bin, "linnetrudderctl"),
 			"bill", "--lines", "--admin", de.entries[0].Admin).Output()
 		lines = strings.Count(string(out), "\n")
-		return err == nil && lines >= de.requests
+		return err == nil && lines >= de.billedRequests
 	})
 	if err != nil {
 		return err
 	}
-	if lines != de.requests {
-		return fmt.Errorf("%d lines for %d calls", lines, de.requests)
+	if lines != de.billedRequests {
+		return fmt.Errorf("bill has %d lines, want %d", lines, de.billedRequests)
 	}
-	_, err = de.ctl("bill")
+	_, err = de.runCtl("bill")
 	return err
 }
 
-func (de *demo) timeline() error {
-	out, err := de.ctl("timeline", "--team", "kitchen-a")
+func (de *demo) checkTimeline() error {
+	out, err := de.runCtl("timeline", "--team", "kitchen-a")
 	if err != nil {
 		return err
 	}
 	if !strings.Contains(out, "request_escalated") || !strings.Contains(out, "attempt_admitted") {
-		return fmt.Errorf("the time line shows no attempt")
+		return fmt.Errorf("timeline lacks request_escalated or attempt_admitted")
 	}
-	if _, err := de.ctl("explain", "--request", de.last); err != nil {
+	if _, err := de.runCtl("explain", "--request", de.lastRequestID); err != nil {
 		return err
 	}
-	_, err = de.ctl("status")
+	_, err = de.runCtl("status")
 	return err
 }
 
@@ -349,6 +353,6 @@
 	if err := de.fleet.Stop(); err != nil {
 		return err
 	}
-	fmt.Fprintln(os.Stdout, "all processes ended as planned")
+	fmt.Fprintln(os.Stdout, "all processes shut down gracefully")
 	return nil
 }
