--- a/standin/cmd/soak/main.go
+++ b/standin/cmd/soak/main.go
@@ -1,6 +1,6 @@
-// Command soak runs gateways as separate processes under faults that a seed draws,
-// and checks what callers and backend servers see. It ends with an error if a
-// promise was broken, and names the folder with the logs.
+// Command soak runs gateways as separate processes under faults generated from a seed and checks
+// the guarantees that callers and backend servers rely on. If one is violated, it prints the
+// violations and the directory of the logs and exits with a non-zero status.
 package main
 
 import (
@@ -16,23 +16,23 @@
 )
 
 type arguments struct {
-	Bin      string        `help:"Folder of the built programs." default:"bin" type:"existingdir"`
-	Dir      string        `help:"Folder for settings and logs; a new one if it is empty."`
-	Seed     uint64        `help:"First seed; the time if it is zero."`
-	Runs     int           `help:"Runs, each with the next seed." default:"1"`
-	Trouble  time.Duration `help:"How long faults strike." default:"8s"`
-	Gateways int           `help:"Gateways." default:"4"`
-	Servers  int           `help:"Backend servers." default:"6"`
-	Callers  int           `help:"Callers." default:"16"`
-	Poison   bool          `help:"Let one request end the servers that run it."`
-	Reports  bool          `help:"Let servers report their shutdown and pauses in answers."`
-	Restores bool          `help:"Let the key-value service go back to older copies."`
+	Bin      string        `help:"Directory of the built programs." default:"bin" type:"existingdir"`
+	Dir      string        `help:"Directory for settings and logs; a temporary one by default."`
+	Seed     uint64        `help:"First seed; the current time if zero."`
+	Runs     int           `help:"Number of runs, with consecutive seeds." default:"1"`
+	Trouble  time.Duration `help:"How long faults are injected." default:"8s"`
+	Gateways int           `help:"Number of gateways." default:"4"`
+	Servers  int           `help:"Number of backend servers." default:"6"`
+	Callers  int           `help:"Number of concurrent callers." default:"16"`
+	Poison   bool          `help:"Include a request that crashes the servers that run it."`
+	Reports  bool          `help:"Include servers that report their shutdown or a pause in responses."`
+	Restores bool          `help:"Include restores of the key-value service from older copies."`
 }
 
 func main() {
 	var ar arguments
-	kong.Parse(&ar, kong.Description("Plays seeded faults against real gateways."))
-	broken, err := ar.play()
+	kong.Parse(&ar, kong.Description("Tests gateways under faults generated from a seed."))
+	broken, err := ar.runAll()
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 	}
@@ -41,20 +41,20 @@
 	}
 }
 
-// play plays all runs and returns how many broke a promise.
-func (ar *arguments) play() (broken int, err error) {
+// runAll does all runs and returns how many of them had violations.
+func (ar *arguments) runAll() (failedRuns int, err error) {
 	if ar.Seed == 0 {
 		ar.Seed = uint64(time.Now().Unix())
 	}
 	if ar.Dir == "" {
 		if ar.Dir, err = os.MkdirTemp("", "linnetrudder-soak-"); err != nil {
-			return 0, fmt.Errorf("folder: %w", err)
+			return 0, fmt.Errorf("create directory: %w", err)
 		}
 	}
 	for seed := ar.Seed; seed < ar.Seed+uint64(ar.Runs); seed++ {
 		dir := filepath.Join(ar.Dir, fmt.Sprint(seed))
 		if err := os.MkdirAll(dir, 0o700); err != nil {
-			return broken, fmt.Errorf("folder: %w", err)
+			return failedRuns, fmt.Errorf("create directory: %w", err)
 		}
 		pl := soak.Draw(seed, ar.Gateways, ar.Servers, ar.Trouble)
 		if ar.Poison {
@@ -69,22 +69,22 @@
 		so := &soak.Soak{Bin: ar.Bin, Dir: dir, Callers: ar.Callers}
 		violations, err := so.Run(context.Background(), pl)
 		if err != nil {
-			return broken, fmt.Errorf("seed %d: %w", seed, err)
+			return failedRuns, fmt.Errorf("seed %d: %w", seed, err)
 		}
-		fmt.Printf("seed %d: %d faults, %d promises broken\n", seed, len(pl.Faults), len(violations))
+		fmt.Printf("seed %d: %d faults, %d violations\n", seed, len(pl.Faults), len(violations))
 		if len(violations) > 0 {
-			broken++
-			ar.show(dir, pl, violations)
+			failedRuns++
+			ar.printViolations(dir, pl, violations)
 		}
 	}
-	return broken, nil
+	return failedRuns, nil
 }
 
-// shown is how many violations of a run are printed.
-const shown = 10
+// maxPrinted is the maximum number of violations printed per run.
+const maxPrinted = 10
 
-func (ar *arguments) show(dir string, pl soak.Plan, violations []soak.Violation) {
-	for _, vi := range violations[:min(shown, len(violations))] {
+func (ar *arguments) printViolations(dir string, pl soak.Plan, violations []soak.Violation) {
+	for _, vi := range violations[:min(maxPrinted, len(violations))] {
 		fmt.Println(" ", vi)
 	}
 	for _, fa := range pl.Faults {
