--- a/standin/cmd/standin/main.go
+++ b/standin/cmd/standin/main.go
@@ -1,5 +1,5 @@
-// Command standin runs one of the stand-ins for the platform's services and
-// the backend servers. It is used by the demo and the tests and not shipped.
+// Command standin runs a stand-in for one of the platform's services or for a backend server. It is
+// used by the demo and the tests only and is not part of a release.
 package main
 
 import (
@@ -18,19 +18,19 @@
 )
 
 type flags struct {
-	Kind       string        `arg:"" enum:"store,boxes,engine,plain" help:"What to stand in for."`
-	Listen     string        `required:"" help:"IP number and port."`
-	Tokens     int           `default:"8" help:"Length of an engine's answers."`
-	Pace       time.Duration `default:"5ms" help:"Time between two tokens."`
-	Fenced     bool          `help:"Whether an engine checks fencing numbers."`
-	Confidence float64       `help:"Confidence that an engine reports."`
-	Takes      time.Duration `default:"1ms" help:"How long a plain call runs."`
+	Kind       string        `arg:"" enum:"store,boxes,engine,plain" help:"Kind of stand-in."`
+	Listen     string        `required:"" help:"IP address and port."`
+	Tokens     int           `default:"8" help:"Length of an engine's answers in tokens."`
+	Pace       time.Duration `default:"5ms" help:"Time between two tokens of an answer."`
+	Fenced     bool          `help:"Let an engine reject orders with a lower fencing number."`
+	Confidence float64       `help:"Confidence that an engine reports with its answers; none if zero."`
+	Takes      time.Duration `default:"1ms" help:"Duration of a plain call."`
 }
 
 const (
 	headerTimeout = 5 * time.Second
-	// restartTime is how long an engine that has ended is away.
-	restartTime = 300 * time.Millisecond
+	// engineRestartDelay is the time for which a crashed engine refuses connections.
+	engineRestartDelay = 300 * time.Millisecond
 )
 
 func main() {
@@ -46,13 +46,14 @@
 	for {
 		srv := &http.Server{Addr: fl.Listen, Handler: handlers[fl.Kind], ReadHeaderTimeout: headerTimeout}
 		if en, ok := handlers[fl.Kind].(*engine.Engine); ok {
-			// The process stays, so that it can tell what it ran; callers see it end.
+			// A crash closes the listener and all connections, as callers would see it. The process
+			// itself keeps running because it has the counts of what it ran.
 			en.Crash = func() { _ = srv.Close() }
 		}
 		err := srv.ListenAndServe()
 		if !errors.Is(err, http.ErrServerClosed) {
 			lo.Fatal().Err(err).Msg(fl.Kind)
 		}
-		time.Sleep(restartTime)
+		time.Sleep(engineRestartDelay)
 	}
 }
