--- a/standin/cmd/measure/changer.go
+++ b/standin/cmd/measure/admin.go
@@ -11,10 +11,10 @@
 	"github.com/linnetrudder/linnetrudder/internal/config"
 )
 
-// changer makes changes through an entry's administration API.
-type changer struct{ admin string }
+// adminClient changes the configuration through an entry's administration API.
+type adminClient struct{ admin string }
 
-func (ch changer) apply(doc *config.Document) error {
+func (ch adminClient) applyConfig(doc *config.Document) error {
 	body, err := json.Marshal(doc)
 	if err != nil {
 		return err
@@ -22,7 +22,7 @@
 	return ch.call(http.MethodPut, "/v1/config", body)
 }
 
-func (ch changer) call(method, path string, body []byte) error {
+func (ch adminClient) call(method, path string, body []byte) error {
 	req, err := http.NewRequest(method, "http://"+ch.admin+path, bytes.NewReader(body))
 	if err != nil {
 		return err
@@ -38,9 +38,9 @@
 	return nil
 }
 
-// every changes one version's share at a rate until the returned function is
-// called.
-func (ch changer) every(rate float64, _ int) func() {
+// changePeriodically changes one version's share at a rate per second until the returned function
+// is called.
+func (ch adminClient) changePeriodically(rate float64, _ int) func() {
 	if rate == 0 {
 		return func() {}
 	}
--- a/standin/cmd/measure/links.go
+++ b/standin/cmd/measure/links.go
@@ -11,19 +11,19 @@
 	"github.com/linnetrudder/linnetrudder/standin/swarm"
 )
 
-// linksCmd measures one process with many peers.
+// linksCmd measures the resource use of one process with many peers and no requests.
 type linksCmd struct {
-	Role    string        `enum:"entry,agent" default:"entry" help:"The measured process."`
-	Peers   int           `default:"10" help:"How many peers it has."`
-	Servers int           `default:"100" help:"Backend servers in the configuration."`
-	Changes float64       `default:"0" help:"Changes of the configuration in a second."`
-	For     time.Duration `default:"20s" help:"How long to measure."`
+	Role    string        `enum:"entry,agent" default:"entry" help:"Role of the measured process."`
+	Peers   int           `default:"10" help:"Number of peers."`
+	Servers int           `default:"100" help:"Number of backend servers in the configuration."`
+	Changes float64       `default:"0" help:"Configuration changes per second."`
+	For     time.Duration `default:"20s" help:"Duration of the measurement."`
 }
 
-// settle is how long the processes have to connect.
-const settle = 12 * time.Second
+// settleTime is the time that the processes get to connect before the measurement.
+const settleTime = 12 * time.Second
 
-// Run starts the process and its peers and prints what it used.
+// Run starts the process and its peers and prints the resources that the process used.
 func (cm *linksCmd) Run(fe *fleet.Fleet) error {
 	if err := fe.Platform(); err != nil {
 		return err
@@ -34,35 +34,35 @@
 		se["log_level"] = "warn"
 	}
 	sw := &swarm.Swarm{Store: fe.Store, Boxes: fe.Boxes, Key: "demo-key"}
-	measured, list, err := cm.members(fe, sw)
+	measured, list, err := cm.startMembers(fe, sw)
 	if err != nil {
 		return err
 	}
 	if err := fe.List(list); err != nil {
 		return err
 	}
-	ch := changer{admin: entryAdmin(list)}
-	if err := ch.apply(document(cm.Servers)); err != nil {
+	ch := adminClient{admin: entryAdminAddress(list)}
+	if err := ch.applyConfig(configWithServers(cm.Servers)); err != nil {
 		return err
 	}
-	time.Sleep(settle)
-	before, err := take(measured)
+	time.Sleep(settleTime)
+	before, err := takeSample(measured)
 	if err != nil {
 		return err
 	}
-	stop := ch.every(cm.Changes, cm.Servers)
+	stop := ch.changePeriodically(cm.Changes, cm.Servers)
 	time.Sleep(cm.For)
 	stop()
-	after, err := take(measured)
+	after, err := takeSample(measured)
 	if err != nil {
 		return err
 	}
-	fmt.Printf("%s with %d peers, %d servers, %.2f changes/s: %s\n", cm.Role, cm.Peers, cm.Servers, cm.Changes, after.since(before))
+	fmt.Printf("%s with %d peers, %d servers, %.2f changes/s: %s\n", cm.Role, cm.Peers, cm.Servers, cm.Changes, after.usageSince(before))
 	return nil
 }
 
-// members starts the measured process and its peers in this process.
-func (cm *linksCmd) members(fe *fleet.Fleet, sw *swarm.Swarm) (*fleet.Member, []boxes.Box, error) {
+// startMembers starts the measured process, and its peers within this process.
+func (cm *linksCmd) startMembers(fe *fleet.Fleet, sw *swarm.Swarm) (*fleet.Member, []boxes.Box, error) {
 	var list []boxes.Box
 	role := boxes.Role(cm.Role)
 	me := fleet.Member{Box: "measured", Role: cm.Role, DataCentre: "dc", Server: "s-0", Backend: "127.0.0.1:1"}
@@ -89,7 +89,8 @@
 	return measured, list, nil
 }
 
-func entryAdmin(list []boxes.Box) string {
+// entryAdminAddress returns the administration address of the first entry in a list, "" for none.
+func entryAdminAddress(list []boxes.Box) string {
 	for _, bo := range list {
 		if bo.Role == boxes.Entry {
 			return bo.Admin
@@ -98,8 +99,8 @@
 	return ""
 }
 
-// document is a configuration with many backend servers.
-func document(servers int) *config.Document {
+// configWithServers returns a configuration with the given number of backend servers.
+func configWithServers(servers int) *config.Document {
 	doc := &config.Document{
 		Models: []config.Model{{Name: "menu", Labels: selector.Labels{"tier": "strong"}}, {Name: "notes", Labels: selector.Labels{"tier": "cheap"}}},
 		Teams:  []config.Team{{Name: "team", KeyDigests: []string{config.Digest("key")}}},
--- a/standin/cmd/measure/load.go
+++ b/standin/cmd/measure/load.go
@@ -14,50 +14,51 @@
 	"github.com/linnetrudder/linnetrudder/standin/fleet"
 )
 
-// loadCmd measures what the way through entry and agent adds.
+// loadCmd measures the latency and processor time that an entry and an agent add to requests.
 type loadCmd struct {
-	Rate   int           `default:"500" help:"Requests in a second."`
-	Tokens int           `default:"50" help:"Tokens of an answer."`
+	Rate   int           `default:"500" help:"Requests per second."`
+	Tokens int           `default:"50" help:"Length of an answer in tokens."`
 	Pace   time.Duration `default:"10ms" help:"Time between two tokens."`
-	For    time.Duration `default:"10s" help:"How long to measure."`
+	For    time.Duration `default:"10s" help:"Duration of the measurement."`
 }
 
-// path is one way to the engine.
-type path struct {
+// target is an address that requests are sent to: the engine itself or an entry.
+type target struct {
 	name, url, model string
 }
 
-// Run sends the same load to the engine alone and through the system.
+// Run sends the same load to the engine directly and through the system.
 func (cm *loadCmd) Run(fe *fleet.Fleet) error {
-	paths, entry, agent, err := cm.start(fe)
+	targets, entry, agent, err := cm.startSystem(fe)
 	if err != nil {
 		return err
 	}
-	for _, pa := range paths {
-		before, err := takeBoth(entry, agent)
+	for _, pa := range targets {
+		before, err := takeSamplePair(entry, agent)
 		if err != nil {
 			return err
 		}
-		ru := cm.drive(pa)
-		after, err := takeBoth(entry, agent)
+		ru := cm.sendAtRate(pa)
+		after, err := takeSamplePair(entry, agent)
 		if err != nil {
 			return err
 		}
-		for why, n := range ru.why {
-			fmt.Printf("%d failed with %s\n", n, why)
+		for cause, n := range ru.failuresByError {
+			fmt.Printf("%d failed: %s\n", n, cause)
 		}
-		tokens := float64(ru.first.TotalCount()) * float64(cm.Tokens)
+		tokens := float64(ru.firstByte.TotalCount()) * float64(cm.Tokens)
 		cpu := (after.entry.cpu - before.entry.cpu) + (after.agent.cpu - before.agent.cpu)
 		fmt.Printf("%s: %d requests, %d failed, first byte p50 %d us, p99 %d us; cpu %.2f us/token (entry %.2f, agent %.2f)\n",
-			pa.name, ru.first.TotalCount(), ru.failed, ru.first.ValueAtQuantile(50), ru.first.ValueAtQuantile(99),
+			pa.name, ru.firstByte.TotalCount(), ru.failed, ru.firstByte.ValueAtQuantile(50), ru.firstByte.ValueAtQuantile(99),
 			cpu.Seconds()*1e6/tokens, (after.entry.cpu-before.entry.cpu).Seconds()*1e6/tokens,
 			(after.agent.cpu-before.agent.cpu).Seconds()*1e6/tokens)
 	}
 	return nil
 }
 
-// start starts one engine, one agent and one entry.
-func (cm *loadCmd) start(fe *fleet.Fleet) ([]path, *fleet.Member, *fleet.Member, error) {
+// startSystem starts one engine, one agent and one entry. It returns the targets, the entry and the
+// agent.
+func (cm *loadCmd) startSystem(fe *fleet.Fleet) ([]target, *fleet.Member, *fleet.Member, error) {
 	if err := fe.Platform(); err != nil {
 		return nil, nil, nil, err
 	}
@@ -74,28 +75,29 @@
 	if err != nil {
 		return nil, nil, nil, err
 	}
-	if err := (changer{admin: entry.Admin}).apply(document(1)); err != nil {
+	if err := (adminClient{admin: entry.Admin}).applyConfig(configWithServers(1)); err != nil {
 		return nil, nil, nil, err
 	}
 	time.Sleep(2 * time.Second)
-	return []path{
+	return []target{
 		{"engine alone", "http://" + engine + "/v1/chat/completions", "menu@v1"},
 		{"through entry and agent", "http://" + entry.Address + "/v1/chat/completions", "menu"},
 	}, entry, agent, nil
 }
 
-// run is the outcome of one load.
-type run struct {
-	mu     sync.Mutex
-	first  *hdrhistogram.Histogram
-	failed int
-	// why counts failures by what was seen of them.
-	why map[string]int
+// loadResult contains the results of a load.
+type loadResult struct {
+	mu sync.Mutex
+	// firstByte contains the times to the first byte in microseconds.
+	firstByte *hdrhistogram.Histogram
+	failed    int
+	// failuresByError counts the failed requests by status, errors and end of the response body.
+	failuresByError map[string]int
 }
 
-// drive sends requests at a fixed rate, whatever becomes of them.
-func (cm *loadCmd) drive(pa path) *run {
-	ru := &run{first: hdrhistogram.New(1, 60_000_000, 3)}
+// sendAtRate sends requests at a fixed rate without waiting for earlier ones to complete.
+func (cm *loadCmd) sendAtRate(pa target) *loadResult {
+	ru := &loadResult{firstByte: hdrhistogram.New(1, 60_000_000, 3)}
 	hc := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 4096}}
 	ctx, cancel := context.WithTimeout(context.Background(), cm.For+time.Minute)
 	defer cancel()
@@ -104,13 +106,14 @@
 	defer ti.Stop()
 	for range int(cm.For.Seconds()) * cm.Rate {
 		<-ti.C
-		wg.Go(func() { ru.one(ctx, hc, pa) })
+		wg.Go(func() { ru.sendRequest(ctx, hc, pa) })
 	}
 	wg.Wait()
 	return ru
 }
 
-func (ru *run) one(ctx context.Context, hc *http.Client, pa path) {
+// sendRequest sends a streamed request, reads the complete answer and records the result.
+func (ru *loadResult) sendRequest(ctx context.Context, hc *http.Client, pa target) {
 	body := `{"model":"` + pa.model + `","stream":true,"messages":[{"role":"user","content":"menu"}]}`
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, pa.url, strings.NewReader(body))
 	if err != nil {
@@ -120,34 +123,34 @@
 	began := time.Now()
 	resp, err := hc.Do(req)
 	if err != nil {
-		ru.fail(err.Error())
+		ru.recordFailure(err.Error())
 		return
 	}
 	defer resp.Body.Close()
-	one := make([]byte, 1)
-	_, err = io.ReadFull(resp.Body, one)
+	buf := make([]byte, 1)
+	_, err = io.ReadFull(resp.Body, buf)
 	took := time.Since(began)
 	rest, restErr := io.ReadAll(resp.Body)
 	if err != nil || restErr != nil || resp.StatusCode != http.StatusOK || !strings.Contains(string(rest), "[DONE]") {
-		ru.fail(fmt.Sprint(resp.Status, err, restErr, tail(rest)))
+		ru.recordFailure(fmt.Sprint(resp.Status, err, restErr, lastBytes(rest)))
 		return
 	}
 	ru.mu.Lock()
 	defer ru.mu.Unlock()
-	_ = ru.first.RecordValue(took.Microseconds())
+	_ = ru.firstByte.RecordValue(took.Microseconds())
 }
 
-func (ru *run) fail(why string) {
+func (ru *loadResult) recordFailure(cause string) {
 	ru.mu.Lock()
 	defer ru.mu.Unlock()
 	ru.failed++
-	if ru.why == nil {
-		ru.why = map[string]int{}
+	if ru.failuresByError == nil {
+		ru.failuresByError = map[string]int{}
 	}
-	ru.why[why]++
+	ru.failuresByError[cause]++
 }
 
-// tail returns the end of an answer, where a broken one says why.
-func tail(body []byte) string {
+// lastBytes returns the last 200 bytes of an answer, where the error of a failed one is.
+func lastBytes(body []byte) string {
 	return string(body[max(0, len(body)-200):])
 }
--- a/standin/cmd/measure/main.go
+++ b/standin/cmd/measure/main.go
@@ -1,5 +1,6 @@
-// Command measure runs the bounded loopback measurements behind
-// docs/CAPACITY.md and docs/performance.md. Each prints one line a run.
+// Command measure runs the loopback measurements whose figures are in docs/CAPACITY.md and
+// docs/performance.md. Each of them has a limited duration and prints one line per measured
+// configuration.
 package main
 
 import (
@@ -12,11 +13,11 @@
 )
 
 type flags struct {
-	Bin   string   `required:"" help:"Folder of the programs." type:"path"`
-	Links linksCmd `cmd:"" help:"Processor time, memory and bytes of one quiet process with many peers."`
-	Load  loadCmd  `cmd:"" help:"Latency and processor time of requests, against the engine alone."`
-	Hold  holdCmd  `cmd:"" help:"Memory of an entry that holds open streams."`
-	Bills billsCmd `cmd:"" help:"Size and number of writes of bills, and memory while the store is down."`
+	Bin   string   `required:"" help:"Directory of the built programs." type:"path"`
+	Links linksCmd `cmd:"" help:"Measure processor time, memory and link traffic of an idle process with many peers."`
+	Load  loadCmd  `cmd:"" help:"Measure latency and processor time of requests, compared to the engine alone."`
+	Hold  holdCmd  `cmd:"" help:"Measure the memory of an entry and an agent with open streams."`
+	Bills billsCmd `cmd:"" help:"Measure memory while the store is down and the store calls to write the bills afterwards."`
 }
 
 func main() {
--- a/standin/cmd/measure/proc.go
+++ b/standin/cmd/measure/proc.go
@@ -13,23 +13,25 @@
 	"github.com/linnetrudder/linnetrudder/standin/fleet"
 )
 
-// sample is what a process has used so far.
+// sample is the resource use of a process since its start.
 type sample struct {
 	at  time.Time
 	cpu time.Duration
-	// rss is the memory in use now, in bytes.
+	// rss is the resident memory at the time of the sample, in bytes.
 	rss int64
-	// control is bytes on links that are not callers' data, in and out.
-	control int64
-	// messages is how many WebSocket messages carried them, in and out.
-	messages int64
-	store    int64
+	// controlBytes is the number of bytes on links other than callers' data, in and out.
+	controlBytes int64
+	// linkMessages is the number of WebSocket messages on links, in and out.
+	linkMessages int64
+	// storeCalls is the number of GET and PUT calls to the store.
+	storeCalls int64
 }
 
-// clockTick is the unit of processor time in /proc.
+// clockTick is the unit of processor time in /proc/PID/stat.
 const clockTick = 10 * time.Millisecond
 
-func take(me *fleet.Member) (sample, error) {
+// takeSample reads the resource use of a process from /proc and from its metrics.
+func takeSample(me *fleet.Member) (sample, error) {
 	sa := sample{at: time.Now()}
 	pid := me.Process.ID()
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
@@ -42,10 +44,11 @@
 	pages, _ := strconv.ParseInt(fields[21], 10, 64)
 	sa.cpu = time.Duration(user+system) * clockTick
 	sa.rss = pages * int64(os.Getpagesize())
-	return sa, sa.counters(me.Admin)
+	return sa, sa.readCounters(me.Admin)
 }
 
-func (sa *sample) counters(admin string) error {
+// readCounters adds the counters of the process's metrics to the sample.
+func (sa *sample) readCounters(admin string) error {
 	resp, err := http.Get("http://" + admin + "/metrics")
 	if err != nil {
 		return err
@@ -59,28 +62,28 @@
 	if err := json.NewDecoder(resp.Body).Decode(&vars); err != nil {
 		return err
 	}
-	sa.control = vars.In["control_bytes"] + vars.Out["control_bytes"]
-	sa.messages = vars.In["messages"] + vars.Out["messages"]
-	sa.store = vars.Store["GET"] + vars.Store["PUT"]
+	sa.controlBytes = vars.In["control_bytes"] + vars.Out["control_bytes"]
+	sa.linkMessages = vars.In["messages"] + vars.Out["messages"]
+	sa.storeCalls = vars.Store["GET"] + vars.Store["PUT"]
 	return nil
 }
 
-// since describes what was used between two samples.
-func (sa sample) since(be sample) string {
+// usageSince describes the resources used since an earlier sample.
+func (sa sample) usageSince(be sample) string {
 	sec := sa.at.Sub(be.at).Seconds()
 	return fmt.Sprintf("cpu %.3f%% of a core, rss %.1f MB, control %.0f B/s in %.1f messages/s, store calls %.2f/s",
 		100*(sa.cpu-be.cpu).Seconds()/sec, float64(sa.rss)/1e6,
-		float64(sa.control-be.control)/sec, float64(sa.messages-be.messages)/sec, float64(sa.store-be.store)/sec)
+		float64(sa.controlBytes-be.controlBytes)/sec, float64(sa.linkMessages-be.linkMessages)/sec, float64(sa.storeCalls-be.storeCalls)/sec)
 }
 
-// both is a sample of an entry and one of an agent.
-type both struct{ entry, agent sample }
+// samplePair contains a sample of an entry and one of an agent.
+type samplePair struct{ entry, agent sample }
 
-func takeBoth(entry, agent *fleet.Member) (both, error) {
-	en, err := take(entry)
+func takeSamplePair(entry, agent *fleet.Member) (samplePair, error) {
+	en, err := takeSample(entry)
 	if err != nil {
-		return both{}, err
+		return samplePair{}, err
 	}
-	ag, err := take(agent)
-	return both{entry: en, agent: ag}, err
+	ag, err := takeSample(agent)
+	return samplePair{entry: en, agent: ag}, err
 }
