--- a/standin/cmd/days/compare.go
+++ b/standin/cmd/days/compare.go
@@ -15,70 +15,71 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// noise is the difference in worth below which the users see no change.
-const noise = 0.03
+// noiseThreshold is the difference in worth below which the users consider two results equal.
+const noiseThreshold = 0.03
 
 // compareCmd compares two sets of results.
 type compareCmd struct {
-	Before string `arg:"" help:"Results before." type:"existingfile"`
-	After  string `arg:"" help:"Results after." type:"existingfile"`
-	Plot   string `help:"Draw the differences into this file (svg or png)."`
+	Before string `arg:"" help:"Results before the change." type:"existingfile"`
+	After  string `arg:"" help:"Results after the change." type:"existingfile"`
+	Plot   string `help:"Plot the differences to this file (svg or png)."`
 }
 
-// Run shows and draws the differences.
+// Run prints the differences and plots them if a file is given.
 func (cm *compareCmd) Run() error {
-	before, err := load(cm.Before)
+	before, err := loadResults(cm.Before)
 	if err != nil {
 		return err
 	}
-	after, err := load(cm.After)
+	after, err := loadResults(cm.After)
 	if err != nil {
 		return err
 	}
-	rows := pair(before, after)
+	rows := pairResults(before, after)
 	tw := tabwriter.NewWriter(os.Stdout, 0, 8, 2, ' ', 0)
-	fmt.Fprintln(tw, "day\tseeds\tbefore\tafter\tdifference\tspread\t")
+	fmt.Fprintln(tw, "day\tseeds\tbefore\tafter\tdifference\tstd dev\t")
 	for _, ro := range rows {
-		mean, spread := meanAndSpread(ro.differences)
+		mean, stdDev := meanAndStdDev(ro.differences)
 		note := ""
-		if math.Abs(mean) < noise {
+		if math.Abs(mean) < noiseThreshold {
 			note = "within the noise"
 		}
-		fmt.Fprintf(tw, "%s\t%d\t%.3f\t%.3f\t%+.3f\t%.3f\t%s\n", ro.name, len(ro.differences), ro.before, ro.after, mean, spread, note)
+		fmt.Fprintf(tw, "%s\t%d\t%.3f\t%.3f\t%+.3f\t%.3f\t%s\n", ro.name, len(ro.differences), ro.before, ro.after, mean, stdDev, note)
 	}
 	if err := tw.Flush(); err != nil {
-		return eris.Wrap(err, "print")
+		return eris.Wrap(err, "print table")
 	}
 	if cm.Plot == "" {
 		return nil
 	}
-	return draw(rows, cm.Plot)
+	return plotDifferences(rows, cm.Plot)
 }
 
-func load(path string) ([]played, error) {
+func loadResults(path string) ([]dayResult, error) {
 	body, err := os.ReadFile(path)
 	if err != nil {
-		return nil, eris.Wrap(err, "read")
+		return nil, eris.Wrap(err, "read results")
 	}
-	var list []played
+	var list []dayResult
 	return list, eris.Wrap(json.Unmarshal(body, &list), path)
 }
 
-// row is one day of both sets.
-type row struct {
+// dayComparison contains the results of one day in both sets.
+type dayComparison struct {
 	name string
-	// before and after are means over the seeds that both sets have.
+	// before and after are the mean worth over the seeds that are in both sets.
 	before, after float64
-	differences   []float64
+	// differences contains the change in worth of each seed.
+	differences []float64
 }
 
-// pair puts the same days and seeds together; what only one set has is left out.
-func pair(before, after []played) []row {
+// pairResults matches results by site, day and seed. Results that are in one set only are ignored.
+func pairResults(before, after []dayResult) []dayComparison {
 	worth := map[string]float64{}
 	for _, pl := range before {
 		worth[pl.key()] = pl.Worth
 	}
-	days := map[string]*row{}
+	days := map[string]*dayComparison{}
 	for _, pl := range after {
 		was, ok := worth[pl.key()]
 		if !ok {
@@ -86,7 +87,7 @@
 		}
 		name := pl.Site + " " + pl.Day
 		if days[name] == nil {
-			days[name] = &row{name: name}
+			days[name] = &dayComparison{name: name}
 		}
 		ro := days[name]
 		n := float64(len(ro.differences))
@@ -94,31 +95,31 @@
 		ro.after = (ro.after*n + pl.Worth) / (n + 1)
 		ro.differences = append(ro.differences, pl.Worth-was)
 	}
-	rows := make([]row, 0, len(days))
+	rows := make([]dayComparison, 0, len(days))
 	for _, ro := range days {
 		rows = append(rows, *ro)
 	}
-	slices.SortFunc(rows, func(a, b row) int { return strings.Compare(a.name, b.name) })
+	slices.SortFunc(rows, func(a, b dayComparison) int { return strings.Compare(a.name, b.name) })
 	return rows
 }
 
-// meanAndSpread returns the mean and the standard deviation.
-func meanAndSpread(values []float64) (mean, spread float64) {
+// meanAndStdDev returns the mean and the sample standard deviation, 0 for fewer than two values.
+func meanAndStdDev(values []float64) (mean, stdDev float64) {
 	for _, va := range values {
 		mean += va / float64(len(values))
 	}
 	for _, va := range values {
-		spread += (va - mean) * (va - mean)
+		stdDev += (va - mean) * (va - mean)
 	}
 	if len(values) > 1 {
-		spread = math.Sqrt(spread / float64(len(values)-1))
+		stdDev = math.Sqrt(stdDev / float64(len(values)-1))
 	}
-	return mean, spread
+	return mean, stdDev
 }
 
-// show prints a table of one set.
-func show(results []played) {
-	byDay := map[string][]played{}
+// printSummary prints a table of the results by day.
+func printSummary(results []dayResult) {
+	byDay := map[string][]dayResult{}
 	for _, pl := range results {
 		name := pl.Site + " " + pl.Day
 		byDay[name] = append(byDay[name], pl)
@@ -129,14 +130,14 @@
 	}
 	slices.Sort(names)
 	tw := tabwriter.NewWriter(os.Stdout, 0, 8, 2, ' ', 0)
-	fmt.Fprintln(tw, "day\tseeds\tworth\tleast\tmost\twhole day\tworst windows\tworst class\tbroken")
+	fmt.Fprintln(tw, "day\tseeds\tworth\tmin\tmax\twhole day\tworst windows\tworst class\tbroken")
 	for _, name := range names {
 		list := byDay[name]
-		least, most := list[0].Worth, list[0].Worth
-		var sum played
+		lowest, highest := list[0].Worth, list[0].Worth
+		var sum dayResult
 		broken := 0
 		for _, pl := range list {
-			least, most = min(least, pl.Worth), max(most, pl.Worth)
+			lowest, highest = min(lowest, pl.Worth), max(highest, pl.Worth)
 			sum.Worth += pl.Worth / float64(len(list))
 			sum.WholeDay += pl.WholeDay / float64(len(list))
 			sum.Windows += pl.Windows / float64(len(list))
@@ -145,16 +146,16 @@
 				broken++
 			}
 		}
-		fmt.Fprintf(tw, "%s\t%d\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%d\n", name, len(list), sum.Worth, least, most,
+		fmt.Fprintf(tw, "%s\t%d\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%d\n", name, len(list), sum.Worth, lowest, highest,
 			sum.WholeDay, sum.Windows, sum.WorstClass, broken)
 	}
 	_ = tw.Flush()
 }
 
-// draw plots each seed's difference beside its day.
-func draw(rows []row, path string) error {
+// plotDifferences plots the differences of all seeds by day.
+func plotDifferences(rows []dayComparison, path string) error {
 	pt := plot.New()
-	pt.Title.Text = "worth after less worth before, each seed a point"
+	pt.Title.Text = "change in worth, one point per seed"
 	pt.Y.Label.Text = "difference"
 	names := make([]string, len(rows))
 	var points plotter.XYs
@@ -166,12 +167,12 @@
 	}
 	sc, err := plotter.NewScatter(points)
 	if err != nil {
-		return eris.Wrap(err, "points")
+		return eris.Wrap(err, "scatter plot")
 	}
 	pt.Add(plotter.NewGrid(), sc)
 	pt.NominalX(names...)
 	pt.X.Tick.Label.Rotation = math.Pi / 6
 	pt.X.Tick.Label.XAlign = -1
 	const width, height = 24 * vg.Centimeter, 12 * vg.Centimeter
-	return eris.Wrap(pt.Save(width, height, path), "plot")
+	return eris.Wrap(pt.Save(width, height, path), "save plot")
 }
--- a/standin/cmd/days/draw.go
+++ b/standin/cmd/days/draw.go
@@ -15,70 +15,71 @@
 	"github.com/rotisserie/eris"
 )
 
-// drawCmd draws days of trouble at random.
+// drawCmd generates random days of disruptions.
 type drawCmd struct {
-	Bench string `help:"The users' player of days; it tells which kinds are in force." required:"" type:"existingfile"`
-	Out   string `help:"Folder for the days." required:""`
-	First uint64 `help:"Seed of the first day; each of the others takes the next one." default:"1"`
-	Days  int    `help:"Days for each deployment." default:"10"`
-	// Rollout is for promises that only a roll-out can break.
-	Rollout string   `help:"Variant of the bad roll-out that every day then begins with."`
-	Sites   []string `arg:"" help:"Deployments." type:"existingfile"`
+	Bench string `help:"The users' bench, which lists the kinds of disruption that a deployment supports." required:"" type:"existingfile"`
+	Out   string `help:"Directory for the days." required:""`
+	First uint64 `help:"Seed of the first day; the others get consecutive seeds." default:"1"`
+	Days  int    `help:"Number of days per deployment." default:"10"`
+	// Rollout tests rules that only a rollout can break.
+	Rollout string   `help:"Variant of a bad rollout to include in every day."`
+	Sites   []string `arg:"" help:"Files of the deployments." type:"existingfile"`
 }
 
-// Run draws the days and prints each one as play takes it.
+// Run writes the days and prints each one as an argument for the play command.
 func (cm *drawCmd) Run() error {
 	if err := os.MkdirAll(cm.Out, 0o750); err != nil {
-		return eris.Wrap(err, "folder")
+		return eris.Wrap(err, "create directory")
 	}
 	for _, path := range cm.Sites {
-		if err := cm.drawFor(path); err != nil {
+		if err := cm.writeDays(path); err != nil {
 			return eris.Wrap(err, path)
 		}
 	}
 	return nil
 }
 
-func (cm *drawCmd) drawFor(path string) error {
+// writeDays generates and writes all days of a deployment.
+func (cm *drawCmd) writeDays(path string) error {
 	de, err := readDeployment(path)
 	if err != nil {
 		return err
 	}
 	out, err := exec.Command(cm.Bench, "kinds", path).Output()
 	if err != nil {
-		return eris.Wrap(err, "kinds")
+		return eris.Wrap(err, "list kinds of disruption")
 	}
-	kinds := inForce(string(out), troubles())
+	kinds := supportedKinds(string(out), disruptionKinds())
 	name := strings.TrimSuffix(filepath.Base(path), ".toml")
 	for i := range cm.Days {
 		seed := cm.First + uint64(i)
-		dr := drawer{random: rand.New(rand.NewPCG(seed, uint64(len(name)))), deployment: de, kinds: kinds}
+		dg := dayGenerator{random: rand.New(rand.NewPCG(seed, uint64(len(name)))), deployment: de, kinds: kinds}
 		file := filepath.Join(cm.Out, fmt.Sprintf("%s-%d.toml", name, seed))
-		if err := os.WriteFile(file, []byte(dr.day(fmt.Sprint("drawn-", seed), seed, cm.Rollout)), 0o600); err != nil {
-			return eris.Wrap(err, "write")
+		if err := os.WriteFile(file, []byte(dg.generate(fmt.Sprint("drawn-", seed), seed, cm.Rollout)), 0o600); err != nil {
+			return eris.Wrap(err, "write day")
 		}
 		fmt.Printf("%s:%s\n", path, file)
 	}
 	return nil
 }
 
-// deployment is what a day's troubles may name. Its fields are exported because a
-// codec fills them.
+// deployment contains the settings of a deployment that disruptions refer to. Its fields are
+// exported for the TOML decoder.
 type deployment struct {
-	Length   float64 `toml:"length_s"`
-	Services []named `toml:"services"`
-	Classes  []named `toml:"classes"`
-	Zones    []named `toml:"zones"`
+	Length   float64     `toml:"length_s"`
+	Services []namedItem `toml:"services"`
+	Classes  []namedItem `toml:"classes"`
+	Zones    []namedItem `toml:"zones"`
 }
 
-// named is an entry of a deployment of which only the name matters.
-type named struct {
+// namedItem is a service, class or zone of a deployment, of which only the name is used.
+type namedItem struct {
 	Name string `toml:"name"`
 }
 
-// names returns the names that a trouble may be aimed at.
-func (de deployment) names(at target) []string {
-	list := map[target][]named{aService: de.Services, aClass: de.Classes, aZone: de.Zones}[at]
+// names returns the names of the possible targets of a kind.
+func (de deployment) names(kind targetKind) []string {
+	list := map[targetKind][]namedItem{targetService: de.Services, targetClass: de.Classes, targetZone: de.Zones}[kind]
 	names := make([]string, len(list))
 	for i, na := range list {
 		names[i] = na.Name
@@ -89,117 +90,119 @@
 func readDeployment(path string) (deployment, error) {
 	var de deployment
 	_, err := toml.DecodeFile(path, &de)
-	return de, eris.Wrap(err, "decode")
+	return de, eris.Wrap(err, "decode deployment")
 }
 
-// kindLine is the player's line on a kind.
-var kindLine = regexp.MustCompile(`(?m)^([a-z_]+):`)
+// kindPattern matches the bench's line for a kind of disruption.
+var kindPattern = regexp.MustCompile(`(?m)^([a-z_]+):`)
 
-// inForce returns the troubles that a deployment may meet.
-func inForce(listed string, all []trouble) []trouble {
+// supportedKinds returns the disruptions whose kinds are in the bench's list.
+func supportedKinds(listed string, all []disruption) []disruption {
 	names := map[string]bool{}
-	for _, found := range kindLine.FindAllStringSubmatch(listed, -1) {
+	for _, found := range kindPattern.FindAllStringSubmatch(listed, -1) {
 		names[found[1]] = true
 	}
-	return slices.DeleteFunc(all, func(tr trouble) bool { return !names[tr.kind] })
+	return slices.DeleteFunc(all, func(di disruption) bool { return !names[di.kind] })
 }
 
 const (
-	// fewestTroubles and mostTroubles bound the troubles of a day besides its first
-	// roll-out.
-	fewestTroubles = 6
-	mostTroubles   = 14
-	// quietEnd is how long before the end of a day the last trouble begins, in
-	// seconds.
-	quietEnd = 2
+	// minDisruptions and maxDisruptions limit the number of disruptions of a day in addition to its
+	// rollout.
+	minDisruptions = 6
+	maxDisruptions = 14
+	// quietEndSeconds is the time at the end of a day in which no disruption begins.
+	quietEndSeconds = 2
 )
 
-// drawer draws one day.
-type drawer struct {
+// dayGenerator generates a random day.
+type dayGenerator struct {
 	random     *rand.Rand
 	deployment deployment
-	kinds      []trouble
+	kinds      []disruption
 }
 
-// day returns a day as its file holds it.
-func (dr *drawer) day(name string, seed uint64, variant string) string {
+// generate returns the contents of a day's file.
+func (dg *dayGenerator) generate(name string, seed uint64, variant string) string {
 	var plan, faults []string
-	add := func(tr trouble) {
-		line := dr.entry(tr)
-		if tr.planned {
+	add := func(di disruption) {
+		line := dg.formatDisruption(di)
+		if di.planned {
 			plan = append(plan, line)
 		} else {
 			faults = append(faults, line)
 		}
 	}
-	add(dr.rollout(variant))
-	for range fewestTroubles + dr.random.IntN(mostTroubles-fewestTroubles+1) {
-		add(dr.kinds[dr.random.IntN(len(dr.kinds))])
+	add(dg.pickRollout(variant))
+	for range minDisruptions + dg.random.IntN(maxDisruptions-minDisruptions+1) {
+		add(dg.kinds[dg.random.IntN(len(dg.kinds))])
 	}
 	var text strings.Builder
 	fmt.Fprintf(&text, "name = %q\nslot = \"trouble\"\nseed = %d\none = 0.8\nzero = 0.4\ngoal = { floor = 0.2 }\nlabels = []\n", name, seed)
-	if end := dr.pick([]string{"", "power_off_all", "kill_all"}); end != "" {
-		fmt.Fprintf(&text, "closing = { kind = %q, down_s = %.1f }\n", end, dr.between(extent{0.8, 1.8}))
+	if end := dg.pickString([]string{"", "power_off_all", "kill_all"}); end != "" {
+		fmt.Fprintf(&text, "closing = { kind = %q, down_s = %.1f }\n", end, dg.uniform(valueRange{0.8, 1.8}))
 	}
 	fmt.Fprintf(&text, "plan = [\n%s]\nfaults = [\n%s]\n", strings.Join(plan, ""), strings.Join(faults, ""))
 	return text.String()
 }
 
-// rollout returns a roll-out, a bad one of a variant if that is given.
-func (dr *drawer) rollout(variant string) trouble {
-	kind := dr.pick([]string{"rollout_bad", "rollout_good"})
+// pickRollout returns a good or bad rollout, or a bad one of the given variant unless it is "".
+func (dg *dayGenerator) pickRollout(variant string) disruption {
+	kind := dg.pickString([]string{"rollout_bad", "rollout_good"})
 	if variant != "" {
 		kind = "rollout_bad"
 	}
-	at := slices.IndexFunc(dr.kinds, func(tr trouble) bool { return tr.kind == kind })
-	tr := dr.kinds[at]
+	i := slices.IndexFunc(dg.kinds, func(di disruption) bool { return di.kind == kind })
+	di := dg.kinds[i]
 	if variant != "" {
-		tr.variants = []string{variant}
+		di.variants = []string{variant}
 	}
-	return tr
+	return di
 }
 
-// entry returns one trouble as a line of a day.
-func (dr *drawer) entry(tr trouble) string {
-	parts := []string{
-		fmt.Sprintf("at = %.2f", dr.between(extent{0.3, dr.deployment.Length - quietEnd})),
-		fmt.Sprintf("kind = %q", tr.kind),
+// formatDisruption returns a disruption, with random values within its ranges, as a line of a day's
+// file.
+func (dg *dayGenerator) formatDisruption(di disruption) string {
+	fields := []string{
+		fmt.Sprintf("at = %.2f", dg.uniform(valueRange{0.3, dg.deployment.Length - quietEndSeconds})),
+		fmt.Sprintf("kind = %q", di.kind),
 	}
-	if how := dr.pick(tr.variants); how != "" {
-		parts = append(parts, fmt.Sprintf("how = %q", how))
+	if how := dg.pickString(di.variants); how != "" {
+		fields = append(fields, fmt.Sprintf("how = %q", how))
 	}
-	if name := dr.target(tr); name != "" {
-		parts = append(parts, fmt.Sprintf("%s = %q", tr.at, name))
+	if name := dg.pickTarget(di); name != "" {
+		fields = append(fields, fmt.Sprintf("%s = %q", di.target, name))
 	}
 	for _, fi := range []struct {
-		name string
-		span extent
-	}{{"share", tr.share}, {"x", tr.times}, {"for_s", tr.lasts}, {"gap_s", tr.gap}} {
-		if fi.span.to > 0 {
-			parts = append(parts, fmt.Sprintf("%s = %.3g", fi.name, dr.between(fi.span)))
+		name   string
+		values valueRange
+	}{{"share", di.share}, {"x", di.factor}, {"for_s", di.duration}, {"gap_s", di.gap}} {
+		if fi.values.to > 0 {
+			fields = append(fields, fmt.Sprintf("%s = %.3g", fi.name, dg.uniform(fi.values)))
 		}
 	}
-	if tr.size.to > 0 {
-		parts = append(parts, fmt.Sprintf("count = %d", int(math.Round(dr.between(tr.size)))))
+	if di.count.to > 0 {
+		fields = append(fields, fmt.Sprintf("count = %d", int(math.Round(dg.uniform(di.count)))))
 	}
-	return "  { " + strings.Join(parts, ", ") + " },\n"
+	return "  { " + strings.Join(fields, ", ") + " },\n"
 }
 
-// target returns the name that a trouble is aimed at, "" for none.
-func (dr *drawer) target(tr trouble) string {
-	if !tr.needed && dr.random.IntN(2) == 0 {
+// pickTarget returns the name of a random target of a disruption, "" for none.
+func (dg *dayGenerator) pickTarget(di disruption) string {
+	if !di.targetRequired && dg.random.IntN(2) == 0 {
 		return ""
 	}
-	return dr.pick(dr.deployment.names(tr.at))
+	return dg.pickString(dg.deployment.names(di.target))
 }
 
-// pick draws from a list, "" if it is empty.
-func (dr *drawer) pick(list []string) string {
+// pickString returns a random element of a list, "" if the list is empty.
+func (dg *dayGenerator) pickString(list []string) string {
 	if len(list) == 0 {
 		return ""
 	}
-	return list[dr.random.IntN(len(list))]
+	return list[dg.random.IntN(len(list))]
 }
 
-// between draws from a range.
-func (dr *drawer) between(sp extent) float64 { return sp.from + (sp.to-sp.from)*dr.random.Float64() }
+// uniform returns a uniformly distributed random value of a range.
+func (dg *dayGenerator) uniform(vr valueRange) float64 {
+	return vr.from + (vr.to-vr.from)*dg.random.Float64()
+}
--- a/standin/cmd/days/losses.go
+++ b/standin/cmd/days/losses.go
@@ -18,24 +18,24 @@
 	"github.com/linnetrudder/linnetrudder/internal/event"
 )
 
-// lossesCmd says where credit was lost on days, from the gateways' logs.
+// lossesCmd reports where credit was lost on days, from the gateways' logs.
 type lossesCmd struct {
-	By   string   `help:"What to tell apart." enum:"route,size,second,data_centre" default:"route"`
-	Logs []string `arg:"" help:"Files with what the player printed with the logs of all gateways." type:"existingfile"`
+	By   string   `help:"Property to group requests by." enum:"route,size,second,data_centre" default:"route"`
+	Logs []string `arg:"" help:"Files with the bench's output, including the logs of all gateways." type:"existingfile"`
 }
 
-// What an answer is worth after its target, and one of a model too small for its request,
-// as parts of a good one in time, by the users' sheets.
+// The credit for an answer after its target time, and for one by a model too small for its request,
+// as fractions of the credit for a good answer in time, by the users' rules.
 const (
 	lateCredit = 0.3
 	poorCredit = 0.05
 )
 
-// Run prints the table.
+// Run prints a table of the losses by group.
 func (cm *lossesCmd) Run() error {
-	var ends []ending
+	var ends []requestEnd
 	for _, path := range cm.Logs {
-		list, err := readEndings(path)
+		list, err := readRequestEnds(path)
 		if err != nil {
 			return eris.Wrap(err, path)
 		}
@@ -43,16 +43,16 @@
 	}
 	tallies := tallyLosses(ends, cm.By)
 	tw := tabwriter.NewWriter(os.Stdout, 0, 8, 2, ' ', 0)
-	fmt.Fprintln(tw, cm.By+"\trequests\towed\tlate\tpoor\tfailed\trefused\tsmallest\tmiddle\tlargest")
+	fmt.Fprintln(tw, cm.By+"\trequests\tcredit\tlate\tpoor\tfailed\trefused\tsmallest\tmiddle\tlargest")
 	for _, name := range slices.SortedFunc(maps.Keys(tallies), compareNames) {
 		ta := tallies[name]
-		fmt.Fprintf(tw, "%s\t%d\t%.1f\t%.3f\t%.3f\t%.3f\t%.3f\t%d\t%d\t%d\n", name, ta.requests, ta.owed, ta.late/ta.owed,
-			ta.poor/ta.owed, ta.failed/ta.owed, ta.refused/ta.owed, ta.smallest, ta.middle, ta.largest)
+		fmt.Fprintf(tw, "%s\t%d\t%.1f\t%.3f\t%.3f\t%.3f\t%.3f\t%d\t%d\t%d\n", name, ta.requests, ta.credit, ta.late/ta.credit,
+			ta.poor/ta.credit, ta.failed/ta.credit, ta.refused/ta.credit, ta.smallest, ta.middle, ta.largest)
 	}
-	return eris.Wrap(tw.Flush(), "print")
+	return eris.Wrap(tw.Flush(), "print table")
 }
 
-// compareNames puts numbers in their order and after them other names.
+// compareNames compares two names by value if both are numbers, otherwise as strings.
 func compareNames(a, b string) int {
 	x, errX := strconv.Atoi(a)
 	y, errY := strconv.Atoi(b)
@@ -62,15 +62,16 @@
 	return strings.Compare(a, b)
 }
 
-// ending is a gateway's line on the end of a request. Its fields are exported because a
-// codec fills them.
-type ending struct {
+// requestEnd is a gateway's log line about the end of a request. Its fields are exported for the
+// JSON decoder.
+type requestEnd struct {
 	Event      event.ID `json:"event"`
 	Route      string   `json:"route"`
 	DataCentre string   `json:"data_centre"`
 	Detail     string   `json:"detail"`
 	Status     int      `json:"status"`
-	// Confidence and Place are those of a model's answer.
+	// Confidence is the model's confidence in its answer and Place the model's position in the
+	// cascade, 0 for the smallest model.
 	Confidence int     `json:"confidence"`
 	Place      int     `json:"place"`
 	HeadMS     float64 `json:"head_ms"`
@@ -78,25 +79,25 @@
 	// Prompt is the size of the prompt in tokens, zero for a plain service.
 	Prompt int `json:"prompt"`
 
-	// second is when the line was written, counted from the start of the day's traffic.
+	// second is the time of the line in whole seconds since the start of the day's traffic.
 	second int
 }
 
-// readEndings reads the lines on ends of requests from what the player printed: the
-// second, the box and the line.
-func readEndings(path string) ([]ending, error) {
+// readRequestEnds reads the log lines about ends of requests from the bench's output, in which each
+// log line follows its time in seconds and the name of its box.
+func readRequestEnds(path string) ([]requestEnd, error) {
 	file, err := os.Open(path)
 	if err != nil {
-		return nil, eris.Wrap(err, "open")
+		return nil, eris.Wrap(err, "open log")
 	}
 	defer file.Close()
-	var list []ending
+	var list []requestEnd
 	sc := bufio.NewScanner(file)
 	sc.Buffer(nil, 1<<20)
 	for sc.Scan() {
 		at, line, ok := strings.Cut(sc.Text(), "{")
-		var en ending
-		if !ok || json.Unmarshal([]byte("{"+line), &en) != nil || !en.ends() {
+		var en requestEnd
+		if !ok || json.Unmarshal([]byte("{"+line), &en) != nil || !en.awaitedByCaller() {
 			continue
 		}
 		if fields := strings.Fields(at); len(fields) > 0 {
@@ -105,11 +106,12 @@
 		}
 		list = append(list, en)
 	}
-	return list, eris.Wrap(sc.Err(), "read")
+	return list, eris.Wrap(sc.Err(), "read log")
 }
 
-// ends reports whether the line is on the end of a request that a caller waited for.
-func (en ending) ends() bool {
+// awaitedByCaller reports whether the line is about the end of a request whose caller had not
+// disconnected.
+func (en requestEnd) awaitedByCaller() bool {
 	switch en.Event {
 	case event.RequestAnswered, event.RequestRefused, event.RequestFailed:
 		return en.Route != "" && en.Detail != "the caller went away"
@@ -117,36 +119,37 @@
 	return false
 }
 
-// losses adds up requests and the credit that they lost, as parts of a usual request's.
-type losses struct {
+// lossTally contains the number of requests, their total credit and the credit lost, in units of
+// the credit for a request of average size, and the number of answers by size of the model.
+type lossTally struct {
 	requests                    int
-	owed                        float64
+	credit                      float64
 	late, poor, failed, refused float64
 	smallest, middle, largest   int
 }
 
-// tallyLosses adds up the losses by name.
-func tallyLosses(ends []ending, by string) map[string]*losses {
-	usual := usualPrompts(ends)
-	most := 0
+// tallyLosses adds up the losses by group and, as "all", of all requests.
+func tallyLosses(ends []requestEnd, by string) map[string]*lossTally {
+	meanPrompts := meanPromptSizes(ends)
+	lastPlace := 0
 	for _, en := range ends {
-		most = max(most, en.Place)
+		lastPlace = max(lastPlace, en.Place)
 	}
-	tallies := map[string]*losses{}
+	tallies := map[string]*lossTally{}
 	for _, en := range ends {
-		credit := en.credit(usual)
-		for _, name := range []string{"all", en.name(by, usual)} {
+		credit := en.credit(meanPrompts)
+		for _, name := range []string{"all", en.groupName(by, meanPrompts)} {
 			if tallies[name] == nil {
-				tallies[name] = &losses{}
+				tallies[name] = &lossTally{}
 			}
-			tallies[name].add(en, credit, most)
+			tallies[name].add(en, credit, lastPlace)
 		}
 	}
 	return tallies
 }
 
-// usualPrompts returns the mean size of each route's prompts.
-func usualPrompts(ends []ending) map[string]float64 {
+// meanPromptSizes returns the mean prompt size of each route in tokens.
+func meanPromptSizes(ends []requestEnd) map[string]float64 {
 	sums, counts := map[string]float64{}, map[string]float64{}
 	for _, en := range ends {
 		if en.Prompt > 0 {
@@ -160,17 +163,17 @@
 	return sums
 }
 
-// credit returns what a request is worth as a part of a usual one of its kind: it grows
-// with the size of its prompt, up to four times, by the users' rules.
-func (en ending) credit(usual map[string]float64) float64 {
+// credit returns the credit for a request relative to one with a prompt of the route's mean size.
+// By the users' rules it grows with the size of the prompt, up to four times.
+func (en requestEnd) credit(meanPrompts map[string]float64) float64 {
 	if en.Prompt == 0 {
 		return 1
 	}
-	return min(4, 0.3+0.7*float64(en.Prompt)/usual[en.Route])
+	return min(4, 0.3+0.7*float64(en.Prompt)/meanPrompts[en.Route])
 }
 
-// name returns what a request is told apart by.
-func (en ending) name(by string, usual map[string]float64) string {
+// groupName returns the name of the group that a request belongs to.
+func (en requestEnd) groupName(by string, meanPrompts map[string]float64) string {
 	switch by {
 	case "second":
 		return strconv.Itoa(en.second)
@@ -180,14 +183,14 @@
 		if en.Prompt == 0 {
 			return "none"
 		}
-		return fmt.Sprintf("%.1f times the usual", min(4, float64(int(2*float64(en.Prompt)/usual[en.Route]))/2))
+		return fmt.Sprintf("%.1f times the mean", min(4, float64(int(2*float64(en.Prompt)/meanPrompts[en.Route]))/2))
 	}
 	return en.Route
 }
 
-func (lo *losses) add(en ending, credit float64, most int) {
+func (lo *lossTally) add(en requestEnd, credit float64, lastPlace int) {
 	lo.requests++
-	lo.owed += credit
+	lo.credit += credit
 	switch {
 	case en.Event == event.RequestRefused:
 		lo.refused += credit
@@ -203,7 +206,7 @@
 	switch {
 	case en.Prompt == 0:
 		return
-	case en.Place == most:
+	case en.Place == lastPlace:
 		lo.largest++
 		return
 	case en.Place == 0:
--- a/standin/cmd/days/play.go
+++ b/standin/cmd/days/play.go
@@ -14,55 +14,55 @@
 	"github.com/rotisserie/eris"
 )
 
-// played is one day as it was played. Its fields are exported because a codec
-// writes them.
-type played struct {
+// dayResult is the result of one run of a day. Its fields are exported for the JSON codec.
+type dayResult struct {
 	Site string `json:"site"`
 	Day  string `json:"day"`
 	Seed int    `json:"seed"`
-	// Worth is the share of what callers were owed, less prices; the others are its
-	// parts before prices.
+	// Worth is the bench's score: the share of the possible credit that was earned, less prices. The
+	// other figures are its components before prices.
 	Worth      float64 `json:"worth"`
 	WholeDay   float64 `json:"whole_day"`
 	Windows    float64 `json:"worst_windows"`
 	WorstClass float64 `json:"worst_class"`
-	// Broken names the promises that were broken, empty for none.
+	// Broken lists the rules that were broken, empty for none.
 	Broken string `json:"broken,omitempty"`
 }
 
-func (pl played) key() string { return fmt.Sprintf("%s %s %d", pl.Site, pl.Day, pl.Seed) }
+// key identifies results that can be compared with each other.
+func (pl dayResult) key() string { return fmt.Sprintf("%s %s %d", pl.Site, pl.Day, pl.Seed) }
 
-// playCmd plays days.
+// playCmd runs days on the bench.
 type playCmd struct {
 	Bench string   `help:"The users' bench." required:"" type:"existingfile"`
 	Out   string   `help:"File for the results." required:""`
-	Seeds []int    `help:"Seeds of each day; 0 is the day's own." default:"1,2,3"`
-	Jobs  int      `help:"Days played at a time." default:"4"`
-	NoCPU bool     `help:"Charge no processor time: plays then mostly repeat." name:"no-cpu"`
-	Why   string   `help:"What is tried, for the bench's own records." default:"comparison of days"`
+	Seeds []int    `help:"Seeds of each day; 0 stands for the day's own seed." default:"1,2,3"`
+	Jobs  int      `help:"Number of days to run in parallel." default:"4"`
+	NoCPU bool     `help:"Do not charge processor time, which makes most runs reproducible." name:"no-cpu"`
+	Why   string   `help:"Purpose of the runs, for the bench's records." default:"comparison of days"`
 	Days  []string `arg:"" help:"Days, as SITE.toml:DAY."`
 }
 
-// Run plays all days.
+// Run runs all days, prints a summary and writes the results.
 func (cm *playCmd) Run() error {
 	if out, err := exec.Command(cm.Bench, "build").CombinedOutput(); err != nil {
-		return eris.Wrapf(err, "build: %s", out)
+		return eris.Wrapf(err, "bench build: %s", out)
 	}
 	var mu sync.Mutex
-	var results []played
+	var results []dayResult
 	var failed error
 	var wg sync.WaitGroup
 	slots := make(chan struct{}, max(1, cm.Jobs))
 	for _, day := range cm.Days {
 		site, name, ok := strings.Cut(day, ":")
 		if !ok {
-			return eris.Errorf("%q is not SITE.toml:DAY", day)
+			return eris.Errorf("day %q is not in the form SITE.toml:DAY", day)
 		}
 		for _, seed := range cm.Seeds {
 			wg.Go(func() {
 				slots <- struct{}{}
 				defer func() { <-slots }()
-				pl, err := cm.play(site, name, seed)
+				pl, err := cm.playDay(site, name, seed)
 				mu.Lock()
 				defer mu.Unlock()
 				if err != nil {
@@ -77,21 +77,22 @@
 	if failed != nil {
 		return failed
 	}
-	show(results)
+	printSummary(results)
 	body, err := json.MarshalIndent(results, "", "  ")
 	if err != nil {
-		return eris.Wrap(err, "encode")
+		return eris.Wrap(err, "encode results")
 	}
-	return eris.Wrap(os.WriteFile(cm.Out, body, 0o600), "write")
+	return eris.Wrap(os.WriteFile(cm.Out, body, 0o600), "write results")
 }
 
-// worthLine is the player's line on what a day was worth and its parts.
-var worthLine = regexp.MustCompile(`(?m)^worth ([0-9.]+) = whole day ([0-9.]+).*worst windows ([0-9.]+).*worst class ([0-9.]+)`)
+// worthPattern matches the bench's line with the worth of a day and its components.
+var worthPattern = regexp.MustCompile(`(?m)^worth ([0-9.]+) = whole day ([0-9.]+).*worst windows ([0-9.]+).*worst class ([0-9.]+)`)
 
-// brokenLine is its line on promises that were broken.
-var brokenLine = regexp.MustCompile(`(?m)^rules broken: (.*)$`)
+// brokenPattern matches the bench's line with the rules that were broken.
+var brokenPattern = regexp.MustCompile(`(?m)^rules broken: (.*)$`)
 
-func (cm *playCmd) play(site, day string, seed int) (played, error) {
+// playDay runs a day once.
+func (cm *playCmd) playDay(site, day string, seed int) (dayResult, error) {
 	args := []string{"run", site, day, "--why", cm.Why}
 	if seed != 0 {
 		args = append(args, "--seed", strconv.Itoa(seed))
@@ -100,31 +101,32 @@
 		args = append(args, "--no-cpu")
 	}
 	out, err := exec.Command(cm.Bench, args...).CombinedOutput()
-	pl := played{Site: strings.TrimSuffix(filepath.Base(site), ".toml"), Day: strings.TrimSuffix(filepath.Base(day), ".toml"), Seed: seed}
-	if broken := brokenLine.FindSubmatch(out); broken != nil {
+	pl := dayResult{Site: strings.TrimSuffix(filepath.Base(site), ".toml"), Day: strings.TrimSuffix(filepath.Base(day), ".toml"), Seed: seed}
+	if broken := brokenPattern.FindSubmatch(out); broken != nil {
 		pl.Broken = string(broken[1])
 	}
-	return pl, errorsOf(parseWorth(string(out), &pl), err, out)
+	return pl, resultError(parseWorth(string(out), &pl), err, out)
 }
 
-// errorsOf returns why a day gave no result. The player also ends with an error when
-// a promise was broken, which is a result.
-func errorsOf(parse, run error, out []byte) error {
+// resultError returns the error of a run without a result. The bench also exits with an error if a
+// rule was broken, but such a run has a result.
+func resultError(parse, run error, out []byte) error {
 	if parse == nil {
 		return nil
 	}
-	return eris.Errorf("%v, %v: %s", parse, run, out)
+	return eris.Errorf("parse: %v; run: %v; output: %s", parse, run, out)
 }
 
-func parseWorth(out string, pl *played) error {
-	found := worthLine.FindStringSubmatch(out)
+// parseWorth reads the worth and its components from the bench's output.
+func parseWorth(out string, pl *dayResult) error {
+	found := worthPattern.FindStringSubmatch(out)
 	if found == nil {
-		return eris.New("the bench told no worth")
+		return eris.New("bench output has no line with the worth")
 	}
 	for i, into := range []*float64{&pl.Worth, &pl.WholeDay, &pl.Windows, &pl.WorstClass} {
 		value, err := strconv.ParseFloat(found[i+1], 64)
 		if err != nil {
-			return eris.Wrap(err, "worth")
+			return eris.Wrap(err, "parse worth")
 		}
 		*into = value
 	}
--- a/standin/cmd/days/timeline.go
+++ b/standin/cmd/days/timeline.go
@@ -14,55 +14,57 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// timelineCmd draws what was served in time over the seconds of days, from the
-// the player's reports of single days.
+// timelineCmd plots the requests served in time over the seconds of days, from the bench's reports
+// of single days.
 type timelineCmd struct {
 	Out     string   `help:"File for the plot (svg or png)." required:""`
-	Reports []string `arg:"" help:"Files with what the bench printed of a day." type:"existingfile"`
+	Reports []string `arg:"" help:"Files with the bench's output for a day." type:"existingfile"`
 }
 
-// spanSeconds is how long each row of a report is.
-const spanSeconds = 2
+// intervalSeconds is the length of the interval that a row of a report covers.
+const intervalSeconds = 2
 
-// span is one row of a report.
-type span struct {
-	from, asked, inTime float64
+// interval is a row of a report: the second at which the interval starts, the number of requests and
+// the number of answers in time.
+type interval struct {
+	from, requests, inTime float64
 }
 
-// Run draws the plot.
+// Run writes the plot.
 func (cm *timelineCmd) Run() error {
 	pt := plot.New()
-	pt.Title.Text = "answers in time a second (lines), requests a second (dashed)"
+	pt.Title.Text = "answers in time per second (solid), requests per second (dashed)"
 	pt.X.Label.Text = "second of the day"
 	pt.Legend.Top = true
 	pt.Y.Min = 0
 	for i, path := range cm.Reports {
 		body, err := os.ReadFile(path)
 		if err != nil {
-			return eris.Wrap(err, "read")
+			return eris.Wrap(err, "read report")
 		}
-		spans := parseSpans(string(body))
-		if len(spans) == 0 {
-			return eris.Errorf("%s holds no seconds of a day", path)
+		intervals := parseIntervals(string(body))
+		if len(intervals) == 0 {
+			return eris.Errorf("%s has no table by second of the day", path)
 		}
-		if err := addLines(pt, spans, i, strings.TrimSuffix(filepath.Base(path), filepath.Ext(path))); err != nil {
+		if err := addLines(pt, intervals, i, strings.TrimSuffix(filepath.Base(path), filepath.Ext(path))); err != nil {
 			return err
 		}
 	}
 	const width, height = 24 * vg.Centimeter, 12 * vg.Centimeter
-	return eris.Wrap(pt.Save(width, height, cm.Out), "plot")
+	return eris.Wrap(pt.Save(width, height, cm.Out), "save plot")
 }
 
-func addLines(pt *plot.Plot, spans []span, color int, name string) error {
-	var asked, inTime plotter.XYs
-	for _, sp := range spans {
-		asked = append(asked, plotter.XY{X: sp.from, Y: sp.asked / spanSeconds})
-		inTime = append(inTime, plotter.XY{X: sp.from, Y: sp.inTime / spanSeconds})
+// addLines adds the lines of a report to the plot.
+func addLines(pt *plot.Plot, intervals []interval, color int, name string) error {
+	var requests, inTime plotter.XYs
+	for _, in := range intervals {
+		requests = append(requests, plotter.XY{X: in.from, Y: in.requests / intervalSeconds})
+		inTime = append(inTime, plotter.XY{X: in.from, Y: in.inTime / intervalSeconds})
 	}
-	for i, points := range []plotter.XYs{inTime, asked} {
+	for i, points := range []plotter.XYs{inTime, requests} {
 		line, err := plotter.NewLine(points)
 		if err != nil {
-			return eris.Wrap(err, "line")
+			return eris.Wrap(err, "plot line")
 		}
 		line.Color = plotutil.Color(color)
 		line.Dashes = plotutil.Dashes(i)
@@ -74,28 +76,28 @@
 	return nil
 }
 
-// spanLine is one row of the table: the second, requests, answers in time.
-var spanLine = regexp.MustCompile(`^(\d+) +(\d+) +(\d+) `)
+// intervalPattern matches a row of the table: the second, requests, answers in time.
+var intervalPattern = regexp.MustCompile(`^(\d+) +(\d+) +(\d+) `)
 
-// parseSpans reads the table that begins with "from second".
-func parseSpans(report string) []span {
-	var spans []span
+// parseIntervals reads the table that begins with "from second".
+func parseIntervals(report string) []interval {
+	var intervals []interval
 	inTable := false
 	for line := range strings.Lines(report) {
 		if strings.HasPrefix(line, "from second") {
 			inTable = true
 			continue
 		}
-		found := spanLine.FindStringSubmatch(line)
+		found := intervalPattern.FindStringSubmatch(line)
 		if !inTable || found == nil {
 			inTable = inTable && found != nil
 			continue
 		}
 		var values [3]float64
 		for i := range values {
-			values[i], _ = strconv.ParseFloat(found[i+1], 64) // the pattern lets digits through only
+			values[i], _ = strconv.ParseFloat(found[i+1], 64) // the pattern matches digits only
 		}
-		spans = append(spans, span{values[0], values[1], values[2]})
+		intervals = append(intervals, interval{values[0], values[1], values[2]})
 	}
-	return spans
+	return intervals
 }
