--- a/standin/cmd/experiment/draw.go
+++ b/standin/cmd/experiment/draw.go
@@ -14,12 +14,12 @@
 	plotWidth  = 18 * vg.Centimeter
 	plotHeight = 10 * vg.Centimeter
 	barWidth   = 1 * vg.Centimeter
-	// legendRoom is the top of the scale, above every line.
-	legendRoom = 1.3
+	// loadPlotMaxY is the upper end of the y axis, which leaves space for the legend above the lines.
+	loadPlotMaxY = 1.3
 )
 
-// bars draws one column of a table.
-func bars(path, title string, ta *table, column string) error {
+// plotBars plots one column of a table as a bar chart.
+func plotBars(path, title string, ta *table, column string) error {
 	pl := plot.New()
 	pl.Title.Text = title
 	pl.Y.Min = 0
@@ -40,8 +40,8 @@
 	return pl.Save(plotWidth, plotHeight, path)
 }
 
-// lines draws a line for each name.
-func lines(path, yTitle, xTitle string, points map[string][][2]float64) error {
+// plotLines plots one line per name over a logarithmic x axis.
+func plotLines(path, yTitle, xTitle string, points map[string][][2]float64) error {
 	pl := plot.New()
 	pl.X.Label.Text, pl.Y.Label.Text = xTitle, yTitle
 	pl.X.Scale, pl.X.Tick.Marker = plot.LogScale{}, plot.LogTicks{}
@@ -58,6 +58,6 @@
 		return err
 	}
 	pl.Legend.Top = true
-	pl.Y.Max = legendRoom
+	pl.Y.Max = loadPlotMaxY
 	return pl.Save(plotWidth, plotHeight, path)
 }
