--- a/cmd/linnetrudderctl/client.go
+++ b/cmd/linnetrudderctl/client.go
@@ -94,7 +94,7 @@
 	if json.Unmarshal(data, &pr) != nil || pr.Error.Code == 0 {
 		return eris.Errorf("%s: %s", resp.Status, data)
 	}
-	text := result.Of(pr.Error.Code).Text()
+	text := result.Lookup(pr.Error.Code).Text()
 	_, detail, _ := strings.Cut(pr.Error.Message, text+": ")
 	return result.New(pr.Error.Code, detail)
 }
--- a/cmd/linnetrudderctl/explain.go
+++ b/cmd/linnetrudderctl/explain.go
@@ -10,8 +10,8 @@
 	"github.com/rotisserie/eris"
 
 	"github.com/linnetrudder/linnetrudder/internal/entry"
+	"github.com/linnetrudder/linnetrudder/internal/explain"
 	"github.com/linnetrudder/linnetrudder/internal/result"
-	"github.com/linnetrudder/linnetrudder/internal/story"
 )
 
 // explainCmd asks why.
@@ -44,10 +44,10 @@
 		return err
 	}
 	return pr.show(ex, func(w io.Writer) {
-		fmt.Fprintf(w, "%s: %v (%s)\n", result.Of(ex.Code).Name(), ex.Steps, ex.Reason)
+		fmt.Fprintf(w, "%s: %v (%s)\n", result.Lookup(ex.Code).Name(), ex.Steps, ex.Reason)
 		for _, ca := range ex.Candidates {
 			fmt.Fprintf(w, "  %s\t%s\tquality %.3f (at least %.3f)\tcost %.0f\n",
-				ca.Version, result.Of(ca.Code).Name(), ca.Mean, ca.Lower, ca.Cost)
+				ca.Version, result.Lookup(ca.Code).Name(), ca.Mean, ca.Lower, ca.Cost)
 		}
 	})
 }
@@ -57,13 +57,13 @@
 	if cm.Request == "" {
 		return result.New(result.BadRequest, "--logs needs --request")
 	}
-	st := story.Story{Request: cm.Request}
+	st := explain.Explainer{Request: cm.Request}
 	for _, path := range cm.Logs {
 		if err := readLog(&st, path); err != nil {
 			return err
 		}
 	}
-	told, err := st.Tell()
+	told, err := st.Explain()
 	if err != nil {
 		return err
 	}
@@ -71,13 +71,13 @@
 		for _, sentence := range told {
 			fmt.Fprintln(w, sentence)
 		}
-		if torn := st.Torn(); torn > 0 {
+		if torn := st.MalformedLines(); torn > 0 {
 			fmt.Fprintf(w, "%d torn lines were passed over.\n", torn)
 		}
 	})
 }
 
-func readLog(st *story.Story, path string) error {
+func readLog(st *explain.Explainer, path string) error {
 	file, err := os.Open(path)
 	if err != nil {
 		return eris.Wrap(err, "open log")
--- a/cmd/linnetrudderctl/timeline.go
+++ b/cmd/linnetrudderctl/timeline.go
@@ -57,7 +57,7 @@
 // draw writes the picture.
 func (cm *timelineCmd) draw(all []timeline.Entry) error {
 	var buf bytes.Buffer
-	if err := timeline.Draw(&buf, all); err != nil {
+	if err := timeline.WriteSVG(&buf, all); err != nil {
 		return err
 	}
 	return eris.Wrap(os.WriteFile(cm.Picture, buf.Bytes(), 0o600), "picture")
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -126,7 +126,7 @@
 	se := ag.Node.Settings
 	ag.gate = gate.Gate{Server: se.Server.Name, MaxQueued: se.Limits.Queue}
 	ag.ledger = bill.Ledger{Bound: se.Limits.Bills, Grace: billGracePeriod, Every: billRetryInterval}
-	ag.writer = bill.Writer{Flush: se.Limits.BillFlush(), Bound: se.Limits.Bills}
+	ag.writer = bill.Writer{Flush: se.Limits.BillFlushInterval(), Bound: se.Limits.Bills}
 	ag.streams = map[gate.Key]*stream{}
 	ag.reconciler = order.Reconciler{Holder: se.Box + "/" + uuid.NewString()}
 	ag.logs = map[int]*claim.Log{}
@@ -155,7 +155,7 @@
 	}
 	li.Handler = ag
 	li.Name = fmt.Sprintf("%s#%d", li.Peer.Box(), ag.linkSeq.Add(1))
-	li.HeartbeatInterval = ag.Node.Settings.Limits.Heartbeat()
+	li.HeartbeatInterval = ag.Node.Settings.Limits.HeartbeatInterval()
 	ag.Node.AddLink(li)
 	ag.broadcastPeers()
 	ag.requestRevision(li)
@@ -317,7 +317,7 @@
 	for _, li := range ag.Node.Links() {
 		li.Send(ag.Heartbeat(li))
 	}
-	until := time.Now().Add(ag.Node.Settings.Limits.Stop())
+	until := time.Now().Add(ag.Node.Settings.Limits.StopTimeout())
 	for !ag.drained() && time.Now().Before(until) {
 		time.Sleep(drainPollInterval)
 	}
--- a/internal/agent/claims.go
+++ b/internal/agent/claims.go
@@ -47,7 +47,7 @@
 func (ag *Agent) claimLog(shard int) *claim.Log {
 	lo := ag.logs[shard]
 	if lo == nil {
-		flush := ag.Node.Settings.Limits.ClaimFlush()
+		flush := ag.Node.Settings.Limits.ClaimFlushInterval()
 		lo = &claim.Log{Shard: shard, Flush: flush, Patience: claimTimeout}
 		ag.logs[shard] = lo
 	}
--- a/internal/agent/run.go
+++ b/internal/agent/run.go
@@ -59,10 +59,10 @@
 	}
 	lo := ru.ag.finishAttempt(ru.key, ru.at, co)
 	ru.send(ctx, &wire.Frame{Kind: wire.End, Code: co, Usage: us, Bills: lines, Load: &lo, Stamp: ru.ag.Node.Stamp()})
-	metrics.Attempts.Add(result.Of(co).Name(), 1)
+	metrics.Attempts.Add(result.Lookup(co).Name(), 1)
 	ru.ag.Node.Record(timeline.Entry{
 		Event: event.AttemptEnded, Request: ru.at.Request, Team: ru.at.Team,
-		Version: ru.at.Version, Detail: result.Of(co).Name(),
+		Version: ru.at.Version, Detail: result.Lookup(co).Name(),
 	})
 }
 
--- a/internal/agent/selfreports_test.go
+++ b/internal/agent/selfreports_test.go
@@ -70,7 +70,7 @@
 			acs = acs[1:]
 			if ac.Kind() == gate.Refuse {
 				refused++
-				require.Equal(t, result.DidNotRun, result.Of(ac.Code()).Run())
+				require.Equal(t, result.DidNotRun, result.Lookup(ac.Code()).Run())
 				require.Positive(t, ac.RetryAfter())
 				continue
 			}
@@ -147,7 +147,7 @@
 		ac := ag.tryAttempt(t, 2+i, now)
 		require.Equal(t, gate.Refuse, ac.Kind())
 		require.Equal(t, result.Leaving, ac.Code())
-		require.Equal(t, result.DidNotRun, result.Of(ac.Code()).Run())
+		require.Equal(t, result.DidNotRun, result.Lookup(ac.Code()).Run())
 	}
 	require.EqualValues(t, 1, requests.Load())
 	require.True(t, ag.load().Leaving, "entries must not send it attempts")
--- a/internal/agent/streams.go
+++ b/internal/agent/streams.go
@@ -58,10 +58,10 @@
 		Kind: wire.Admission, Stream: key.Stream, Code: co, RetryAfterMS: after.Milliseconds(),
 		Load: &lo, Revision: ag.gate.Revision(), Stamp: ag.Node.Stamp(),
 	})
-	metrics.Attempts.Add(result.Of(co).Name(), 1)
+	metrics.Attempts.Add(result.Lookup(co).Name(), 1)
 	ag.Node.Record(timeline.Entry{
 		Event: event.AttemptRefused, Request: at.Request, Team: at.Team, Version: at.Version,
-		Detail: result.Of(co).Name(),
+		Detail: result.Lookup(co).Name(),
 	})
 }
 
--- a/internal/change/change_test.go
+++ b/internal/change/change_test.go
@@ -96,7 +96,7 @@
 	var er *result.Error
 	require.ErrorAs(t, err, &er)
 	require.Equal(t, result.StoreUnknown, er.Code())
-	require.Equal(t, result.MayHave, result.Of(er.Code()).Run())
+	require.Equal(t, result.MayHaveRun, result.Lookup(er.Code()).Run())
 }
 
 func TestConflictNamesTheOtherChange(t *testing.T) {
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -208,7 +208,7 @@
 	if se == nil {
 		return nil
 	}
-	if pr := se.Problem(); pr != "" {
+	if pr := se.InvalidPath(); pr != "" {
 		return result.New(result.BadConfiguration, path+"."+pr+": matches nothing")
 	}
 	return nil
--- a/internal/direct/direct.go
+++ b/internal/direct/direct.go
@@ -344,7 +344,7 @@
 		co = result.LinkLost
 	}
 	if after == 0 {
-		after = result.Of(co).RetryAfter()
+		after = result.Lookup(co).RetryAfter()
 	}
 	return Step{op: Refuse, code: co, retryAfter: after}
 }
--- a/internal/direct/direct_test.go
+++ b/internal/direct/direct_test.go
@@ -99,7 +99,7 @@
 	require.Equal(t, Send, re.Begin(t0).Op())
 	st := re.Lost(t0)
 	require.Equal(t, Refuse, st.Op())
-	require.Equal(t, result.MayHave, result.Of(st.Code()).Run())
+	require.Equal(t, result.MayHaveRun, result.Lookup(st.Code()).Run())
 }
 
 func TestRejectedUnsafeRequestIsSentToAnotherServer(t *testing.T) {
@@ -110,7 +110,7 @@
 	require.Equal(t, "d", re.Refused(t0).Server(), "the attempt at b was not sent")
 	st := re.Refused(t0)
 	require.Equal(t, Refuse, st.Op())
-	require.Equal(t, result.DidNotRun, result.Of(st.Code()).Run())
+	require.Equal(t, result.DidNotRun, result.Lookup(st.Code()).Run())
 	require.Equal(t, time.Second, st.RetryAfter())
 }
 
@@ -163,7 +163,7 @@
 	st := re.Begin(t0)
 	require.Equal(t, Refuse, st.Op())
 	require.Equal(t, result.RequestBlocked, st.Code())
-	require.Equal(t, result.DidNotRun, result.Of(st.Code()).Run())
+	require.Equal(t, result.DidNotRun, result.Lookup(st.Code()).Run())
 	require.Equal(t, time.Minute, st.RetryAfter())
 }
 
@@ -189,7 +189,7 @@
 		require.NotEqual(t, Send, st.Op(), name)
 		if st.Op() == Refuse {
 			ran := name == "lost"
-			require.Equal(t, ran, result.Of(st.Code()).Run() == result.MayHave, name)
+			require.Equal(t, ran, result.Lookup(st.Code()).Run() == result.MayHaveRun, name)
 		}
 	}
 }
@@ -208,7 +208,7 @@
 	re.Begin(t0)
 	st := re.Lost(t0)
 	require.Equal(t, Refuse, st.Op())
-	require.Equal(t, result.MayHave, result.Of(st.Code()).Run())
+	require.Equal(t, result.MayHaveRun, result.Lookup(st.Code()).Run())
 }
 
 // Guards against connection failures that use up the retry budget: with two fifths of the servers
@@ -246,7 +246,7 @@
 		st = re.Unsent(t0)
 	}
 	require.Equal(t, maxSends, sends, "the request ends if the whole pool is unreachable")
-	require.Equal(t, result.DidNotRun, result.Of(st.Code()).Run())
+	require.Equal(t, result.DidNotRun, result.Lookup(st.Code()).Run())
 }
 
 // unlimitedServers returns a new server each time.
@@ -347,7 +347,7 @@
 			now = now.Add(time.Duration(rapid.IntRange(0, 800).Draw(rt, "pause")) * time.Millisecond)
 			switch {
 			case st.Op() == Refuse || st.Op() == Abort:
-				if result.Of(st.Code()).Run() == result.DidNotRun && ran > 0 {
+				if result.Lookup(st.Code()).Run() == result.DidNotRun && ran > 0 {
 					rt.Fatal("reported DidNotRun after a run")
 				}
 				return
--- a/internal/entry/callers.go
+++ b/internal/entry/callers.go
@@ -127,7 +127,7 @@
 		},
 	}
 	co := ex.serve(r)
-	if result.Of(co).Run() == result.DidNotRun {
+	if result.Lookup(co).Run() == result.DidNotRun {
 		en.releaseKey(as)
 	}
 	if co != result.OK && ex.started {
@@ -137,9 +137,9 @@
 
 func (en *Entry) refuse(w http.ResponseWriter, as *ask, err error) {
 	er := asResult(err)
-	metrics.Requests.Add(result.Of(er.Code()).Name(), 1)
+	metrics.Requests.Add(result.Lookup(er.Code()).Name(), 1)
 	en.Node.Record(timeline.Entry{
-		Event: event.RequestRefused, Request: as.id, Team: as.team, Detail: result.Of(er.Code()).Name(),
+		Event: event.RequestRefused, Request: as.id, Team: as.team, Detail: result.Lookup(er.Code()).Name(),
 	})
 	w.Header().Set(headerRequest, as.id)
 	node.WriteErrorBody(w, node.NewErrorBody(er, as.id, en.blocked(as.print, clock.Now())))
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -161,7 +161,7 @@
 // those in progress end.
 func (en *Entry) serveCallers(stop context.Context) func(context.Context) error {
 	return func(context.Context) error {
-		err := node.ServeHTTP(stop, en.Callers, en.callerRouter(), en.Node.Settings.Limits.Stop())
+		err := node.ServeHTTP(stop, en.Callers, en.callerRouter(), en.Node.Settings.Limits.StopTimeout())
 		if stop.Err() != nil {
 			return suture.ErrDoNotRestart
 		}
@@ -231,7 +231,7 @@
 func (en *Entry) tick(ctx context.Context) error {
 	return node.Every(ctx, tickEvery, func(now time.Time) {
 		en.Node.Tick(now)
-		if now.Sub(en.offered) >= en.Node.Settings.Limits.BillFlush() {
+		if now.Sub(en.offered) >= en.Node.Settings.Limits.BillFlushInterval() {
 			en.offered = now
 			en.offerBills(now)
 		}
@@ -251,7 +251,7 @@
 // drain lets requests in progress end and hands their bills on.
 func (en *Entry) drain() {
 	en.Node.Stop()
-	until := time.Now().Add(en.Node.Settings.Limits.Stop())
+	until := time.Now().Add(en.Node.Settings.Limits.StopTimeout())
 	for !en.drained() && time.Now().Before(until) {
 		en.offerBills(time.Now())
 		time.Sleep(drainCheck)
--- a/internal/entry/exchange.go
+++ b/internal/entry/exchange.go
@@ -243,15 +243,15 @@
 // that a part is never taken for the whole.
 func (ex *exchange) close(ac route.Action) {
 	co := ac.Code()
-	metrics.Requests.Add(result.Of(co).Name(), 1)
+	metrics.Requests.Add(result.Lookup(co).Name(), 1)
 	switch {
 	case co == result.OK:
 		ex.note(event.RequestAnswered, "")
 		return
-	case result.Of(co).Run() == result.DidNotRun:
-		ex.note(event.RequestRefused, result.Of(co).Name())
+	case result.Lookup(co).Run() == result.DidNotRun:
+		ex.note(event.RequestRefused, result.Lookup(co).Name())
 	default:
-		ex.note(event.RequestFailed, result.Of(co).Name())
+		ex.note(event.RequestFailed, result.Lookup(co).Name())
 	}
 	pr := node.NewErrorBody(result.New(co, ""), ex.ask.id, ac.RetryAfter())
 	if !ex.started {
--- a/internal/entry/links.go
+++ b/internal/entry/links.go
@@ -46,7 +46,7 @@
 		} else {
 			en.setBoxes(list)
 		}
-		every := en.Node.Settings.Platform.BoxesEvery()
+		every := en.Node.Settings.Platform.BoxesInterval()
 		pause := every/2 + rand.N(every)
 		select {
 		case <-ctx.Done():
@@ -170,7 +170,7 @@
 		return false
 	}
 	li.Handler = en
-	li.HeartbeatInterval = en.Node.Settings.Limits.Heartbeat()
+	li.HeartbeatInterval = en.Node.Settings.Limits.HeartbeatInterval()
 	en.mu.Lock()
 	en.serverOf[li.Peer.Box()] = bo.Server
 	en.boxOf[bo.Server] = li.Peer.Box()
--- a/internal/entry/store.go
+++ b/internal/entry/store.go
@@ -56,7 +56,7 @@
 // watchOnce waits for a change and takes it into force. An index that went
 // back, as after a loss of the service's data, starts the watch anew.
 func (en *Entry) watchOnce(ctx context.Context, after uint64) (uint64, error) {
-	pair, index, err := en.Store.Watch(ctx, config.StoreKey, after, en.Node.Settings.Platform.Watch())
+	pair, index, err := en.Store.Watch(ctx, config.StoreKey, after, en.Node.Settings.Platform.WatchTimeout())
 	if err != nil {
 		return 0, err
 	}
--- a/internal/story/copies.go
+++ b/internal/explain/crashes.go
@@ -1,4 +1,4 @@
-package story
+package explain
 
 import (
 	"fmt"
@@ -10,7 +10,7 @@
 
 // endsUnder tells which servers ended under copies of a request until it ended itself, and
 // since when it was blocked at its box.
-func (st *Story) endsUnder(end *line) []string {
+func (st *Explainer) endsUnder(end *line) []string {
 	if end.Print == "" {
 		return nil
 	}
--- a/internal/story/story.go
+++ b/internal/explain/explain.go
@@ -1,4 +1,4 @@
-package story
+package explain
 
 import (
 	"bufio"
@@ -22,8 +22,8 @@
 // maxLine bounds a line of a log in bytes; a gateway writes some hundred.
 const maxLine = 1 << 20
 
-// Story is what the logs say of one request. Its exported fields are set before Read.
-type Story struct {
+// Explainer is what the logs say of one request. Its exported fields are set before Read.
+type Explainer struct {
 	// Request is the caller's id of one attempt of its own.
 	Request string
 
@@ -37,7 +37,7 @@
 }
 
 // Read takes a log. Lines that are torn are counted and passed over.
-func (st *Story) Read(r io.Reader) error {
+func (st *Explainer) Read(r io.Reader) error {
 	sc := bufio.NewScanner(r)
 	sc.Buffer(nil, maxLine)
 	for sc.Scan() {
@@ -54,7 +54,7 @@
 	return eris.Wrap(sc.Err(), "read log")
 }
 
-func (st *Story) take(li line) {
+func (st *Explainer) take(li line) {
 	switch {
 	case li.Request == st.Request && li.Request != "":
 		st.lines = append(st.lines, li)
@@ -72,7 +72,7 @@
 func ofBox(id event.ID) bool {
 	switch id {
 	case event.ProcessStarted, event.ProcessStopping, event.StoreLost, event.StoreRegained, event.StateRead, event.ConfigInForce,
-		event.CentreEvacuated, event.CentreRestored, event.ServerCold, event.ServerWarm,
+		event.DataCentreEvacuated, event.DataCentreRestored, event.ServerCold, event.ServerWarm,
 		event.ServerLimited, event.ServerUnlimited, event.ServerPaused, event.ServerResumed,
 		event.ServerLeaving, event.ServerGone, event.StoreRestored:
 		return true
@@ -80,12 +80,12 @@
 	return false
 }
 
-// Torn returns how many lines could not be read.
-func (st *Story) Torn() int { return st.torn }
+// MalformedLines returns how many lines could not be read.
+func (st *Explainer) MalformedLines() int { return st.torn }
 
-// Tell returns the story, a sentence each, the cause last. The error has a code if the
+// Explain returns the story, a sentence each, the cause last. The error has a code if the
 // logs do not know the request.
-func (st *Story) Tell() ([]string, error) {
+func (st *Explainer) Explain() ([]string, error) {
 	if len(st.lines) == 0 {
 		return nil, result.New(result.UnknownRequest, fmt.Sprintf("%s in %d lines of logs, %d torn", st.Request, st.read, st.torn))
 	}
@@ -125,7 +125,7 @@
 			li.Before, li.BeforeMS, li.Server, li.LastEvent)
 	}
 	return at + fmt.Sprintf("%s after %.1f ms, %d attempts sent, %d may have run; %s (%d).",
-		strings.ReplaceAll(event.Name(li.Event), "_", " "), li.MS, li.Sends, li.Runs, result.Of(li.Code).Name(), li.Code)
+		strings.ReplaceAll(event.Name(li.Event), "_", " "), li.MS, li.Sends, li.Runs, result.Lookup(li.Code).Name(), li.Code)
 }
 
 // gave says what an attempt gave that is followed by another.
@@ -137,7 +137,7 @@
 }
 
 // cause says why a request ended as it did.
-func (st *Story) cause(end *line) string {
+func (st *Explainer) cause(end *line) string {
 	switch end.Code {
 	case result.OK:
 		if end.Status >= 500 {
@@ -160,13 +160,13 @@
 	case result.AnswerBroken:
 		return fmt.Sprintf("the answer broke off and could not go on elsewhere after %d runs: %s.", end.Runs, end.Detail)
 	}
-	return result.Of(end.Code).Text() + "."
+	return result.Lookup(end.Code).Text() + "."
 }
 
 // around says which data centres and servers a box did not use, or not fully, when a request
 // ended there, and whether the key-value service had just been restored; empty if neither.
-func (st *Story) around(end *line) string {
-	evacuated := st.inForce(end, event.CentreEvacuated, event.CentreRestored, func(li *line) string { return li.Of })
+func (st *Explainer) around(end *line) string {
+	evacuated := st.inForce(end, event.DataCentreEvacuated, event.DataCentreRestored, func(li *line) string { return li.Of })
 	cold := st.inForce(end, event.ServerCold, event.ServerWarm, func(li *line) string { return li.Server })
 	limited := st.inForce(end, event.ServerLimited, event.ServerUnlimited, func(li *line) string { return li.Server })
 	paused := st.inForce(end, event.ServerPaused, event.ServerResumed, func(li *line) string { return li.Server })
@@ -205,7 +205,7 @@
 
 // inForce returns the names, in order, of what had begun at a box before a line and not
 // ended. A process that starts knows of nothing.
-func (st *Story) inForce(end *line, begins, ends event.ID, name func(li *line) string) []string {
+func (st *Explainer) inForce(end *line, begins, ends event.ID, name func(li *line) string) []string {
 	list := slices.Clone(st.boxes[end.Box])
 	slices.SortStableFunc(list, func(a, b line) int { return a.Time.Compare(b.Time) })
 	holds := map[string]bool{}
@@ -225,7 +225,7 @@
 }
 
 // service says what was last heard on the key-value service at the box before a line.
-func (st *Story) service(end *line) string {
+func (st *Explainer) service(end *line) string {
 	last := st.lastOf(end, event.StoreLost, event.StoreRegained, event.ProcessStarted)
 	switch {
 	case last == nil:
@@ -238,7 +238,7 @@
 	return fmt.Sprintf("The key-value service had answered again at %s for %s.", end.Box, since(last, end))
 }
 
-func (st *Story) stopping(end *line) string {
+func (st *Explainer) stopping(end *line) string {
 	if last := st.lastOf(end, event.ProcessStopping); last != nil {
 		return fmt.Sprintf("The stop had begun %s before.", since(last, end))
 	}
@@ -246,7 +246,7 @@
 }
 
 // lastOf returns the newest line of a box before another with one of some events.
-func (st *Story) lastOf(end *line, ids ...event.ID) *line {
+func (st *Explainer) lastOf(end *line, ids ...event.ID) *line {
 	var last *line
 	for i := range st.boxes[end.Box] {
 		li := &st.boxes[end.Box][i]
--- a/internal/story/story_test.go
+++ b/internal/explain/explain_test.go
@@ -1,4 +1,4 @@
-package story
+package explain
 
 import (
 	"bytes"
@@ -22,9 +22,9 @@
 
 func tell(t *testing.T, request string, lines []string) string {
 	t.Helper()
-	st := Story{Request: request}
+	st := Explainer{Request: request}
 	require.NoError(t, st.Read(strings.NewReader(strings.Join(lines, "\n"))))
-	told, err := st.Tell()
+	told, err := st.Explain()
 	require.NoError(t, err)
 	return strings.Join(told, "\n")
 }
@@ -62,11 +62,11 @@
 }
 
 func TestWhatTheLogsDoNotKnowIsSaid(t *testing.T) {
-	st := Story{Request: "nobody"}
+	st := Explainer{Request: "nobody"}
 	lines := append(played(t), `{"box":"a","event":205,"request":"nob`, "no log at all")
 	require.NoError(t, st.Read(strings.NewReader(strings.Join(lines, "\n"))))
-	require.Equal(t, 1, st.Torn())
-	_, err := st.Tell()
+	require.Equal(t, 1, st.MalformedLines())
+	_, err := st.Explain()
 	var er *result.Error
 	require.ErrorAs(t, err, &er)
 	require.Equal(t, result.UnknownRequest, er.Code())
@@ -82,9 +82,9 @@
 	f.Add([]byte(`{"event":205,"request":"x","code":409,"time":"2026-01-01T00:00:05Z"}`))
 	f.Add([]byte("  1.5 box {\"event\":"))
 	f.Fuzz(func(_ *testing.T, data []byte) {
-		st := Story{Request: "x"}
+		st := Explainer{Request: "x"}
 		if st.Read(bytes.NewReader(data)) == nil {
-			_, _ = st.Tell()
+			_, _ = st.Explain()
 		}
 	})
 }
--- a/internal/story/line.go
+++ b/internal/explain/line.go
@@ -1,6 +1,6 @@
 // Package story tells from the logs of gateways what became of one request and why, in
 // words for who is on call. It reads lines of several boxes in any order.
-package story
+package explain
 
 import (
 	"encoding/json"
--- a/internal/gate/gate.go
+++ b/internal/gate/gate.go
@@ -341,7 +341,7 @@
 }
 
 func (ga *Gate) refuse(qu queued, co result.Code) Action {
-	after := result.Of(co).RetryAfter()
+	after := result.Lookup(co).RetryAfter()
 	if co == result.Overloaded || co == result.ShareExceeded || co == result.DeadlinePassed {
 		after = max(minRetryAfter, ga.estimate(qu.attempt))
 	}
--- a/internal/gate/gate_test.go
+++ b/internal/gate/gate_test.go
@@ -223,7 +223,7 @@
 				decided[ac.Key()]++
 				require.Equal(rt, 1, decided[ac.Key()], "one decision for each attempt")
 				if ac.Kind() == Refuse {
-					require.Equal(rt, result.DidNotRun, result.Of(ac.Code()).Run())
+					require.Equal(rt, result.DidNotRun, result.Lookup(ac.Code()).Run())
 					continue
 				}
 				require.NotEqual(rt, config.Withdrawn, state)
--- a/internal/gateway/follow_test.go
+++ b/internal/gateway/follow_test.go
@@ -11,13 +11,13 @@
 	"github.com/rs/zerolog"
 	"github.com/stretchr/testify/require"
 
+	"github.com/linnetrudder/linnetrudder/internal/explain"
 	"github.com/linnetrudder/linnetrudder/internal/poison"
 	"github.com/linnetrudder/linnetrudder/internal/relay"
 	"github.com/linnetrudder/linnetrudder/internal/result"
 	"github.com/linnetrudder/linnetrudder/internal/revision"
 	"github.com/linnetrudder/linnetrudder/internal/rollout"
 	"github.com/linnetrudder/linnetrudder/internal/routing"
-	"github.com/linnetrudder/linnetrudder/internal/story"
 )
 
 // scriptedStore is a key-value service without changes: its watches use the whole wait. It fails
@@ -176,7 +176,7 @@
 	ga.applyChange(Change{Document: doc})
 	ga.applyChange(Change{Gone: "x1"})
 	require.NoError(t, ga.applyReadState(State{Revision: inEra(2, 1), Changes: []Change{serverChange("x1", "dc1")}}, time.Now()))
-	st := story.Story{Request: "none"}
+	st := explain.Explainer{Request: "none"}
 	require.NoError(t, st.Read(strings.NewReader(log.String())))
-	require.Zero(t, st.Torn(), log.String())
+	require.Zero(t, st.MalformedLines(), log.String())
 }
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -24,7 +24,7 @@
 
 // countRequest counts a final outcome and its latency in seconds.
 func countRequest(kind string, co result.Code, seconds float64) {
-	name := result.Of(co).Name()
+	name := result.Lookup(co).Name()
 	metrics.GetOrCreateCounter(fmt.Sprintf(`linnetrudder_requests_total{kind=%q,outcome=%q}`, kind, name)).Inc()
 	metrics.GetOrCreateHistogram(fmt.Sprintf(`linnetrudder_request_seconds{kind=%q}`, kind)).Update(seconds)
 }
--- a/internal/gateway/poison_test.go
+++ b/internal/gateway/poison_test.go
@@ -48,7 +48,7 @@
 			require.Equal(t, crashes, sc.servers.endCount(), "the block is stored")
 			require.NotEmpty(t, sc.poisonResponses)
 			for _, ca := range sc.poisonResponses {
-				require.Equal(t, result.DidNotRun, result.Of(ca.code).Run())
+				require.Equal(t, result.DidNotRun, result.Lookup(ca.code).Run())
 				require.Positive(t, ca.after)
 				require.Less(t, ca.took, 10*time.Millisecond, "refused without delay")
 			}
@@ -73,7 +73,7 @@
 		require.LessOrEqual(t, sc.servers.lateCopies(), 1, "the second trial; the users accept three")
 		refused := 0
 		for _, ca := range sc.poisonResponses {
-			if result.Of(ca.code).Run() == result.DidNotRun {
+			if result.Lookup(ca.code).Run() == result.DidNotRun {
 				refused++
 			}
 		}
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -314,11 +314,11 @@
 
 func (ex *exchange) writeError(co result.Code, detail string, after time.Duration) {
 	if after == 0 {
-		after = result.Of(co).RetryAfter()
+		after = result.Lookup(co).RetryAfter()
 	}
 	ex.responder.WriteError(co, detail, after)
 	id := event.RequestRefused
-	if result.Of(co).Run() != result.DidNotRun {
+	if result.Lookup(co).Run() != result.DidNotRun {
 		id = event.RequestFailed
 	}
 	ex.logOutcome(id, co, detail)
--- a/internal/gateway/servers.go
+++ b/internal/gateway/servers.go
@@ -95,7 +95,7 @@
 // centres from now on, attempts in progress there complete. The lock is held.
 func (ga *Gateway) evacuate(dataCentre string) {
 	if ga.servers.Evacuate(dataCentre) {
-		ga.logDataCentre(event.CentreEvacuated, dataCentre)
+		ga.logDataCentre(event.DataCentreEvacuated, dataCentre)
 	}
 }
 
@@ -108,7 +108,7 @@
 	for _, se := range ga.servers.Restore(dataCentre) {
 		ga.markCold(se, ga.coldFor(se.Service), now)
 	}
-	ga.logDataCentre(event.CentreRestored, dataCentre)
+	ga.logDataCentre(event.DataCentreRestored, dataCentre)
 }
 
 // reconcileEvacuations ends the evacuations that a complete state does not contain. If a restored
--- a/internal/gateway/stopping_test.go
+++ b/internal/gateway/stopping_test.go
@@ -70,7 +70,7 @@
 	send()
 	ga.otherReadyAt = time.Now().Add(-2 * loadReportTTL)
 	send()
-	usual := result.Of(result.NoConfiguration).RetryAfter()
+	usual := result.Lookup(result.NoConfiguration).RetryAfter()
 	require.Equal(t, []time.Duration{usual, usual, immediateRetry, usual}, re.after)
 }
 
--- a/internal/link/link.go
+++ b/internal/link/link.go
@@ -172,7 +172,7 @@
 		}
 		watchdog.Reset(maxMissedHeartbeats * li.HeartbeatInterval)
 		frames, err := wire.Decode(msg)
-		metrics.In.Message(len(msg), dataBytes(frames), len(frames))
+		metrics.In.AddMessage(len(msg), dataBytes(frames), len(frames))
 		for _, fr := range frames {
 			li.Handler.HandleFrame(li, fr)
 		}
@@ -208,7 +208,7 @@
 		if len(ba.frames) == 0 {
 			continue
 		}
-		metrics.Out.Message(ba.buf.Len(), dataBytes(ba.frames), len(ba.frames))
+		metrics.Out.AddMessage(ba.buf.Len(), dataBytes(ba.frames), len(ba.frames))
 		if err := li.Conn.Write(ctx, websocket.MessageBinary, ba.buf.Bytes()); err != nil {
 			return eris.Wrap(err, "write")
 		}
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -42,9 +42,9 @@
 	return tr
 }
 
-// Message counts one message: its size, how much of that is callers' data, and
+// AddMessage counts one message: its size, how much of that is callers' data, and
 // its frames.
-func (tr *Traffic) Message(size, data, frames int) {
+func (tr *Traffic) AddMessage(size, data, frames int) {
 	tr.control.Add(int64(size - data))
 	tr.data.Add(int64(data))
 	tr.frames.Add(int64(frames))
--- a/internal/node/errors.go
+++ b/internal/node/errors.go
@@ -36,7 +36,7 @@
 // NewErrorBody returns the body for an error. If after is zero, the default Retry-After of the error's
 // code is used.
 func NewErrorBody(er *result.Error, request string, after time.Duration) ErrorBody {
-	ro := result.Of(er.Code())
+	ro := result.Lookup(er.Code())
 	if after == 0 {
 		after = ro.RetryAfter()
 	}
@@ -71,7 +71,7 @@
 		sec := math.Ceil(float64(pr.Error.RetryAfterMS) / 1000)
 		w.Header().Set("Retry-After", strconv.Itoa(int(sec)))
 	}
-	status := result.Of(pr.Error.Code).Status()
+	status := result.Lookup(pr.Error.Code).Status()
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(pr)
--- a/internal/result/result.go
+++ b/internal/result/result.go
@@ -15,9 +15,9 @@
 
 // The three things that can be said about a closed request.
 const (
-	Ran       Run = "ran"
-	DidNotRun Run = "did not run"
-	MayHave   Run = "may have run"
+	Ran        Run = "ran"
+	DidNotRun  Run = "did not run"
+	MayHaveRun Run = "may have run"
 )
 
 // The codes. The first digit groups them: 1 done, 2 the caller's mistake,
@@ -112,7 +112,7 @@
 
 var rows = []Row{
 	{OK, "ok", http.StatusOK, Ran, 0, "the answer is complete"},
-	{Stopped, "stopped", statusClosed, MayHave, 0, "the caller went away and the request was cancelled"},
+	{Stopped, "stopped", statusClosed, MayHaveRun, 0, "the caller went away and the request was cancelled"},
 	{Queued, "queued", http.StatusAccepted, DidNotRun, 0, "the attempt waits at its backend server; this is never a final answer"},
 	{BadRequest, "bad_request", http.StatusBadRequest, DidNotRun, 0, "the request body is not valid JSON of the documented form"},
 	{BodyTooLarge, "body_too_large", http.StatusRequestEntityTooLarge, DidNotRun, 0, "the request body is larger than the settings allow"},
@@ -137,8 +137,8 @@
 	{ClaimsUnavailable, "claims_unavailable", http.StatusServiceUnavailable, DidNotRun, later, "the claim on the key could not be made; nothing ran"},
 	{StaleConfiguration, "stale_configuration", http.StatusServiceUnavailable, DidNotRun, soon, "the configuration is too old to accept a key by it"},
 	{RequestBlocked, "request_blocked", http.StatusServiceUnavailable, DidNotRun, later, "backend servers ended under copies of the request; it is not sent to more of them for a while"},
-	{LinkLost, "link_lost", http.StatusBadGateway, MayHave, 0, "the connection was lost after the request was sent"},
-	{ServerFailed, "server_failed", http.StatusBadGateway, MayHave, 0, "the backend server failed after the request was sent to it"},
+	{LinkLost, "link_lost", http.StatusBadGateway, MayHaveRun, 0, "the connection was lost after the request was sent"},
+	{ServerFailed, "server_failed", http.StatusBadGateway, MayHaveRun, 0, "the backend server failed after the request was sent to it"},
 	{AnswerBroken, "answer_broken", http.StatusBadGateway, Ran, 0, "the answer broke off after a part of it was delivered"},
 	{CallerTooSlow, "caller_too_slow", http.StatusRequestTimeout, Ran, 0, "the caller read the answer too slowly"},
 	{NotDispatched, "not_dispatched", http.StatusBadGateway, DidNotRun, soon, "the backend server refused the connection; nothing ran"},
@@ -151,7 +151,7 @@
 	{Conflict, "conflict", http.StatusConflict, DidNotRun, 0, "another change came first"},
 	{NotOperator, "not_operator", http.StatusUnauthorized, DidNotRun, 0, "the operator key is missing or unknown"},
 	{StoreDown, "store_down", http.StatusServiceUnavailable, DidNotRun, later, "the key-value service gives no answer"},
-	{StoreUnknown, "store_unknown", http.StatusServiceUnavailable, MayHave, later, "the write may have been made; ask again with the same operation id"},
+	{StoreUnknown, "store_unknown", http.StatusServiceUnavailable, MayHaveRun, later, "the write may have been made; ask again with the same operation id"},
 	{StoreBudget, "store_budget", http.StatusServiceUnavailable, DidNotRun, soon, "the budget for calls to the key-value service is spent"},
 }
 
@@ -168,12 +168,12 @@
 	return append([]Row(nil), rows...)
 }
 
-// Of returns the row of a code. An unknown number, as a newer peer may send,
+// Lookup returns the row of a code. An unknown number, as a newer peer may send,
 // reads as a failure that may have run.
-func Of(co Code) Row {
+func Lookup(co Code) Row {
 	ro, ok := byCode[co]
 	if !ok {
-		return Row{code: co, name: "unknown", status: http.StatusBadGateway, run: MayHave, text: "unknown code"}
+		return Row{code: co, name: "unknown", status: http.StatusBadGateway, run: MayHaveRun, text: "unknown code"}
 	}
 	return ro
 }
@@ -198,7 +198,7 @@
 
 // Error returns the name, the sentence and the detail.
 func (er *Error) Error() string {
-	ro := Of(er.code)
+	ro := Lookup(er.code)
 	if er.detail == "" {
 		return ro.name + ": " + ro.text
 	}
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -258,7 +258,7 @@
 // fail handles an attempt that failed after it was sent.
 func (re *Request) fail(at *attempt, co result.Code, now time.Time) []Action {
 	at.phase = finished
-	didNotRun := result.Of(co).Run() == result.DidNotRun
+	didNotRun := result.Lookup(co).Run() == result.DidNotRun
 	if !didNotRun {
 		re.mayHaveRunCode = co
 	}
@@ -269,7 +269,7 @@
 	if !mayRepeat {
 		return re.settle(co, 0)
 	}
-	return re.retry(co, result.Of(co).RetryAfter(), now)
+	return re.retry(co, result.Lookup(co).RetryAfter(), now)
 }
 
 // retry makes another attempt of the current step if that is allowed.
@@ -309,7 +309,7 @@
 
 // settle closes the request, with the fallback answer if there is one.
 func (re *Request) settle(co result.Code, after time.Duration) []Action {
-	if re.mayHaveRunCode != 0 && result.Of(co).Run() == result.DidNotRun {
+	if re.mayHaveRunCode != 0 && result.Lookup(co).Run() == result.DidNotRun {
 		co = re.mayHaveRunCode
 	}
 	if re.fallback == nil {
@@ -340,7 +340,7 @@
 
 func (re *Request) close(co result.Code, after time.Duration) []Action {
 	if after == 0 {
-		after = result.Of(co).RetryAfter()
+		after = result.Lookup(co).RetryAfter()
 	}
 	re.closed = true
 	return []Action{{op: Close, code: co, retryAfter: after}}
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -218,7 +218,7 @@
 	require.Empty(t, rec.codes)
 	rec.add(re.Tick(start.Add(2*time.Second + verdictGrace)))
 	require.Equal(t, []result.Code{result.LinkLost}, rec.codes)
-	require.Equal(t, result.MayHave, result.Of(rec.codes[0]).Run())
+	require.Equal(t, result.MayHaveRun, result.Lookup(rec.codes[0]).Run())
 	require.Len(t, rec.sent, 1)
 }
 
@@ -353,7 +353,7 @@
 			case "end":
 				co := rapid.SampledFrom(codes).Draw(rt, "code")
 				rec.add(re.Frame(current, end(1, co), now))
-				if result.Of(co).Run() == result.DidNotRun {
+				if result.Lookup(co).Run() == result.DidNotRun {
 					refusals++
 				}
 			case "lost":
@@ -396,7 +396,7 @@
 		if ran {
 			naiveWrong++
 		}
-		if result.Of(rec.codes[0]).Run() == result.DidNotRun {
+		if result.Lookup(rec.codes[0]).Run() == result.DidNotRun {
 			require.False(rt, ran, "%v", rec.codes)
 		}
 	})
--- a/internal/selector/selector.go
+++ b/internal/selector/selector.go
@@ -46,8 +46,8 @@
 	return true
 }
 
-// Problem returns the path of the first part that can never match, or "".
-func (se *Selector) Problem() string {
+// InvalidPath returns the path of the first part that can never match, or "".
+func (se *Selector) InvalidPath() string {
 	for na := range se.Equal {
 		if strings.TrimSpace(na) == "" {
 			return "equal"
@@ -59,12 +59,12 @@
 		}
 	}
 	if se.Not != nil {
-		if pr := se.Not.Problem(); pr != "" {
+		if pr := se.Not.InvalidPath(); pr != "" {
 			return "not." + pr
 		}
 	}
 	for i := range se.And {
-		if pr := se.And[i].Problem(); pr != "" {
+		if pr := se.And[i].InvalidPath(); pr != "" {
 			return "and." + pr
 		}
 	}
--- a/internal/selector/selector_test.go
+++ b/internal/selector/selector_test.go
@@ -35,7 +35,7 @@
 func TestProblem(t *testing.T) {
 	empty := Selector{In: map[string][]string{"a": nil}}
 	nested := Selector{Not: &Selector{And: []Selector{empty}}}
-	require.Equal(t, "in.a", empty.Problem())
-	require.Equal(t, "not.and.in.a", nested.Problem())
-	require.Empty(t, (&Selector{}).Problem())
+	require.Equal(t, "in.a", empty.InvalidPath())
+	require.Equal(t, "not.and.in.a", nested.InvalidPath())
+	require.Empty(t, (&Selector{}).InvalidPath())
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -128,11 +128,11 @@
 	if err := config.DecodeStrict(data, &se, result.BadSettings); err != nil {
 		return Settings{}, err
 	}
-	return se, se.Check(role)
+	return se, se.Validate(role)
 }
 
-// Check checks each field; the error names the first that is wrong.
-func (se *Settings) Check(role string) error {
+// Validate checks each field; the error names the first that is wrong.
+func (se *Settings) Validate(role string) error {
 	if err := config.FirstInvalid(config.NewValidator().Struct(se), result.BadSettings); err != nil {
 		return err
 	}
@@ -174,25 +174,25 @@
 	return err == nil && ap.Addr().IsLoopback()
 }
 
-// Heartbeat returns the time between two heartbeats.
-func (li Limits) Heartbeat() time.Duration { return millis(li.HeartbeatMS) }
+// HeartbeatInterval returns the time between two heartbeats.
+func (li Limits) HeartbeatInterval() time.Duration { return millis(li.HeartbeatMS) }
 
-// Stop returns the bound of a planned stop.
-func (li Limits) Stop() time.Duration { return millis(li.StopMS) }
+// StopTimeout returns the bound of a planned stop.
+func (li Limits) StopTimeout() time.Duration { return millis(li.StopMS) }
 
-// BillFlush returns how long bill records wait to be written together.
-func (li Limits) BillFlush() time.Duration { return millis(li.BillFlushMS) }
+// BillFlushInterval returns how long bill records wait to be written together.
+func (li Limits) BillFlushInterval() time.Duration { return millis(li.BillFlushMS) }
 
-// ClaimFlush returns the least time between two writes of one claim log.
-func (li Limits) ClaimFlush() time.Duration { return millis(li.ClaimFlushMS) }
+// ClaimFlushInterval returns the least time between two writes of one claim log.
+func (li Limits) ClaimFlushInterval() time.Duration { return millis(li.ClaimFlushMS) }
 
 // Timeout returns the bound of a call to the key-value service.
 func (pl Platform) Timeout() time.Duration { return millis(pl.TimeoutMS) }
 
-// Watch returns how long one watch waits.
-func (pl Platform) Watch() time.Duration { return millis(pl.WatchMS) }
+// WatchTimeout returns how long one watch waits.
+func (pl Platform) WatchTimeout() time.Duration { return millis(pl.WatchMS) }
 
-// BoxesEvery returns the time between two readings of the list of boxes.
-func (pl Platform) BoxesEvery() time.Duration { return millis(pl.BoxesMS) }
+// BoxesInterval returns the time between two readings of the list of boxes.
+func (pl Platform) BoxesInterval() time.Duration { return millis(pl.BoxesMS) }
 
 func millis(ms int) time.Duration { return time.Duration(ms) * time.Millisecond }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -64,7 +64,7 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		se, err := Decode(data, "entry")
 		if err == nil {
-			require.NoError(t, se.Check("entry"))
+			require.NoError(t, se.Validate("entry"))
 			return
 		}
 		var er *result.Error
--- a/internal/timeline/picture.go
+++ b/internal/timeline/svg.go
@@ -25,10 +25,10 @@
 	1: "#555555", 2: "#1f77b4", 3: "#2ca02c", 4: "#9467bd", 5: "#8c564b", 6: "#ff7f0e", 7: "#d62728", 8: "#e377c2",
 }
 
-// Draw writes merged entries as an SVG picture: a lane for each box, the events
+// WriteSVG writes merged entries as an SVG picture: a lane for each box, the events
 // in causal order from left to right, and a line from each event of a request
 // to its next.
-func Draw(wr io.Writer, entries []Entry) error {
+func WriteSVG(wr io.Writer, entries []Entry) error {
 	pi := picture{lanes: lanesOf(entries)}
 	width := leftMargin + stepWidth*(len(entries)+1)
 	height := topMargin + laneHeight*(len(pi.lanes)+1)
--- a/internal/timeline/picture_test.go
+++ b/internal/timeline/svg_test.go
@@ -20,7 +20,7 @@
 		{Box: "entry", DataCentre: "a", Event: event.ConfigInForce, Name: "config_in_force"},
 	}
 	var out bytes.Buffer
-	require.NoError(t, Draw(&out, entries))
+	require.NoError(t, WriteSVG(&out, entries))
 	dec := xml.NewDecoder(bytes.NewReader(out.Bytes()))
 	circles := 0
 	for {
