--- a/internal/explain/crashes.go
+++ b/internal/explain/crashes.go
@@ -8,45 +8,46 @@
 	"github.com/linnetrudder/linnetrudder/internal/event"
 )
 
-// endsUnder tells which servers ended under copies of a request until it ended itself, and
-// since when it was blocked at its box.
-func (st *Explainer) endsUnder(end *line) []string {
-	if end.Print == "" {
+// crashes describes which servers terminated while they ran requests with the same fingerprint, up
+// to the end of the request, and how long that fingerprint had been blocked at the box.
+func (ex *Explainer) crashes(end *record) []string {
+	if end.Fingerprint == "" {
 		return nil
 	}
-	slices.SortStableFunc(st.copies, func(a, b line) int { return a.Time.Compare(b.Time) })
-	var told, servers, copies []string
-	for i := range st.copies {
-		li := &st.copies[i]
+	slices.SortStableFunc(ex.crashRecords, func(a, b record) int { return a.Time.Compare(b.Time) })
+	var sentences, servers, requests []string
+	for i := range ex.crashRecords {
+		rc := &ex.crashRecords[i]
 		switch {
-		case li.Time.After(end.Time):
-		case li.Event == event.RequestBlocked && li.Print == end.Print && li.Box == end.Box:
-			told = append(told, fmt.Sprintf("It had been blocked at %s for %s.", end.Box, since(li, end)))
-		case li.Event == event.ServerEnded:
-			servers, copies = li.name(end.Print, servers, copies)
+		case rc.Time.After(end.Time):
+		case rc.Event == event.RequestBlocked && rc.Fingerprint == end.Fingerprint && rc.Box == end.Box:
+			sentences = append(sentences, fmt.Sprintf("It had been blocked at %s for %s.", end.Box, since(rc, end)))
+		case rc.Event == event.ServerEnded:
+			servers, requests = rc.addSuspects(end.Fingerprint, servers, requests)
 		}
 	}
 	if len(servers) == 0 {
-		return told
+		return sentences
 	}
-	under := fmt.Sprintf("Servers that ended just after they began a copy of it: %s (requests %s).",
-		strings.Join(servers, ", "), strings.Join(copies, ", "))
-	return append([]string{under}, told...)
+	crashed := fmt.Sprintf("Servers that terminated just after they started an identical request: %s (requests %s).",
+		strings.Join(servers, ", "), strings.Join(requests, ", "))
+	return append([]string{crashed}, sentences...)
 }
 
-// name adds a server that ended under copies of a request, and their ids, each once.
-func (li *line) name(wanted string, servers, copies []string) (withServer, withCopies []string) {
-	for _, suspect := range li.Prints {
+// addSuspects adds the server of a crash record, and the IDs of the requests with the given
+// fingerprint that it was running, to the two lists. It adds no duplicates.
+func (rc *record) addSuspects(fingerprint string, servers, requests []string) (allServers, allRequests []string) {
+	for _, suspect := range rc.Fingerprints {
 		id, suspected, _ := strings.Cut(suspect, " ")
-		if suspected != wanted {
+		if suspected != fingerprint {
 			continue
 		}
-		if !slices.Contains(servers, li.Server) {
-			servers = append(servers, li.Server)
+		if !slices.Contains(servers, rc.Server) {
+			servers = append(servers, rc.Server)
 		}
-		if !slices.Contains(copies, id) {
-			copies = append(copies, id)
+		if !slices.Contains(requests, id) {
+			requests = append(requests, id)
 		}
 	}
-	return servers, copies
+	return servers, requests
 }
