--- a/internal/timeline/svg_test.go
+++ b/internal/timeline/svg_test.go
@@ -13,7 +13,7 @@
 	"github.com/linnetrudder/linnetrudder/internal/event"
 )
 
-func TestDrawShowsEachEventInItsLane(t *testing.T) {
+func TestWriteSVGDrawsEachEventInItsLane(t *testing.T) {
 	entries := []Entry{
 		{Box: "entry", DataCentre: "a", Event: event.RequestRouted, Name: "request_routed", Request: "r"},
 		{Box: "agent", DataCentre: "a", Event: event.AttemptAdmitted, Name: "attempt_admitted", Request: "r", Detail: `<&"`},
@@ -28,13 +28,13 @@
 		if errors.Is(err, io.EOF) {
 			break
 		}
-		require.NoError(t, err, "the picture is well-formed")
+		require.NoError(t, err, "the SVG is well-formed")
 		if el, ok := tok.(xml.StartElement); ok && el.Name.Local == "circle" {
 			circles++
 		}
 	}
 	require.Equal(t, len(entries), circles)
-	require.Equal(t, 1, strings.Count(out.String(), `stroke="#aaaaaa"`), "one line joins the request's two events")
+	require.Equal(t, 1, strings.Count(out.String(), `stroke="#aaaaaa"`), "one line connects the two events of the request")
 	require.Equal(t, 1, strings.Count(out.String(), ">a agent<"))
 	require.Equal(t, 1, strings.Count(out.String(), ">a entry<"))
 }
--- a/internal/timeline/timeline.go
+++ b/internal/timeline/timeline.go
@@ -1,5 +1,5 @@
-// Package timeline keeps a bounded ring of events with hybrid logical stamps,
-// so that the rings of many processes can be merged in causal order.
+// Package timeline records events in a bounded ring buffer with hybrid logical timestamps, so that
+// the events of many processes can be merged in causal order.
 package timeline
 
 import (
@@ -11,21 +11,21 @@
 	"github.com/linnetrudder/linnetrudder/internal/event"
 )
 
-// Stamp is a hybrid logical time: wall milliseconds and a counter that
-// orders events within one millisecond and across clocks that differ.
+// Stamp is a hybrid logical timestamp: wall-clock time in milliseconds and a counter that orders
+// events within one millisecond and across processes whose clocks differ.
 type Stamp struct {
-	// Wall is in milliseconds since 1970 and never goes back in one process.
+	// Wall is the Unix time in milliseconds. It never decreases within a process.
 	Wall int64 `cbor:"1,keyasint" json:"wall_ms"`
-	// Count orders stamps with the same wall time.
+	// Count orders timestamps with the same wall-clock time.
 	Count uint32 `cbor:"2,keyasint,omitempty" json:"count,omitempty"`
 }
 
-// Compare orders two stamps.
+// Compare returns -1, 0 or 1 if st is before, equal to or after ot.
 func (st Stamp) Compare(ot Stamp) int {
 	return cmp.Or(cmp.Compare(st.Wall, ot.Wall), cmp.Compare(st.Count, ot.Count))
 }
 
-// Entry is one event as it is served and merged.
+// Entry is an event as served by the admin API and merged across processes.
 type Entry struct {
 	Stamp      Stamp    `json:"stamp"`
 	Box        string   `json:"box"`
@@ -39,24 +39,26 @@
 	Detail     string   `json:"detail,omitempty"`
 }
 
-// DefaultSize is how many events a process keeps.
+// DefaultSize is the default capacity of a Ring.
 const DefaultSize = 4096
 
-// Ring keeps the newest events. Its methods may be called concurrently.
+// Ring is a ring buffer of the newest events. Its methods may be called concurrently.
 type Ring struct {
-	// Box and DataCentre are set before use and put into each entry.
+	// Box and DataCentre are set before use and copied into each entry.
 	Box, DataCentre string
-	// Size bounds the ring; zero means DefaultSize.
+	// Size is the capacity of the ring; zero means DefaultSize.
 	Size int
 
 	mu   sync.Mutex
 	last Stamp
-	// entries is at most Size long; next is where the next one goes once full.
+	// entries holds at most Size entries. Once it is full, next is the index of the oldest entry, which
+	// is overwritten next.
 	entries []Entry
 	next    int
 }
 
-// Add stamps an entry and keeps it.
+// Add sets the timestamp, box, data centre and event name of an entry, stores the entry and returns
+// it.
 func (ri *Ring) Add(en Entry, now time.Time) Entry {
 	ri.mu.Lock()
 	defer ri.mu.Unlock()
@@ -77,14 +79,15 @@
 	return en
 }
 
-// Now returns a fresh stamp to send with a message.
+// Now advances the clock and returns a timestamp to send with a message.
 func (ri *Ring) Now(now time.Time) Stamp {
 	ri.mu.Lock()
 	defer ri.mu.Unlock()
 	return ri.tick(now)
 }
 
-// Observe moves the clock past a stamp that came with a message.
+// Observe advances the clock to a timestamp received with a message, so that later events are ordered
+// after it.
 func (ri *Ring) Observe(st Stamp) {
 	ri.mu.Lock()
 	defer ri.mu.Unlock()
@@ -103,14 +106,14 @@
 	return ri.last
 }
 
-// Entries returns a copy in the order of the stamps.
+// Entries returns a copy of the entries, ordered by timestamp.
 func (ri *Ring) Entries() []Entry {
 	ri.mu.Lock()
 	defer ri.mu.Unlock()
 	return Merge(ri.entries)
 }
 
-// Merge puts the entries of several processes into causal order.
+// Merge returns the entries of several processes in causal order.
 func Merge(lists ...[]Entry) []Entry {
 	all := slices.Concat(lists...)
 	slices.SortStableFunc(all, func(a, b Entry) int {
--- a/internal/timeline/timeline_test.go
+++ b/internal/timeline/timeline_test.go
@@ -11,13 +11,13 @@
 
 var start = time.Unix(1_800_000_000, 0)
 
-func TestAnAnswerComesAfterItsQuestionWhateverTheClocksSay(t *testing.T) {
+func TestResponseIsOrderedAfterRequestDespiteClockSkew(t *testing.T) {
 	entry := &Ring{Box: "entry"}
 	agent := &Ring{Box: "agent"}
 	entry.Add(Entry{Event: event.RequestRouted}, start)
 	stamp := entry.Now(start)
 	agent.Observe(stamp)
-	// The agent's clock is a second behind.
+	// The agent's clock is one second behind.
 	agent.Add(Entry{Event: event.AttemptAdmitted}, start.Add(-time.Second))
 	entry.Observe(agent.Now(start.Add(-time.Second)))
 	entry.Add(Entry{Event: event.RequestAnswered}, start)
@@ -28,7 +28,7 @@
 	require.Equal(t, []event.ID{event.RequestRouted, event.AttemptAdmitted, event.RequestAnswered}, got)
 }
 
-func TestTheRingKeepsTheNewest(t *testing.T) {
+func TestRingKeepsNewestEntries(t *testing.T) {
 	ri := &Ring{Size: 3}
 	for i := range 5 {
 		ri.Add(Entry{Event: event.ID(100 + i)}, start)
@@ -39,7 +39,7 @@
 	require.Equal(t, event.ID(104), all[2].Event)
 }
 
-func TestAClockThatGoesBackDoesNotReorder(t *testing.T) {
+func TestTimestampsIncreaseWhenClockMovesBack(t *testing.T) {
 	ri := &Ring{}
 	first := ri.Now(start)
 	second := ri.Now(start.Add(-time.Hour))
