--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings is what one process is told when it starts: who it is,
-// where it listens and whom it may meet.
+// Package settings reads and validates the settings file of an entry or agent process: its identity,
+// its listen addresses, the addresses of the platform's services and its limits.
 package settings
 
 import (
@@ -14,82 +14,82 @@
 	"github.com/linnetrudder/linnetrudder/internal/result"
 )
 
-// Settings are the settings of a daemon in either role. They are written as
-// JSON with comments; durations are in milliseconds.
+// Settings are the settings of a daemon in either role. The file format is JSON with comments;
+// durations are in milliseconds.
 type Settings struct {
 	// Box is the name of the box, unique in the fleet.
 	Box string `json:"box" validate:"required,max=64"`
-	// DataCentre is the name of the data centre that the box stands in.
+	// DataCentre is the name of the box's data centre.
 	DataCentre string `json:"data_centre" validate:"required,max=64"`
-	// Listen is where callers (entry) or entries (agent) connect.
+	// Listen is the address for callers (entry) or entries (agent).
 	Listen string `json:"listen" validate:"required"`
-	// Admin is where operators, metrics and the balancer's checks connect.
+	// Admin is the address for operators, metrics and the load balancer's health checks.
 	Admin string `json:"admin" validate:"required"`
 	// LogLevel is debug, info, warn or error.
 	LogLevel string `json:"log_level" validate:"oneof=debug info warn error"`
-	// SharedKey proves a process of the system to another. It may be empty
-	// only if Listen is a loopback address.
+	// SharedKey authenticates the processes of the system to each other. It may be empty only if Listen
+	// is a loopback address.
 	SharedKey string `json:"shared_key"`
-	// OperatorKeys are the SHA-256 digests of the operators' keys.
+	// OperatorKeys are the hexadecimal SHA-256 digests of the operators' keys. It may be empty only if
+	// Admin is a loopback address.
 	OperatorKeys []string `json:"operator_keys" validate:"dive,len=64,hexadecimal"`
-	// Platform is where the platform's services are met.
+	// Platform holds the addresses of the platform's services and the limits of calls to them.
 	Platform Platform `json:"platform"`
-	// Limits bound what the process holds.
+	// Limits bound the memory and the waiting times of the process.
 	Limits Limits `json:"limits"`
-	// Server is the backend server beside an agent.
+	// Server is the backend server on an agent's box.
 	Server Server `json:"server"`
 }
 
-// Platform holds the addresses of the platform's services.
+// Platform holds the addresses of the platform's services and the limits of calls to them.
 type Platform struct {
-	// Store is the key-value service, as IP number and port.
+	// Store is the IP address and port of the key-value service.
 	Store string `json:"store"`
-	// Boxes is the list of live and leaving boxes, as IP number and port.
+	// Boxes is the IP address and port of the service that lists live and leaving boxes.
 	Boxes string `json:"boxes"`
-	// Token goes with each call to the key-value service.
+	// Token is the access token for the key-value service.
 	Token string `json:"token"`
-	// CallsPerSecond is this process's share of the service's rate.
+	// CallsPerSecond is this process's share of the rate limit of the key-value service.
 	CallsPerSecond float64 `json:"calls_per_second" validate:"gt=0"`
-	// TimeoutMS bounds a call that does not wait for a change.
+	// TimeoutMS is the timeout of calls other than watches.
 	TimeoutMS int `json:"timeout_ms" validate:"min=1"`
-	// WatchMS is how long one watch waits for a change.
+	// WatchMS is how long a watch waits for a change.
 	WatchMS int `json:"watch_ms" validate:"min=100"`
-	// BoxesMS is the time between two readings of the list of boxes.
+	// BoxesMS is the interval between reads of the list of boxes.
 	BoxesMS int `json:"boxes_ms" validate:"min=100"`
 }
 
-// Limits bound what the process holds and how long it waits.
+// Limits bound the memory and the waiting times of a process.
 type Limits struct {
-	// BodyBytes bounds the body of a request.
+	// BodyBytes is the maximum size of a request body.
 	BodyBytes int64 `json:"body_bytes" validate:"min=1"`
-	// StreamBytes bounds what is held for a caller that reads slowly.
+	// StreamBytes is the maximum size of the answer data that is buffered for a slow caller.
 	StreamBytes int `json:"stream_bytes" validate:"min=1024"`
-	// Queue bounds the requests that wait at an agent.
+	// Queue is the maximum number of requests queued at an agent.
 	Queue int `json:"queue" validate:"min=0"`
-	// Bills bounds the bill records that wait for the key-value service.
+	// Bills is the maximum number of bill records buffered for the key-value service.
 	Bills int `json:"bills" validate:"min=1"`
-	// HeartbeatMS is the time between two heartbeats on a connection; three
-	// missed ones end it.
+	// HeartbeatMS is the interval between heartbeats on a connection. Three missed heartbeats close it.
 	HeartbeatMS int `json:"heartbeat_ms" validate:"min=10"`
-	// RetryRatio is how many retries are allowed for each first attempt.
+	// RetryRatio is the number of retries allowed per first attempt.
 	RetryRatio float64 `json:"retry_ratio" validate:"min=0,max=1"`
-	// StopMS bounds a planned stop.
+	// StopMS is the timeout of a graceful shutdown.
 	StopMS int `json:"stop_ms" validate:"min=1"`
-	// BillFlushMS is the longest time that records wait to be written together.
+	// BillFlushMS is the maximum time that bill records wait to be written in a batch.
 	BillFlushMS int `json:"bill_flush_ms" validate:"min=1"`
-	// ClaimFlushMS is the least time between two writes of one claim log.
+	// ClaimFlushMS is the minimum interval between writes of a claim log.
 	ClaimFlushMS int `json:"claim_flush_ms" validate:"min=1"`
 }
 
-// Server is the backend server beside an agent.
+// Server is the backend server on an agent's box.
 type Server struct {
-	// Name is its name in the configuration.
+	// Name is the server's name in the configuration.
 	Name string `json:"name"`
-	// Address is its IP number and port.
+	// Address is the server's IP address and port.
 	Address string `json:"address"`
 }
 
-// Default returns the settings that hold where a file says nothing.
+// Default returns the default settings.
 func Default() Settings {
 	return Settings{
 		LogLevel: "info",
@@ -113,7 +113,7 @@
 	}
 }
 
-// Load reads and checks a file. The role is "entry" or "agent".
+// Load reads and validates a settings file. The role is "entry" or "agent".
 func Load(path, role string) (Settings, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -122,7 +122,7 @@
 	return Decode(data, role)
 }
 
-// Decode reads and checks settings written as JSON with comments.
+// Decode parses and validates settings in JSON with comments.
 func Decode(data []byte, role string) (Settings, error) {
 	se := Default()
 	if err := config.DecodeStrict(data, &se, result.BadSettings); err != nil {
@@ -131,7 +131,7 @@
 	return se, se.Validate(role)
 }
 
-// Validate checks each field; the error names the first that is wrong.
+// Validate returns an error that names the first invalid field, or nil.
 func (se *Settings) Validate(role string) error {
 	if err := config.FirstInvalid(config.NewValidator().Struct(se), result.BadSettings); err != nil {
 		return err
@@ -151,10 +151,10 @@
 			return err
 		}
 	}
-	if se.SharedKey == "" && !loopback(se.Listen) {
-		return result.New(result.BadSettings, "shared_key: may be empty on a loopback address only")
+	if se.SharedKey == "" && !isLoopback(se.Listen) {
+		return result.New(result.BadSettings, "shared_key: may be empty only if listen is a loopback address")
 	}
-	if len(se.OperatorKeys) == 0 && !loopback(se.Admin) {
+	if len(se.OperatorKeys) == 0 && !isLoopback(se.Admin) {
 		return result.New(result.BadSettings, "operator_keys: may be empty only if admin is a loopback address")
 	}
 	return nil
@@ -169,30 +169,30 @@
 	return nil
 }
 
-func loopback(address string) bool {
+func isLoopback(address string) bool {
 	ap, err := netip.ParseAddrPort(address)
 	return err == nil && ap.Addr().IsLoopback()
 }
 
-// HeartbeatInterval returns the time between two heartbeats.
-func (li Limits) HeartbeatInterval() time.Duration { return millis(li.HeartbeatMS) }
+// HeartbeatInterval returns the interval between heartbeats on a connection.
+func (li Limits) HeartbeatInterval() time.Duration { return milliseconds(li.HeartbeatMS) }
 
-// StopTimeout returns the bound of a planned stop.
-func (li Limits) StopTimeout() time.Duration { return millis(li.StopMS) }
+// StopTimeout returns the timeout of a graceful shutdown.
+func (li Limits) StopTimeout() time.Duration { return milliseconds(li.StopMS) }
 
-// BillFlushInterval returns how long bill records wait to be written together.
-func (li Limits) BillFlushInterval() time.Duration { return millis(li.BillFlushMS) }
+// BillFlushInterval returns the maximum time that bill records wait to be written in a batch.
+func (li Limits) BillFlushInterval() time.Duration { return milliseconds(li.BillFlushMS) }
 
-// ClaimFlushInterval returns the least time between two writes of one claim log.
-func (li Limits) ClaimFlushInterval() time.Duration { return millis(li.ClaimFlushMS) }
+// ClaimFlushInterval returns the minimum interval between writes of a claim log.
+func (li Limits) ClaimFlushInterval() time.Duration { return milliseconds(li.ClaimFlushMS) }
 
-// Timeout returns the bound of a call to the key-value service.
-func (pl Platform) Timeout() time.Duration { return millis(pl.TimeoutMS) }
+// Timeout returns the timeout of calls to the platform's services other than watches.
+func (pl Platform) Timeout() time.Duration { return milliseconds(pl.TimeoutMS) }
 
-// WatchTimeout returns how long one watch waits.
-func (pl Platform) WatchTimeout() time.Duration { return millis(pl.WatchMS) }
+// WatchTimeout returns how long a watch waits for a change.
+func (pl Platform) WatchTimeout() time.Duration { return milliseconds(pl.WatchMS) }
 
-// BoxesInterval returns the time between two readings of the list of boxes.
-func (pl Platform) BoxesInterval() time.Duration { return millis(pl.BoxesMS) }
+// BoxesInterval returns the interval between reads of the list of boxes.
+func (pl Platform) BoxesInterval() time.Duration { return milliseconds(pl.BoxesMS) }
 
-func millis(ms int) time.Duration { return time.Duration(ms) * time.Millisecond }
+func milliseconds(ms int) time.Duration { return time.Duration(ms) * time.Millisecond }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -9,26 +9,26 @@
 	"github.com/linnetrudder/linnetrudder/internal/result"
 )
 
-const good = `{
+const validSettings = `{
   // an agent on loopback
   "box": "b", "data_centre": "dc", "listen": "127.0.0.1:1", "admin": "127.0.0.1:2",
   "platform": {"store": "127.0.0.1:3", "boxes": "127.0.0.1:4"},
   "server": {"name": "s", "address": "127.0.0.1:5"},
 }`
 
-func TestDefaultsHoldWhereAFileSaysNothing(t *testing.T) {
-	se, err := Decode([]byte(good), "agent")
+func TestDecodeAppliesDefaults(t *testing.T) {
+	se, err := Decode([]byte(validSettings), "agent")
 	require.NoError(t, err)
 	require.Equal(t, Default().Limits, se.Limits)
 	require.Equal(t, "info", se.LogLevel)
 }
 
-func TestABadFieldIsNamed(t *testing.T) {
+func TestDecodeNamesInvalidField(t *testing.T) {
 	for _, tc := range []struct {
-		field string
-		value any
-		code  result.Code
-		place string
+		field  string
+		value  any
+		code   result.Code
+		detail string
 	}{
 		{"box", "", result.BadSettings, "box"},
 		{"listen", "localhost:80", result.HostName, `listen: "localhost:80"`},
@@ -54,12 +54,12 @@
 		var er *result.Error
 		require.ErrorAs(t, err, &er, tc.field)
 		require.Equal(t, tc.code, er.Code(), "%s: %v", tc.field, err)
-		require.Contains(t, err.Error(), tc.place)
+		require.Contains(t, err.Error(), tc.detail)
 	}
 }
 
 func FuzzDecode(f *testing.F) {
-	f.Add([]byte(good))
+	f.Add([]byte(validSettings))
 	f.Add([]byte(`{"limits": {"queue": -1}}`))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		se, err := Decode(data, "entry")
