--- a/cmd/linnetrudder/agent.go
+++ b/cmd/linnetrudder/agent.go
@@ -6,27 +6,27 @@
 	"github.com/linnetrudder/linnetrudder/internal/agent"
 )
 
-// agentCmd guards a backend server.
+// agentCmd runs the agent of a backend server.
 type agentCmd struct {
 	Settings string `help:"Settings file, JSON with comments." required:"" type:"path"`
 }
 
-// backendConns is how many idle connections to the backend server are kept.
-const backendConns = 256
+// maxIdleBackendConns is the maximum number of idle connections to the backend server.
+const maxIdleBackendConns = 256
 
-// Run serves until a signal asks it to stop.
+// Run serves until the process receives SIGINT or SIGTERM.
 func (cm *agentCmd) Run(st *streams) error {
-	ba, err := newBase(cm.Settings, "agent", st)
+	da, err := newDaemon(cm.Settings, "agent", st)
 	if err != nil {
 		return err
 	}
-	defer ba.stop()
+	defer da.stop()
 	ag := &agent.Agent{
-		Node:  ba.node,
-		Links: ba.listener,
-		Admin: ba.admin,
-		HTTP:  &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: backendConns, DisableCompression: true}},
-		Store: ba.store(),
+		Node:  da.node,
+		Links: da.listener,
+		Admin: da.admin,
+		HTTP:  &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxIdleBackendConns, DisableCompression: true}},
+		Store: da.storeClient(),
 	}
-	return ag.Run(ba.ctx)
+	return ag.Run(da.ctx)
 }
--- a/cmd/linnetrudder/check.go
+++ b/cmd/linnetrudder/check.go
@@ -9,13 +9,13 @@
 	"github.com/linnetrudder/linnetrudder/platform"
 )
 
-// checkCmd checks a settings file.
+// checkCmd validates a settings file.
 type checkCmd struct {
 	Settings string `help:"Settings file, JSON with comments; TOML for a gateway." required:"" type:"path"`
-	Role     string `help:"Role to check for." enum:"entry,agent,gateway" default:"entry"`
+	Role     string `help:"Role that the settings are for." enum:"entry,agent,gateway" default:"entry"`
 }
 
-// Run prints the effective settings.
+// Run validates the settings file and prints the effective settings without their secrets.
 func (ch *checkCmd) Run(st *streams) error {
 	if ch.Role == "gateway" {
 		return ch.checkGateway(st)
--- a/cmd/linnetrudder/daemon.go
+++ b/cmd/linnetrudder/daemon.go
@@ -18,9 +18,9 @@
 	"github.com/linnetrudder/linnetrudder/internal/timeline"
 )
 
-// base is what both roles start from: checked settings, open listeners, the
-// log and a context that a signal ends.
-type base struct {
+// daemon is the common part of the entry and agent roles: validated settings, open listeners, the log
+// and a context that is cancelled by SIGINT or SIGTERM.
+type daemon struct {
 	node            *node.Node
 	listener, admin net.Listener
 	http            *http.Client
@@ -28,7 +28,7 @@
 	stop            context.CancelFunc
 }
 
-func newBase(path, role string, st *streams) (*base, error) {
+func newDaemon(path, role string, st *streams) (*daemon, error) {
 	se, err := settings.Load(path, role)
 	if err != nil {
 		return nil, err
@@ -49,7 +49,7 @@
 		stop()
 		return nil, eris.Wrap(err, "admin")
 	}
-	return &base{
+	return &daemon{
 		node: &node.Node{
 			Settings: se,
 			Log: zerolog.New(st.err).Level(level).With().Timestamp().
@@ -64,13 +64,13 @@
 	}, nil
 }
 
-func (ba *base) store() *kv.Client {
-	pl := ba.node.Settings.Platform
+func (da *daemon) storeClient() *kv.Client {
+	pl := da.node.Settings.Platform
 	return &kv.Client{
 		Address: pl.Store,
 		Token:   pl.Token,
 		Timeout: pl.Timeout(),
 		Limiter: rate.NewLimiter(rate.Limit(pl.CallsPerSecond), int(pl.CallsPerSecond)+1),
-		HTTP:    ba.http,
+		HTTP:    da.http,
 	}
 }
--- a/cmd/linnetrudder/entry.go
+++ b/cmd/linnetrudder/entry.go
@@ -5,24 +5,24 @@
 	"github.com/linnetrudder/linnetrudder/internal/entry"
 )
 
-// entryCmd serves callers.
+// entryCmd runs an entry, which serves callers.
 type entryCmd struct {
 	Settings string `help:"Settings file, JSON with comments." required:"" type:"path"`
 }
 
-// Run serves until a signal asks it to stop.
+// Run serves until the process receives SIGINT or SIGTERM.
 func (cm *entryCmd) Run(st *streams) error {
-	ba, err := newBase(cm.Settings, "entry", st)
+	da, err := newDaemon(cm.Settings, "entry", st)
 	if err != nil {
 		return err
 	}
-	defer ba.stop()
+	defer da.stop()
 	en := &entry.Entry{
-		Node:    ba.node,
-		Callers: ba.listener,
-		Admin:   ba.admin,
-		Store:   ba.store(),
-		Boxes:   &boxes.Client{Address: ba.node.Settings.Platform.Boxes, Timeout: ba.node.Settings.Platform.Timeout(), HTTP: ba.http},
+		Node:    da.node,
+		Callers: da.listener,
+		Admin:   da.admin,
+		Store:   da.storeClient(),
+		Boxes:   &boxes.Client{Address: da.node.Settings.Platform.Boxes, Timeout: da.node.Settings.Platform.Timeout(), HTTP: da.http},
 	}
-	return en.Run(ba.ctx)
+	return en.Run(da.ctx)
 }
--- a/cmd/linnetrudder/main.go
+++ b/cmd/linnetrudder/main.go
@@ -1,5 +1,5 @@
-// Command linnetrudder is the daemon: an entry that callers reach, or an
-// agent beside one backend server.
+// Command linnetrudder is the daemon. It runs an entry, which serves callers, an agent, which controls
+// access to one backend server, or a gateway, which serves callers on the users' platform.
 package main
 
 import "os"
--- a/cmd/linnetrudder/root.go
+++ b/cmd/linnetrudder/root.go
@@ -6,15 +6,15 @@
 	"github.com/linnetrudder/linnetrudder/internal/command"
 )
 
-// root lists the commands; each has a file of its own.
+// root is the command line. Each command is declared in a file of its own.
 type root struct {
-	Entry   entryCmd   `cmd:"" help:"Serve callers on an entry box. Example: linnetrudder entry --settings entry.jsonc"`
-	Agent   agentCmd   `cmd:"" help:"Guard the backend server of this box. Example: linnetrudder agent --settings agent.jsonc"`
-	Gateway gatewayCmd `cmd:"" help:"Serve callers on the users' platform. Example: linnetrudder gateway --settings local.toml"`
-	Check   checkCmd   `cmd:"" help:"Check a settings file and print the effective settings. Example: linnetrudder check --role entry --settings entry.jsonc"`
+	Entry   entryCmd   `cmd:"" help:"Run an entry, which serves callers. Example: linnetrudder entry --settings entry.jsonc"`
+	Agent   agentCmd   `cmd:"" help:"Run the agent of the backend server on this box. Example: linnetrudder agent --settings agent.jsonc"`
+	Gateway gatewayCmd `cmd:"" help:"Run a gateway, which serves callers on the users' platform. Example: linnetrudder gateway --settings local.toml"`
+	Check   checkCmd   `cmd:"" help:"Validate a settings file and print the effective settings. Example: linnetrudder check --role entry --settings entry.jsonc"`
 }
 
-// streams are where a command writes.
+// streams are the output streams of a command.
 type streams struct{ out, err io.Writer }
 
 // execute runs the command line and returns the exit code.
--- a/cmd/linnetrudder/root_test.go
+++ b/cmd/linnetrudder/root_test.go
@@ -19,7 +19,7 @@
   "platform": {"store": "127.0.0.1:3", "boxes": "127.0.0.1:4"}
 }`
 
-func write(t *testing.T, text string) string {
+func writeSettings(t *testing.T, text string) string {
 	path := filepath.Join(t.TempDir(), "settings.jsonc")
 	require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
 	return path
@@ -27,7 +27,7 @@
 
 func TestCheckPrintsTheEffectiveSettings(t *testing.T) {
 	var out, errOut bytes.Buffer
-	code := execute([]string{"check", "--settings", write(t, entrySettings)}, &out, &errOut)
+	code := execute([]string{"check", "--settings", writeSettings(t, entrySettings)}, &out, &errOut)
 	require.Equal(t, command.OK, code, errOut.String())
 	var se settings.Settings
 	require.NoError(t, json.Unmarshal(out.Bytes(), &se))
@@ -35,29 +35,29 @@
 	require.NotContains(t, out.String(), "secret")
 }
 
-func TestCheckNamesTheFieldAndItsCode(t *testing.T) {
+func TestCheckReportsFieldAndCode(t *testing.T) {
 	var out, errOut bytes.Buffer
-	path := write(t, `{"box": "e", "data_centre": "dc", "listen": "localhost:80", "admin": "127.0.0.1:1"}`)
+	path := writeSettings(t, `{"box": "e", "data_centre": "dc", "listen": "localhost:80", "admin": "127.0.0.1:1"}`)
 	require.Equal(t, command.Failed, execute([]string{"check", "--settings", path}, &out, &errOut))
 	require.Contains(t, errOut.String(), "604 host_name")
 	require.Contains(t, errOut.String(), `listen: "localhost:80"`)
 }
 
-func TestAWrongCommandLineIsUsage(t *testing.T) {
+func TestInvalidCommandLineExitsWithUsage(t *testing.T) {
 	var out, errOut bytes.Buffer
 	require.Equal(t, command.Usage, execute([]string{"serve"}, &out, &errOut))
 	require.Equal(t, command.Usage, execute([]string{"check", "--role", "other", "--settings", "x"}, &out, &errOut))
 	require.NotEmpty(t, errOut.String())
 }
 
-func TestAFileThatIsMissingFails(t *testing.T) {
+func TestMissingSettingsFileFails(t *testing.T) {
 	var out, errOut bytes.Buffer
 	require.Equal(t, command.Failed, execute([]string{"entry", "--settings", "/nonexistent"}, &out, &errOut))
 	require.Contains(t, errOut.String(), "read settings")
 }
 
-func TestCheckOfAGatewaysSettings(t *testing.T) {
-	good := `node_name = "f"
+func TestCheckGatewaySettings(t *testing.T) {
+	valid := `node_name = "f"
 zone = "z"
 [listen]
 frontend = "127.0.0.1:1"
@@ -66,9 +66,9 @@
 address = "127.0.0.1:3"
 `
 	var out, errOut bytes.Buffer
-	require.Equal(t, command.OK, execute([]string{"check", "--role", "gateway", "--settings", write(t, good)}, &out, &errOut), errOut.String())
+	require.Equal(t, command.OK, execute([]string{"check", "--role", "gateway", "--settings", writeSettings(t, valid)}, &out, &errOut), errOut.String())
 	require.Contains(t, out.String(), `"data_centre": "z"`)
-	bad := good[:len(good)-20]
-	require.Equal(t, command.Failed, execute([]string{"check", "--role", "gateway", "--settings", write(t, bad)}, &out, &errOut))
+	invalid := valid[:len(valid)-20]
+	require.Equal(t, command.Failed, execute([]string{"check", "--role", "gateway", "--settings", writeSettings(t, invalid)}, &out, &errOut))
 	require.Contains(t, errOut.String(), "60")
 }
--- a/cmd/linnetrudderctl/bill.go
+++ b/cmd/linnetrudderctl/bill.go
@@ -9,13 +9,13 @@
 	"github.com/linnetrudder/linnetrudder/internal/wire"
 )
 
-// billCmd sums up bills.
+// billCmd prints bill lines or their sums.
 type billCmd struct {
-	Team  string `help:"Only this team."`
+	Team  string `help:"Show only this team."`
 	Lines bool   `help:"Print every line instead of sums."`
 }
 
-// billSum is the sum of a team's lines for a version.
+// billSum is the sum of a team's bill lines for a version.
 type billSum struct {
 	Team       string `json:"team"`
 	Version    string `json:"version"`
@@ -25,7 +25,7 @@
 	Cost       int64  `json:"cost"`
 }
 
-// Run reads the lines.
+// Run reads the bill lines and prints them or their sums.
 func (cm *billCmd) Run(cl *client, pr *printer) error {
 	var lines []wire.BillLine
 	if err := cl.get("/v1/bill", &lines); err != nil {
--- a/cmd/linnetrudderctl/client.go
+++ b/cmd/linnetrudderctl/client.go
@@ -17,39 +17,40 @@
 	"github.com/linnetrudder/linnetrudder/internal/result"
 )
 
-// callTimeout bounds one call.
+// callTimeout is the timeout of one HTTP request.
 const callTimeout = 20 * time.Second
 
-// client calls the administration API of the first entry that answers.
+// client calls the admin API of the entries. It tries the next entry if one does not answer or can't
+// serve the call.
 type client struct {
 	admins        []string
 	key, operator string
 }
 
-// get reads a path into a value.
+// get sends a GET request and decodes the answer into a value.
 func (cl *client) get(path string, into any) error {
 	return cl.call(http.MethodGet, path, nil, into)
 }
 
-// call makes one call. A write carries one operation id over all entries that
-// are tried, so that it is made once.
+// call sends a request to the entries in order and decodes the answer into a value. All entries get the
+// same operation ID, so that a write is applied once even if it is sent to several entries.
 func (cl *client) call(method, path string, body []byte, into any) error {
 	operation := uuid.NewString()
 	if len(cl.admins) == 0 {
-		return result.New(result.BadSettings, "--admin: name at least one entry")
+		return result.New(result.BadSettings, "--admin: give the address of at least one entry")
 	}
 	var last error
 	for _, admin := range cl.admins {
 		last = cl.callOne(admin, method, path, operation, body, into)
-		if !worthAnother(last) {
+		if !shouldTryNext(last) {
 			return last
 		}
 	}
 	return last
 }
 
-// worthAnother reports whether another entry may do better.
-func worthAnother(err error) bool {
+// shouldTryNext reports whether another entry may answer the request after this error.
+func shouldTryNext(err error) bool {
 	if err == nil {
 		return false
 	}
@@ -69,27 +70,28 @@
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+admin+path, bytes.NewReader(body))
 	if err != nil {
-		return eris.Wrap(err, "call")
+		return eris.Wrap(err, "call admin API")
 	}
 	req.Header.Set("Authorization", "Bearer "+cl.key)
 	req.Header.Set("Linnetrudder-Operation", operation)
 	req.Header.Set("Linnetrudder-Operator", cl.operator)
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return eris.Wrap(err, "call")
+		return eris.Wrap(err, "call admin API")
 	}
 	defer resp.Body.Close()
 	data, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return eris.Wrap(err, "call")
+		return eris.Wrap(err, "call admin API")
 	}
 	if resp.StatusCode != http.StatusOK {
-		return problem(resp, data)
+		return decodeError(resp, data)
 	}
-	return eris.Wrap(json.Unmarshal(data, into), "answer")
+	return eris.Wrap(json.Unmarshal(data, into), "decode answer")
 }
 
-func problem(resp *http.Response, data []byte) error {
+// decodeError returns the error in an answer, with its result code if it has one.
+func decodeError(resp *http.Response, data []byte) error {
 	var pr node.ErrorBody
 	if json.Unmarshal(data, &pr) != nil || pr.Error.Code == 0 {
 		return eris.Errorf("%s: %s", resp.Status, data)
@@ -99,24 +101,24 @@
 	return result.New(pr.Error.Code, detail)
 }
 
-// everyone returns every box of the platform's list.
-func (cl *client) everyone() ([]boxes.Box, error) {
+// listBoxes returns the boxes of the platform's list.
+func (cl *client) listBoxes() ([]boxes.Box, error) {
 	var list []boxes.Box
 	err := cl.get("/v1/boxes", &list)
 	return list, err
 }
 
-// askAll calls a path on every box and hands each answer over; a box that
-// does not answer is handed over with its error.
-func (cl *client) askAll(path string, into func() any, got func(bo boxes.Box, value any, err error)) error {
-	list, err := cl.everyone()
+// getFromAll gets a path from every box and decodes each answer into a new value. It passes the value
+// to handle, together with the error if the box did not answer.
+func (cl *client) getFromAll(path string, newValue func() any, handle func(bo boxes.Box, value any, err error)) error {
+	list, err := cl.listBoxes()
 	if err != nil {
 		return err
 	}
 	for _, bo := range list {
-		value := into()
-		one := client{admins: []string{bo.Admin}, key: cl.key, operator: cl.operator}
-		got(bo, value, one.get(path, value))
+		value := newValue()
+		single := client{admins: []string{bo.Admin}, key: cl.key, operator: cl.operator}
+		handle(bo, value, single.get(path, value))
 	}
 	return nil
 }
--- a/cmd/linnetrudderctl/config.go
+++ b/cmd/linnetrudderctl/config.go
@@ -14,14 +14,14 @@
 	"github.com/linnetrudder/linnetrudder/internal/config"
 )
 
-// applyCmd replaces the configuration.
+// applyCmd replaces the configuration with that of a file.
 type applyCmd struct {
-	File   string  `arg:"" help:"Configuration, JSON with comments." type:"path"`
-	Base   *uint64 `help:"Refuse if the revision in force is not this one."`
-	DryRun bool    `help:"Check only."`
+	File   string  `arg:"" help:"Configuration file, JSON with comments." type:"path"`
+	Base   *uint64 `help:"Reject the change if the revision in force is not this one."`
+	DryRun bool    `help:"Validate the file without applying it."`
 }
 
-// Run sends the file.
+// Run sends the file to an entry.
 func (cm *applyCmd) Run(cl *client, pr *printer) error {
 	body, err := os.ReadFile(cm.File)
 	if err != nil {
@@ -47,12 +47,12 @@
 	})
 }
 
-// getCmd prints a configuration.
+// getCmd prints a revision of the configuration.
 type getCmd struct {
-	Revision uint64 `help:"A kept revision; the one in force if not given."`
+	Revision uint64 `help:"Revision to print; defaults to the one in force."`
 }
 
-// Run reads it.
+// Run reads and prints the revision.
 func (cm *getCmd) Run(cl *client, pr *printer) error {
 	ev, err := readRevision(cl, cm.Revision)
 	if err != nil {
@@ -64,6 +64,7 @@
 	})
 }
 
+// readRevision reads a stored revision of the configuration, or the one in force if revision is 0.
 func readRevision(cl *client, revision uint64) (*config.Envelope, error) {
 	path := "/v1/config"
 	if revision > 0 {
@@ -76,10 +77,10 @@
 
 // diffCmd compares a file with the configuration in force.
 type diffCmd struct {
-	File string `arg:"" help:"Configuration, JSON with comments." type:"path"`
+	File string `arg:"" help:"Configuration file, JSON with comments." type:"path"`
 }
 
-// Run reads both and prints the objects that differ.
+// Run reads both configurations and prints the objects that differ.
 func (cm *diffCmd) Run(cl *client, pr *printer) error {
 	body, err := os.ReadFile(cm.File)
 	if err != nil {
@@ -101,10 +102,10 @@
 	})
 }
 
-// historyCmd lists changes.
+// historyCmd lists the newest configuration changes.
 type historyCmd struct{}
 
-// Run reads them.
+// Run reads and prints the changes.
 func (*historyCmd) Run(cl *client, pr *printer) error {
 	var list []config.Change
 	if err := cl.get("/v1/config/history", &list); err != nil {
--- a/cmd/linnetrudderctl/evacuate.go
+++ b/cmd/linnetrudderctl/evacuate.go
@@ -9,21 +9,21 @@
 	"github.com/linnetrudder/linnetrudder/internal/config"
 )
 
-// evacuateCmd empties a data centre or gives it back.
+// evacuateCmd evacuates a data centre or ends its evacuation.
 type evacuateCmd struct {
-	DataCentre string `arg:"" help:"Data centre."`
-	End        bool   `help:"Give it back: its backend servers are used again."`
+	DataCentre string `arg:"" help:"Name of the data centre."`
+	End        bool   `help:"End the evacuation: its backend servers are used again."`
 }
 
-// Run sends the change.
+// Run starts or ends the evacuation.
 func (cm *evacuateCmd) Run(cl *client, pr *printer) error {
-	method, done := http.MethodPost, "gets nothing new"
+	method, outcome := http.MethodPost, "gets no new requests"
 	if cm.End {
-		method, done = http.MethodDelete, "is used again"
+		method, outcome = http.MethodDelete, "is used again"
 	}
 	var ch config.Change
 	if err := cl.call(method, "/v1/evacuations/"+url.PathEscape(cm.DataCentre), nil, &ch); err != nil {
 		return err
 	}
-	return pr.show(ch, func(w io.Writer) { fmt.Fprintf(w, "%s %s as of revision %d\n", cm.DataCentre, done, ch.Revision) })
+	return pr.show(ch, func(w io.Writer) { fmt.Fprintf(w, "%s %s as of revision %d\n", cm.DataCentre, outcome, ch.Revision) })
 }
--- a/cmd/linnetrudderctl/explain.go
+++ b/cmd/linnetrudderctl/explain.go
@@ -14,18 +14,18 @@
 	"github.com/linnetrudder/linnetrudder/internal/result"
 )
 
-// explainCmd asks why.
+// explainCmd explains how a hypothetical request would be routed, or how a past request ended.
 type explainCmd struct {
-	Request string `help:"Id of a request that was made; the entries that kept it are asked."`
-	Team    string `help:"Team of a request that is only thought of."`
-	Model   string `default:"auto" help:"Model that the caller names."`
+	Request string `help:"ID of a past request; the entries are searched for it."`
+	Team    string `help:"Team of a hypothetical request."`
+	Model   string `default:"auto" help:"Model that the request names."`
 	Kind    string `help:"Kind of the request."`
 	Session string `help:"Session of the request."`
-	// Logs stand in place of the entries.
-	Logs []string `help:"Files with the logs of gateways, of any boxes in any order: tells from them what became of --request." type:"existingfile"`
+	// Logs are searched instead of asking the entries.
+	Logs []string `help:"Gateway log files, from any boxes in any order, from which to explain how --request ended." type:"existingfile"`
 }
 
-// Run asks an entry what it would do, or tells from logs what became of a request.
+// Run asks an entry for an explanation, or derives it from log files if any are given.
 func (cm *explainCmd) Run(cl *client, pr *printer) error {
 	if len(cm.Logs) > 0 {
 		return cm.fromLogs(pr)
@@ -52,36 +52,36 @@
 	})
 }
 
-// fromLogs tells what the logs say of a request.
+// fromLogs explains from log files how a request ended.
 func (cm *explainCmd) fromLogs(pr *printer) error {
 	if cm.Request == "" {
 		return result.New(result.BadRequest, "--logs needs --request")
 	}
-	st := explain.Explainer{Request: cm.Request}
+	ex := explain.Explainer{Request: cm.Request}
 	for _, path := range cm.Logs {
-		if err := readLog(&st, path); err != nil {
+		if err := readLog(&ex, path); err != nil {
 			return err
 		}
 	}
-	told, err := st.Explain()
+	sentences, err := ex.Explain()
 	if err != nil {
 		return err
 	}
-	return pr.show(told, func(w io.Writer) {
-		for _, sentence := range told {
+	return pr.show(sentences, func(w io.Writer) {
+		for _, sentence := range sentences {
 			fmt.Fprintln(w, sentence)
 		}
-		if torn := st.MalformedLines(); torn > 0 {
-			fmt.Fprintf(w, "%d torn lines were passed over.\n", torn)
+		if malformed := ex.MalformedLines(); malformed > 0 {
+			fmt.Fprintf(w, "Skipped %d malformed lines.\n", malformed)
 		}
 	})
 }
 
-func readLog(st *explain.Explainer, path string) error {
+func readLog(ex *explain.Explainer, path string) error {
 	file, err := os.Open(path)
 	if err != nil {
 		return eris.Wrap(err, "open log")
 	}
 	defer file.Close()
-	return eris.Wrap(st.Read(file), path)
+	return eris.Wrap(ex.Read(file), path)
 }
--- a/cmd/linnetrudderctl/main.go
+++ b/cmd/linnetrudderctl/main.go
@@ -1,5 +1,5 @@
-// Command linnetrudderctl is the operators' command: it changes and shows
-// what the system does, through the administration API of the entries.
+// Command linnetrudderctl is the command-line client for operators. It shows and changes the
+// configuration and state of the system through the admin API of the entries.
 package main
 
 import "os"
--- a/cmd/linnetrudderctl/root_test.go
+++ b/cmd/linnetrudderctl/root_test.go
@@ -23,25 +23,25 @@
 	"github.com/linnetrudder/linnetrudder/internal/wire"
 )
 
-// fake is an entry's administration API with canned answers by path.
-type fake struct {
+// fakeAdmin is a fake admin API of an entry with fixed answers by method and path.
+type fakeAdmin struct {
 	address string
 	answers map[string]any
-	// operations holds the operation ids of writes.
+	// operations holds the operation IDs of received writes.
 	operations []string
-	// fail answers every call with this code if it is not zero.
+	// fail is the result code of every answer if it is not zero.
 	fail result.Code
 }
 
-func newFake(t *testing.T, answers map[string]any) *fake {
-	fa := &fake{answers: answers}
+func newFakeAdmin(t *testing.T, answers map[string]any) *fakeAdmin {
+	fa := &fakeAdmin{answers: answers}
 	srv := httptest.NewServer(fa)
 	t.Cleanup(srv.Close)
 	fa.address = srv.Listener.Addr().String()
 	return fa
 }
 
-func (fa *fake) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (fa *fakeAdmin) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.Method != http.MethodGet {
 		fa.operations = append(fa.operations, r.Header.Get("Linnetrudder-Operation"))
 		_, _ = io.Copy(io.Discard, r.Body)
@@ -58,14 +58,14 @@
 	_ = json.NewEncoder(w).Encode(answer)
 }
 
-func run(fa string, args ...string) (int, string, string) {
+func run(admin string, args ...string) (int, string, string) {
 	var out, errOut bytes.Buffer
-	code := execute(append(args, "--admin", fa), &out, &errOut)
+	code := execute(append(args, "--admin", admin), &out, &errOut)
 	return code, out.String(), errOut.String()
 }
 
-func TestBillSums(t *testing.T) {
-	fa := newFake(t, map[string]any{"GET /v1/bill": []wire.BillLine{
+func TestBillSumsByTeamAndVersion(t *testing.T) {
+	fa := newFakeAdmin(t, map[string]any{"GET /v1/bill": []wire.BillLine{
 		{Request: "a", Team: "t", Version: "m@v1", Usage: wire.Usage{Prompt: 2, Completion: 3}, Cost: 5},
 		{Request: "b", Team: "t", Version: "m@v1", Usage: wire.Usage{Prompt: 1, Completion: 1}, Cost: 2},
 		{Request: "c", Team: "u", Version: "m@v1", Cost: 9},
@@ -83,8 +83,8 @@
 	entry := func(ms int64, box string) timeline.Entry {
 		return timeline.Entry{Stamp: timeline.Stamp{Wall: ms}, Box: box, Event: event.RequestRouted, Name: "request_routed", Request: "r"}
 	}
-	other := newFake(t, map[string]any{"GET /v1/timeline": []timeline.Entry{entry(2, "agent")}})
-	fa := newFake(t, nil)
+	other := newFakeAdmin(t, map[string]any{"GET /v1/timeline": []timeline.Entry{entry(2, "agent")}})
+	fa := newFakeAdmin(t, nil)
 	fa.answers = map[string]any{
 		"GET /v1/timeline": []timeline.Entry{entry(1, "entry"), entry(3, "entry")},
 		"GET /v1/boxes":    []boxes.Box{{Name: "e", Admin: fa.address}, {Name: "a", Admin: other.address}, {Name: "dead", Admin: "127.0.0.1:1"}},
@@ -105,19 +105,19 @@
 	require.NotContains(t, out, "request_routed")
 }
 
-func TestAWriteKeepsItsOperationOverEntries(t *testing.T) {
-	down := newFake(t, nil)
+func TestWriteIsRetriedWithSameOperationID(t *testing.T) {
+	down := newFakeAdmin(t, nil)
 	down.fail = result.StoreUnknown
-	up := newFake(t, map[string]any{"POST /v1/versions/m/v1": config.Change{Revision: 4}})
+	up := newFakeAdmin(t, map[string]any{"POST /v1/versions/m/v1": config.Change{Revision: 4}})
 	code, out, _ := run(down.address+","+up.address, "withdraw", "m@v1")
 	require.Equal(t, command.OK, code)
 	require.Contains(t, out, "m@v1 is withdrawn as of revision 4")
 	require.Len(t, down.operations, 1)
-	require.Equal(t, down.operations, up.operations, "the same id, so that it is made once")
+	require.Equal(t, down.operations, up.operations, "the same operation ID, so that the write is applied once")
 }
 
-func TestARefusalIsNotTriedElsewhere(t *testing.T) {
-	first, second := newFake(t, nil), newFake(t, nil)
+func TestRejectedWriteIsNotSentToNextEntry(t *testing.T) {
+	first, second := newFakeAdmin(t, nil), newFakeAdmin(t, nil)
 	first.fail = result.Conflict
 	code, _, errOut := run(first.address+","+second.address, "withdraw", "m@v1")
 	require.Equal(t, command.Failed, code)
@@ -126,17 +126,17 @@
 	require.Empty(t, second.operations)
 }
 
-func TestAVersionNeedsItsModel(t *testing.T) {
-	fa := newFake(t, nil)
+func TestVersionWithoutModelIsRejected(t *testing.T) {
+	fa := newFakeAdmin(t, nil)
 	code, _, errOut := run(fa.address, "rollout", "v1", "--share", "0.1")
 	require.Equal(t, command.Failed, code)
 	require.Contains(t, errOut, "want model@version")
 	require.Empty(t, fa.operations)
 }
 
-func TestDiffNamesWhatChanges(t *testing.T) {
+func TestDiffListsChangedObjects(t *testing.T) {
 	doc := &config.Document{Models: []config.Model{{Name: "notes"}, {Name: "old"}}}
-	fa := newFake(t, map[string]any{"GET /v1/config": config.Envelope{Revision: 3, Document: doc}})
+	fa := newFakeAdmin(t, map[string]any{"GET /v1/config": config.Envelope{Revision: 3, Document: doc}})
 	code, out, errOut := run(fa.address, "diff", "../../examples/fleet.jsonc")
 	require.Equal(t, command.OK, code, errOut)
 	require.Contains(t, out, "changed models/notes")
@@ -144,7 +144,7 @@
 	require.Contains(t, out, "added teams/kitchen-a")
 }
 
-func TestExplainTellsFromLogs(t *testing.T) {
+func TestExplainFromLogs(t *testing.T) {
 	dir := t.TempDir()
 	log := filepath.Join(dir, "a.log")
 	require.NoError(t, os.WriteFile(log, []byte(`{"box":"a","event":801,"error":"reset","time":"2026-01-01T00:00:01Z"}
@@ -153,24 +153,24 @@
 	var out, errOut bytes.Buffer
 	require.Equal(t, command.OK, execute([]string{"explain", "--request", "x", "--logs", log}, &out, &errOut), errOut.String())
 	require.Contains(t, out.String(), "Cause: the configuration might be 4.0 s old")
-	require.Contains(t, out.String(), "1 torn lines")
+	require.Contains(t, out.String(), "Skipped 1 malformed lines")
 	require.NotEqual(t, command.OK, execute([]string{"explain", "--request", "y", "--logs", log}, &out, &errOut))
 	require.Contains(t, errOut.String(), "unknown_request")
 	errOut.Reset()
 	require.NotEqual(t, command.OK, execute([]string{"explain", "--logs", log}, &out, &errOut))
 	require.Contains(t, errOut.String(), "--request")
 	errOut.Reset()
-	require.NotEqual(t, command.OK, execute([]string{"status"}, &out, &errOut), "an entry is needed")
+	require.NotEqual(t, command.OK, execute([]string{"status"}, &out, &errOut), "the address of an entry is required")
 	require.Contains(t, errOut.String(), "--admin")
 }
 
-func TestADataCentreIsEmptiedAndGivenBack(t *testing.T) {
-	fa := newFake(t, map[string]any{
+func TestEvacuateAndEndEvacuation(t *testing.T) {
+	fa := newFakeAdmin(t, map[string]any{
 		"POST /v1/evacuations/north": config.Change{Revision: 4}, "DELETE /v1/evacuations/north": config.Change{Revision: 5},
 	})
 	code, out, _ := run(fa.address, "evacuate", "north")
 	require.Equal(t, command.OK, code)
-	require.Contains(t, out, "north gets nothing new as of revision 4")
+	require.Contains(t, out, "north gets no new requests as of revision 4")
 	code, out, _ = run(fa.address, "evacuate", "north", "--end")
 	require.Equal(t, command.OK, code)
 	require.Contains(t, out, "north is used again as of revision 5")
--- a/cmd/linnetrudderctl/status.go
+++ b/cmd/linnetrudderctl/status.go
@@ -8,10 +8,10 @@
 	"github.com/linnetrudder/linnetrudder/internal/node"
 )
 
-// statusCmd shows every box.
+// statusCmd prints the status of every box.
 type statusCmd struct{}
 
-// boxStatus is one box of the list and what it says of itself.
+// boxStatus is a box of the platform's list with the status that it reports.
 type boxStatus struct {
 	Box        string     `json:"box"`
 	DataCentre string     `json:"data_centre"`
@@ -22,10 +22,10 @@
 	Error string `json:"error,omitempty"`
 }
 
-// Run asks each box.
+// Run reads and prints the status of each box.
 func (*statusCmd) Run(cl *client, pr *printer) error {
 	var all []boxStatus
-	err := cl.askAll("/v1/status", func() any { return &node.Status{} }, func(bo boxes.Box, value any, err error) {
+	err := cl.getFromAll("/v1/status", func() any { return &node.Status{} }, func(bo boxes.Box, value any, err error) {
 		bs := boxStatus{Box: bo.Name, DataCentre: bo.DataCentre, Role: bo.Role}
 		if st, ok := value.(*node.Status); ok && err == nil {
 			bs.Revision, bs.Stopping = st.Revision, st.Stopping
--- a/cmd/linnetrudderctl/timeline.go
+++ b/cmd/linnetrudderctl/timeline.go
@@ -14,23 +14,23 @@
 	"github.com/linnetrudder/linnetrudder/internal/timeline"
 )
 
-// timelineCmd merges time lines.
+// timelineCmd merges the timelines of all boxes.
 type timelineCmd struct {
-	Request string        `help:"Only this request."`
-	Team    string        `help:"Only this team."`
-	Version string        `help:"Only this version."`
-	Last    time.Duration `help:"Only this long back from now."`
-	Picture string        `help:"Write an SVG picture to this file." type:"path"`
+	Request string        `help:"Show only this request."`
+	Team    string        `help:"Show only this team."`
+	Version string        `help:"Show only this version."`
+	Last    time.Duration `help:"Show only events of this last period."`
+	Picture string        `help:"Write an SVG image to this file." type:"path"`
 }
 
-// Run asks each box and merges.
+// Run reads the timeline of each box and prints or draws the merged events.
 func (cm *timelineCmd) Run(cl *client, pr *printer) error {
 	var lists [][]timeline.Entry
-	var silent []string
-	err := cl.askAll("/v1/timeline", func() any { return &[]timeline.Entry{} }, func(bo boxes.Box, value any, err error) {
+	var unreachable []string
+	err := cl.getFromAll("/v1/timeline", func() any { return &[]timeline.Entry{} }, func(bo boxes.Box, value any, err error) {
 		list, ok := value.(*[]timeline.Entry)
 		if err != nil || !ok {
-			silent = append(silent, bo.Name)
+			unreachable = append(unreachable, bo.Name)
 			return
 		}
 		lists = append(lists, *list)
@@ -38,7 +38,7 @@
 	if err != nil {
 		return err
 	}
-	all := slices.DeleteFunc(timeline.Merge(lists...), func(en timeline.Entry) bool { return !cm.wants(en, time.Now()) })
+	all := slices.DeleteFunc(timeline.Merge(lists...), func(en timeline.Entry) bool { return !cm.matches(en, time.Now()) })
 	if cm.Picture != "" {
 		return cm.draw(all)
 	}
@@ -48,22 +48,22 @@
 			fmt.Fprintf(w, "%s+%d\t%s\t%s\t%d %s\t%s %s %s %s\n", at, en.Stamp.Count, en.DataCentre, en.Box,
 				en.Event, en.Name, en.Request, en.Team, en.Version, en.Detail)
 		}
-		for _, box := range silent {
+		for _, box := range unreachable {
 			fmt.Fprintf(w, "no answer from %s\n", box)
 		}
 	})
 }
 
-// draw writes the picture.
+// draw writes the SVG image to the file of --picture.
 func (cm *timelineCmd) draw(all []timeline.Entry) error {
 	var buf bytes.Buffer
 	if err := timeline.WriteSVG(&buf, all); err != nil {
 		return err
 	}
-	return eris.Wrap(os.WriteFile(cm.Picture, buf.Bytes(), 0o600), "picture")
+	return eris.Wrap(os.WriteFile(cm.Picture, buf.Bytes(), 0o600), "write SVG file")
 }
 
-func (cm *timelineCmd) wants(en timeline.Entry, now time.Time) bool {
+func (cm *timelineCmd) matches(en timeline.Entry, now time.Time) bool {
 	if cm.Last > 0 && en.Stamp.Wall < now.Add(-cm.Last).UnixMilli() {
 		return false
 	}
--- a/cmd/linnetrudderctl/versions.go
+++ b/cmd/linnetrudderctl/versions.go
@@ -13,10 +13,10 @@
 	"github.com/linnetrudder/linnetrudder/internal/result"
 )
 
-// versionsCmd lists versions.
+// versionsCmd lists the versions with their states and shares.
 type versionsCmd struct{}
 
-// Run reads them.
+// Run reads and prints the versions.
 func (*versionsCmd) Run(cl *client, pr *printer) error {
 	ev, err := readRevision(cl, 0)
 	if err != nil {
@@ -30,13 +30,13 @@
 	})
 }
 
-// rolloutCmd sets a share.
+// rolloutCmd sets a version's share of new requests.
 type rolloutCmd struct {
 	Version string  `arg:"" help:"model@version"`
-	Share   float64 `required:"" help:"Part of the model's new work, from 0 to 1; 1 makes the version serving."`
+	Share   float64 `required:"" help:"Share of the model's new requests, from 0 to 1; 1 sets the version's state to serving."`
 }
 
-// Run sends the change.
+// Run sets the share and the state that follows from it.
 func (cm *rolloutCmd) Run(cl *client, pr *printer) error {
 	state := config.RollingIn
 	if cm.Share >= 1 {
@@ -48,10 +48,10 @@
 // withdrawCmd withdraws a version.
 type withdrawCmd struct {
 	Version string `arg:"" help:"model@version"`
-	Slowly  bool   `help:"Let its sessions end on it; only new ones are kept away."`
+	Slowly  bool   `help:"Let existing sessions continue on the version; only new sessions are not sent to it."`
 }
 
-// Run sends the change.
+// Run sets the version's state to withdrawn, or to rolling out with --slowly.
 func (cm *withdrawCmd) Run(cl *client, pr *printer) error {
 	state := config.Withdrawn
 	if cm.Slowly {
