--- a/internal/boxes/boxes.go
+++ b/internal/boxes/boxes.go
@@ -1,5 +1,5 @@
-// Package boxes reads the platform's list of live and leaving boxes, which
-// lags behind reality.
+// Package boxes reads the platform's list of live and leaving boxes. The list is eventually consistent:
+// it may lag behind the actual state of the boxes.
 package boxes
 
 import (
@@ -13,7 +13,7 @@
 	"github.com/linnetrudder/linnetrudder/internal/result"
 )
 
-// Role is what runs on a box.
+// Role is the role of the process on a box.
 type Role string
 
 // The roles.
@@ -22,7 +22,7 @@
 	Agent Role = "agent"
 )
 
-// State is what the platform says of a box.
+// State is the state of a box according to the platform.
 type State string
 
 // The states.
@@ -31,34 +31,33 @@
 	Leaving State = "leaving"
 )
 
-// Box is one box as it stands in the list.
+// Box is an entry in the list of boxes.
 type Box struct {
 	Name       string `json:"box"`
 	Role       Role   `json:"role"`
 	DataCentre string `json:"data_centre"`
-	// Address is where the box's process is reached.
+	// Address is the IP address and port of the box's process.
 	Address string `json:"address"`
-	// Admin is its admin port.
+	// Admin is the IP address and port of its admin API.
 	Admin string `json:"admin"`
-	// Server is the backend server beside an agent.
+	// Server is the backend server on an agent's box.
 	Server string `json:"server,omitempty"`
 	State  State  `json:"state"`
 }
 
-// maxList bounds the list in bytes.
-const maxList = 8 << 20
+// maxListBytes is the maximum size of the list.
+const maxListBytes = 8 << 20
 
 // Client reads the list over HTTP. Its fields are set before use.
 type Client struct {
-	// Address is the IP number and port of the list.
+	// Address is the IP address and port of the service that provides the list.
 	Address string
-	// Timeout bounds one reading.
+	// Timeout is the timeout of one call.
 	Timeout time.Duration
 	HTTP    *http.Client
 }
 
-// List reads the list. Boxes whose address is not an IP number and port are
-// left out.
+// List returns the boxes in the list that have a name and a valid address.
 func (cl *Client) List(ctx context.Context) ([]Box, error) {
 	ctx, cancel := context.WithTimeout(ctx, cl.Timeout)
 	defer cancel()
@@ -74,24 +73,25 @@
 	if resp.StatusCode != http.StatusOK {
 		return nil, result.New(result.StoreDown, "list of boxes: "+resp.Status)
 	}
-	data, err := io.ReadAll(io.LimitReader(resp.Body, maxList))
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxListBytes))
 	if err != nil {
 		return nil, result.New(result.StoreDown, "list of boxes: "+err.Error())
 	}
 	return Decode(data)
 }
 
-// Decode reads a list and leaves out what cannot be reached.
+// Decode parses a list. It omits boxes without a name or whose address is not an IP address and port,
+// since they can't be reached.
 func Decode(data []byte) ([]Box, error) {
 	var all []Box
 	if err := json.Unmarshal(data, &all); err != nil {
 		return nil, result.New(result.StoreDown, "list of boxes: "+err.Error())
 	}
-	good := all[:0]
+	reachable := all[:0]
 	for _, bo := range all {
 		if _, err := netip.ParseAddrPort(bo.Address); err == nil && bo.Name != "" {
-			good = append(good, bo)
+			reachable = append(reachable, bo)
 		}
 	}
-	return good, nil
+	return reachable, nil
 }
--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -1,6 +1,5 @@
-// Package command runs a command line the same way for every binary: it
-// parses, runs the chosen command, and turns errors into numbered lines and
-// exit codes.
+// Package command runs the command lines of the binaries: it parses the arguments, runs the selected
+// command, and reports errors with their result codes and an exit code.
 package command
 
 import (
@@ -15,24 +14,24 @@
 
 // The exit codes.
 const (
-	// OK means done.
+	// OK means success.
 	OK = 0
-	// Failed means refused or failed, with a number where there is one.
+	// Failed means that the command was refused or failed. The result code is printed if there is one.
 	Failed = 1
-	// Usage means that the command line was wrong.
+	// Usage means that the command line is invalid.
 	Usage = 2
 )
 
-// Program is one binary's command line. Its fields are set before Run.
+// Program is the command line of a binary. Its fields are set before Run.
 type Program struct {
 	// Name and Description are shown in the help.
 	Name, Description string
-	// Root is a pointer to the struct of commands.
+	// Root is a pointer to the kong struct that declares the commands and flags.
 	Root any
-	// Bind returns what the commands' Run methods are given; it is called
-	// after the command line was parsed.
+	// Bind returns the arguments for the commands' Run methods. It is called after the command line is
+	// parsed.
 	Bind func() []any
-	// Out and Err are where the command writes.
+	// Out and Err are the output streams of the command.
 	Out, Err io.Writer
 }
 
--- a/internal/rendezvous/rendezvous.go
+++ b/internal/rendezvous/rendezvous.go
@@ -1,6 +1,6 @@
-// Package rendezvous ranks names for a key by highest random weight, so that
-// processes with the same list agree without a word and a change of the list
-// moves only what it must.
+// Package rendezvous implements rendezvous hashing (highest random weight). Processes with the same
+// list of names rank them in the same order without communicating, and a change to the list moves as
+// few keys as possible.
 package rendezvous
 
 import (
@@ -10,7 +10,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Rank returns the names in order of weight for the key, heaviest first.
+// Rank returns the names in descending order of their weights for the key.
 func Rank(key string, names []string) []string {
 	ranked := slices.Clone(names)
 	slices.SortFunc(ranked, func(a, b string) int {
@@ -19,12 +19,13 @@
 	return ranked
 }
 
-// First returns the heaviest name, "" if there is none. It costs one pass.
+// First returns the name with the highest weight for the key, or "" if there are no names. It takes
+// one pass over the names and does not sort them.
 func First(key string, names []string) string {
-	best, most := "", uint64(0)
+	best, maxWeight := "", uint64(0)
 	for _, na := range names {
-		if we := weight(key, na); best == "" || we > most || we == most && na < best {
-			best, most = na, we
+		if we := weight(key, na); best == "" || we > maxWeight || we == maxWeight && na < best {
+			best, maxWeight = na, we
 		}
 	}
 	return best
--- a/internal/seeded/seeded.go
+++ b/internal/seeded/seeded.go
@@ -1,5 +1,5 @@
-// Package seeded gives property tests a fixed seed, so that a run in CI always
-// has the same verdict. Another seed can be given with -rapid.seed.
+// Package seeded runs property tests with a fixed seed, so that CI runs are reproducible. Another seed
+// can be set with -rapid.seed.
 package seeded
 
 import (
@@ -8,10 +8,11 @@
 	"testing"
 )
 
-// seed is the date of the first tests.
+// seed is an arbitrary fixed number.
 const seed = "20261202"
 
-// Main runs a package's tests; it is called from TestMain.
+// Main runs a package's tests with the fixed seed and without rapid's files of failed cases, and exits.
+// It is called from TestMain.
 func Main(m *testing.M) {
 	for name, value := range map[string]string{"rapid.seed": seed, "rapid.nofailfile": "true"} {
 		if flag.Lookup(name) == nil {
--- a/internal/selector/selector.go
+++ b/internal/selector/selector.go
@@ -1,5 +1,5 @@
-// Package selector matches labels. A selector is written as JSON and has
-// equality, membership, negation and conjunction.
+// Package selector implements label selectors. A selector is encoded as JSON and supports equality, set
+// membership, negation and conjunction.
 package selector
 
 import (
@@ -7,22 +7,22 @@
 	"strings"
 )
 
-// Labels are the names and values that operators give to an object.
+// Labels are the labels that operators set on an object, by name.
 type Labels map[string]string
 
-// Selector is one condition on labels. The zero value matches everything.
+// Selector is a condition on labels. All of its parts must be met; the zero value matches everything.
 type Selector struct {
-	// Equal holds labels that must be present with exactly this value.
+	// Equal holds the labels that must be present, with their exact values.
 	Equal map[string]string `json:"equal,omitempty"`
-	// In holds labels whose value must be one of a list.
+	// In holds the labels that must be present, with the lists of their allowed values.
 	In map[string][]string `json:"in,omitempty"`
-	// Not must not match. It is nil if nothing is excluded.
+	// Not is a selector that must not match, or nil.
 	Not *Selector `json:"not,omitempty"`
-	// And must match as a whole.
+	// And holds selectors that must all match.
 	And []Selector `json:"and,omitempty"`
 }
 
-// Match reports whether the labels meet every part of the selector.
+// Match reports whether the labels match the selector.
 func (se *Selector) Match(la Labels) bool {
 	for na, want := range se.Equal {
 		if got, ok := la[na]; !ok || got != want {
@@ -46,7 +46,8 @@
 	return true
 }
 
-// InvalidPath returns the path of the first part that can never match, or "".
+// InvalidPath returns the path of the first invalid part of the selector, which has an empty label name
+// or an empty list of values, or "" if the selector is valid.
 func (se *Selector) InvalidPath() string {
 	for na := range se.Equal {
 		if strings.TrimSpace(na) == "" {
--- a/internal/selector/selector_test.go
+++ b/internal/selector/selector_test.go
@@ -32,7 +32,7 @@
 	}
 }
 
-func TestProblem(t *testing.T) {
+func TestInvalidPath(t *testing.T) {
 	empty := Selector{In: map[string][]string{"a": nil}}
 	nested := Selector{Not: &Selector{And: []Selector{empty}}}
 	require.Equal(t, "in.a", empty.InvalidPath())
--- a/internal/tables/tables_test.go
+++ b/internal/tables/tables_test.go
@@ -1,5 +1,4 @@
-// Package tables checks the tables of the docs against the code. With -update
-// it writes them.
+// Package tables checks that the tables in the docs match the code. With -update it regenerates them.
 package tables
 
 import (
@@ -15,9 +14,9 @@
 	"github.com/linnetrudder/linnetrudder/internal/result"
 )
 
-var update = flag.Bool("update", false, "write the tables")
+var update = flag.Bool("update", false, "regenerate the tables")
 
-func check(t *testing.T, path, want string) {
+func requireTable(t *testing.T, path, want string) {
 	t.Helper()
 	if *update {
 		require.NoError(t, os.WriteFile(path, []byte(want), 0o600))
@@ -27,29 +26,29 @@
 	require.Equal(t, want, string(got), "run go test ./internal/tables -update")
 }
 
-func TestCodes(t *testing.T) {
+func TestCodesTable(t *testing.T) {
 	var sb strings.Builder
-	sb.WriteString("# Result codes\n\nEvery answer that is an error, every refusal and every failed command carries\n" +
-		"one of these numbers. \"Run\" is what a caller may conclude of its request.\n" +
-		"\"Come back\" is the least time after which the same request may do better; an\n" +
-		"answer may name a longer one. A dash means that it will not.\n\n" +
-		"| code | name | HTTP | run | come back | meaning |\n| --- | --- | --- | --- | --- | --- |\n")
+	sb.WriteString("# Result codes\n\nEvery error answer, every refusal and every failed command carries one of these\n" +
+		"numbers. \"Run\" states whether the request has run on a backend server. \"Retry\n" +
+		"after\" is the least time after which the same request may succeed; an answer may\n" +
+		"name a longer one. A dash means that it should not be retried unchanged.\n\n" +
+		"| code | name | HTTP | run | retry after | meaning |\n| --- | --- | --- | --- | --- | --- |\n")
 	seen := map[string]bool{}
 	for _, ro := range result.Rows() {
-		back := "-"
+		retryAfter := "-"
 		if ro.RetryAfter() > 0 {
-			back = ro.RetryAfter().String()
+			retryAfter = ro.RetryAfter().String()
 		}
-		fmt.Fprintf(&sb, "| %d | %s | %d | %s | %s | %s |\n", ro.Code(), ro.Name(), ro.Status(), ro.Run(), back, ro.Text())
+		fmt.Fprintf(&sb, "| %d | %s | %d | %s | %s | %s |\n", ro.Code(), ro.Name(), ro.Status(), ro.Run(), retryAfter, ro.Text())
 		require.False(t, seen[ro.Name()] || seen[fmt.Sprint(ro.Code())], ro.Name())
 		seen[ro.Name()], seen[fmt.Sprint(ro.Code())] = true, true
 	}
-	check(t, "../../docs/codes.md", sb.String())
+	requireTable(t, "../../docs/codes.md", sb.String())
 }
 
-func TestEvents(t *testing.T) {
+func TestEventsTable(t *testing.T) {
 	var sb strings.Builder
-	sb.WriteString("# Events\n\nEvery process logs these events and keeps the newest for the time line\n" +
+	sb.WriteString("# Events\n\nEvery process logs these events and records the newest in its timeline\n" +
 		"(`linnetrudderctl timeline`). Events of requests and attempts (200 to 399) are\n" +
 		"logged at level debug, all others at level info.\n\n| event | name | meaning |\n| --- | --- | --- |\n")
 	seen := map[event.ID]bool{}
@@ -58,5 +57,5 @@
 		require.False(t, seen[ro.ID()], ro.Name())
 		seen[ro.ID()] = true
 	}
-	check(t, "../../docs/events.md", sb.String())
+	requireTable(t, "../../docs/events.md", sb.String())
 }
