--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -71,7 +71,7 @@
 	// so nothing under it may call what takes the node's lock.
 	mu     sync.Mutex
 	gate   gate.Gate
-	ledger bill.Ledger
+	ledger bill.Outbox
 	writer bill.Writer
 	// streams holds the attempts that wait or run.
 	streams map[gate.Key]*stream
@@ -125,8 +125,8 @@
 func (ag *Agent) prepare() {
 	se := ag.Node.Settings
 	ag.gate = gate.Gate{Server: se.Server.Name, MaxQueued: se.Limits.Queue}
-	ag.ledger = bill.Ledger{Bound: se.Limits.Bills, Grace: ownGrace, Every: billRepeat}
-	ag.writer = bill.Writer{Flush: se.Limits.BillFlush(), Bound: se.Limits.Bills}
+	ag.ledger = bill.Outbox{Capacity: se.Limits.Bills, InitialDelay: ownGrace, RetryInterval: billRepeat}
+	ag.writer = bill.Writer{FlushInterval: se.Limits.BillFlush(), Capacity: se.Limits.Bills}
 	ag.streams = map[gate.Key]*stream{}
 	ag.reconciler = order.Reconciler{Holder: se.Box + "/" + uuid.NewString()}
 	ag.logs = map[int]*claim.Log{}
@@ -235,7 +235,7 @@
 		ag.takeClaims(li, fr.Claims)
 	case wire.Bill:
 		ag.mu.Lock()
-		ag.writer.Take(li.Peer.Box(), fr.Bills, time.Now())
+		ag.writer.Enqueue(li.Peer.Box(), fr.Bills, time.Now())
 		ag.mu.Unlock()
 	case wire.Billed:
 		ag.billed(fr.Bills)
@@ -245,7 +245,7 @@
 func (ag *Agent) billed(lines []wire.BillLine) {
 	ag.mu.Lock()
 	defer ag.mu.Unlock()
-	ag.ledger.Durable(lines)
+	ag.ledger.RemoveDurable(lines)
 }
 
 // confirm takes the answer to the newest question.
@@ -308,7 +308,7 @@
 func (ag *Agent) drain() {
 	ag.Node.Stop()
 	ag.mu.Lock()
-	ag.ledger.MakeDue(time.Now())
+	ag.ledger.MakeAllDue(time.Now())
 	ag.act(ag.gate.Leave(clock.Now()))
 	ag.mu.Unlock()
 	for _, li := range ag.Node.Links() {
--- a/internal/agent/bills.go
+++ b/internal/agent/bills.go
@@ -28,7 +28,7 @@
 		return
 	}
 	ag.mu.Lock()
-	lines := ag.ledger.Due(billsPerOffer, now)
+	lines := ag.ledger.TakeDue(billsPerOffer, now)
 	ag.mu.Unlock()
 	if len(lines) > 0 {
 		li := links[rand.IntN(len(links))]
@@ -44,7 +44,7 @@
 func (ag *Agent) writeDue(ctx context.Context) {
 	for {
 		ag.mu.Lock()
-		wr, ok := ag.writer.Due(time.Now(), ag.Node.Stopping())
+		wr, ok := ag.writer.NextWrite(time.Now(), ag.Node.Stopping())
 		ag.mu.Unlock()
 		if !ok {
 			return
@@ -64,7 +64,7 @@
 		ag.Node.Note(timeline.Entry{Event: event.BillWritten, Detail: wr.Key()})
 	}
 	ag.mu.Lock()
-	acs := ag.writer.Written(wr.Key(), err == nil, time.Now())
+	acs := ag.writer.HandleWrite(wr.Key(), err == nil, time.Now())
 	ag.mu.Unlock()
 	for _, ac := range acs {
 		kind := wire.Taken
--- a/internal/agent/claims.go
+++ b/internal/agent/claims.go
@@ -48,7 +48,7 @@
 	lo := ag.logs[shard]
 	if lo == nil {
 		flush := ag.Node.Settings.Limits.ClaimFlush()
-		lo = &claim.Log{Shard: shard, Flush: flush, Patience: claimPatience}
+		lo = &claim.Log{Shard: shard, FlushInterval: flush, ClaimTimeout: claimPatience}
 		ag.logs[shard] = lo
 	}
 	return lo
@@ -119,19 +119,19 @@
 		pairs, loadErr := ag.Store.List(ctx, op.Key())
 		err = loadErr
 		ag.mu.Lock()
-		res = lo.Loaded(pairs, err, time.Now())
+		res = lo.HandleLoad(pairs, err, time.Now())
 		ag.mu.Unlock()
 	case claim.Read:
 		pair, readErr := ag.Store.Get(ctx, op.Key())
 		err = readErr
 		ag.mu.Lock()
-		res = lo.Read(pair, err, time.Now())
+		res = lo.HandleRead(pair, err, time.Now())
 		ag.mu.Unlock()
 	case claim.Swap:
 		made, swapErr := ag.Store.Swap(ctx, op.Key(), op.Value(), op.Index())
 		err = swapErr
 		ag.mu.Lock()
-		res = lo.Swapped(made, err, time.Now())
+		res = lo.HandleSwap(made, err, time.Now())
 		ag.mu.Unlock()
 	}
 	if err != nil {
--- a/internal/agent/ends.go
+++ b/internal/agent/ends.go
@@ -81,7 +81,7 @@
 func (ag *Agent) serverEnded(now time.Time) {
 	ag.mu.Lock()
 	suspects, at := ag.dispatched.Crashed(ag.server(), now)
-	life := ag.server() + "@" + strconv.FormatInt(clock.Day().UnixMilli(), 36)
+	life := ag.server() + "@" + strconv.FormatInt(clock.WallTime().UnixMilli(), 36)
 	var list []poison.Suspicion
 	for _, ru := range suspects {
 		if !ru.Fingerprint().IsZero() && !ag.cases.IsHarmless(ru.Fingerprint()) {
--- a/internal/agent/orders.go
+++ b/internal/agent/orders.go
@@ -24,9 +24,9 @@
 
 // orderBody is an order as the engine takes it.
 type orderBody struct {
-	Do      order.Do `json:"do"`
-	Version string   `json:"version"`
-	Fence   uint64   `json:"fence"`
+	Do      order.ActionKind `json:"do"`
+	Version string           `json:"version"`
+	Fence   uint64           `json:"fence"`
 }
 
 // heldBody is what the engine says that it holds.
@@ -65,7 +65,7 @@
 func (ag *Agent) nextOrder(se *config.Server) (order.Action, bool) {
 	ag.mu.Lock()
 	defer ag.mu.Unlock()
-	ag.reconciler.Want(se.Versions)
+	ag.reconciler.SetDesired(se.Versions)
 	if ag.gate.ServerLeaving() {
 		return order.Action{}, false
 	}
@@ -84,16 +84,16 @@
 
 func (ag *Agent) doOrder(ctx context.Context, ac order.Action) {
 	key := order.Prefix + ag.Node.Settings.Server.Name
-	switch ac.Do() {
-	case order.Look:
+	switch ac.Kind() {
+	case order.ListVersions:
 		held, err := ag.look(ctx)
 		ag.mu.Lock()
 		defer ag.mu.Unlock()
-		ag.reconciler.Looked(held, err, time.Now())
+		ag.reconciler.HandleList(held, err, time.Now())
 		if err == nil {
 			ag.gate.SetLoaded(held)
 		}
-	case order.Read:
+	case order.ReadLease:
 		pair, err := ag.Store.Get(ctx, key)
 		var lease order.Lease
 		if err == nil && len(pair.Value) > 0 {
@@ -101,21 +101,21 @@
 		}
 		ag.mu.Lock()
 		defer ag.mu.Unlock()
-		ag.reconciler.Have(lease, pair.Index, err, time.Now())
-	case order.Take:
+		ag.reconciler.HandleLease(lease, pair.Index, err, time.Now())
+	case order.AcquireLease:
 		value, err := json.Marshal(ac.Lease())
 		if err == nil {
 			_, err = ag.Store.Swap(ctx, key, value, ac.Index())
 		}
 		ag.mu.Lock()
 		defer ag.mu.Unlock()
-		ag.reconciler.Took(err, time.Now())
+		ag.reconciler.HandleAcquire(err, time.Now())
 	default:
 		err := ag.send(ctx, ac)
-		ag.Node.Note(timeline.Entry{Event: event.OrderGiven, Version: ac.Version(), Detail: string(ac.Do()) + orderOutcome(err)})
+		ag.Node.Note(timeline.Entry{Event: event.OrderGiven, Version: ac.Version(), Detail: string(ac.Kind()) + orderOutcome(err)})
 		ag.mu.Lock()
 		defer ag.mu.Unlock()
-		ag.reconciler.Ordered(err, time.Now())
+		ag.reconciler.HandleOrder(err, time.Now())
 	}
 }
 
@@ -135,7 +135,7 @@
 
 // send gives an order.
 func (ag *Agent) send(ctx context.Context, ac order.Action) error {
-	body, err := json.Marshal(orderBody{Do: ac.Do(), Version: ac.Version(), Fence: ac.Lease().Fence})
+	body, err := json.Marshal(orderBody{Do: ac.Kind(), Version: ac.Version(), Fence: ac.Lease().Fence})
 	if err != nil {
 		return eris.Wrap(err, "order")
 	}
--- a/internal/agent/run.go
+++ b/internal/agent/run.go
@@ -177,7 +177,7 @@
 	ag.ledger.Add(li, time.Now())
 	select {
 	case <-ru.li.Done():
-		ag.ledger.MakeDue(time.Now())
+		ag.ledger.MakeAllDue(time.Now())
 	default:
 	}
 	return li
--- a/internal/agent/selfreports.go
+++ b/internal/agent/selfreports.go
@@ -28,7 +28,7 @@
 
 // applySelfReport records what the server reports about itself in the head of an answer.
 func (ag *Agent) applySelfReport(resp *http.Response) {
-	re := selfReports.Decode(resp.StatusCode, resp.Header, clock.Day())
+	re := selfReports.Decode(resp.StatusCode, resp.Header, clock.WallTime())
 	if re.Err != nil {
 		ag.Node.Note(timeline.Entry{Event: event.ReportUnreadable, Detail: re.Err.Error()})
 	}
@@ -90,7 +90,7 @@
 		ag.Node.Note(timeline.Entry{Event: event.ServerUnclear, Detail: err.Error()})
 		return
 	}
-	if selfReports.Decode(resp.StatusCode, resp.Header, clock.Day()).Leaving {
+	if selfReports.Decode(resp.StatusCode, resp.Header, clock.WallTime()).Leaving {
 		return
 	}
 	ag.mu.Lock()
--- a/internal/agent/selfreports_test.go
+++ b/internal/agent/selfreports_test.go
@@ -199,10 +199,10 @@
 	se := &config.Server{Versions: []string{"m@v1"}}
 	ac, ok := ag.nextOrder(se)
 	require.True(t, ok)
-	require.Equal(t, order.Look, ac.Do())
+	require.Equal(t, order.ListVersions, ac.Kind())
 	require.NoError(t, ag.callOrders(t.Context(), http.MethodPost, nil, nil))
 	require.True(t, ag.gate.ServerLeaving(), "answers to orders announce it as well")
-	ag.reconciler.Looked(nil, nil, clock.Now())
+	ag.reconciler.HandleList(nil, nil, clock.Now())
 	_, ok = ag.nextOrder(se)
 	require.False(t, ok)
 }
--- a/internal/agent/streams.go
+++ b/internal/agent/streams.go
@@ -102,7 +102,7 @@
 // may not be repeated.
 func (ag *Agent) cutStreams(li *link.Link) {
 	ag.mu.Lock()
-	ag.ledger.MakeDue(time.Now())
+	ag.ledger.MakeAllDue(time.Now())
 	var cut []gate.Key
 	for key, st := range ag.streams {
 		if st.li == li && (st.cancel == nil || !st.at.Once) {
--- a/internal/bill/bill_test.go
+++ b/internal/bill/bill_test.go
@@ -116,68 +116,68 @@
 }
 
 func TestTheLedgerHoldsUntilDurable(t *testing.T) {
-	le := Ledger{Bound: 2, Grace: time.Second, Every: 10 * time.Second}
+	le := Outbox{Capacity: 2, InitialDelay: time.Second, RetryInterval: 10 * time.Second}
 	le.Add(line("a", 0), start)
 	le.Add(line("a", 0), start)
 	require.Equal(t, 1, le.Len())
-	require.Empty(t, le.Due(10, start), "the entry hands it on first")
-	require.Len(t, le.Due(10, start.Add(time.Second)), 1)
-	require.Empty(t, le.Due(10, start.Add(2*time.Second)))
-	require.Len(t, le.Due(10, start.Add(12*time.Second)), 1, "nobody has confirmed it")
+	require.Empty(t, le.TakeDue(10, start), "the entry hands it on first")
+	require.Len(t, le.TakeDue(10, start.Add(time.Second)), 1)
+	require.Empty(t, le.TakeDue(10, start.Add(2*time.Second)))
+	require.Len(t, le.TakeDue(10, start.Add(12*time.Second)), 1, "nobody has confirmed it")
 	le.Add(line("b", 0), start)
 	require.True(t, le.Full())
-	le.Durable([]wire.BillLine{{Request: "a"}, {Request: "b"}})
+	le.RemoveDurable([]wire.BillLine{{Request: "a"}, {Request: "b"}})
 	require.Zero(t, le.Len())
 }
 
 func TestAnOutageCostsFewRepeats(t *testing.T) {
-	le := Ledger{Bound: 10, Every: 20 * time.Second}
+	le := Outbox{Capacity: 10, RetryInterval: 20 * time.Second}
 	le.Add(line("a", 0), start)
 	offers := 0
 	for now := start; now.Before(start.Add(time.Hour)); now = now.Add(time.Second) {
-		offers += len(le.Due(10, now))
+		offers += len(le.TakeDue(10, now))
 	}
 	require.LessOrEqual(t, offers, 11)
 	require.GreaterOrEqual(t, offers, 6, "a writer that was lost is replaced in ten minutes")
 }
 
 func TestAnEntryLetsGoOfWhatItsWriterHolds(t *testing.T) {
-	le := Ledger{Bound: 10, Spare: 1}
+	le := Outbox{Capacity: 10, SoftLimit: 1}
 	le.Add(line("a", 0), start)
-	le.Taken([]wire.BillLine{line("a", 0)})
+	le.RemoveAccepted([]wire.BillLine{line("a", 0)})
 	require.Equal(t, 1, le.Len(), "a few are kept all the same")
 	le.Add(line("b", 0), start)
-	le.Taken([]wire.BillLine{line("b", 0)})
+	le.RemoveAccepted([]wire.BillLine{line("b", 0)})
 	require.Equal(t, 1, le.Len())
 }
 
 func TestTheWriterHoldsALineOnceHoweverOftenItIsHandedOn(t *testing.T) {
-	wr := Writer{Bound: 10}
+	wr := Writer{Capacity: 10}
 	id := NewRequestID("dc")
 	for range 100 {
-		wr.Take("e1", []wire.BillLine{line(id, 0)}, start)
+		wr.Enqueue("e1", []wire.BillLine{line(id, 0)}, start)
 	}
 	require.Equal(t, 1, wr.size)
-	due, _ := wr.Due(start, true)
+	due, _ := wr.NextWrite(start, true)
 	require.Len(t, due.Lines(), 1)
-	require.Len(t, wr.Written(due.Key(), true, start), 1)
+	require.Len(t, wr.HandleWrite(due.Key(), true, start), 1)
 }
 
 func TestTheWriterAcknowledgesOnlyWhatIsDurable(t *testing.T) {
-	wr := Writer{Flush: time.Second, Bound: 10}
+	wr := Writer{FlushInterval: time.Second, Capacity: 10}
 	id := NewRequestID("dc")
-	wr.Take("e1", []wire.BillLine{line(id, 0)}, start)
-	wr.Take("e2", []wire.BillLine{line(id, 0), line("malformed", 0)}, start)
-	_, ok := wr.Due(start, false)
+	wr.Enqueue("e1", []wire.BillLine{line(id, 0)}, start)
+	wr.Enqueue("e2", []wire.BillLine{line(id, 0), line("malformed", 0)}, start)
+	_, ok := wr.NextWrite(start, false)
 	require.False(t, ok, "it gathers first")
-	due, ok := wr.Due(start.Add(time.Second), false)
+	due, ok := wr.NextWrite(start.Add(time.Second), false)
 	require.True(t, ok)
-	held := wr.Written(due.Key(), false, start)
+	held := wr.HandleWrite(due.Key(), false, start)
 	require.Len(t, held, 2)
 	require.False(t, held[0].Durable(), "held is not durable")
-	due, ok = wr.Due(start.Add(time.Minute), false)
+	due, ok = wr.NextWrite(start.Add(time.Minute), false)
 	require.True(t, ok, "what failed waits again")
-	acs := wr.Written(due.Key(), true, start)
+	acs := wr.HandleWrite(due.Key(), true, start)
 	require.Len(t, acs, 2)
 	require.Equal(t, "e1", acs[0].Peer())
 	require.True(t, acs[0].Durable())
@@ -189,27 +189,27 @@
 type billing struct {
 	t       *rapid.T
 	store   *memory
-	holders []*Ledger
+	holders []*Outbox
 	writers []*Writer
 	now     time.Time
 }
 
 func (bi *billing) offer(h, w int) {
-	lines := bi.holders[h].Due(100, bi.now)
-	bi.writers[w].Take(fmt.Sprint(h), lines, bi.now)
+	lines := bi.holders[h].TakeDue(100, bi.now)
+	bi.writers[w].Enqueue(fmt.Sprint(h), lines, bi.now)
 }
 
 func (bi *billing) write(w int) {
-	due, ok := bi.writers[w].Due(bi.now, true)
+	due, ok := bi.writers[w].NextWrite(bi.now, true)
 	if !ok {
 		return
 	}
 	err := Save(context.Background(), bi.store, due)
-	for _, ac := range bi.writers[w].Written(due.Key(), err == nil, bi.now) {
+	for _, ac := range bi.writers[w].HandleWrite(due.Key(), err == nil, bi.now) {
 		var h int
 		_, _ = fmt.Sscan(ac.Peer(), &h)
 		if ac.Durable() {
-			bi.holders[h].Durable(ac.Lines())
+			bi.holders[h].RemoveDurable(ac.Lines())
 		}
 	}
 }
@@ -223,8 +223,8 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		bi := &billing{t: rt, store: &memory{pairs: map[string]kv.Pair{}}, now: start}
 		for range 2 {
-			bi.holders = append(bi.holders, &Ledger{Bound: 1000, Every: time.Second})
-			bi.writers = append(bi.writers, &Writer{Bound: 1000})
+			bi.holders = append(bi.holders, &Outbox{Capacity: 1000, RetryInterval: time.Second})
+			bi.writers = append(bi.writers, &Writer{Capacity: 1000})
 		}
 		naive := map[lineKey]int{}
 		made := map[lineKey]bool{}
@@ -240,7 +240,7 @@
 					le.Add(li, bi.now)
 				}
 			case "offer":
-				for _, li := range bi.holders[h].Due(0, bi.now) {
+				for _, li := range bi.holders[h].TakeDue(0, bi.now) {
 					naive[keyOf(&li)]++
 				}
 				for key := range bi.holders[h].lines {
@@ -254,10 +254,10 @@
 			case "kill holder":
 				if len(lost) == 0 {
 					lost[h] = true
-					bi.holders[h] = &Ledger{Bound: 1000, Every: time.Second}
+					bi.holders[h] = &Outbox{Capacity: 1000, RetryInterval: time.Second}
 				}
 			case "kill writer":
-				bi.writers[w] = &Writer{Bound: 1000}
+				bi.writers[w] = &Writer{Capacity: 1000}
 			}
 		}
 		bi.store.fates = nil
--- a/internal/bill/ledger.go
+++ b/internal/bill/ledger.go
@@ -20,33 +20,33 @@
 // maxWait bounds the time until a line is handed on again.
 const maxWait = 10 * time.Minute
 
-// Ledger holds lines until they are known to be durable. Both the entry and
+// Outbox holds lines until they are known to be durable. Both the entry and
 // the agent of a request hold its lines, so that the loss of one box loses
 // nothing. Its exported fields are set before use; it is not safe for
 // concurrent use.
-type Ledger struct {
-	// Bound is how many lines are held; new work is refused beyond it.
-	Bound int
-	// Grace is how long a new line stays before it is handed on.
-	Grace time.Duration
-	// Every is the time after which a line is handed on again; it doubles each
+type Outbox struct {
+	// Capacity is how many lines are held; new work is refused beyond it.
+	Capacity int
+	// InitialDelay is how long a new line stays before it is handed on.
+	InitialDelay time.Duration
+	// RetryInterval is the time after which a line is handed on again; it doubles each
 	// time, so that an hour of outage costs few bytes.
-	Every time.Duration
-	// Spare is how many lines are held although another box has taken them.
-	Spare int
+	RetryInterval time.Duration
+	// SoftLimit is how many lines are held although another box has taken them.
+	SoftLimit int
 
 	// lines holds each line once, in any order.
 	lines map[lineKey]*held
 }
 
 // Add holds a line.
-func (le *Ledger) Add(li wire.BillLine, now time.Time) {
+func (le *Outbox) Add(li wire.BillLine, now time.Time) {
 	if le.lines == nil {
 		le.lines = map[lineKey]*held{}
 	}
 	key := keyOf(&li)
 	if le.lines[key] == nil {
-		le.lines[key] = &held{line: intern(li), next: now.Add(le.Grace), wait: le.Every}
+		le.lines[key] = &held{line: intern(li), next: now.Add(le.InitialDelay), wait: le.RetryInterval}
 	}
 }
 
@@ -61,31 +61,31 @@
 }
 
 // Full reports whether work that would add a line must be refused.
-func (le *Ledger) Full() bool { return len(le.lines) >= le.Bound }
+func (le *Outbox) Full() bool { return len(le.lines) >= le.Capacity }
 
 // Len returns how many lines are held.
-func (le *Ledger) Len() int { return len(le.lines) }
+func (le *Outbox) Len() int { return len(le.lines) }
 
-// MakeDue makes every line due, because the process stops or has lost the peer
+// MakeAllDue makes every line due, because the process stops or has lost the peer
 // that would have handed them on.
-func (le *Ledger) MakeDue(now time.Time) {
+func (le *Outbox) MakeAllDue(now time.Time) {
 	for _, he := range le.lines {
-		he.next, he.wait = now, le.Every
+		he.next, he.wait = now, le.RetryInterval
 	}
 }
 
-// Taken forgets lines that their writer holds in memory, if too many are held
+// RemoveAccepted forgets lines that their writer holds in memory, if too many are held
 // here. The agent that ran a request holds its line in any case, so two boxes
 // still do.
-func (le *Ledger) Taken(lines []wire.BillLine) {
-	if len(le.lines) > le.Spare {
-		le.Durable(lines)
+func (le *Outbox) RemoveAccepted(lines []wire.BillLine) {
+	if len(le.lines) > le.SoftLimit {
+		le.RemoveDurable(lines)
 	}
 }
 
-// Due returns at most limit lines that must be handed on now, and notes that
+// TakeDue returns at most limit lines that must be handed on now, and notes that
 // they are.
-func (le *Ledger) Due(limit int, now time.Time) []wire.BillLine {
+func (le *Outbox) TakeDue(limit int, now time.Time) []wire.BillLine {
 	var due []wire.BillLine
 	for _, he := range le.lines {
 		if len(due) == limit {
@@ -101,8 +101,8 @@
 	return due
 }
 
-// Durable forgets lines that are known to be written, by request and step.
-func (le *Ledger) Durable(lines []wire.BillLine) {
+// RemoveDurable forgets lines that are known to be written, by request and step.
+func (le *Outbox) RemoveDurable(lines []wire.BillLine) {
 	for i := range lines {
 		delete(le.lines, keyOf(&lines[i]))
 	}
--- a/internal/bill/store.go
+++ b/internal/bill/store.go
@@ -49,8 +49,8 @@
 	return errContended
 }
 
-// Lines reads every line below the prefix.
-func Lines(pairs []kv.Pair) ([]wire.BillLine, error) {
+// DecodeAll reads every line below the prefix.
+func DecodeAll(pairs []kv.Pair) ([]wire.BillLine, error) {
 	var all []wire.BillLine
 	for _, pair := range pairs {
 		doc, err := Decode(pair.Value)
--- a/internal/bill/writer.go
+++ b/internal/bill/writer.go
@@ -68,11 +68,11 @@
 // Writer gathers the lines of many peers into few writes. Its exported fields
 // are set before use; it is not safe for concurrent use.
 type Writer struct {
-	// Flush is how long the first line of a batch waits for more.
-	Flush time.Duration
-	// Bound is how many lines wait; more are dropped, and their holders hand
+	// FlushInterval is how long the first line of a batch waits for more.
+	FlushInterval time.Duration
+	// Capacity is how many lines wait; more are dropped, and their holders hand
 	// them on again later.
-	Bound int
+	Capacity int
 
 	waiting map[string]*batch
 	// writing is the batch under way for each document.
@@ -80,9 +80,9 @@
 	size    int
 }
 
-// Take accepts lines from a peer. Lines whose request id is malformed are
+// Enqueue accepts lines from a peer. Lines whose request id is malformed are
 // dropped; no peer of ours makes such.
-func (wr *Writer) Take(peer string, lines []wire.BillLine, now time.Time) {
+func (wr *Writer) Enqueue(peer string, lines []wire.BillLine, now time.Time) {
 	if wr.waiting == nil {
 		wr.waiting = map[string]*batch{}
 		wr.writing = map[string]*batch{}
@@ -90,7 +90,7 @@
 	for i := range lines {
 		li := intern(lines[i])
 		key, err := DocumentKey(li.Request)
-		if err != nil || wr.size >= wr.Bound {
+		if err != nil || wr.size >= wr.Capacity {
 			continue
 		}
 		ba := wr.waiting[key]
@@ -109,12 +109,12 @@
 	return wire.BillLine{Request: li.Request, Step: li.Step, Box: li.Box}
 }
 
-// Due returns the oldest document whose batch has waited long enough and that
+// NextWrite returns the oldest document whose batch has waited long enough and that
 // is not being written already.
-func (wr *Writer) Due(now time.Time, all bool) (Write, bool) {
+func (wr *Writer) NextWrite(now time.Time, all bool) (Write, bool) {
 	for _, key := range slices.Sorted(maps.Keys(wr.waiting)) {
 		ba := wr.waiting[key]
-		if wr.writing[key] != nil || !all && now.Sub(ba.since) < wr.Flush {
+		if wr.writing[key] != nil || !all && now.Sub(ba.since) < wr.FlushInterval {
 			continue
 		}
 		delete(wr.waiting, key)
@@ -124,10 +124,10 @@
 	return Write{}, false
 }
 
-// Written takes the outcome of a write and returns what to tell the peers that
+// HandleWrite takes the outcome of a write and returns what to tell the peers that
 // handed the lines on. If it failed the lines wait again, and the peers learn
 // only that they are held here.
-func (wr *Writer) Written(key string, ok bool, now time.Time) []Ack {
+func (wr *Writer) HandleWrite(key string, ok bool, now time.Time) []Ack {
 	ba := wr.writing[key]
 	if ba == nil {
 		return nil
@@ -143,7 +143,7 @@
 	var acs []Ack
 	for _, peer := range slices.Sorted(maps.Keys(byPeer)) {
 		if !ok {
-			wr.Take(peer, byPeer[peer], now)
+			wr.Enqueue(peer, byPeer[peer], now)
 		}
 		ac := Ack{peer: peer, durable: ok}
 		for i := range byPeer[peer] {
--- a/internal/claim/calls.go
+++ b/internal/claim/calls.go
@@ -62,8 +62,8 @@
 	return true
 }
 
-// Loaded takes the answer to a Load.
-func (lo *Log) Loaded(pairs []kv.Pair, err error, now time.Time) []Reply {
+// HandleLoad takes the answer to a Load.
+func (lo *Log) HandleLoad(pairs []kv.Pair, err error, now time.Time) []Reply {
 	if !lo.answered(err, now) {
 		return nil
 	}
@@ -91,8 +91,8 @@
 	return lo.settle()
 }
 
-// Read takes the answer to a Read after a swap.
-func (lo *Log) Read(pair kv.Pair, err error, now time.Time) []Reply {
+// HandleRead takes the answer to a HandleRead after a swap.
+func (lo *Log) HandleRead(pair kv.Pair, err error, now time.Time) []Reply {
 	if !lo.answered(err, now) {
 		return nil
 	}
@@ -113,16 +113,16 @@
 	return lo.settle()
 }
 
-// Swapped takes the answer to a Swap. made is false if another home wrote
+// HandleSwap takes the answer to a Swap. made is false if another home wrote
 // first; with an error the write may or may not have landed.
-func (lo *Log) Swapped(made bool, err error, now time.Time) []Reply {
+func (lo *Log) HandleSwap(made bool, err error, now time.Time) []Reply {
 	// The index after a write is not in its answer, so a read comes next in
 	// any case.
 	lo.uncertain = true
 	if !lo.answered(err, now) || !made {
 		return nil
 	}
-	lo.notBefore = now.Add(lo.Flush)
+	lo.notBefore = now.Add(lo.FlushInterval)
 	for _, pe := range lo.queue[:lo.writing] {
 		li := line{Hash: pe.hash, Value: pe.value, At: now.Unix()}
 		lo.head.Lines = append(lo.head.Lines, li)
--- a/internal/claim/log.go
+++ b/internal/claim/log.go
@@ -125,11 +125,11 @@
 type Log struct {
 	// Shard is the log's number.
 	Shard int
-	// Flush is the least time between two writes.
-	Flush time.Duration
-	// Patience is how long a claim waits to become durable before it is
+	// FlushInterval is the least time between two writes.
+	FlushInterval time.Duration
+	// ClaimTimeout is how long a claim waits to become durable before it is
 	// refused.
-	Patience time.Duration
+	ClaimTimeout time.Duration
 
 	// known holds the durable claims. Nothing leaves it before Retention but
 	// by a release.
@@ -177,7 +177,7 @@
 		}
 		return []Reply{won(peer, li, kn.value)}
 	}
-	wa := waiter{peer: peer, line: li, giveUp: now.Add(lo.Patience)}
+	wa := waiter{peer: peer, line: li, giveUp: now.Add(lo.ClaimTimeout)}
 	if lo.failing && now.Before(lo.notBefore) && (li.Durable || !lo.loaded) {
 		return []Reply{refused(wa)}
 	}
--- a/internal/claim/log_test.go
+++ b/internal/claim/log_test.go
@@ -50,15 +50,15 @@
 	}
 	switch op.Call() {
 	case Load:
-		return lo.Loaded(me.all(), err, now)
+		return lo.HandleLoad(me.all(), err, now)
 	case Read:
-		return lo.Read(me.pairs[op.Key()], err, now)
+		return lo.HandleRead(me.pairs[op.Key()], err, now)
 	}
 	made := false
 	if fate != "down" {
 		made = me.swap(op.Key(), op.Value(), op.Index())
 	}
-	return lo.Swapped(made, err, now)
+	return lo.HandleSwap(made, err, now)
 }
 
 // run lets a log make calls until it has nothing to do.
@@ -74,7 +74,7 @@
 	return res
 }
 
-func newLog() *Log { return &Log{Patience: time.Second} }
+func newLog() *Log { return &Log{ClaimTimeout: time.Second} }
 
 func claimOf(key, value string) wire.ClaimLine {
 	return wire.ClaimLine{Key: key, Value: value, Durable: true}
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -33,9 +33,9 @@
 // was suspended.
 func Now() time.Time { return steady.now() }
 
-// Day returns the time of day, which any other machine has as well, without a monotonic
+// WallTime returns the time of day, which any other machine has as well, without a monotonic
 // reading. That of Now is ahead by the time for which this machine was suspended.
-func Day() time.Time { return time.Now().Round(0) }
+func WallTime() time.Time { return time.Now().Round(0) }
 
 // Since returns the time since a moment.
 func Since(at time.Time) time.Duration { return Now().Sub(at) }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -152,7 +152,7 @@
 		})
 	}
 	for i := range 200 {
-		doc.Teams = append(doc.Teams, Team{Name: fmt.Sprint("team-", i), KeyDigests: []string{Digest(fmt.Sprint(i))}})
+		doc.Teams = append(doc.Teams, Team{Name: fmt.Sprint("team-", i), KeyDigests: []string{KeyDigest(fmt.Sprint(i))}})
 	}
 	return doc
 }
--- a/internal/config/snapshot.go
+++ b/internal/config/snapshot.go
@@ -166,15 +166,15 @@
 	return xxhash.Sum64(body)
 }
 
-// Digest returns the form in which a key is kept.
-func Digest(key string) string {
+// KeyDigest returns the form in which a key is kept.
+func KeyDigest(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
 }
 
 // TeamByKey returns the team that a bearer key belongs to, or nil.
 func (sn *Snapshot) TeamByKey(key string) *TeamView {
-	digest := Digest(key)
+	digest := KeyDigest(key)
 	te := sn.byDigest[digest]
 	if te == nil {
 		return nil
--- a/internal/entry/admin.go
+++ b/internal/entry/admin.go
@@ -215,7 +215,7 @@
 		node.WriteError(w, err)
 		return
 	}
-	lines, err := bill.Lines(pairs)
+	lines, err := bill.DecodeAll(pairs)
 	if err != nil {
 		node.WriteError(w, err)
 		return
--- a/internal/entry/bills.go
+++ b/internal/entry/bills.go
@@ -27,7 +27,7 @@
 func (en *Entry) billed(lines []wire.BillLine) {
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	en.ledger.Durable(lines)
+	en.ledger.RemoveDurable(lines)
 	for _, li := range lines {
 		if len(en.tell[li.Box]) < maxTell {
 			en.tell[li.Box] = append(en.tell[li.Box], wire.BillLine{Request: li.Request, Step: li.Step})
@@ -53,7 +53,7 @@
 // centre see the same agents; if they do not, compare-and-swap keeps order.
 func (en *Entry) offerBills(now time.Time) {
 	en.mu.Lock()
-	lines := en.ledger.Due(billsPerOffer, now)
+	lines := en.ledger.TakeDue(billsPerOffer, now)
 	en.mu.Unlock()
 	if len(lines) == 0 {
 		return
--- a/internal/entry/blocks.go
+++ b/internal/entry/blocks.go
@@ -41,7 +41,7 @@
 		term := en.cases.Record(su, now)
 		en.mu.Unlock()
 		if term > 0 {
-			en.takeBlock(poison.NewBlock(su.Fingerprint, term, clock.Day()), false, now)
+			en.takeBlock(poison.NewBlock(su.Fingerprint, term, clock.WallTime()), false, now)
 		}
 	}
 }
@@ -65,7 +65,7 @@
 // takeBlock takes a block, unless it was lifted a moment ago.
 func (en *Entry) takeBlock(bl poison.Block, stored bool, now time.Time) {
 	en.mu.Lock()
-	begun := !en.cases.IsHarmless(bl.Fingerprint) && en.blocks.Add(bl, bl.Remaining(clock.Day()), stored, now)
+	begun := !en.cases.IsHarmless(bl.Fingerprint) && en.blocks.Add(bl, bl.Remaining(clock.WallTime()), stored, now)
 	en.mu.Unlock()
 	if begun {
 		en.Node.Note(timeline.Entry{Event: event.RequestBlocked, Detail: bl.Fingerprint.String()})
@@ -115,7 +115,9 @@
 	if len(list) == 0 && !unwritten {
 		return
 	}
-	edit := func(value []byte) ([]byte, error) { return poison.MergeBlocks(value, list, en.isSound, clock.Day()) }
+	edit := func(value []byte) ([]byte, error) {
+		return poison.MergeBlocks(value, list, en.isSound, clock.WallTime())
+	}
 	if !en.merge(ctx, blocksKey, edit) {
 		en.Node.Note(timeline.Entry{Event: event.StoreCallFailed, Detail: "blocks could not be stored"})
 		return
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -81,7 +81,7 @@
 	board   balance.Balancer
 	view    member.View
 	budgets budget.Teams
-	ledger  bill.Ledger
+	ledger  bill.Outbox
 	// offered is when bills were last handed on; only the ticks touch it.
 	offered time.Time
 	// tell holds the durable lines that agents must be told of, by box.
@@ -144,7 +144,7 @@
 	en.board = balance.Balancer{DataCentre: se.DataCentre}
 	en.view = member.View{Self: se.Box}
 	en.budgets = budget.Teams{Ratio: se.Limits.RetryRatio}
-	en.ledger = bill.Ledger{Bound: se.Limits.Bills, Every: billRepeat, Spare: spareBills}
+	en.ledger = bill.Outbox{Capacity: se.Limits.Bills, RetryInterval: billRepeat, SoftLimit: spareBills}
 	en.tell = map[string][]wire.BillLine{}
 	en.Node.Fanout = replica.EntryFanout
 	en.dialers = map[string]dialer{}
@@ -210,13 +210,13 @@
 		en.deliver(li, fr)
 	case wire.Peers:
 		en.mu.Lock()
-		en.view.Peers(li.Peer.Box(), fr.Peers)
+		en.view.SetEntries(li.Peer.Box(), fr.Peers)
 		en.mu.Unlock()
 	case wire.Bill:
 		en.hold(fr.Bills)
 	case wire.Taken:
 		en.mu.Lock()
-		en.ledger.Taken(fr.Bills)
+		en.ledger.RemoveAccepted(fr.Bills)
 		en.mu.Unlock()
 	case wire.Billed:
 		en.billed(fr.Bills)
--- a/internal/entry/learn.go
+++ b/internal/entry/learn.go
@@ -163,7 +163,7 @@
 	en.mu.Lock()
 	fresh, outcomes := en.learnt.fresh, en.learnt.outcomes
 	en.learnt.fresh, en.learnt.outcomes = quality.Table{}, rollout.Tallies{}
-	leads := en.view.Leads()
+	leads := en.view.IsLeader()
 	en.mu.Unlock()
 	if !leads {
 		// The leader hears the same agents and adds their outcomes; what
--- a/internal/entry/links.go
+++ b/internal/entry/links.go
@@ -181,7 +181,7 @@
 	if en.Node.LinkDown(li, err) {
 		en.mu.Lock()
 		en.board.LinkDown(bo.Server)
-		en.view.AgentDown(li.Peer.Box())
+		en.view.RemoveAgent(li.Peer.Box())
 		en.mu.Unlock()
 	}
 	en.lose(li)
--- a/internal/entry/rollouts.go
+++ b/internal/entry/rollouts.go
@@ -41,7 +41,7 @@
 func (en *Entry) leads() bool {
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	return en.view.Leads()
+	return en.view.IsLeader()
 }
 
 func (en *Entry) readOutcomes(ctx context.Context) (rollout.Tallies, error) {
--- a/internal/entry/store.go
+++ b/internal/entry/store.go
@@ -42,7 +42,7 @@
 func (en *Entry) watches() bool {
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	return en.view.Watches()
+	return en.view.IsWatcher()
 }
 
 func (en *Entry) noteDuty(duty bool) {
--- a/internal/freshness/freshness.go
+++ b/internal/freshness/freshness.go
@@ -10,16 +10,16 @@
 import "time"
 
 const (
-	// TickEvery is how often Tick is to be called.
-	TickEvery = 100 * time.Millisecond
+	// TickInterval is how often Tick is to be called.
+	TickInterval = 100 * time.Millisecond
 	// stallGap is the time between two ticks after which the process is taken to
 	// have been stopped; a busy processor delays a tick by less.
-	stallGap = 4 * TickEvery
+	stallGap = 4 * TickInterval
 )
 
-// Record is what one process knows. The zero value knows nothing. It is not safe
+// Tracker is what one process knows. The zero value knows nothing. It is not safe
 // for concurrent use.
-type Record struct {
+type Tracker struct {
 	// confirmed is the time up to which all changes are known. It never goes back.
 	confirmed time.Time
 	// ticked is the time of the newest tick, stalled that of the newest one that
@@ -32,26 +32,26 @@
 }
 
 // Age returns how old what is known may be at the most.
-func (re *Record) Age(now time.Time) time.Duration { return now.Sub(re.confirmed) }
+func (re *Tracker) Age(now time.Time) time.Duration { return now.Sub(re.confirmed) }
 
-// Confirmed returns the moment up to which all changes are known.
-func (re *Record) Confirmed() time.Time { return re.confirmed }
+// ConfirmedAt returns the moment up to which all changes are known.
+func (re *Tracker) ConfirmedAt() time.Time { return re.confirmed }
 
 // Tick notes that the process runs.
-func (re *Record) Tick(now time.Time) {
+func (re *Tracker) Tick(now time.Time) {
 	if !re.ticked.IsZero() && now.Sub(re.ticked) > stallGap {
 		re.stalled = now
 	}
 	re.ticked = now
 }
 
-// Read takes the answer to a read of everything. It reports whether the service
+// HandleRead takes the answer to a read of everything. It reports whether the service
 // had been lost before.
-func (re *Record) Read(sent time.Time) (regained bool) { return re.confirm(sent) }
+func (re *Tracker) HandleRead(sent time.Time) (regained bool) { return re.confirm(sent) }
 
-// Watched takes the answer to a watch, empty if there was no change within the
+// HandleWatch takes the answer to a watch, empty if there was no change within the
 // wait. It reports whether the service had been lost before.
-func (re *Record) Watched(sent time.Time, wait time.Duration, empty bool, now time.Time) (regained bool) {
+func (re *Tracker) HandleWatch(sent time.Time, wait time.Duration, empty bool, now time.Time) (regained bool) {
 	return re.confirm(re.answeredAt(sent, wait, empty, now))
 }
 
@@ -59,7 +59,7 @@
 // yet, as late as can be said: an empty one is given when the wait is over, any
 // other one when it came, unless this process was stopped meanwhile and the
 // answer may have lain there.
-func (re *Record) answeredAt(sent time.Time, wait time.Duration, empty bool, now time.Time) time.Time {
+func (re *Tracker) answeredAt(sent time.Time, wait time.Duration, empty bool, now time.Time) time.Time {
 	if empty && now.Sub(sent) >= wait {
 		return sent.Add(wait)
 	}
@@ -69,28 +69,28 @@
 	return now
 }
 
-// Relayed takes the answer to a question that was sent to another process, which
+// HandleRelay takes the answer to a question that was sent to another process, which
 // said how old what it knows may be. It reports whether the service had been lost
 // before.
-func (re *Record) Relayed(sent time.Time, age time.Duration) (regained bool) {
+func (re *Tracker) HandleRelay(sent time.Time, age time.Duration) (regained bool) {
 	return re.confirm(sent.Add(-max(0, age)))
 }
 
-// Failed notes a call without a good answer. It reports whether the service
+// HandleFailure notes a call without a good answer. It reports whether the service
 // answered before.
-func (re *Record) Failed() (lost bool) {
+func (re *Tracker) HandleFailure() (lost bool) {
 	lost = re.connected
 	re.connected, re.failing = false, true
 	return lost
 }
 
-// Known reports whether the state was ever known to hold every change up to some moment.
-func (re *Record) Known() bool { return !re.confirmed.IsZero() }
+// EverConfirmed reports whether the state was ever known to hold every change up to some moment.
+func (re *Tracker) EverConfirmed() bool { return !re.confirmed.IsZero() }
 
 // Failing reports whether the newest call was not answered.
-func (re *Record) Failing() bool { return re.failing }
+func (re *Tracker) Failing() bool { return re.failing }
 
-func (re *Record) confirm(at time.Time) (regained bool) {
+func (re *Tracker) confirm(at time.Time) (regained bool) {
 	if at.After(re.confirmed) {
 		re.confirmed = at
 	}
--- a/internal/freshness/freshness_test.go
+++ b/internal/freshness/freshness_test.go
@@ -12,7 +12,7 @@
 func after(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 
 func TestAnAnswerThatLayThereIsNotTakenForNew(t *testing.T) {
-	var re Record
+	var re Tracker
 	sent := after(0)
 	re.Tick(after(100))
 	wake := after(4000)
@@ -24,14 +24,14 @@
 }
 
 func TestLostAndRegained(t *testing.T) {
-	var re Record
-	require.True(t, re.Read(after(0)))
+	var re Tracker
+	require.True(t, re.HandleRead(after(0)))
 	require.Equal(t, time.Second, re.Age(after(1000)))
-	require.True(t, re.Failed())
-	require.False(t, re.Failed(), "it was lost already")
-	require.True(t, re.Watched(after(1500), time.Second, true, after(2500)))
-	require.False(t, re.Watched(after(2500), time.Second, true, after(3500)))
+	require.True(t, re.HandleFailure())
+	require.False(t, re.HandleFailure(), "it was lost already")
+	require.True(t, re.HandleWatch(after(1500), time.Second, true, after(2500)))
+	require.False(t, re.HandleWatch(after(2500), time.Second, true, after(3500)))
 	require.Equal(t, 100*time.Millisecond, re.Age(after(3600)))
-	re.Read(after(1000))
+	re.HandleRead(after(1000))
 	require.Equal(t, 100*time.Millisecond, re.Age(after(3600)), "what is confirmed never goes back")
 }
--- a/internal/gateway/blocks.go
+++ b/internal/gateway/blocks.go
@@ -37,7 +37,7 @@
 		return
 	}
 	ga.storeBlockAt[su.Fingerprint] = now.Add(rand.N(blockWriteJitter))
-	ga.applyBlock(poison.NewBlock(su.Fingerprint, term, clock.Day()), false, now)
+	ga.applyBlock(poison.NewBlock(su.Fingerprint, term, clock.WallTime()), false, now)
 }
 
 // applyBlock applies a block, whatever its source. Attempts that no server has answered yet are
@@ -47,7 +47,7 @@
 		ga.contestBlock(bl.Fingerprint, stored, now)
 		return
 	}
-	if !ga.blocks.Add(bl, bl.Remaining(clock.Day()), stored, now) {
+	if !ga.blocks.Add(bl, bl.Remaining(clock.WallTime()), stored, now) {
 		return
 	}
 	if _, own := ga.storeBlockAt[bl.Fingerprint]; !own && !stored {
@@ -211,7 +211,7 @@
 		return
 	}
 	delete(ga.storeBlockAt, bl.Fingerprint)
-	ga.blocks.Add(bl, bl.Remaining(clock.Day()), true, clock.Now())
+	ga.blocks.Add(bl, bl.Remaining(clock.WallTime()), true, clock.Now())
 }
 
 func (ga *Gateway) removeBlocks(ctx context.Context, prints []poison.Fingerprint) {
--- a/internal/gateway/common_test.go
+++ b/internal/gateway/common_test.go
@@ -122,7 +122,7 @@
 func (sc *testCluster) storeBlock(path string) {
 	bl := poison.NewBlock(poison.FingerprintOf(poison.Request{
 		Method: http.MethodPost, Host: "h", Target: path, Body: []byte(path),
-	}), poison.FirstBlockDuration, clock.Day())
+	}), poison.FirstBlockDuration, clock.WallTime())
 	sc.servers.store.add(Change{Blocked: &bl})
 }
 
--- a/internal/gateway/follow.go
+++ b/internal/gateway/follow.go
@@ -146,10 +146,10 @@
 		return
 	}
 	ga.mu.Lock()
-	wasConnected := ga.freshness.Failed()
+	wasConnected := ga.freshness.HandleFailure()
 	ga.relayPlan.ServiceFailed(clock.Now())
 	ga.servers.StoreUnavailable()
-	age, neverRead := ga.freshness.Age(clock.Now()), !ga.freshness.Known()
+	age, neverRead := ga.freshness.Age(clock.Now()), !ga.freshness.EverConfirmed()
 	ga.mu.Unlock()
 	storeFailures.Inc()
 	if wasConnected {
@@ -196,7 +196,7 @@
 		return errOlderEra
 	}
 	ga.maxChangeAge = min(maxMissedChangeAge, ga.freshness.Age(clock.Now()))
-	if ga.freshness.Read(sent) {
+	if ga.freshness.HandleRead(sent) {
 		ga.storeRecovered()
 	}
 	ga.replaceState(st)
@@ -246,7 +246,7 @@
 	if ga.servesUpdates(now) {
 		ba = ga.encodeBatch(st)
 	}
-	if ga.freshness.Watched(sent, wait, len(st.Changes) == 0, now) {
+	if ga.freshness.HandleWatch(sent, wait, len(st.Changes) == 0, now) {
 		ga.storeRecovered()
 	}
 	ga.applyBatch(st.Changes, ba)
@@ -284,10 +284,10 @@
 	case ch.Unusable != nil:
 		ga.dropUnusableServer(*ch.Unusable)
 	case ch.Evacuated != "":
-		ga.missingDataCentres.Release(ch.Evacuated)
+		ga.missingDataCentres.Remove(ch.Evacuated)
 		ga.evacuate(ch.Evacuated)
 	case ch.Restored != "":
-		ga.missingDataCentres.Release(ch.Restored)
+		ga.missingDataCentres.Remove(ch.Restored)
 		ga.endEvacuation(ch.Restored, clock.Now())
 	case ch.Order != nil:
 		ga.applyOrder(*ch.Order)
--- a/internal/gateway/fuzz_test.go
+++ b/internal/gateway/fuzz_test.go
@@ -34,7 +34,7 @@
 func encodedChanges(f *testing.F) []byte {
 	f.Helper()
 	pr := poison.FingerprintOf(poison.Request{Target: "x"})
-	bl := poison.NewBlock(pr, time.Minute, clock.Day())
+	bl := poison.NewBlock(pr, time.Minute, clock.WallTime())
 	data, err := cbor.Marshal([]Change{
 		{Document: &routing.Document{Version: 4}},
 		{Server: &directory.Server{ID: "s", Service: "svc", Address: "1.2.3.4:6", DataCentre: "dc", Version: "v2"}},
@@ -117,7 +117,7 @@
 	data, err := cbor.Marshal(relay.Report{
 		Box: "b", Work: load.Work{1: 2}, Ready: true, Gateways: 3, Tallies: encodedChanges(f),
 		Suspicions: []poison.Suspicion{{Fingerprint: pr, Server: "s", SinceCrash: time.Second}},
-		Blocks:     []poison.Block{poison.NewBlock(pr, time.Hour, clock.Day())}, Doubts: []poison.Fingerprint{pr},
+		Blocks:     []poison.Block{poison.NewBlock(pr, time.Hour, clock.WallTime())}, Doubts: []poison.Fingerprint{pr},
 	})
 	require.NoError(f, err)
 	f.Add(data)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -87,7 +87,7 @@
 	// mu guards the fields below.
 	mu sync.Mutex
 	// freshness tracks the maximum age of the configuration.
-	freshness freshness.Record
+	freshness freshness.Tracker
 	// members holds the gateways that may watch the key-value service for others, by box. gatewayCount
 	// is the number of gateways.
 	members      map[string]relay.Member
@@ -278,7 +278,7 @@
 }
 
 func (ga *Gateway) tick(ctx context.Context) {
-	ti := time.NewTicker(freshness.TickEvery)
+	ti := time.NewTicker(freshness.TickInterval)
 	defer ti.Stop()
 	for {
 		select {
--- a/internal/gateway/membership.go
+++ b/internal/gateway/membership.go
@@ -108,7 +108,7 @@
 func (ga *Gateway) memberJoined(me relay.Member) {
 	_, known := ga.members[me.Box]
 	ga.members[me.Box] = me
-	ga.missingMembers.Release(me.Box)
+	ga.missingMembers.Remove(me.Box)
 	if !known {
 		ga.updateSize()
 		ga.logMember(event.MemberJoined, me.Box)
@@ -131,8 +131,8 @@
 		switch {
 		case listed[box]:
 		case restored:
-			ga.missingMembers.Hold(box, now.Add(rewriteGrace))
-		case !ga.missingMembers.Has(box):
+			ga.missingMembers.Add(box, now.Add(rewriteGrace))
+		case !ga.missingMembers.Contains(box):
 			ga.memberLeft(box)
 		}
 	}
@@ -151,7 +151,7 @@
 
 // memberLeft records that a member has left. The lock is held.
 func (ga *Gateway) memberLeft(box string) {
-	ga.missingMembers.Release(box)
+	ga.missingMembers.Remove(box)
 	if _, known := ga.members[box]; known {
 		delete(ga.members, box)
 		ga.updateSize()
--- a/internal/gateway/poison_test.go
+++ b/internal/gateway/poison_test.go
@@ -260,7 +260,7 @@
 		time.Sleep(3 * time.Second)
 		require.Zero(t, sc.blockCount())
 
-		again := poison.NewBlock(pr, 10*time.Second, clock.Day())
+		again := poison.NewBlock(pr, 10*time.Second, clock.WallTime())
 		sc.servers.store.add(Change{Blocked: &again})
 		time.Sleep(3 * time.Second)
 		require.Equal(t, 4, sc.blockCount())
--- a/internal/gateway/relay.go
+++ b/internal/gateway/relay.go
@@ -91,7 +91,7 @@
 	for i, changes := range batches {
 		ga.applyBatch(changes, up.Batches[i])
 	}
-	if ga.freshness.Relayed(sent, up.Age) {
+	if ga.freshness.HandleRelay(sent, up.Age) {
 		ga.storeRecovered()
 	}
 	ga.announceConfirmation()
@@ -105,7 +105,7 @@
 // announceConfirmation answers waiting requests for changes early when this gateway's state has been
 // confirmed, so that the states of the requesting gateways are confirmed as well. The lock is held.
 func (ga *Gateway) announceConfirmation() {
-	at := ga.freshness.Confirmed()
+	at := ga.freshness.ConfirmedAt()
 	if at.Sub(ga.announcedConfirmed) < confirmStep {
 		return
 	}
--- a/internal/gateway/servers.go
+++ b/internal/gateway/servers.go
@@ -118,8 +118,8 @@
 		switch {
 		case evacuated[dataCentre]:
 		case restored:
-			ga.missingDataCentres.Hold(dataCentre, now.Add(rewriteGrace))
-		case !ga.missingDataCentres.Has(dataCentre):
+			ga.missingDataCentres.Add(dataCentre, now.Add(rewriteGrace))
+		case !ga.missingDataCentres.Contains(dataCentre):
 			ga.endEvacuation(dataCentre, now)
 		}
 	}
--- a/internal/gateway/snapshot.go
+++ b/internal/gateway/snapshot.go
@@ -67,7 +67,7 @@
 		return revision.Revision{}, errOlderEra
 	}
 	ga.replaceState(st)
-	if ga.freshness.Relayed(sent, up.Age) {
+	if ga.freshness.HandleRelay(sent, up.Age) {
 		ga.storeRecovered()
 	}
 	return up.Revision, nil
@@ -139,7 +139,7 @@
 		all = append(all, Change{Leaving: key})
 	}
 	for _, dataCentre := range ga.servers.Evacuated() {
-		if !ga.missingDataCentres.Has(dataCentre) {
+		if !ga.missingDataCentres.Contains(dataCentre) {
 			all = append(all, Change{Evacuated: dataCentre})
 		}
 	}
@@ -153,7 +153,7 @@
 		all = append(all, Change{Blocked: &bl})
 	}
 	for _, me := range ga.members {
-		if !ga.missingMembers.Has(me.Box) {
+		if !ga.missingMembers.Contains(me.Box) {
 			all = append(all, Change{Member: &me})
 		}
 	}
--- a/internal/grace/grace.go
+++ b/internal/grace/grace.go
@@ -11,8 +11,8 @@
 // use.
 type Set struct{ until map[string]time.Time }
 
-// Hold keeps a name until a deadline; one that is held already keeps its own.
-func (se *Set) Hold(name string, until time.Time) {
+// Add keeps a name until a deadline; one that is held already keeps its own.
+func (se *Set) Add(name string, until time.Time) {
 	if se.until == nil {
 		se.until = map[string]time.Time{}
 	}
@@ -21,11 +21,11 @@
 	}
 }
 
-// Release forgets a name, as once it was written again.
-func (se *Set) Release(name string) { delete(se.until, name) }
+// Remove forgets a name, as once it was written again.
+func (se *Set) Remove(name string) { delete(se.until, name) }
 
-// Has reports whether a name is held.
-func (se *Set) Has(name string) bool {
+// Contains reports whether a name is held.
+func (se *Set) Contains(name string) bool {
 	_, ok := se.until[name]
 	return ok
 }
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -27,16 +27,16 @@
 	seen map[string][]string
 }
 
-// Peers notes the entries that an agent is connected to.
-func (vi *View) Peers(agent string, entries []string) {
+// SetEntries notes the entries that an agent is connected to.
+func (vi *View) SetEntries(agent string, entries []string) {
 	if vi.seen == nil {
 		vi.seen = map[string][]string{}
 	}
 	vi.seen[agent] = slices.Clone(entries)
 }
 
-// AgentDown forgets what a lost agent said.
-func (vi *View) AgentDown(agent string) { delete(vi.seen, agent) }
+// RemoveAgent forgets what a lost agent said.
+func (vi *View) RemoveAgent(agent string) { delete(vi.seen, agent) }
 
 // Entries returns every living entry, this one included, in order.
 func (vi *View) Entries() []string {
@@ -48,15 +48,15 @@
 	return slices.Compact(all)
 }
 
-// Watches reports whether this entry is one of those that watch the store.
-func (vi *View) Watches() bool {
+// IsWatcher reports whether this entry is one of those that watch the store.
+func (vi *View) IsWatcher() bool {
 	ranked := rendezvous.Rank(WatchKey, vi.Entries())
 	return slices.Contains(ranked[:min(watchers, len(ranked))], vi.Self)
 }
 
-// Leads reports whether this entry is the first of those that watch. At most a
+// IsLeader reports whether this entry is the first of those that watch. At most a
 // few lead at once while entries come and go; what a leader does must bear
 // that.
-func (vi *View) Leads() bool {
+func (vi *View) IsLeader() bool {
 	return rendezvous.First(WatchKey, vi.Entries()) == vi.Self
 }
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -16,8 +16,8 @@
 	var all []*View
 	for _, na := range names {
 		vi := &View{Self: na}
-		vi.Peers("agent-1", names)
-		vi.Peers("agent-2", names[:1])
+		vi.SetEntries("agent-1", names)
+		vi.SetEntries("agent-2", names[:1])
 		all = append(all, vi)
 	}
 	return all
@@ -36,18 +36,18 @@
 func TestTwoWatchAndOneLeads(t *testing.T) {
 	for _, entries := range []int{2, 3, 46} {
 		all := views(entries)
-		require.Equal(t, 2, count(all, (*View).Watches))
-		require.Equal(t, 1, count(all, (*View).Leads))
+		require.Equal(t, 2, count(all, (*View).IsWatcher))
+		require.Equal(t, 1, count(all, (*View).IsLeader))
 	}
 	alone := &View{Self: "e"}
-	require.True(t, alone.Watches())
-	require.True(t, alone.Leads())
+	require.True(t, alone.IsWatcher())
+	require.True(t, alone.IsLeader())
 }
 
 func TestALostWatcherIsReplaced(t *testing.T) {
 	all := views(10)
 	for i, vi := range all {
-		if !vi.Leads() {
+		if !vi.IsLeader() {
 			continue
 		}
 		rest := append(append([]*View{}, all[:i]...), all[i+1:]...)
@@ -56,11 +56,11 @@
 			names = append(names, ot.Self)
 		}
 		for _, ot := range rest {
-			ot.AgentDown("agent-2")
-			ot.Peers("agent-1", names)
+			ot.RemoveAgent("agent-2")
+			ot.SetEntries("agent-1", names)
 		}
-		require.Equal(t, 2, count(rest, (*View).Watches))
-		require.Equal(t, 1, count(rest, (*View).Leads))
+		require.Equal(t, 2, count(rest, (*View).IsWatcher))
+		require.Equal(t, 1, count(rest, (*View).IsLeader))
 		return
 	}
 	t.Fatal("nobody leads")
@@ -68,7 +68,7 @@
 
 func TestWhoHearsOfNobodyTakesTheDuty(t *testing.T) {
 	vi := views(10)[9]
-	vi.AgentDown("agent-1")
-	vi.AgentDown("agent-2")
-	require.True(t, vi.Watches(), "a duty done twice costs a read; one done by nobody costs the promise")
+	vi.RemoveAgent("agent-1")
+	vi.RemoveAgent("agent-2")
+	require.True(t, vi.IsWatcher(), "a duty done twice costs a read; one done by nobody costs the promise")
 }
--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -87,7 +87,7 @@
 	if len(keys) == 0 {
 		return true
 	}
-	digest := config.Digest(BearerKey(r))
+	digest := config.KeyDigest(BearerKey(r))
 	found := 0
 	for _, have := range keys {
 		found |= equalDigests(have, digest)
--- a/internal/node/admin_test.go
+++ b/internal/node/admin_test.go
@@ -15,7 +15,7 @@
 func newNode() *Node {
 	no := &Node{Ring: &timeline.Ring{Box: "b"}, Adopted: func(*config.Snapshot) {}}
 	no.Settings = settings.Default()
-	no.Settings.OperatorKeys = []string{config.Digest("operator")}
+	no.Settings.OperatorKeys = []string{config.KeyDigest("operator")}
 	return no
 }
 
--- a/internal/order/order.go
+++ b/internal/order/order.go
@@ -34,32 +34,32 @@
 	Until time.Time `json:"until"`
 }
 
-// Do is what the shell must do.
-type Do string
+// ActionKind is what the shell must do.
+type ActionKind string
 
 // The things to do.
 const (
-	// Look asks the server what it holds.
-	Look Do = "look"
-	// Read reads the lease from the store.
-	Read Do = "read"
-	// Take writes the lease by compare-and-swap.
-	Take Do = "take"
+	// ListVersions asks the server what it holds.
+	ListVersions ActionKind = "look"
+	// ReadLease reads the lease from the store.
+	ReadLease ActionKind = "read"
+	// AcquireLease writes the lease by compare-and-swap.
+	AcquireLease ActionKind = "take"
 	// Load and Unload order the server.
-	Load   Do = "load"
-	Unload Do = "unload"
+	Load   ActionKind = "load"
+	Unload ActionKind = "unload"
 )
 
 // Action is one thing to do.
 type Action struct {
-	do      Do
+	do      ActionKind
 	version string
 	lease   Lease
 	index   uint64
 }
 
-// Do returns what to do.
-func (ac Action) Do() Do { return ac.do }
+// Kind returns what to do.
+func (ac Action) Kind() ActionKind { return ac.do }
 
 // Version returns the version of an order.
 func (ac Action) Version() string { return ac.version }
@@ -91,11 +91,11 @@
 	notBefore time.Time
 }
 
-// Want says which versions the server is to hold.
-func (re *Reconciler) Want(versions []string) { re.wanted = slices.Clone(versions) }
+// SetDesired says which versions the server is to hold.
+func (re *Reconciler) SetDesired(versions []string) { re.wanted = slices.Clone(versions) }
 
-// Holds reports whether the server is known to hold a version.
-func (re *Reconciler) Holds(version string) bool { return slices.Contains(re.held, version) }
+// HasVersion reports whether the server is known to hold a version.
+func (re *Reconciler) HasVersion(version string) bool { return slices.Contains(re.held, version) }
 
 // Next returns what to do now, if anything. running says whether work of a
 // version is in progress; such a version is not unloaded.
@@ -110,14 +110,14 @@
 
 func (re *Reconciler) next(running func(string) bool, now time.Time) (Action, bool) {
 	if !re.looked {
-		return Action{do: Look}, true
+		return Action{do: ListVersions}, true
 	}
 	do, version := re.difference(running)
 	switch {
 	case version == "":
 		return Action{}, false
 	case !re.read:
-		return Action{do: Read}, true
+		return Action{do: ReadLease}, true
 	case re.mine(now):
 		return Action{do: do, version: version, lease: re.lease}, true
 	case now.Before(re.lease.Until.Add(margin)) && re.lease.Holder != re.Holder:
@@ -125,7 +125,7 @@
 		return Action{}, false
 	}
 	lease := Lease{Holder: re.Holder, Fence: re.lease.Fence + 1, Until: now.Add(leaseFor)}
-	return Action{do: Take, lease: lease, index: re.index}, true
+	return Action{do: AcquireLease, lease: lease, index: re.index}, true
 }
 
 // mine reports whether the lease is held here for long enough to give an
@@ -136,7 +136,7 @@
 
 // difference returns the next order that brings the server closer to what is
 // wanted: first loads, in the order of the configuration.
-func (re *Reconciler) difference(running func(string) bool) (Do, string) {
+func (re *Reconciler) difference(running func(string) bool) (ActionKind, string) {
 	for _, version := range re.wanted {
 		if !slices.Contains(re.held, version) {
 			return Load, version
@@ -150,33 +150,33 @@
 	return "", ""
 }
 
-// Looked takes the server's word on what it holds.
-func (re *Reconciler) Looked(held []string, err error, now time.Time) {
+// HandleList takes the server's word on what it holds.
+func (re *Reconciler) HandleList(held []string, err error, now time.Time) {
 	if re.done(err, now) {
 		re.held = slices.Clone(held)
 		re.looked = true
 	}
 }
 
-// Have takes the lease as the store holds it; a missing one is the zero value
+// HandleLease takes the lease as the store holds it; a missing one is the zero value
 // with index zero.
-func (re *Reconciler) Have(lease Lease, index uint64, err error, now time.Time) {
+func (re *Reconciler) HandleLease(lease Lease, index uint64, err error, now time.Time) {
 	if re.done(err, now) {
 		re.lease, re.index, re.read = lease, index, true
 	}
 }
 
-// Took takes the outcome of a Take. Whether it was made or not, the store is
+// HandleAcquire takes the outcome of a Take. Whether it was made or not, the store is
 // read again: its answer has the index, and shows a write whose answer was
 // lost.
-func (re *Reconciler) Took(err error, now time.Time) {
+func (re *Reconciler) HandleAcquire(err error, now time.Time) {
 	re.read = false
 	re.done(err, now)
 }
 
-// Ordered takes the outcome of an order. A server that refuses it has seen a
+// HandleOrder takes the outcome of an order. A server that refuses it has seen a
 // higher fencing number, so the lease is read again.
-func (re *Reconciler) Ordered(err error, now time.Time) {
+func (re *Reconciler) HandleOrder(err error, now time.Time) {
 	re.looked = false
 	if !re.done(err, now) {
 		re.read = false
--- a/internal/order/order_test.go
+++ b/internal/order/order_test.go
@@ -40,19 +40,19 @@
 }
 
 func (wo *world) do(re *Reconciler, ac Action, fate error, now time.Time) {
-	switch ac.Do() {
-	case Look:
-		re.Looked(wo.held, fate, now)
-	case Read:
-		re.Have(wo.lease, wo.index, fate, now)
-	case Take:
+	switch ac.Kind() {
+	case ListVersions:
+		re.HandleList(wo.held, fate, now)
+	case ReadLease:
+		re.HandleLease(wo.lease, wo.index, fate, now)
+	case AcquireLease:
 		if ac.Index() == wo.index {
 			wo.lease = ac.Lease()
 			wo.index++
 		}
-		re.Took(fate, now)
+		re.HandleAcquire(fate, now)
 	default:
-		re.Ordered(errors.Join(wo.order(ac, now), fate), now)
+		re.HandleOrder(errors.Join(wo.order(ac, now), fate), now)
 	}
 }
 
@@ -62,7 +62,7 @@
 	}
 	wo.fence = max(wo.fence, ac.Lease().Fence)
 	wo.orders = append(wo.orders, given{ac.Lease().Holder, ac.Lease().Fence, now})
-	if ac.Do() == Load {
+	if ac.Kind() == Load {
 		wo.held = append(wo.held, ac.Version())
 	} else {
 		wo.held = slices.DeleteFunc(wo.held, func(ve string) bool { return ve == ac.Version() })
@@ -82,10 +82,10 @@
 func TestTheServerFollowsTheConfiguration(t *testing.T) {
 	wo := &world{held: []string{"m@v0"}}
 	re := &Reconciler{Holder: "a"}
-	re.Want([]string{"m@v1", "m@v2"})
+	re.SetDesired([]string{"m@v1", "m@v2"})
 	wo.settle(re, start, time.Minute)
 	require.Equal(t, []string{"m@v1", "m@v2"}, wo.held)
-	require.True(t, re.Holds("m@v2"))
+	require.True(t, re.HasVersion("m@v2"))
 	orders := len(wo.orders)
 	wo.settle(re, start.Add(time.Hour), time.Minute)
 	require.Len(t, wo.orders, orders, "nothing to do, nothing done")
@@ -105,18 +105,18 @@
 func TestANewAgentWaitsTheOldLeaseOut(t *testing.T) {
 	wo := &world{}
 	old, young := &Reconciler{Holder: "old"}, &Reconciler{Holder: "young"}
-	old.Want([]string{"m@v1"})
+	old.SetDesired([]string{"m@v1"})
 	wo.settle(old, start, 6*time.Second)
 	require.Len(t, wo.orders, 1)
-	young.Want([]string{"m@v2"})
+	young.SetDesired([]string{"m@v2"})
 	wo.settle(young, start.Add(6*time.Second), 2*leaseFor)
 	require.Equal(t, []string{"m@v2"}, wo.held)
 	require.Equal(t, "young", wo.orders[1].holder)
 	require.True(t, wo.orders[1].at.After(wo.orders[0].at.Add(leaseFor)))
 	// The old one wakes up and still wants its version.
-	old.Want([]string{"m@v3"})
+	old.SetDesired([]string{"m@v3"})
 	ac, ok := old.Next(idle, start.Add(leaseFor+20*time.Second))
-	for ok && ac.Do() != Load && ac.Do() != Unload {
+	for ok && ac.Kind() != Load && ac.Kind() != Unload {
 		wo.do(old, ac, nil, start.Add(leaseFor+20*time.Second))
 		ac, ok = old.Next(idle, start.Add(leaseFor+20*time.Second))
 	}
@@ -141,10 +141,10 @@
 			re := reconcilers[k]
 			switch rapid.SampledFrom([]string{"act", "act", "act", "want", "restart"}).Draw(rt, "event") {
 			case "want":
-				re.Want(rapid.SampledFrom([][]string{{"m@v1"}, {"m@v2"}, {"m@v1", "m@v2"}}).Draw(rt, "versions"))
+				re.SetDesired(rapid.SampledFrom([][]string{{"m@v1"}, {"m@v2"}, {"m@v1", "m@v2"}}).Draw(rt, "versions"))
 			case "restart":
 				fresh := &Reconciler{Holder: re.Holder + "'"}
-				fresh.Want(re.wanted)
+				fresh.SetDesired(re.wanted)
 				reconcilers[k] = fresh
 			case "act":
 				if _, version := re.difference(idle); version != "" {
--- a/standin/cmd/measure/links.go
+++ b/standin/cmd/measure/links.go
@@ -102,7 +102,7 @@
 func document(servers int) *config.Document {
 	doc := &config.Document{
 		Models: []config.Model{{Name: "menu", Labels: selector.Labels{"tier": "strong"}}, {Name: "notes", Labels: selector.Labels{"tier": "cheap"}}},
-		Teams:  []config.Team{{Name: "team", KeyDigests: []string{config.Digest("key")}}},
+		Teams:  []config.Team{{Name: "team", KeyDigests: []string{config.KeyDigest("key")}}},
 		Grants: []config.Grant{{Versions: &selector.Selector{}, Services: &selector.Selector{}}},
 	}
 	for _, ve := range []string{"v1", "v2"} {
--- a/standin/e2e/caller_test.go
+++ b/standin/e2e/caller_test.go
@@ -162,7 +162,7 @@
 func TestAnotherTeamReachesNothing(t *testing.T) {
 	si := newSite(t, 1, time.Millisecond)
 	doc := si.document()
-	doc.Teams = append(doc.Teams, config.Team{Name: "other", KeyDigests: []string{config.Digest("other-key")}})
+	doc.Teams = append(doc.Teams, config.Team{Name: "other", KeyDigests: []string{config.KeyDigest("other-key")}})
 	doc.Grants[0].Teams.Equal = map[string]string{"team": "team"}
 	si.apply(doc)
 	si.waitRevision(2, si.fleet.Members()...)
--- a/standin/e2e/site_test.go
+++ b/standin/e2e/site_test.go
@@ -83,7 +83,7 @@
 			{Model: "m", Name: "v1", State: config.Serving, InputPrice: 1, OutputPrice: 1},
 			{Model: "m", Name: "v2", State: config.Serving, InputPrice: 1, OutputPrice: 1},
 		},
-		Teams:  []config.Team{{Name: "team", KeyDigests: []string{config.Digest(key)}}},
+		Teams:  []config.Team{{Name: "team", KeyDigests: []string{config.KeyDigest(key)}}},
 		Grants: []config.Grant{{Versions: &selector.Selector{}}},
 		Kinds:  []config.Kind{{Name: "once", NotRepeatable: true, DeadlineMS: 3000}, {Name: "patient", DeadlineMS: 20_000}},
 	}
