--- a/internal/bill/bill_test.go
+++ b/internal/bill/bill_test.go
@@ -24,29 +24,29 @@
 	errLost = errors.New("answer lost")
 )
 
-// memory is a key-value service that fails as the fates say, one for each
+// fakeStore is a key-value service that fails as the fates say, one for each
 // swap: "ok", "lost" (made, not answered), "down", "raced" (another writer
 // comes first).
-type memory struct {
+type fakeStore struct {
 	pairs map[string]kv.Pair
 	index uint64
 	fates []string
-	// rival is merged into a document when a swap is raced.
-	rival []wire.BillLine
+	// racing is merged into a document when a swap is raced.
+	racing []wire.BillLine
 	calls int
 }
 
-func (me *memory) Get(_ context.Context, key string) (kv.Pair, error) {
+func (me *fakeStore) Get(_ context.Context, key string) (kv.Pair, error) {
 	me.calls++
 	return me.pairs[key], nil
 }
 
-func (me *memory) put(key string, value []byte) {
+func (me *fakeStore) put(key string, value []byte) {
 	me.index++
 	me.pairs[key] = kv.Pair{Key: key, Value: value, Index: me.index}
 }
 
-func (me *memory) Swap(_ context.Context, key string, value []byte, index uint64) (bool, error) {
+func (me *fakeStore) Swap(_ context.Context, key string, value []byte, index uint64) (bool, error) {
 	me.calls++
 	fate := "ok"
 	if len(me.fates) > 0 {
@@ -57,7 +57,7 @@
 		return false, errDown
 	case "raced":
 		doc, _ := Decode(me.pairs[key].Value)
-		doc, _ = Merge(doc, me.rival)
+		doc, _ = Merge(doc, me.racing)
 		value, _ := Encode(doc)
 		me.put(key, value)
 	}
@@ -72,7 +72,7 @@
 }
 
 // count returns how often each line stands in the store.
-func (me *memory) count(t require.TestingT) map[lineKey]int {
+func (me *fakeStore) count(t require.TestingT) map[lineKey]int {
 	n := map[lineKey]int{}
 	for _, pair := range me.pairs {
 		doc, err := Decode(pair.Value)
@@ -88,7 +88,7 @@
 	return wire.BillLine{Request: request, Step: step, Team: "kitchen-a", Version: "menu@v1", Usage: wire.Usage{Prompt: 500, Completion: 200}, Cost: 9000, Box: "agent-1"}
 }
 
-func TestDocumentKeyFollowsFromTheRequestAlone(t *testing.T) {
+func TestDocumentKeyDependsOnRequestIDOnly(t *testing.T) {
 	id := NewRequestID("dc-a")
 	key, err := DocumentKey(id)
 	require.NoError(t, err)
@@ -108,14 +108,14 @@
 	require.NoError(t, err)
 	other := line(id, 1)
 	for _, fates := range [][]string{{"lost"}, {"raced"}, {"down", "lost"}, {"raced", "lost"}, {"lost", "lost"}} {
-		me := &memory{pairs: map[string]kv.Pair{}, fates: fates, rival: []wire.BillLine{other}}
+		me := &fakeStore{pairs: map[string]kv.Pair{}, fates: fates, racing: []wire.BillLine{other}}
 		require.NoError(t, Save(t.Context(), me, Write{key: key, lines: []wire.BillLine{line(id, 0)}}))
 		require.NoError(t, Save(t.Context(), me, Write{key: key, lines: []wire.BillLine{line(id, 0)}}), "offered again")
 		require.Equal(t, 1, me.count(t)[lineKey{id, 0}], fates)
 	}
 }
 
-func TestTheLedgerHoldsUntilDurable(t *testing.T) {
+func TestOutboxKeepsLinesUntilDurable(t *testing.T) {
 	le := Outbox{Capacity: 2, InitialDelay: time.Second, RetryInterval: 10 * time.Second}
 	le.Add(line("a", 0), start)
 	le.Add(line("a", 0), start)
@@ -130,7 +130,7 @@
 	require.Zero(t, le.Len())
 }
 
-func TestAnOutageCostsFewRepeats(t *testing.T) {
+func TestRetryIntervalGrowsDuringOutage(t *testing.T) {
 	le := Outbox{Capacity: 10, RetryInterval: 20 * time.Second}
 	le.Add(line("a", 0), start)
 	offers := 0
@@ -141,7 +141,7 @@
 	require.GreaterOrEqual(t, offers, 6, "a writer that was lost is replaced in ten minutes")
 }
 
-func TestAnEntryLetsGoOfWhatItsWriterHolds(t *testing.T) {
+func TestOutboxDropsAcceptedLinesAboveSoftLimit(t *testing.T) {
 	le := Outbox{Capacity: 10, SoftLimit: 1}
 	le.Add(line("a", 0), start)
 	le.RemoveAccepted([]wire.BillLine{line("a", 0)})
@@ -151,7 +151,7 @@
 	require.Equal(t, 1, le.Len())
 }
 
-func TestTheWriterHoldsALineOnceHoweverOftenItIsHandedOn(t *testing.T) {
+func TestWriterDeduplicatesLines(t *testing.T) {
 	wr := Writer{Capacity: 10}
 	id := NewRequestID("dc")
 	for range 100 {
@@ -163,7 +163,7 @@
 	require.Len(t, wr.HandleWrite(due.Key(), true, start), 1)
 }
 
-func TestTheWriterAcknowledgesOnlyWhatIsDurable(t *testing.T) {
+func TestWriterAcknowledgesOnlyDurableLines(t *testing.T) {
 	wr := Writer{FlushInterval: time.Second, Capacity: 10}
 	id := NewRequestID("dc")
 	wr.Enqueue("e1", []wire.BillLine{line(id, 0)}, start)
@@ -184,22 +184,22 @@
 	require.True(t, wr.Idle())
 }
 
-// billing is the path of bills between a few boxes in one test: two holders of
+// pipeline is the path of bills between a few boxes in one test: two holders of
 // each line, two writers, one store.
-type billing struct {
+type pipeline struct {
 	t       *rapid.T
-	store   *memory
+	store   *fakeStore
 	holders []*Outbox
 	writers []*Writer
 	now     time.Time
 }
 
-func (bi *billing) offer(h, w int) {
+func (bi *pipeline) offer(h, w int) {
 	lines := bi.holders[h].TakeDue(100, bi.now)
 	bi.writers[w].Enqueue(fmt.Sprint(h), lines, bi.now)
 }
 
-func (bi *billing) write(w int) {
+func (bi *pipeline) write(w int) {
 	due, ok := bi.writers[w].NextWrite(bi.now, true)
 	if !ok {
 		return
@@ -221,7 +221,7 @@
 func TestBilledExactlyOnce(t *testing.T) {
 	naiveDoubled := 0
 	rapid.Check(t, func(rt *rapid.T) {
-		bi := &billing{t: rt, store: &memory{pairs: map[string]kv.Pair{}}, now: start}
+		bi := &pipeline{t: rt, store: &fakeStore{pairs: map[string]kv.Pair{}}, now: start}
 		for range 2 {
 			bi.holders = append(bi.holders, &Outbox{Capacity: 1000, RetryInterval: time.Second})
 			bi.writers = append(bi.writers, &Writer{Capacity: 1000})
--- a/internal/bill/codec.go
+++ b/internal/bill/codec.go
@@ -12,10 +12,10 @@
 	"github.com/linnetrudder/linnetrudder/internal/wire"
 )
 
-// stored is a document as it is kept: names once, lines by their places in
+// storedDocument is a document as it is kept: names once, lines by their places in
 // the list of names. A document is written again with each batch, so its size
 // is what bills cost.
-type stored struct {
+type storedDocument struct {
 	Names []string     `cbor:"1,keyasint"`
 	Lines []storedLine `cbor:"2,keyasint"`
 }
@@ -35,19 +35,19 @@
 	Cost               int64
 }
 
-// names gives each name a place.
-type names struct {
+// nameTable gives each name a place.
+type nameTable struct {
 	list  []string
-	place map[string]int
+	indexOf map[string]int
 }
 
-func (na *names) add(name string) int {
-	if i, ok := na.place[name]; ok {
+func (na *nameTable) add(name string) int {
+	if i, ok := na.indexOf[name]; ok {
 		return i
 	}
 	i := len(na.list)
 	na.list = append(na.list, name)
-	na.place[name] = i
+	na.indexOf[name] = i
 	return i
 }
 
@@ -56,8 +56,8 @@
 	slices.SortFunc(doc, func(a, b wire.BillLine) int {
 		return cmp.Or(cmp.Compare(a.Request, b.Request), cmp.Compare(a.Step, b.Step))
 	})
-	na := names{place: map[string]int{}}
-	st := stored{Lines: make([]storedLine, 0, len(doc))}
+	na := nameTable{indexOf: map[string]int{}}
+	st := storedDocument{Lines: make([]storedLine, 0, len(doc))}
 	for i := range doc {
 		li := &doc[i]
 		dc, id, err := splitRequest(li.Request)
@@ -80,7 +80,7 @@
 	if len(value) == 0 {
 		return nil, nil
 	}
-	var st stored
+	var st storedDocument
 	if err := cbor.Unmarshal(value, &st); err != nil {
 		return nil, eris.Wrap(err, "bill document")
 	}
@@ -95,7 +95,7 @@
 	return doc, nil
 }
 
-func (st *stored) line(sl *storedLine) (wire.BillLine, error) {
+func (st *storedDocument) line(sl *storedLine) (wire.BillLine, error) {
 	id, err := uuid.FromBytes(sl.ID)
 	if err != nil {
 		return wire.BillLine{}, eris.Wrap(err, "bill line")
--- a/internal/bill/document.go
+++ b/internal/bill/document.go
@@ -20,8 +20,8 @@
 const (
 	// window is the span of request times that share documents.
 	window = 10 * time.Second
-	// shards is how many documents one data centre's window has.
-	shards = 4
+	// shardsPerWindow is how many documents one data centre's window has.
+	shardsPerWindow = 4
 )
 
 // NewRequestID returns an id that names the data centre and time of a
@@ -42,7 +42,7 @@
 	}
 	sec, nsec := id.Time().UnixTime()
 	win := time.Unix(sec, nsec).UnixMilli() / window.Milliseconds()
-	shard := xxhash.Sum64String(request) % shards
+	shard := xxhash.Sum64String(request) % shardsPerWindow
 	return fmt.Sprintf("%s%s/%d/%d", Prefix, dc, win, shard), nil
 }
 
--- a/internal/bill/ledger.go
+++ b/internal/bill/ledger.go
@@ -8,17 +8,17 @@
 	"github.com/linnetrudder/linnetrudder/internal/wire"
 )
 
-// held is a line that is not known to be durable.
-type held struct {
+// pendingLine is a line that is not known to be durable.
+type pendingLine struct {
 	line wire.BillLine
-	// next is when it is handed on, for the first time or again; wait is the
+	// nextSend is when it is handed on, for the first time or again; wait is the
 	// time after that until it is handed on once more.
-	next time.Time
-	wait time.Duration
+	nextSend time.Time
+	interval time.Duration
 }
 
-// maxWait bounds the time until a line is handed on again.
-const maxWait = 10 * time.Minute
+// maxRetryInterval bounds the time until a line is handed on again.
+const maxRetryInterval = 10 * time.Minute
 
 // Outbox holds lines until they are known to be durable. Both the entry and
 // the agent of a request hold its lines, so that the loss of one box loses
@@ -36,17 +36,17 @@
 	SoftLimit int
 
 	// lines holds each line once, in any order.
-	lines map[lineKey]*held
+	lines map[lineKey]*pendingLine
 }
 
 // Add holds a line.
 func (le *Outbox) Add(li wire.BillLine, now time.Time) {
 	if le.lines == nil {
-		le.lines = map[lineKey]*held{}
+		le.lines = map[lineKey]*pendingLine{}
 	}
 	key := keyOf(&li)
 	if le.lines[key] == nil {
-		le.lines[key] = &held{line: intern(li), next: now.Add(le.InitialDelay), wait: le.RetryInterval}
+		le.lines[key] = &pendingLine{line: intern(li), nextSend: now.Add(le.InitialDelay), interval: le.RetryInterval}
 	}
 }
 
@@ -70,7 +70,7 @@
 // that would have handed them on.
 func (le *Outbox) MakeAllDue(now time.Time) {
 	for _, he := range le.lines {
-		he.next, he.wait = now, le.RetryInterval
+		he.nextSend, he.interval = now, le.RetryInterval
 	}
 }
 
@@ -91,9 +91,9 @@
 		if len(due) == limit {
 			break
 		}
-		if !now.Before(he.next) {
-			he.next = now.Add(he.wait)
-			he.wait = min(2*he.wait, maxWait)
+		if !now.Before(he.nextSend) {
+			he.nextSend = now.Add(he.interval)
+			he.interval = min(2*he.interval, maxRetryInterval)
 			due = append(due, he.line)
 		}
 	}
--- a/internal/bill/store.go
+++ b/internal/bill/store.go
@@ -15,8 +15,8 @@
 	Swap(ctx context.Context, key string, value []byte, index uint64) (bool, error)
 }
 
-// maxSwaps bounds the tries against other writers of one document.
-const maxSwaps = 8
+// maxSwapAttempts bounds the tries against other writers of one document.
+const maxSwapAttempts = 8
 
 var errContended = eris.New("bill document is contended")
 
@@ -24,7 +24,7 @@
 // an acknowledged swap shows that every line is there; after a lost answer it
 // reads back, and a line that is there already is not added again.
 func Save(ctx context.Context, st Store, wr Write) error {
-	for range maxSwaps {
+	for range maxSwapAttempts {
 		pair, err := st.Get(ctx, wr.key)
 		if err != nil {
 			return err
--- a/internal/bill/writer.go
+++ b/internal/bill/writer.go
@@ -46,18 +46,18 @@
 type batch struct {
 	// lines holds each line once.
 	lines []wire.BillLine
-	// owners holds the peers that handed each line on, each once.
-	owners map[lineKey][]string
-	// since is when the first of the lines came.
-	since time.Time
+	// senders holds the peers that handed each line on, each once.
+	senders map[lineKey][]string
+	// firstAt is when the first of the lines came.
+	firstAt time.Time
 }
 
 // add notes that a peer hands a line on. It reports whether the line is new.
 func (ba *batch) add(peer string, li wire.BillLine) bool {
 	key := keyOf(&li)
-	peers, known := ba.owners[key]
+	peers, known := ba.senders[key]
 	if !slices.Contains(peers, peer) {
-		ba.owners[key] = append(peers, unique.Make(peer).Value())
+		ba.senders[key] = append(peers, unique.Make(peer).Value())
 	}
 	if !known {
 		ba.lines = append(ba.lines, li)
@@ -74,18 +74,18 @@
 	// them on again later.
 	Capacity int
 
-	waiting map[string]*batch
-	// writing is the batch under way for each document.
-	writing map[string]*batch
+	pending map[string]*batch
+	// inFlight is the batch under way for each document.
+	inFlight map[string]*batch
 	size    int
 }
 
 // Enqueue accepts lines from a peer. Lines whose request id is malformed are
 // dropped; no peer of ours makes such.
 func (wr *Writer) Enqueue(peer string, lines []wire.BillLine, now time.Time) {
-	if wr.waiting == nil {
-		wr.waiting = map[string]*batch{}
-		wr.writing = map[string]*batch{}
+	if wr.pending == nil {
+		wr.pending = map[string]*batch{}
+		wr.inFlight = map[string]*batch{}
 	}
 	for i := range lines {
 		li := intern(lines[i])
@@ -93,10 +93,10 @@
 		if err != nil || wr.size >= wr.Capacity {
 			continue
 		}
-		ba := wr.waiting[key]
+		ba := wr.pending[key]
 		if ba == nil {
-			ba = &batch{owners: map[lineKey][]string{}, since: now}
-			wr.waiting[key] = ba
+			ba = &batch{senders: map[lineKey][]string{}, firstAt: now}
+			wr.pending[key] = ba
 		}
 		if ba.add(peer, li) {
 			wr.size++
@@ -112,13 +112,13 @@
 // NextWrite returns the oldest document whose batch has waited long enough and that
 // is not being written already.
 func (wr *Writer) NextWrite(now time.Time, all bool) (Write, bool) {
-	for _, key := range slices.Sorted(maps.Keys(wr.waiting)) {
-		ba := wr.waiting[key]
-		if wr.writing[key] != nil || !all && now.Sub(ba.since) < wr.FlushInterval {
+	for _, key := range slices.Sorted(maps.Keys(wr.pending)) {
+		ba := wr.pending[key]
+		if wr.inFlight[key] != nil || !all && now.Sub(ba.firstAt) < wr.FlushInterval {
 			continue
 		}
-		delete(wr.waiting, key)
-		wr.writing[key] = ba
+		delete(wr.pending, key)
+		wr.inFlight[key] = ba
 		return Write{key: key, lines: ba.lines}, true
 	}
 	return Write{}, false
@@ -128,15 +128,15 @@
 // handed the lines on. If it failed the lines wait again, and the peers learn
 // only that they are held here.
 func (wr *Writer) HandleWrite(key string, ok bool, now time.Time) []Ack {
-	ba := wr.writing[key]
+	ba := wr.inFlight[key]
 	if ba == nil {
 		return nil
 	}
-	delete(wr.writing, key)
+	delete(wr.inFlight, key)
 	wr.size -= len(ba.lines)
 	byPeer := map[string][]wire.BillLine{}
 	for i := range ba.lines {
-		for _, peer := range ba.owners[keyOf(&ba.lines[i])] {
+		for _, peer := range ba.senders[keyOf(&ba.lines[i])] {
 			byPeer[peer] = append(byPeer[peer], ba.lines[i])
 		}
 	}
--- a/internal/claim/codec.go
+++ b/internal/claim/codec.go
@@ -5,15 +5,15 @@
 	"github.com/rotisserie/eris"
 )
 
-// document is one stored part of a log.
+// document is one of the stored segments of a log.
 type document struct {
-	// Seq numbers the documents of a log from 1.
+	// Seq is the document's number in its log, from 1.
 	Seq uint64 `cbor:"1,keyasint"`
-	// Lines are in the order of the claims.
+	// Lines holds the claims and releases in order.
 	Lines []line `cbor:"2,keyasint"`
 }
 
-// line is one claim: the hash of its key, its value, and when it was made in
+// line is one claim or release: the hash of its key, its value ("" for a release) and its time in
 // seconds since 1970.
 type line struct {
 	_     struct{} `cbor:",toarray"`
@@ -24,11 +24,11 @@
 
 func encode(doc document) ([]byte, error) {
 	value, err := cbor.Marshal(doc)
-	return value, eris.Wrap(err, "claim document")
+	return value, eris.Wrap(err, "encode claim document")
 }
 
 func decode(value []byte) (document, error) {
 	var doc document
 	err := cbor.Unmarshal(value, &doc)
-	return doc, eris.Wrap(err, "claim document")
+	return doc, eris.Wrap(err, "decode claim document")
 }
--- a/internal/claim/log_test.go
+++ b/internal/claim/log_test.go
@@ -19,175 +19,176 @@
 
 var errLost = errors.New("answer lost")
 
-// memory is a key-value service in memory.
-type memory struct {
+// fakeStore is an in-memory key-value service.
+type fakeStore struct {
 	pairs map[string]kv.Pair
 	index uint64
 }
 
-func (me *memory) swap(key string, value []byte, index uint64) bool {
-	if me.pairs[key].Index != index {
+func (st *fakeStore) swap(key string, value []byte, index uint64) bool {
+	if st.pairs[key].Index != index {
 		return false
 	}
-	me.index++
-	me.pairs[key] = kv.Pair{Key: key, Value: value, Index: me.index}
+	st.index++
+	st.pairs[key] = kv.Pair{Key: key, Value: value, Index: st.index}
 	return true
 }
 
-func (me *memory) all() []kv.Pair {
+func (st *fakeStore) all() []kv.Pair {
 	var pairs []kv.Pair
-	for _, pair := range me.pairs {
+	for _, pair := range st.pairs {
 		pairs = append(pairs, pair)
 	}
 	return pairs
 }
 
-// answer makes one call for a log. fate says what becomes of it.
-func (me *memory) answer(lo *Log, op Op, fate string, now time.Time) []Reply {
+// execute executes one call of a log with an outcome: "ok", "lost" (executed, but the answer is
+// lost) or "down" (not executed).
+func (st *fakeStore) execute(lo *Log, op Op, outcome string, now time.Time) []Reply {
 	var err error
-	if fate != "ok" {
+	if outcome != "ok" {
 		err = errLost
 	}
 	switch op.Call() {
 	case Load:
-		return lo.HandleLoad(me.all(), err, now)
+		return lo.HandleLoad(st.all(), err, now)
 	case Read:
-		return lo.HandleRead(me.pairs[op.Key()], err, now)
+		return lo.HandleRead(st.pairs[op.Key()], err, now)
 	}
 	made := false
-	if fate != "down" {
-		made = me.swap(op.Key(), op.Value(), op.Index())
+	if outcome != "down" {
+		made = st.swap(op.Key(), op.Value(), op.Index())
 	}
 	return lo.HandleSwap(made, err, now)
 }
 
-// run lets a log make calls until it has nothing to do.
-func (me *memory) run(lo *Log, now time.Time) []Reply {
+// runAll executes a log's calls until it has none left, 20 at most.
+func (st *fakeStore) runAll(lo *Log, now time.Time) []Reply {
 	var res []Reply
 	for range 20 {
 		op, ok := lo.Next(now)
 		if !ok {
 			break
 		}
-		res = append(res, me.answer(lo, op, "ok", now)...)
+		res = append(res, st.execute(lo, op, "ok", now)...)
 	}
 	return res
 }
 
 func newLog() *Log { return &Log{ClaimTimeout: time.Second} }
 
-func claimOf(key, value string) wire.ClaimLine {
+func durableLine(key, value string) wire.ClaimLine {
 	return wire.ClaimLine{Key: key, Value: value, Durable: true}
 }
 
-func TestTheFirstClaimWinsAtEveryHome(t *testing.T) {
-	me := &memory{pairs: map[string]kv.Pair{}}
+func TestFirstClaimWinsAtEveryOwner(t *testing.T) {
+	st := &fakeStore{pairs: map[string]kv.Pair{}}
 	one, two := newLog(), newLog()
-	require.Empty(t, one.Claim("e1", claimOf("k", "a"), 0, start))
-	require.Empty(t, two.Claim("e2", claimOf("k", "b"), 0, start))
-	first := me.run(one, start)
-	second := me.run(two, start)
+	require.Empty(t, one.Claim("e1", durableLine("k", "a"), 0, start))
+	require.Empty(t, two.Claim("e2", durableLine("k", "b"), 0, start))
+	first := st.runAll(one, start)
+	second := st.runAll(two, start)
 	require.Equal(t, result.OK, first[0].Line().Code)
 	require.Equal(t, result.KeyAlreadyUsed, second[0].Line().Code)
 	require.Equal(t, "a", second[0].Line().Value)
 	third := newLog()
-	third.Claim("e3", claimOf("k", "c"), 0, start)
-	require.Equal(t, "a", me.run(third, start)[0].Line().Value, "a new home finds it in the store")
+	third.Claim("e3", durableLine("k", "c"), 0, start)
+	require.Equal(t, "a", st.runAll(third, start)[0].Line().Value, "a new owner loads it from the store")
 }
 
-func TestARefusedRequestGivesItsKeyBack(t *testing.T) {
-	me := &memory{pairs: map[string]kv.Pair{}}
+func TestReleaseFreesKey(t *testing.T) {
+	st := &fakeStore{pairs: map[string]kv.Pair{}}
 	lo := newLog()
-	lo.Claim("e", claimOf("k", "a"), 0, start)
-	me.run(lo, start)
-	lo.Release(claimOf("k", "other"), start)
-	require.Equal(t, result.KeyAlreadyUsed, lo.Claim("e", claimOf("k", "b"), 0, start)[0].Line().Code)
-	lo.Release(claimOf("k", "a"), start)
-	require.Empty(t, lo.Claim("e", claimOf("k", "b"), 0, start))
-	res := me.run(lo, start)
+	lo.Claim("e", durableLine("k", "a"), 0, start)
+	st.runAll(lo, start)
+	lo.Release(durableLine("k", "other"), start)
+	require.Equal(t, result.KeyAlreadyUsed, lo.Claim("e", durableLine("k", "b"), 0, start)[0].Line().Code)
+	lo.Release(durableLine("k", "a"), start)
+	require.Empty(t, lo.Claim("e", durableLine("k", "b"), 0, start))
+	res := st.runAll(lo, start)
 	require.Equal(t, result.OK, res[0].Line().Code)
 	fresh := newLog()
-	fresh.Claim("e", claimOf("k", "c"), 0, start)
-	require.Equal(t, "b", me.run(fresh, start)[0].Line().Value)
+	fresh.Claim("e", durableLine("k", "c"), 0, start)
+	require.Equal(t, "b", st.runAll(fresh, start)[0].Line().Value)
 }
 
-func TestWhileTheStoreIsDown(t *testing.T) {
-	me := &memory{pairs: map[string]kv.Pair{}}
+func TestClaimsDuringStoreOutage(t *testing.T) {
+	st := &fakeStore{pairs: map[string]kv.Pair{}}
 	lo := newLog()
-	lo.Claim("e", claimOf("known", "a"), 0, start)
-	me.run(lo, start)
-	lo.Claim("e", claimOf("new", "a"), 0, start)
+	lo.Claim("e", durableLine("known", "a"), 0, start)
+	st.runAll(lo, start)
+	lo.Claim("e", durableLine("new", "a"), 0, start)
 	op, ok := lo.Next(start)
 	require.True(t, ok)
-	me.answer(lo, op, "down", start)
-	res := lo.Claim("e", claimOf("other", "a"), 0, start)
+	st.execute(lo, op, "down", start)
+	res := lo.Claim("e", durableLine("other", "a"), 0, start)
 	require.Equal(t, result.ClaimsUnavailable, res[0].Line().Code, "refused at once")
-	res = lo.Claim("e", claimOf("known", "b"), 0, start)
-	require.Equal(t, "a", res[0].Line().Value, "what is durable is still known")
+	res = lo.Claim("e", durableLine("known", "b"), 0, start)
+	require.Equal(t, "a", res[0].Line().Value, "durable claims are answered from memory")
 	session := wire.ClaimLine{Key: "session", Value: "v1"}
 	require.Empty(t, lo.Claim("e", session, 100*time.Millisecond, start))
 	res = lo.Tick(start.Add(100 * time.Millisecond))
-	require.Equal(t, "v1", res[0].Line().Value, "a session may start from memory")
+	require.Equal(t, "v1", res[0].Line().Value, "a claim that need not be durable is answered from memory")
 	res = lo.Tick(start.Add(time.Second))
 	require.Equal(t, result.ClaimsUnavailable, res[0].Line().Code)
-	later := me.run(lo, start.Add(time.Minute))
-	require.Empty(t, later, "nobody waits any more")
-	require.Empty(t, lo.Claim("e", claimOf("new", "b"), 0, start.Add(time.Minute)), "the refused claim was given back")
+	later := st.runAll(lo, start.Add(time.Minute))
+	require.Empty(t, later, "all claims have been answered")
+	require.Empty(t, lo.Claim("e", durableLine("new", "b"), 0, start.Add(time.Minute)), "the refused claim was released")
 }
 
-func TestAnUnloadedHomeInventsNothing(t *testing.T) {
-	me := &memory{pairs: map[string]kv.Pair{}}
+func TestUnloadedLogGrantsNothing(t *testing.T) {
+	st := &fakeStore{pairs: map[string]kv.Pair{}}
 	lo := newLog()
 	lo.Claim("e", wire.ClaimLine{Key: "session", Value: "v2"}, time.Millisecond, start)
 	op, _ := lo.Next(start)
-	me.answer(lo, op, "down", start)
-	require.Empty(t, lo.Tick(start.Add(time.Millisecond)), "the session may have started on another version")
+	st.execute(lo, op, "down", start)
+	require.Empty(t, lo.Tick(start.Add(time.Millisecond)), "the store may hold a claim of the session for another version")
 	res := lo.Tick(start.Add(time.Second))
 	require.Equal(t, result.ClaimsUnavailable, res[0].Line().Code)
 }
 
-func TestAFullLogGoesOnAndKeepsWhatItMust(t *testing.T) {
-	me := &memory{pairs: map[string]kv.Pair{}}
+func TestLogContinuesInNextDocument(t *testing.T) {
+	st := &fakeStore{pairs: map[string]kv.Pair{}}
 	lo := newLog()
 	now := start
 	for i := range 4000 {
-		lo.Claim("e", claimOf(fmt.Sprintf("k%d", i), "v"), 0, now)
+		lo.Claim("e", durableLine(fmt.Sprintf("k%d", i), "v"), 0, now)
 	}
-	require.Len(t, me.run(lo, now), 4000)
-	require.Len(t, me.pairs, 3)
+	require.Len(t, st.runAll(lo, now), 4000)
+	require.Len(t, st.pairs, 3)
 	fresh := newLog()
-	fresh.Claim("e", claimOf("k1", "other"), 0, now)
-	require.Equal(t, "v", me.run(fresh, now)[0].Line().Value)
+	fresh.Claim("e", durableLine("k1", "other"), 0, now)
+	require.Equal(t, "v", st.runAll(fresh, now)[0].Line().Value)
 	require.Equal(t, 4000, fresh.Len())
 }
 
-func TestAClaimInUseIsKeptLonger(t *testing.T) {
-	me := &memory{pairs: map[string]kv.Pair{}}
+func TestClaimInUseIsRenewed(t *testing.T) {
+	st := &fakeStore{pairs: map[string]kv.Pair{}}
 	lo := newLog()
 	now := start
-	lo.Claim("e", claimOf("k", "v1"), 0, now)
-	me.run(lo, now)
+	lo.Claim("e", durableLine("k", "v1"), 0, now)
+	st.runAll(lo, now)
 	for range 8 {
 		now = now.Add(Retention / 2)
-		require.Equal(t, "v1", lo.Claim("e", claimOf("k", "v2"), 0, now)[0].Line().Value)
-		me.run(lo, now)
+		require.Equal(t, "v1", lo.Claim("e", durableLine("k", "v2"), 0, now)[0].Line().Value)
+		st.runAll(lo, now)
 	}
 	fresh := newLog()
-	fresh.Claim("e", claimOf("k", "v2"), 0, now)
-	require.Equal(t, "v1", me.run(fresh, now)[0].Line().Value)
+	fresh.Claim("e", durableLine("k", "v2"), 0, now)
+	require.Equal(t, "v1", st.runAll(fresh, now)[0].Line().Value)
 }
 
-// operation is one claim or release as a client saw it.
+// operation is one claim or release of a client.
 type operation struct {
 	key, value string
 	release    bool
 }
 
-// unknown is the outcome of a claim that got no answer or was refused: it may
-// have landed all the same.
-const unknown = "?"
+// unknownOutcome is the outcome of a claim that was refused or not answered: it may have been
+// stored nevertheless.
+const unknownOutcome = "?"
 
-// model is the contract: a key is held by at most one value at a time.
+// model is the sequential specification: a key is claimed by at most one value at a time.
 var model = porcupine.Model{
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		byKey := map[string][]porcupine.Operation{}
@@ -213,28 +214,28 @@
 		if holder == "" {
 			holder = op.value
 		}
-		return won == unknown || won == holder, holder
+		return won == unknownOutcome || won == holder, holder
 	},
 }
 
-// TestClaimsAreLinearizable drives three homes of one log over one store that
-// loses answers, is down and lets them race, and checks the answers that
-// clients got. A naive home that trusts its memory breaks the same contract.
+// TestClaimsAreLinearizable runs three owners of one log against one store with lost answers,
+// outages and races, and checks the answers of the clients. Owners that answer from their own
+// memory alone violate the same specification.
 func TestClaimsAreLinearizable(t *testing.T) {
-	naiveBroken := 0
+	naiveViolations := 0
 	rapid.Check(t, func(rt *rapid.T) {
-		me := &memory{pairs: map[string]kv.Pair{}}
-		homes := []*Log{newLog(), newLog(), newLog()}
+		st := &fakeStore{pairs: map[string]kv.Pair{}}
+		owners := []*Log{newLog(), newLog(), newLog()}
 		var history []porcupine.Operation
 		calls := map[string]porcupine.Operation{}
 		naive := []map[string]string{{}, {}, {}}
 		winners := map[string]map[string]bool{}
-		// won holds the claims that were won and may be released.
+		// won holds the granted claims that have not been released.
 		var won []operation
 		clock := int64(0)
 		now := start
-		got := func(res []Reply) {
-			for _, re := range res {
+		record := func(replies []Reply) {
+			for _, re := range replies {
 				clock++
 				op := calls[re.Peer()]
 				if re.Line().Code == result.ClaimsUnavailable {
@@ -251,14 +252,14 @@
 		for i := range rapid.IntRange(5, 60).Draw(rt, "events") {
 			clock++
 			now = now.Add(100 * time.Millisecond)
-			h := rapid.IntRange(0, 2).Draw(rt, "home")
-			lo := homes[h]
+			h := rapid.IntRange(0, 2).Draw(rt, "owner")
+			lo := owners[h]
 			switch rapid.SampledFrom([]string{"claim", "claim", "call", "call", "call", "release", "restart"}).Draw(rt, "event") {
 			case "claim":
 				client := fmt.Sprintf("c%d", i)
 				key := rapid.SampledFrom([]string{"x", "y"}).Draw(rt, "key")
 				calls[client] = porcupine.Operation{ClientId: i, Input: operation{key: key, value: client}, Call: clock}
-				got(lo.Claim(client, claimOf(key, client), 0, now))
+				record(lo.Claim(client, durableLine(key, client), 0, now))
 				if naive[h][key] == "" {
 					naive[h][key] = client
 				}
@@ -268,8 +269,8 @@
 				winners[key][naive[h][key]] = true
 			case "call":
 				if op, ok := lo.Next(now); ok {
-					fate := rapid.SampledFrom([]string{"ok", "ok", "lost", "down"}).Draw(rt, "fate")
-					got(me.answer(lo, op, fate, now))
+					outcome := rapid.SampledFrom([]string{"ok", "ok", "lost", "down"}).Draw(rt, "outcome")
+					record(st.execute(lo, op, outcome, now))
 				}
 			case "release":
 				if len(won) > 0 {
@@ -280,21 +281,21 @@
 					calls[fmt.Sprintf("r%d", i)] = porcupine.Operation{ClientId: i, Input: op, Call: clock}
 				}
 			case "restart":
-				homes[h] = newLog()
+				owners[h] = newLog()
 			}
 		}
 		for _, op := range calls {
-			op.Output, op.Return = unknown, clock+1
+			op.Output, op.Return = unknownOutcome, clock+1
 			history = append(history, op)
 		}
 		require.True(rt, porcupine.CheckOperations(model, history))
 		for _, all := range winners {
 			if len(all) > 1 {
-				naiveBroken++
+				naiveViolations++
 			}
 		}
 	})
-	require.Positive(t, naiveBroken, "the naive homes must have let two win")
+	require.Positive(t, naiveViolations, "the naive owners must have granted one key twice")
 }
 
 func FuzzDecode(f *testing.F) {
@@ -317,21 +318,21 @@
 }
 
 func BenchmarkClaim(b *testing.B) {
-	me := &memory{pairs: map[string]kv.Pair{}}
+	st := &fakeStore{pairs: map[string]kv.Pair{}}
 	lo := newLog()
 	b.ReportAllocs()
 	for i := range b.N {
-		lo.Claim("e", claimOf(fmt.Sprintf("k%d", i), "menu@v1"), 0, start)
+		lo.Claim("e", durableLine(fmt.Sprintf("k%d", i), "menu@v1"), 0, start)
 		if i%50 == 0 {
-			me.run(lo, start)
+			st.runAll(lo, start)
 		}
 	}
-	b.ReportMetric(float64(me.bytes())/float64(b.N), "stored-B/op")
+	b.ReportMetric(float64(st.bytes())/float64(b.N), "stored-B/op")
 }
 
-func (me *memory) bytes() int {
+func (st *fakeStore) bytes() int {
 	n := 0
-	for _, pair := range me.pairs {
+	for _, pair := range st.pairs {
 		n += len(pair.Value)
 	}
 	return n
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -15,23 +15,23 @@
 )
 
 const (
-	// stepLeast is the difference between the time of day and the steady clock, since both
+	// minStep is the difference between the time of day and the steady clock, since both
 	// were compared with the clock that goes on, from which they are compared again: a
 	// suspended machine and a time of day that was set look alike. Ages are wrong by as much
 	// at the most.
-	stepLeast = 20 * time.Millisecond
-	// readWithin is how long the readings of two clocks may take that are compared;
+	minStep = 20 * time.Millisecond
+	// maxReadDuration is how long the readings of two clocks may take that are compared;
 	// readTries how often that is tried.
-	readWithin = 5 * time.Millisecond
-	readTries  = 3
+	maxReadDuration = 5 * time.Millisecond
+	maxReadAttempts  = 3
 )
 
-// steady is the process's clock.
-var steady = newClock(time.Now, bootTime)
+// processClock is the process's clock.
+var processClock = newClock(time.Now, readBootTime)
 
 // Now returns the present time. Its monotonic reading counts the time for which the machine
 // was suspended.
-func Now() time.Time { return steady.now() }
+func Now() time.Time { return processClock.now() }
 
 // WallTime returns the time of day, which any other machine has as well, without a monotonic
 // reading. That of Now is ahead by the time for which this machine was suspended.
@@ -45,35 +45,35 @@
 
 // Suspended returns for how long the machine was suspended since the process began, as far as
 // it was noticed.
-func Suspended() time.Duration { return time.Duration(steady.lost.Load()) }
+func Suspended() time.Duration { return time.Duration(processClock.suspended.Load()) }
 
 // Err returns why suspended time can't be counted on this system, nil if it is.
-func Err() error { return steady.err }
+func Err() error { return processClock.err }
 
 // clock compares three clocks, but only when two that are cheap to read say that something
 // happened.
 type clock struct {
-	read func() time.Time
-	boot func() (time.Duration, error)
+	readTime func() time.Time
+	readBoot func() (time.Duration, error)
 	err  error
 	// start and bootStart are the readings that were taken together.
 	start     time.Time
 	bootStart time.Duration
 	// drift is how far the time of day had gone ahead of the steady clock when they were
-	// compared last, lost the time for which the steady clock stood still, both in
+	// compared last, suspended the time for which the steady clock stood still, both in
 	// nanoseconds. The second one never shrinks.
-	drift, lost atomic.Int64
+	drift, suspended atomic.Int64
 }
 
 func newClock(read func() time.Time, boot func() (time.Duration, error)) *clock {
-	cl := &clock{read: read, boot: boot}
+	cl := &clock{readTime: read, readBoot: boot}
 	cl.start = read()
 	cl.bootStart, cl.err = boot()
 	return cl
 }
 
-// bootTime reads the clock that counts suspended time.
-func bootTime() (time.Duration, error) {
+// readBootTime reads the clock that counts suspended time.
+func readBootTime() (time.Duration, error) {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
 		return 0, eris.Wrap(err, "read the clock that counts suspended time")
@@ -82,12 +82,12 @@
 }
 
 func (cl *clock) now() time.Time {
-	at := cl.read()
+	at := cl.readTime()
 	drift := cl.driftAt(at)
-	if cl.err == nil && (drift-time.Duration(cl.drift.Load())).Abs() >= stepLeast {
-		cl.compare(drift)
+	if cl.err == nil && (drift-time.Duration(cl.drift.Load())).Abs() >= minStep {
+		cl.measureSuspension(drift)
 	}
-	return at.Add(time.Duration(cl.lost.Load()))
+	return at.Add(time.Duration(cl.suspended.Load()))
 }
 
 // driftAt returns how far the time of day is ahead of the steady clock, since the start.
@@ -95,28 +95,28 @@
 	return at.Round(0).Sub(cl.start.Round(0)) - at.Sub(cl.start)
 }
 
-// compare measures for how long the steady clock stood still. A process that was stopped
+// measureSuspension measures for how long the steady clock stood still. A process that was stopped
 // between two readings takes them again.
-func (cl *clock) compare(drift time.Duration) {
-	for range readTries {
-		before := cl.read()
-		boot, err := cl.boot()
-		if err != nil || cl.read().Sub(before) > readWithin {
+func (cl *clock) measureSuspension(drift time.Duration) {
+	for range maxReadAttempts {
+		before := cl.readTime()
+		boot, err := cl.readBoot()
+		if err != nil || cl.readTime().Sub(before) > maxReadDuration {
 			continue
 		}
 		lost := boot - cl.bootStart - before.Sub(cl.start)
-		if lost >= stepLeast {
-			cl.grow(int64(lost))
+		if lost >= minStep {
+			cl.raiseSuspended(int64(lost))
 		}
 		cl.drift.Store(int64(drift))
 		return
 	}
 }
 
-func (cl *clock) grow(lost int64) {
+func (cl *clock) raiseSuspended(lost int64) {
 	for {
-		old := cl.lost.Load()
-		if lost <= old || cl.lost.CompareAndSwap(old, lost) {
+		old := cl.suspended.Load()
+		if lost <= old || cl.suspended.CompareAndSwap(old, lost) {
 			return
 		}
 	}
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -13,93 +13,93 @@
 	"github.com/stretchr/testify/require"
 )
 
-// machine has three clocks. A real time.Time can't be given a monotonic reading of its own,
+// fakeMachine has three clocks. A real time.Time can't be given a monotonic reading of its own,
 // so that its time of day is the one that steps.
-type machine struct {
-	began time.Time
-	// runs is the time that the steady clock has counted, suspended what it has not, set by
-	// how much the time of day was set.
-	runs, suspended, set time.Duration
-	// reads counts the readings of the clock that goes on.
-	reads int
+type fakeMachine struct {
+	startedAt time.Time
+	// running is the time that the steady clock has counted, suspended what it has not, clockSet by
+	// how much the time of day was clockSet.
+	running, suspended, clockSet time.Duration
+	// bootReads counts the readings of the clock that goes on.
+	bootReads int
 	err   error
 }
 
-func (ma *machine) boot() (time.Duration, error) {
-	ma.reads++
-	return ma.runs + ma.suspended, ma.err
+func (ma *fakeMachine) readBoot() (time.Duration, error) {
+	ma.bootReads++
+	return ma.running + ma.suspended, ma.err
 }
 
-// clockOf returns a clock whose drift is the machine's.
-func (ma *machine) clockOf() *clock {
-	ma.began = time.Now()
-	return newClock(func() time.Time { return ma.began.Add(ma.runs) }, ma.boot)
+// newClock returns a clock whose drift is the machine's.
+func (ma *fakeMachine) newClock() *clock {
+	ma.startedAt = time.Now()
+	return newClock(func() time.Time { return ma.startedAt.Add(ma.running) }, ma.readBoot)
 }
 
-// look lets the clock compare as it does when the time of day has moved against the steady
+// elapsed lets the clock compare as it does when the time of day has moved against the steady
 // clock, and returns the time that it tells since the start.
-func (ma *machine) look(cl *clock) time.Duration {
-	if drift := ma.suspended + ma.set; (drift - time.Duration(cl.drift.Load())).Abs() >= stepLeast {
-		cl.compare(drift)
+func (ma *fakeMachine) elapsed(cl *clock) time.Duration {
+	if drift := ma.suspended + ma.clockSet; (drift - time.Duration(cl.drift.Load())).Abs() >= minStep {
+		cl.measureSuspension(drift)
 	}
-	return ma.began.Add(ma.runs).Add(time.Duration(cl.lost.Load())).Sub(ma.began)
+	return ma.startedAt.Add(ma.running).Add(time.Duration(cl.suspended.Load())).Sub(ma.startedAt)
 }
 
-func TestSuspendedTimeCounts(t *testing.T) {
-	ma := &machine{}
-	cl := ma.clockOf()
-	ma.runs = time.Second
-	require.Equal(t, time.Second, ma.look(cl))
-	require.Equal(t, 1, ma.reads, "at the start only")
+func TestNowIncludesSuspendedTime(t *testing.T) {
+	ma := &fakeMachine{}
+	cl := ma.newClock()
+	ma.running = time.Second
+	require.Equal(t, time.Second, ma.elapsed(cl))
+	require.Equal(t, 1, ma.bootReads, "at the start only")
 	ma.suspended = 5 * time.Second
-	ma.runs += time.Millisecond
-	require.Equal(t, 6*time.Second+time.Millisecond, ma.look(cl))
-	ma.runs += time.Second
-	require.Equal(t, 7*time.Second+time.Millisecond, ma.look(cl))
-	require.Equal(t, 2, ma.reads, "once for each")
+	ma.running += time.Millisecond
+	require.Equal(t, 6*time.Second+time.Millisecond, ma.elapsed(cl))
+	ma.running += time.Second
+	require.Equal(t, 7*time.Second+time.Millisecond, ma.elapsed(cl))
+	require.Equal(t, 2, ma.bootReads, "once for each")
 	ma.suspended += 2 * time.Second
-	require.Equal(t, 9*time.Second+time.Millisecond, ma.look(cl))
+	require.Equal(t, 9*time.Second+time.Millisecond, ma.elapsed(cl))
 }
 
-func TestATimeOfDayThatIsSetCountsForNothing(t *testing.T) {
-	ma := &machine{}
-	cl := ma.clockOf()
+func TestTimeOfDayChangeIsNotSuspension(t *testing.T) {
+	ma := &fakeMachine{}
+	cl := ma.newClock()
 	for _, set := range []time.Duration{2 * time.Second, -3 * time.Second, time.Hour, 0} {
-		ma.set = set
-		ma.runs += time.Second
-		require.Equal(t, ma.runs, ma.look(cl))
+		ma.clockSet = set
+		ma.running += time.Second
+		require.Equal(t, ma.running, ma.elapsed(cl))
 	}
-	ma.set, ma.suspended = -5*time.Second, 5*time.Second+stepLeast
-	ma.runs += time.Second
-	require.Equal(t, ma.runs+ma.suspended, ma.look(cl), "both at the same time")
+	ma.clockSet, ma.suspended = -5*time.Second, 5*time.Second+minStep
+	ma.running += time.Second
+	require.Equal(t, ma.running+ma.suspended, ma.elapsed(cl), "both at the same time")
 }
 
-func TestAReadingThatTookLongIsTakenAgain(t *testing.T) {
-	ma := &machine{}
-	cl := ma.clockOf()
+func TestSlowReadingIsRepeated(t *testing.T) {
+	ma := &fakeMachine{}
+	cl := ma.newClock()
 	stops := 2
-	cl.boot = func() (time.Duration, error) {
-		at, err := ma.boot()
+	cl.readBoot = func() (time.Duration, error) {
+		at, err := ma.readBoot()
 		if stops > 0 {
 			stops--
-			ma.runs += time.Second // stopped just after the reading
+			ma.running += time.Second // stopped just after the reading
 		}
 		return at, err
 	}
 	ma.suspended = time.Second
-	cl.compare(time.Second)
-	require.Equal(t, time.Second, time.Duration(cl.lost.Load()))
+	cl.measureSuspension(time.Second)
+	require.Equal(t, time.Second, time.Duration(cl.suspended.Load()))
 }
 
-func TestAClockThatCannotBeReadIsSaid(t *testing.T) {
-	ma := &machine{err: errors.New("no such clock")}
-	cl := ma.clockOf()
+func TestUnreadableBootClock(t *testing.T) {
+	ma := &fakeMachine{err: errors.New("no such clock")}
+	cl := ma.newClock()
 	require.Error(t, cl.err)
-	ma.runs = time.Second
-	require.Equal(t, time.Second, cl.now().Sub(ma.began))
+	ma.running = time.Second
+	require.Equal(t, time.Second, cl.now().Sub(ma.startedAt))
 }
 
-func TestTheProcessClock(t *testing.T) {
+func TestProcessClock(t *testing.T) {
 	require.NoError(t, Err())
 	began := Now()
 	time.Sleep(10 * time.Millisecond)
@@ -114,7 +114,7 @@
 }
 
 // A moment that is read elsewhere stands still while the machine is suspended.
-func TestGatewaysTakeTheTimeFromHere(t *testing.T) {
+func TestGatewayAndPlatformUseThisClock(t *testing.T) {
 	other := regexp.MustCompile(`time\.(Now|Since|Until)\(|context\.WithDeadline\(`)
 	for _, folder := range []string{"../gateway", "../../platform"} {
 		files, err := filepath.Glob(filepath.Join(folder, "*.go"))
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -19,7 +19,7 @@
 // NewValidator returns a validator that names fields as they stand in JSON.
 func NewValidator() *validator.Validate {
 	va := validator.New(validator.WithRequiredStructEnabled())
-	va.RegisterTagNameFunc(jsonName)
+	va.RegisterTagNameFunc(jsonFieldName)
 	return va
 }
 
@@ -125,7 +125,7 @@
 			errs = append(errs, add("teams.key_digests", strings.ToLower(digest)))
 		}
 	}
-	return first(errs)
+	return firstError(errs)
 }
 
 func (do *Document) checkVersions() error {
@@ -135,7 +135,7 @@
 	}
 	for i := range do.Versions {
 		if !models[do.Versions[i].Model] {
-			return missing("versions", i, "model", do.Versions[i].Model)
+			return badReference("versions", i, "model", do.Versions[i].Model)
 		}
 	}
 	return nil
@@ -150,12 +150,12 @@
 	for i := range do.Servers {
 		for _, id := range do.Servers[i].Versions {
 			if !versions[id] {
-				return missing("servers", i, "versions", id)
+				return badReference("servers", i, "versions", id)
 			}
 		}
 		for _, na := range do.Servers[i].Services {
 			if !services[na] {
-				return missing("servers", i, "services", na)
+				return badReference("servers", i, "services", na)
 			}
 		}
 	}
@@ -185,7 +185,7 @@
 	for i := range do.Rollouts {
 		ro := &do.Rollouts[i]
 		if !versions[ro.Model+"@"+ro.To] {
-			return missing("rollouts", i, "to", ro.Model+"@"+ro.To)
+			return badReference("rollouts", i, "to", ro.Model+"@"+ro.To)
 		}
 		for k := 1; k < len(ro.Steps); k++ {
 			if ro.Steps[k] <= ro.Steps[k-1] {
@@ -214,11 +214,11 @@
 	return nil
 }
 
-func missing(list string, i int, field, name string) error {
+func badReference(list string, i int, field, name string) error {
 	return result.New(result.BadReference, fmt.Sprintf("%s[%d].%s: %q", list, i, field, name))
 }
 
-func first(errs []error) error {
+func firstError(errs []error) error {
 	for _, err := range errs {
 		if err != nil {
 			return err
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -17,7 +17,7 @@
 
 func TestMain(m *testing.M) { seeded.Main(m) }
 
-func example(t require.TestingT) *Document {
+func exampleDocument(t require.TestingT) *Document {
 	data, err := os.ReadFile("../../examples/fleet.jsonc")
 	require.NoError(t, err)
 	doc, err := Decode(data)
@@ -25,7 +25,7 @@
 	return doc
 }
 
-func TestDecodeNamesTheOffendingPlace(t *testing.T) {
+func TestDecodeErrorNamesField(t *testing.T) {
 	for _, tc := range []struct {
 		name, data string
 		code       result.Code
@@ -57,7 +57,7 @@
 }
 
 func TestGrants(t *testing.T) {
-	sn := Compile(1, example(t))
+	sn := Compile(1, exampleDocument(t))
 	kitchen := sn.TeamByKey("kitchen-key")
 	require.Equal(t, "kitchen-a", kitchen.Name())
 	require.True(t, kitchen.MayUse("menu@v1"))
@@ -69,7 +69,7 @@
 }
 
 func TestSubstitutes(t *testing.T) {
-	sn := Compile(1, example(t))
+	sn := Compile(1, exampleDocument(t))
 	var ids []string
 	for _, ve := range sn.Substitutes(sn.Kind("allergen")) {
 		ids = append(ids, ve.ID())
@@ -82,7 +82,7 @@
 // are added at the end.
 func TestPatch(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		from, to := random(rt, "from"), random(rt, "to")
+		from, to := randomDocument(rt, "from"), randomDocument(rt, "to")
 		got, err := Patch(from, Diff(from, to))
 		require.NoError(rt, err)
 		require.Empty(rt, Diff(got, to))
@@ -95,7 +95,7 @@
 	})
 }
 
-func random(rt *rapid.T, label string) *Document {
+func randomDocument(rt *rapid.T, label string) *Document {
 	doc := &Document{Models: []Model{{Name: "m"}}}
 	for _, n := range rapid.SliceOfNDistinct(rapid.IntRange(0, 8), 0, 6, rapid.ID[int]).Draw(rt, label) {
 		ve := Version{Model: "m", Name: fmt.Sprintf("v%d", n), State: Serving, InputPrice: int64(rapid.IntRange(0, 2).Draw(rt, "price"))}
@@ -110,7 +110,7 @@
 }
 
 func TestMayStart(t *testing.T) {
-	sn := Compile(1, example(t))
+	sn := Compile(1, exampleDocument(t))
 	require.Equal(t, result.OK, sn.MayStart("kitchen-a", "menu@v1", false))
 	require.Equal(t, result.VersionNotAllowed, sn.MayStart("kitchen-a", "menu@v2", false))
 	require.Equal(t, result.VersionNotAllowed, sn.MayStart("nobody", "menu@v1", false))
@@ -138,8 +138,8 @@
 	})
 }
 
-// sized is a document of the target's size.
-func sized(servers int) *Document {
+// documentWithServers is a document of the target's size.
+func documentWithServers(servers int) *Document {
 	doc := &Document{Models: []Model{{Name: "m"}}, Grants: []Grant{{Versions: &selector.Selector{}}}}
 	for i := range 5 {
 		doc.Versions = append(doc.Versions, Version{Model: "m", Name: fmt.Sprint("v", i), State: Serving})
@@ -157,10 +157,10 @@
 	return doc
 }
 
-func BenchmarkWhole(b *testing.B) {
+func BenchmarkDecodeAndCompile(b *testing.B) {
 	for _, servers := range []int{150, 1500, 4000} {
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
-			body, err := json.Marshal(sized(servers))
+			body, err := json.Marshal(documentWithServers(servers))
 			require.NoError(b, err)
 			for b.Loop() {
 				doc, err := Decode(body)
@@ -172,10 +172,10 @@
 	}
 }
 
-func BenchmarkStep(b *testing.B) {
+func BenchmarkDiffAndPatch(b *testing.B) {
 	for _, servers := range []int{150, 1500, 4000} {
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
-			from, to := sized(servers), sized(servers)
+			from, to := documentWithServers(servers), documentWithServers(servers)
 			to.Versions[1].State = Withdrawn
 			size := 0
 			for b.Loop() {
--- a/internal/config/diff.go
+++ b/internal/config/diff.go
@@ -26,7 +26,7 @@
 
 // Diff lists the objects in which two documents differ, by path.
 func Diff(from, to *Document) []Difference {
-	old := bodies(from)
+	old := bodiesByPath(from)
 	var list []Difference
 	for _, ob := range to.objects() {
 		have, ok := old[ob.path]
@@ -45,7 +45,7 @@
 	return list
 }
 
-func bodies(doc *Document) map[string]string {
+func bodiesByPath(doc *Document) map[string]string {
 	all := map[string]string{}
 	for _, ob := range doc.objects() {
 		all[ob.path] = ob.body
@@ -76,5 +76,5 @@
 			all = append(all, object{di.Path, di.Body})
 		}
 	}
-	return assemble(all)
+	return documentOf(all)
 }
--- a/internal/config/envelope.go
+++ b/internal/config/envelope.go
@@ -15,8 +15,8 @@
 // HistoryPrefix is where earlier revisions are kept.
 const HistoryPrefix = "linnetrudder/history/"
 
-// keptOperations is how many of the newest changes the envelope names.
-const keptOperations = 64
+// maxEnvelopeChanges is how many of the newest changes the envelope names.
+const maxEnvelopeChanges = 64
 
 // Change is one accepted change.
 type Change struct {
@@ -67,7 +67,7 @@
 func (en *Envelope) Next(doc *Document, ch Change) *Envelope {
 	ch.Revision = en.Revision + 1
 	changes := append([]Change{ch}, en.Changes...)
-	return &Envelope{Revision: ch.Revision, Changes: changes[:min(len(changes), keptOperations)], Document: doc}
+	return &Envelope{Revision: ch.Revision, Changes: changes[:min(len(changes), maxEnvelopeChanges)], Document: doc}
 }
 
 // Extends reports whether an envelope holds all that an older one does: the older one's newest
@@ -85,7 +85,7 @@
 			return ch.Operation == newest.Operation
 		}
 	}
-	return len(en.Changes) == keptOperations
+	return len(en.Changes) == maxEnvelopeChanges
 }
 
 // Find returns the change with the operation id, if the envelope names it.
--- a/internal/config/objects.go
+++ b/internal/config/objects.go
@@ -57,8 +57,8 @@
 	return all
 }
 
-// assemble makes a document of objects.
-func assemble(all []object) (*Document, error) {
+// documentOf makes a document of objects.
+func documentOf(all []object) (*Document, error) {
 	var order []string
 	lists := map[string]*bytes.Buffer{}
 	for _, ob := range all {
--- a/internal/config/snapshot.go
+++ b/internal/config/snapshot.go
@@ -90,11 +90,11 @@
 	versionLabels := sn.versionLabels()
 	for i := range sn.doc.Teams {
 		te := &TeamView{team: &sn.doc.Teams[i], versions: map[string]bool{}, services: map[string]bool{}}
-		la := withName(te.team.Labels, "team", te.team.Name)
+		la := withLabel(te.team.Labels, "team", te.team.Name)
 		for k := range sn.doc.Grants {
 			gr := &sn.doc.Grants[k]
 			if gr.Teams.Match(la) {
-				sn.open(te, gr, versionLabels)
+				sn.applyGrant(te, gr, versionLabels)
 			}
 		}
 		sn.teams[te.team.Name] = te
@@ -104,7 +104,7 @@
 	}
 }
 
-func (sn *Snapshot) open(te *TeamView, gr *Grant, versionLabels map[string]selector.Labels) {
+func (sn *Snapshot) applyGrant(te *TeamView, gr *Grant, versionLabels map[string]selector.Labels) {
 	if gr.Versions != nil {
 		for id, la := range versionLabels {
 			if gr.Versions.Match(la) {
@@ -114,7 +114,7 @@
 	}
 	if gr.Services != nil {
 		for na, se := range sn.services {
-			if gr.Services.Match(withName(se.Labels, "service", na)) {
+			if gr.Services.Match(withLabel(se.Labels, "service", na)) {
 				te.services[na] = true
 			}
 		}
@@ -130,7 +130,7 @@
 	}
 	all := make(map[string]selector.Labels, len(sn.versions))
 	for id, ve := range sn.versions {
-		la := withName(models[ve.Model], "model", ve.Model)
+		la := withLabel(models[ve.Model], "model", ve.Model)
 		for na, va := range ve.Labels {
 			la[na] = va
 		}
@@ -140,7 +140,7 @@
 	return all
 }
 
-func withName(la selector.Labels, name, value string) selector.Labels {
+func withLabel(la selector.Labels, name, value string) selector.Labels {
 	all := make(selector.Labels, len(la)+2)
 	for na, va := range la {
 		all[na] = va
@@ -202,15 +202,15 @@
 // Service returns a plain service by name, or nil.
 func (sn *Snapshot) Service(name string) *Service { return sn.services[name] }
 
-// plainKind is how requests of a kind without an entry are served.
-var plainKind Kind
+// defaultKind is how requests of a kind without an entry are served.
+var defaultKind Kind
 
 // Kind returns how requests of a kind are served; an unknown kind is plain.
 func (sn *Snapshot) Kind(name string) *Kind {
 	if ki := sn.kinds[name]; ki != nil {
 		return ki
 	}
-	return &plainKind
+	return &defaultKind
 }
 
 // Deadline returns how long a request of the kind may wait for its start.
@@ -273,7 +273,7 @@
 	}
 }
 
-func jsonName(fi reflect.StructField) string {
+func jsonFieldName(fi reflect.StructField) string {
 	name, _, _ := strings.Cut(fi.Tag.Get("json"), ",")
 	return name
 }
--- a/internal/freshness/freshness.go
+++ b/internal/freshness/freshness.go
@@ -12,9 +12,9 @@
 const (
 	// TickInterval is how often Tick is to be called.
 	TickInterval = 100 * time.Millisecond
-	// stallGap is the time between two ticks after which the process is taken to
+	// stallThreshold is the time between two ticks after which the process is taken to
 	// have been stopped; a busy processor delays a tick by less.
-	stallGap = 4 * TickInterval
+	stallThreshold = 4 * TickInterval
 )
 
 // Tracker is what one process knows. The zero value knows nothing. It is not safe
@@ -22,9 +22,9 @@
 type Tracker struct {
 	// confirmed is the time up to which all changes are known. It never goes back.
 	confirmed time.Time
-	// ticked is the time of the newest tick, stalled that of the newest one that
+	// lastTick is the time of the newest tick, lastStall that of the newest one that
 	// came so late that the process must have been stopped before.
-	ticked, stalled time.Time
+	lastTick, lastStall time.Time
 	// connected is set while the service answers.
 	connected bool
 	// failing is set while it does not, once a call has failed.
@@ -39,10 +39,10 @@
 
 // Tick notes that the process runs.
 func (re *Tracker) Tick(now time.Time) {
-	if !re.ticked.IsZero() && now.Sub(re.ticked) > stallGap {
-		re.stalled = now
+	if !re.lastTick.IsZero() && now.Sub(re.lastTick) > stallThreshold {
+		re.lastStall = now
 	}
-	re.ticked = now
+	re.lastTick = now
 }
 
 // HandleRead takes the answer to a read of everything. It reports whether the service
@@ -52,18 +52,18 @@
 // HandleWatch takes the answer to a watch, empty if there was no change within the
 // wait. It reports whether the service had been lost before.
 func (re *Tracker) HandleWatch(sent time.Time, wait time.Duration, empty bool, now time.Time) (regained bool) {
-	return re.confirm(re.answeredAt(sent, wait, empty, now))
+	return re.confirm(re.earliestAnswer(sent, wait, empty, now))
 }
 
-// answeredAt returns a time at which the answer to a watch was surely not given
+// earliestAnswer returns a time at which the answer to a watch was surely not given
 // yet, as late as can be said: an empty one is given when the wait is over, any
 // other one when it came, unless this process was stopped meanwhile and the
 // answer may have lain there.
-func (re *Tracker) answeredAt(sent time.Time, wait time.Duration, empty bool, now time.Time) time.Time {
+func (re *Tracker) earliestAnswer(sent time.Time, wait time.Duration, empty bool, now time.Time) time.Time {
 	if empty && now.Sub(sent) >= wait {
 		return sent.Add(wait)
 	}
-	if now.Sub(re.ticked) > stallGap || re.stalled.After(sent) {
+	if now.Sub(re.lastTick) > stallThreshold || re.lastStall.After(sent) {
 		return sent
 	}
 	return now
--- a/internal/freshness/freshness_test.go
+++ b/internal/freshness/freshness_test.go
@@ -9,29 +9,29 @@
 
 var start = time.Unix(1000, 0)
 
-func after(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
+func atMS(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 
-func TestAnAnswerThatLayThereIsNotTakenForNew(t *testing.T) {
+func TestWatchAnswerReadAfterStall(t *testing.T) {
 	var re Tracker
-	sent := after(0)
-	re.Tick(after(100))
-	wake := after(4000)
-	require.Equal(t, sent, re.answeredAt(sent, 5*time.Second, false, wake), "before the first tick after the stop")
+	sent := atMS(0)
+	re.Tick(atMS(100))
+	wake := atMS(4000)
+	require.Equal(t, sent, re.earliestAnswer(sent, 5*time.Second, false, wake), "before the first tick after the stop")
 	re.Tick(wake)
-	require.Equal(t, sent, re.answeredAt(sent, 5*time.Second, false, wake), "after it")
-	require.Equal(t, after(1000), re.answeredAt(sent, time.Second, true, wake), "an empty answer was given when the wait was over")
-	require.Equal(t, after(4060), re.answeredAt(after(4050), time.Second, false, after(4060)))
+	require.Equal(t, sent, re.earliestAnswer(sent, 5*time.Second, false, wake), "after it")
+	require.Equal(t, atMS(1000), re.earliestAnswer(sent, time.Second, true, wake), "an empty answer was given when the wait was over")
+	require.Equal(t, atMS(4060), re.earliestAnswer(atMS(4050), time.Second, false, atMS(4060)))
 }
 
-func TestLostAndRegained(t *testing.T) {
+func TestConnectionLostAndRegained(t *testing.T) {
 	var re Tracker
-	require.True(t, re.HandleRead(after(0)))
-	require.Equal(t, time.Second, re.Age(after(1000)))
+	require.True(t, re.HandleRead(atMS(0)))
+	require.Equal(t, time.Second, re.Age(atMS(1000)))
 	require.True(t, re.HandleFailure())
 	require.False(t, re.HandleFailure(), "it was lost already")
-	require.True(t, re.HandleWatch(after(1500), time.Second, true, after(2500)))
-	require.False(t, re.HandleWatch(after(2500), time.Second, true, after(3500)))
-	require.Equal(t, 100*time.Millisecond, re.Age(after(3600)))
-	re.HandleRead(after(1000))
-	require.Equal(t, 100*time.Millisecond, re.Age(after(3600)), "what is confirmed never goes back")
+	require.True(t, re.HandleWatch(atMS(1500), time.Second, true, atMS(2500)))
+	require.False(t, re.HandleWatch(atMS(2500), time.Second, true, atMS(3500)))
+	require.Equal(t, 100*time.Millisecond, re.Age(atMS(3600)))
+	re.HandleRead(atMS(1000))
+	require.Equal(t, 100*time.Millisecond, re.Age(atMS(3600)), "what is confirmed never goes back")
 }
--- a/internal/grace/grace.go
+++ b/internal/grace/grace.go
@@ -9,34 +9,34 @@
 
 // Set holds names until a deadline each. The zero value is empty. It is not safe for concurrent
 // use.
-type Set struct{ until map[string]time.Time }
+type Set struct{ deadlines map[string]time.Time }
 
 // Add keeps a name until a deadline; one that is held already keeps its own.
 func (se *Set) Add(name string, until time.Time) {
-	if se.until == nil {
-		se.until = map[string]time.Time{}
+	if se.deadlines == nil {
+		se.deadlines = map[string]time.Time{}
 	}
-	if _, ok := se.until[name]; !ok {
-		se.until[name] = until
+	if _, ok := se.deadlines[name]; !ok {
+		se.deadlines[name] = until
 	}
 }
 
 // Remove forgets a name, as once it was written again.
-func (se *Set) Remove(name string) { delete(se.until, name) }
+func (se *Set) Remove(name string) { delete(se.deadlines, name) }
 
 // Contains reports whether a name is held.
 func (se *Set) Contains(name string) bool {
-	_, ok := se.until[name]
+	_, ok := se.deadlines[name]
 	return ok
 }
 
 // Expire forgets the names whose deadline is over and returns them in order.
 func (se *Set) Expire(now time.Time) []string {
 	var over []string
-	for name, until := range se.until {
+	for name, until := range se.deadlines {
 		if !now.Before(until) {
 			over = append(over, name)
-			delete(se.until, name)
+			delete(se.deadlines, name)
 		}
 	}
 	slices.Sort(over)
--- a/internal/grace/grace_test.go
+++ b/internal/grace/grace_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestNamesAreHeldUntilTheirDeadline(t *testing.T) {
+func TestExpireAtDeadline(t *testing.T) {
 	var se Set
 	now := time.Unix(1000, 0)
 	se.Remove("none")
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -14,8 +14,8 @@
 // WatchKey ranks the entries for the duties of a data centre.
 const WatchKey = "watch"
 
-// watchers is how many entries of a data centre watch the store.
-const watchers = 2
+// watcherCount is how many entries of a data centre watch the store.
+const watcherCount = 2
 
 // View is one entry's picture of its data centre. It is not safe for
 // concurrent use.
@@ -23,25 +23,25 @@
 	// Self is the entry's own box, set before use.
 	Self string
 
-	// seen holds, for each connected agent, the entries connected to it.
-	seen map[string][]string
+	// entriesByAgent holds, for each connected agent, the entries connected to it.
+	entriesByAgent map[string][]string
 }
 
 // SetEntries notes the entries that an agent is connected to.
 func (vi *View) SetEntries(agent string, entries []string) {
-	if vi.seen == nil {
-		vi.seen = map[string][]string{}
+	if vi.entriesByAgent == nil {
+		vi.entriesByAgent = map[string][]string{}
 	}
-	vi.seen[agent] = slices.Clone(entries)
+	vi.entriesByAgent[agent] = slices.Clone(entries)
 }
 
 // RemoveAgent forgets what a lost agent said.
-func (vi *View) RemoveAgent(agent string) { delete(vi.seen, agent) }
+func (vi *View) RemoveAgent(agent string) { delete(vi.entriesByAgent, agent) }
 
 // Entries returns every living entry, this one included, in order.
 func (vi *View) Entries() []string {
 	all := []string{vi.Self}
-	for _, entries := range vi.seen {
+	for _, entries := range vi.entriesByAgent {
 		all = append(all, entries...)
 	}
 	slices.Sort(all)
@@ -51,7 +51,7 @@
 // IsWatcher reports whether this entry is one of those that watch the store.
 func (vi *View) IsWatcher() bool {
 	ranked := rendezvous.Rank(WatchKey, vi.Entries())
-	return slices.Contains(ranked[:min(watchers, len(ranked))], vi.Self)
+	return slices.Contains(ranked[:min(watcherCount, len(ranked))], vi.Self)
 }
 
 // IsLeader reports whether this entry is the first of those that watch. At most a
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// views are the pictures of a number of entries that all see the same agents.
-func views(entries int) []*View {
+// newViews are the pictures of a number of entries that all see the same agents.
+func newViews(entries int) []*View {
 	var names []string
 	for i := range entries {
 		names = append(names, fmt.Sprintf("e%d", i))
@@ -33,9 +33,9 @@
 	return n
 }
 
-func TestTwoWatchAndOneLeads(t *testing.T) {
+func TestTwoWatchersAndOneLeader(t *testing.T) {
 	for _, entries := range []int{2, 3, 46} {
-		all := views(entries)
+		all := newViews(entries)
 		require.Equal(t, 2, count(all, (*View).IsWatcher))
 		require.Equal(t, 1, count(all, (*View).IsLeader))
 	}
@@ -44,8 +44,8 @@
 	require.True(t, alone.IsLeader())
 }
 
-func TestALostWatcherIsReplaced(t *testing.T) {
-	all := views(10)
+func TestLostLeaderIsReplaced(t *testing.T) {
+	all := newViews(10)
 	for i, vi := range all {
 		if !vi.IsLeader() {
 			continue
@@ -66,8 +66,8 @@
 	t.Fatal("nobody leads")
 }
 
-func TestWhoHearsOfNobodyTakesTheDuty(t *testing.T) {
-	vi := views(10)[9]
+func TestEntryWithoutAgentsIsWatcher(t *testing.T) {
+	vi := newViews(10)[9]
 	vi.RemoveAgent("agent-1")
 	vi.RemoveAgent("agent-2")
 	require.True(t, vi.IsWatcher(), "a duty done twice costs a read; one done by nobody costs the promise")
--- a/internal/order/order.go
+++ b/internal/order/order.go
@@ -15,14 +15,14 @@
 const Prefix = "linnetrudder/leases/"
 
 const (
-	// leaseFor is how long a lease lasts. It is taken only when there is an
+	// leaseDuration is how long a lease lasts. It is taken only when there is an
 	// order to give, and not renewed.
-	leaseFor = 30 * time.Second
-	// margin is what clocks may differ by, and how long an order may be under
+	leaseDuration = 30 * time.Second
+	// clockMargin is what clocks may differ by, and how long an order may be under
 	// way.
-	margin = 5 * time.Second
-	// retryPause is the time between two tries after one failed.
-	retryPause = 2 * time.Second
+	clockMargin = 5 * time.Second
+	// retryDelay is the time between two tries after one failed.
+	retryDelay = 2 * time.Second
 )
 
 // Lease is the right to give orders to one server, as it is stored.
@@ -76,26 +76,26 @@
 	// Holder names this process.
 	Holder string
 
-	// wanted is what the configuration says, held what the server said.
-	wanted, held []string
-	// looked is false until the server said what it holds after the last
+	// desired is what the configuration says, loaded what the server said.
+	desired, loaded []string
+	// listed is false until the server said what it holds after the last
 	// order.
-	looked bool
+	listed bool
 	// lease is the newest one read or taken; index is its place in the store.
 	// read is false until the store was asked since the last failure.
 	lease Lease
 	index uint64
-	read  bool
+	leaseRead  bool
 	// busy is true while an action is under way.
 	busy      bool
 	notBefore time.Time
 }
 
 // SetDesired says which versions the server is to hold.
-func (re *Reconciler) SetDesired(versions []string) { re.wanted = slices.Clone(versions) }
+func (re *Reconciler) SetDesired(versions []string) { re.desired = slices.Clone(versions) }
 
 // HasVersion reports whether the server is known to hold a version.
-func (re *Reconciler) HasVersion(version string) bool { return slices.Contains(re.held, version) }
+func (re *Reconciler) HasVersion(version string) bool { return slices.Contains(re.loaded, version) }
 
 // Next returns what to do now, if anything. running says whether work of a
 // version is in progress; such a version is not unloaded.
@@ -109,41 +109,41 @@
 }
 
 func (re *Reconciler) next(running func(string) bool, now time.Time) (Action, bool) {
-	if !re.looked {
+	if !re.listed {
 		return Action{do: ListVersions}, true
 	}
-	do, version := re.difference(running)
+	do, version := re.nextOrder(running)
 	switch {
 	case version == "":
 		return Action{}, false
-	case !re.read:
+	case !re.leaseRead:
 		return Action{do: ReadLease}, true
-	case re.mine(now):
+	case re.ownsLease(now):
 		return Action{do: do, version: version, lease: re.lease}, true
-	case now.Before(re.lease.Until.Add(margin)) && re.lease.Holder != re.Holder:
-		re.notBefore = re.lease.Until.Add(margin)
+	case now.Before(re.lease.Until.Add(clockMargin)) && re.lease.Holder != re.Holder:
+		re.notBefore = re.lease.Until.Add(clockMargin)
 		return Action{}, false
 	}
-	lease := Lease{Holder: re.Holder, Fence: re.lease.Fence + 1, Until: now.Add(leaseFor)}
+	lease := Lease{Holder: re.Holder, Fence: re.lease.Fence + 1, Until: now.Add(leaseDuration)}
 	return Action{do: AcquireLease, lease: lease, index: re.index}, true
 }
 
-// mine reports whether the lease is held here for long enough to give an
+// ownsLease reports whether the lease is held here for long enough to give an
 // order.
-func (re *Reconciler) mine(now time.Time) bool {
-	return re.lease.Holder == re.Holder && now.Add(margin).Before(re.lease.Until)
+func (re *Reconciler) ownsLease(now time.Time) bool {
+	return re.lease.Holder == re.Holder && now.Add(clockMargin).Before(re.lease.Until)
 }
 
-// difference returns the next order that brings the server closer to what is
+// nextOrder returns the next order that brings the server closer to what is
 // wanted: first loads, in the order of the configuration.
-func (re *Reconciler) difference(running func(string) bool) (ActionKind, string) {
-	for _, version := range re.wanted {
-		if !slices.Contains(re.held, version) {
+func (re *Reconciler) nextOrder(running func(string) bool) (ActionKind, string) {
+	for _, version := range re.desired {
+		if !slices.Contains(re.loaded, version) {
 			return Load, version
 		}
 	}
-	for _, version := range re.held {
-		if !slices.Contains(re.wanted, version) && !running(version) {
+	for _, version := range re.loaded {
+		if !slices.Contains(re.desired, version) && !running(version) {
 			return Unload, version
 		}
 	}
@@ -152,17 +152,17 @@
 
 // HandleList takes the server's word on what it holds.
 func (re *Reconciler) HandleList(held []string, err error, now time.Time) {
-	if re.done(err, now) {
-		re.held = slices.Clone(held)
-		re.looked = true
+	if re.finishAction(err, now) {
+		re.loaded = slices.Clone(held)
+		re.listed = true
 	}
 }
 
 // HandleLease takes the lease as the store holds it; a missing one is the zero value
 // with index zero.
 func (re *Reconciler) HandleLease(lease Lease, index uint64, err error, now time.Time) {
-	if re.done(err, now) {
-		re.lease, re.index, re.read = lease, index, true
+	if re.finishAction(err, now) {
+		re.lease, re.index, re.leaseRead = lease, index, true
 	}
 }
 
@@ -170,23 +170,23 @@
 // read again: its answer has the index, and shows a write whose answer was
 // lost.
 func (re *Reconciler) HandleAcquire(err error, now time.Time) {
-	re.read = false
-	re.done(err, now)
+	re.leaseRead = false
+	re.finishAction(err, now)
 }
 
 // HandleOrder takes the outcome of an order. A server that refuses it has seen a
 // higher fencing number, so the lease is read again.
 func (re *Reconciler) HandleOrder(err error, now time.Time) {
-	re.looked = false
-	if !re.done(err, now) {
-		re.read = false
+	re.listed = false
+	if !re.finishAction(err, now) {
+		re.leaseRead = false
 	}
 }
 
-func (re *Reconciler) done(err error, now time.Time) bool {
+func (re *Reconciler) finishAction(err error, now time.Time) bool {
 	re.busy = false
 	if err != nil {
-		re.notBefore = now.Add(retryPause)
+		re.notBefore = now.Add(retryDelay)
 	}
 	return err == nil
 }
--- a/internal/order/order_test.go
+++ b/internal/order/order_test.go
@@ -20,29 +20,29 @@
 	errFence = errors.New("lower fencing number")
 )
 
-func idle(string) bool { return false }
+func noneRunning(string) bool { return false }
 
-// world is one server, which may check fencing numbers, and the stored lease.
-type world struct {
-	checks bool
-	held   []string
+// fakeServer is one server, which may check fencing numbers, and the stored lease.
+type fakeServer struct {
+	checksFence bool
+	loaded   []string
 	fence  uint64
 	lease  Lease
 	index  uint64
 	// orders lists who gave which order when.
-	orders []given
+	orders []givenOrder
 }
 
-type given struct {
+type givenOrder struct {
 	holder string
 	fence  uint64
 	at     time.Time
 }
 
-func (wo *world) do(re *Reconciler, ac Action, fate error, now time.Time) {
+func (wo *fakeServer) execute(re *Reconciler, ac Action, fate error, now time.Time) {
 	switch ac.Kind() {
 	case ListVersions:
-		re.HandleList(wo.held, fate, now)
+		re.HandleList(wo.loaded, fate, now)
 	case ReadLease:
 		re.HandleLease(wo.lease, wo.index, fate, now)
 	case AcquireLease:
@@ -56,81 +56,81 @@
 	}
 }
 
-func (wo *world) order(ac Action, now time.Time) error {
-	if wo.checks && ac.Lease().Fence < wo.fence {
+func (wo *fakeServer) order(ac Action, now time.Time) error {
+	if wo.checksFence && ac.Lease().Fence < wo.fence {
 		return errFence
 	}
 	wo.fence = max(wo.fence, ac.Lease().Fence)
-	wo.orders = append(wo.orders, given{ac.Lease().Holder, ac.Lease().Fence, now})
+	wo.orders = append(wo.orders, givenOrder{ac.Lease().Holder, ac.Lease().Fence, now})
 	if ac.Kind() == Load {
-		wo.held = append(wo.held, ac.Version())
+		wo.loaded = append(wo.loaded, ac.Version())
 	} else {
-		wo.held = slices.DeleteFunc(wo.held, func(ve string) bool { return ve == ac.Version() })
+		wo.loaded = slices.DeleteFunc(wo.loaded, func(ve string) bool { return ve == ac.Version() })
 	}
 	return nil
 }
 
-// settle lets a reconciler act for a while.
-func (wo *world) settle(re *Reconciler, now time.Time, span time.Duration) {
+// runFor lets a reconciler act for a while.
+func (wo *fakeServer) runFor(re *Reconciler, now time.Time, span time.Duration) {
 	for end := now.Add(span); now.Before(end); now = now.Add(time.Second) {
-		if ac, ok := re.Next(idle, now); ok {
-			wo.do(re, ac, nil, now)
+		if ac, ok := re.Next(noneRunning, now); ok {
+			wo.execute(re, ac, nil, now)
 		}
 	}
 }
 
-func TestTheServerFollowsTheConfiguration(t *testing.T) {
-	wo := &world{held: []string{"m@v0"}}
+func TestServerConvergesToConfiguration(t *testing.T) {
+	wo := &fakeServer{loaded: []string{"m@v0"}}
 	re := &Reconciler{Holder: "a"}
 	re.SetDesired([]string{"m@v1", "m@v2"})
-	wo.settle(re, start, time.Minute)
-	require.Equal(t, []string{"m@v1", "m@v2"}, wo.held)
+	wo.runFor(re, start, time.Minute)
+	require.Equal(t, []string{"m@v1", "m@v2"}, wo.loaded)
 	require.True(t, re.HasVersion("m@v2"))
 	orders := len(wo.orders)
-	wo.settle(re, start.Add(time.Hour), time.Minute)
+	wo.runFor(re, start.Add(time.Hour), time.Minute)
 	require.Len(t, wo.orders, orders, "nothing to do, nothing done")
 }
 
-func TestAVersionInUseIsNotUnloaded(t *testing.T) {
-	wo := &world{held: []string{"m@v0"}}
+func TestVersionInUseIsNotUnloaded(t *testing.T) {
+	wo := &fakeServer{loaded: []string{"m@v0"}}
 	re := &Reconciler{Holder: "a"}
 	for now := start; now.Before(start.Add(time.Minute)); now = now.Add(time.Second) {
 		if ac, ok := re.Next(func(string) bool { return true }, now); ok {
-			wo.do(re, ac, nil, now)
+			wo.execute(re, ac, nil, now)
 		}
 	}
-	require.Equal(t, []string{"m@v0"}, wo.held)
+	require.Equal(t, []string{"m@v0"}, wo.loaded)
 }
 
-func TestANewAgentWaitsTheOldLeaseOut(t *testing.T) {
-	wo := &world{}
+func TestNewHolderWaitsForLeaseExpiry(t *testing.T) {
+	wo := &fakeServer{}
 	old, young := &Reconciler{Holder: "old"}, &Reconciler{Holder: "young"}
 	old.SetDesired([]string{"m@v1"})
-	wo.settle(old, start, 6*time.Second)
+	wo.runFor(old, start, 6*time.Second)
 	require.Len(t, wo.orders, 1)
 	young.SetDesired([]string{"m@v2"})
-	wo.settle(young, start.Add(6*time.Second), 2*leaseFor)
-	require.Equal(t, []string{"m@v2"}, wo.held)
+	wo.runFor(young, start.Add(6*time.Second), 2*leaseDuration)
+	require.Equal(t, []string{"m@v2"}, wo.loaded)
 	require.Equal(t, "young", wo.orders[1].holder)
-	require.True(t, wo.orders[1].at.After(wo.orders[0].at.Add(leaseFor)))
+	require.True(t, wo.orders[1].at.After(wo.orders[0].at.Add(leaseDuration)))
 	// The old one wakes up and still wants its version.
 	old.SetDesired([]string{"m@v3"})
-	ac, ok := old.Next(idle, start.Add(leaseFor+20*time.Second))
+	ac, ok := old.Next(noneRunning, start.Add(leaseDuration+20*time.Second))
 	for ok && ac.Kind() != Load && ac.Kind() != Unload {
-		wo.do(old, ac, nil, start.Add(leaseFor+20*time.Second))
-		ac, ok = old.Next(idle, start.Add(leaseFor+20*time.Second))
+		wo.execute(old, ac, nil, start.Add(leaseDuration+20*time.Second))
+		ac, ok = old.Next(noneRunning, start.Add(leaseDuration+20*time.Second))
 	}
 	require.False(t, ok, "it gives no order under the other's lease: %v", ac)
 }
 
-// TestOneHolderAtATime freezes and restarts agents, loses answers and lets
+// TestOneHolderPerLease freezes and restarts agents, loses answers and lets
 // them race for one server that checks nothing. No two holders give orders
 // within one lease, and fencing numbers only grow. The naive reconciler, which
 // orders whenever it sees a difference, breaks that.
-func TestOneHolderAtATime(t *testing.T) {
+func TestOneHolderPerLease(t *testing.T) {
 	naiveBroken := 0
 	rapid.Check(t, func(rt *rapid.T) {
-		wo := &world{checks: rapid.Bool().Draw(rt, "checks")}
+		wo := &fakeServer{checksFence: rapid.Bool().Draw(rt, "checks")}
 		reconcilers := []*Reconciler{{Holder: "a"}, {Holder: "b"}}
 		now := start
 		lastNaive := ""
@@ -144,21 +144,21 @@
 				re.SetDesired(rapid.SampledFrom([][]string{{"m@v1"}, {"m@v2"}, {"m@v1", "m@v2"}}).Draw(rt, "versions"))
 			case "restart":
 				fresh := &Reconciler{Holder: re.Holder + "'"}
-				fresh.SetDesired(re.wanted)
+				fresh.SetDesired(re.desired)
 				reconcilers[k] = fresh
 			case "act":
-				if _, version := re.difference(idle); version != "" {
-					if lastNaive != "" && lastNaive != re.Holder && now.Sub(lastAt) < leaseFor {
+				if _, version := re.nextOrder(noneRunning); version != "" {
+					if lastNaive != "" && lastNaive != re.Holder && now.Sub(lastAt) < leaseDuration {
 						naiveBroken++
 					}
 					lastNaive, lastAt = re.Holder, now
 				}
-				if ac, ok := re.Next(idle, now); ok {
+				if ac, ok := re.Next(noneRunning, now); ok {
 					var fate error
 					if rapid.IntRange(0, 4).Draw(rt, "fate") == 0 {
 						fate = errLost
 					}
-					wo.do(re, ac, fate, now)
+					wo.execute(re, ac, fate, now)
 				}
 			}
 		}
