--- a/internal/bill/bill_test.go
+++ b/internal/bill/bill_test.go
@@ -20,61 +20,60 @@
 var start = time.Unix(1_800_000_000, 0)
 
 var (
-	errDown = errors.New("store is down")
+	errDown = errors.New("store is unavailable")
 	errLost = errors.New("answer lost")
 )
 
-// fakeStore is a key-value service that fails as the fates say, one for each
-// swap: "ok", "lost" (made, not answered), "down", "raced" (another writer
-// comes first).
+// fakeStore is a key-value service whose swaps have the given outcomes: "ok", "lost" (executed, but
+// the answer is lost), "down" (not executed) or "raced" (another writer wrote first).
 type fakeStore struct {
-	pairs map[string]kv.Pair
-	index uint64
-	fates []string
-	// racing is merged into a document when a swap is raced.
+	pairs    map[string]kv.Pair
+	index    uint64
+	outcomes []string
+	// racing holds the lines that the other writer adds in a "raced" swap.
 	racing []wire.BillLine
-	calls int
+	calls  int
 }
 
-func (me *fakeStore) Get(_ context.Context, key string) (kv.Pair, error) {
-	me.calls++
-	return me.pairs[key], nil
+func (st *fakeStore) Get(_ context.Context, key string) (kv.Pair, error) {
+	st.calls++
+	return st.pairs[key], nil
 }
 
-func (me *fakeStore) put(key string, value []byte) {
-	me.index++
-	me.pairs[key] = kv.Pair{Key: key, Value: value, Index: me.index}
+func (st *fakeStore) put(key string, value []byte) {
+	st.index++
+	st.pairs[key] = kv.Pair{Key: key, Value: value, Index: st.index}
 }
 
-func (me *fakeStore) Swap(_ context.Context, key string, value []byte, index uint64) (bool, error) {
-	me.calls++
-	fate := "ok"
-	if len(me.fates) > 0 {
-		fate, me.fates = me.fates[0], me.fates[1:]
+func (st *fakeStore) Swap(_ context.Context, key string, value []byte, index uint64) (bool, error) {
+	st.calls++
+	outcome := "ok"
+	if len(st.outcomes) > 0 {
+		outcome, st.outcomes = st.outcomes[0], st.outcomes[1:]
 	}
-	switch fate {
+	switch outcome {
 	case "down":
 		return false, errDown
 	case "raced":
-		doc, _ := Decode(me.pairs[key].Value)
-		doc, _ = Merge(doc, me.racing)
+		doc, _ := Decode(st.pairs[key].Value)
+		doc, _ = Merge(doc, st.racing)
 		value, _ := Encode(doc)
-		me.put(key, value)
+		st.put(key, value)
 	}
-	if me.pairs[key].Index != index {
+	if st.pairs[key].Index != index {
 		return false, nil
 	}
-	me.put(key, value)
-	if fate == "lost" {
+	st.put(key, value)
+	if outcome == "lost" {
 		return false, errLost
 	}
 	return true, nil
 }
 
-// count returns how often each line stands in the store.
-func (me *fakeStore) count(t require.TestingT) map[lineKey]int {
+// count returns how often each line is in the store.
+func (st *fakeStore) count(t require.TestingT) map[lineKey]int {
 	n := map[lineKey]int{}
-	for _, pair := range me.pairs {
+	for _, pair := range st.pairs {
 		doc, err := Decode(pair.Value)
 		require.NoError(t, err)
 		for i := range doc {
@@ -107,48 +106,48 @@
 	key, err := DocumentKey(id)
 	require.NoError(t, err)
 	other := line(id, 1)
-	for _, fates := range [][]string{{"lost"}, {"raced"}, {"down", "lost"}, {"raced", "lost"}, {"lost", "lost"}} {
-		me := &fakeStore{pairs: map[string]kv.Pair{}, fates: fates, racing: []wire.BillLine{other}}
-		require.NoError(t, Save(t.Context(), me, Write{key: key, lines: []wire.BillLine{line(id, 0)}}))
-		require.NoError(t, Save(t.Context(), me, Write{key: key, lines: []wire.BillLine{line(id, 0)}}), "offered again")
-		require.Equal(t, 1, me.count(t)[lineKey{id, 0}], fates)
+	for _, outcomes := range [][]string{{"lost"}, {"raced"}, {"down", "lost"}, {"raced", "lost"}, {"lost", "lost"}} {
+		st := &fakeStore{pairs: map[string]kv.Pair{}, outcomes: outcomes, racing: []wire.BillLine{other}}
+		require.NoError(t, Save(t.Context(), st, Write{key: key, lines: []wire.BillLine{line(id, 0)}}))
+		require.NoError(t, Save(t.Context(), st, Write{key: key, lines: []wire.BillLine{line(id, 0)}}), "saved again")
+		require.Equal(t, 1, st.count(t)[lineKey{id, 0}], outcomes)
 	}
 }
 
 func TestOutboxKeepsLinesUntilDurable(t *testing.T) {
-	le := Outbox{Capacity: 2, InitialDelay: time.Second, RetryInterval: 10 * time.Second}
-	le.Add(line("a", 0), start)
-	le.Add(line("a", 0), start)
-	require.Equal(t, 1, le.Len())
-	require.Empty(t, le.TakeDue(10, start), "the entry hands it on first")
-	require.Len(t, le.TakeDue(10, start.Add(time.Second)), 1)
-	require.Empty(t, le.TakeDue(10, start.Add(2*time.Second)))
-	require.Len(t, le.TakeDue(10, start.Add(12*time.Second)), 1, "nobody has confirmed it")
-	le.Add(line("b", 0), start)
-	require.True(t, le.Full())
-	le.RemoveDurable([]wire.BillLine{{Request: "a"}, {Request: "b"}})
-	require.Zero(t, le.Len())
+	ou := Outbox{Capacity: 2, InitialDelay: time.Second, RetryInterval: 10 * time.Second}
+	ou.Add(line("a", 0), start)
+	ou.Add(line("a", 0), start)
+	require.Equal(t, 1, ou.Len())
+	require.Empty(t, ou.TakeDue(10, start), "the line is sent after InitialDelay")
+	require.Len(t, ou.TakeDue(10, start.Add(time.Second)), 1)
+	require.Empty(t, ou.TakeDue(10, start.Add(2*time.Second)))
+	require.Len(t, ou.TakeDue(10, start.Add(12*time.Second)), 1, "an unconfirmed line is sent again")
+	ou.Add(line("b", 0), start)
+	require.True(t, ou.Full())
+	ou.RemoveDurable([]wire.BillLine{{Request: "a"}, {Request: "b"}})
+	require.Zero(t, ou.Len())
 }
 
 func TestRetryIntervalGrowsDuringOutage(t *testing.T) {
-	le := Outbox{Capacity: 10, RetryInterval: 20 * time.Second}
-	le.Add(line("a", 0), start)
-	offers := 0
+	ou := Outbox{Capacity: 10, RetryInterval: 20 * time.Second}
+	ou.Add(line("a", 0), start)
+	sends := 0
 	for now := start; now.Before(start.Add(time.Hour)); now = now.Add(time.Second) {
-		offers += len(le.TakeDue(10, now))
+		sends += len(ou.TakeDue(10, now))
 	}
-	require.LessOrEqual(t, offers, 11)
-	require.GreaterOrEqual(t, offers, 6, "a writer that was lost is replaced in ten minutes")
+	require.LessOrEqual(t, sends, 11)
+	require.GreaterOrEqual(t, sends, 6, "a line reaches the replacement of a lost writer within ten minutes")
 }
 
 func TestOutboxDropsAcceptedLinesAboveSoftLimit(t *testing.T) {
-	le := Outbox{Capacity: 10, SoftLimit: 1}
-	le.Add(line("a", 0), start)
-	le.RemoveAccepted([]wire.BillLine{line("a", 0)})
-	require.Equal(t, 1, le.Len(), "a few are kept all the same")
-	le.Add(line("b", 0), start)
-	le.RemoveAccepted([]wire.BillLine{line("b", 0)})
-	require.Equal(t, 1, le.Len())
+	ou := Outbox{Capacity: 10, SoftLimit: 1}
+	ou.Add(line("a", 0), start)
+	ou.RemoveAccepted([]wire.BillLine{line("a", 0)})
+	require.Equal(t, 1, ou.Len(), "accepted lines stay up to SoftLimit")
+	ou.Add(line("b", 0), start)
+	ou.RemoveAccepted([]wire.BillLine{line("b", 0)})
+	require.Equal(t, 1, ou.Len())
 }
 
 func TestWriterDeduplicatesLines(t *testing.T) {
@@ -169,14 +168,14 @@
 	wr.Enqueue("e1", []wire.BillLine{line(id, 0)}, start)
 	wr.Enqueue("e2", []wire.BillLine{line(id, 0), line("malformed", 0)}, start)
 	_, ok := wr.NextWrite(start, false)
-	require.False(t, ok, "it gathers first")
+	require.False(t, ok, "the batch waits for FlushInterval")
 	due, ok := wr.NextWrite(start.Add(time.Second), false)
 	require.True(t, ok)
-	held := wr.HandleWrite(due.Key(), false, start)
-	require.Len(t, held, 2)
-	require.False(t, held[0].Durable(), "held is not durable")
+	failed := wr.HandleWrite(due.Key(), false, start)
+	require.Len(t, failed, 2)
+	require.False(t, failed[0].Durable(), "lines in memory are not durable")
 	due, ok = wr.NextWrite(start.Add(time.Minute), false)
-	require.True(t, ok, "what failed waits again")
+	require.True(t, ok, "the lines of a failed write are written again")
 	acs := wr.HandleWrite(due.Key(), true, start)
 	require.Len(t, acs, 2)
 	require.Equal(t, "e1", acs[0].Peer())
@@ -184,18 +183,17 @@
 	require.True(t, wr.Idle())
 }
 
-// pipeline is the path of bills between a few boxes in one test: two holders of
-// each line, two writers, one store.
+// pipeline is the path of bill lines in a test: two outboxes for each line, two writers, one store.
 type pipeline struct {
-	t       *rapid.T
-	store   *fakeStore
-	holders []*Outbox
-	writers []*Writer
-	now     time.Time
+	t        *rapid.T
+	store    *fakeStore
+	outboxes []*Outbox
+	writers  []*Writer
+	now      time.Time
 }
 
-func (bi *pipeline) offer(h, w int) {
-	lines := bi.holders[h].TakeDue(100, bi.now)
+func (bi *pipeline) send(h, w int) {
+	lines := bi.outboxes[h].TakeDue(100, bi.now)
 	bi.writers[w].Enqueue(fmt.Sprint(h), lines, bi.now)
 }
 
@@ -209,77 +207,76 @@
 		var h int
 		_, _ = fmt.Sscan(ac.Peer(), &h)
 		if ac.Durable() {
-			bi.holders[h].RemoveDurable(ac.Lines())
+			bi.outboxes[h].RemoveDurable(ac.Lines())
 		}
 	}
 }
 
-// TestBilledExactlyOnce kills one holder or writer after another, loses
-// answers and takes the store down. Each line stands in the store once at the
-// end, as long as one of its two holders lived until then. A naive writer that
-// adds what it is given bills twice.
+// TestBilledExactlyOnce replaces writers and one of two outboxes, loses answers and makes the store
+// unavailable. At the end each line is in the store exactly once, since one of its two outboxes has
+// survived. A naive writer that appends each line that it receives bills twice.
 func TestBilledExactlyOnce(t *testing.T) {
-	naiveDoubled := 0
+	naiveDuplicates := 0
 	rapid.Check(t, func(rt *rapid.T) {
 		bi := &pipeline{t: rt, store: &fakeStore{pairs: map[string]kv.Pair{}}, now: start}
 		for range 2 {
-			bi.holders = append(bi.holders, &Outbox{Capacity: 1000, RetryInterval: time.Second})
+			bi.outboxes = append(bi.outboxes, &Outbox{Capacity: 1000, RetryInterval: time.Second})
 			bi.writers = append(bi.writers, &Writer{Capacity: 1000})
 		}
 		naive := map[lineKey]int{}
-		made := map[lineKey]bool{}
+		created := map[lineKey]bool{}
 		lost := map[int]bool{}
 		for i := range rapid.IntRange(5, 60).Draw(rt, "events") {
 			bi.now = bi.now.Add(500 * time.Millisecond)
-			h, w := rapid.IntRange(0, 1).Draw(rt, "holder"), rapid.IntRange(0, 1).Draw(rt, "writer")
-			switch rapid.SampledFrom([]string{"request", "offer", "offer", "write", "write", "kill holder", "kill writer"}).Draw(rt, "event") {
+			h, w := rapid.IntRange(0, 1).Draw(rt, "outbox"), rapid.IntRange(0, 1).Draw(rt, "writer")
+			switch rapid.SampledFrom([]string{"request", "send", "send", "write", "write", "lose outbox", "lose writer"}).Draw(rt, "event") {
 			case "request":
 				li := line(fmt.Sprintf("dc.%08d-0000-7000-8000-000000000000", i), 0)
-				made[keyOf(&li)] = true
-				for _, le := range bi.holders {
-					le.Add(li, bi.now)
+				created[keyOf(&li)] = true
+				for _, ou := range bi.outboxes {
+					ou.Add(li, bi.now)
 				}
-			case "offer":
-				for _, li := range bi.holders[h].TakeDue(0, bi.now) {
+			case "send":
+				for _, li := range bi.outboxes[h].TakeDue(0, bi.now) {
 					naive[keyOf(&li)]++
 				}
-				for key := range bi.holders[h].lines {
+				for key := range bi.outboxes[h].lines {
 					naive[key]++
 				}
-				bi.offer(h, w)
+				bi.send(h, w)
 			case "write":
-				fate := rapid.SampledFrom([]string{"ok", "lost", "down", "raced"}).Draw(rt, "fate")
-				bi.store.fates = []string{fate}
+				outcome := rapid.SampledFrom([]string{"ok", "lost", "down", "raced"}).Draw(rt, "outcome")
+				bi.store.outcomes = []string{outcome}
 				bi.write(w)
-			case "kill holder":
+			case "lose outbox":
 				if len(lost) == 0 {
 					lost[h] = true
-					bi.holders[h] = &Outbox{Capacity: 1000, RetryInterval: time.Second}
+					bi.outboxes[h] = &Outbox{Capacity: 1000, RetryInterval: time.Second}
 				}
-			case "kill writer":
+			case "lose writer":
 				bi.writers[w] = &Writer{Capacity: 1000}
 			}
 		}
-		bi.store.fates = nil
+		bi.store.outcomes = nil
 		for range 4 {
 			bi.now = bi.now.Add(time.Minute)
-			bi.offer(0, 0)
-			bi.offer(1, 1)
+			bi.send(0, 0)
+			bi.send(1, 1)
 			for range 70 {
 				bi.write(0)
 				bi.write(1)
 			}
 		}
 		count := bi.store.count(rt)
-		for key := range made {
+		for key := range created {
 			require.Equal(rt, 1, count[key])
 			if naive[key] > 1 {
-				naiveDoubled++
+				naiveDuplicates++
 			}
 		}
-		require.Len(rt, count, len(made))
+		require.Len(rt, count, len(created))
 	})
-	require.Positive(t, naiveDoubled, "the naive writer must have billed twice")
+	require.Positive(t, naiveDuplicates, "the naive writer must have billed twice")
 }
 
 func FuzzDecode(f *testing.F) {
--- a/internal/bill/codec.go
+++ b/internal/bill/codec.go
@@ -12,16 +12,15 @@
 	"github.com/linnetrudder/linnetrudder/internal/wire"
 )
 
-// storedDocument is a document as it is kept: names once, lines by their places in
-// the list of names. A document is written again with each batch, so its size
-// is what bills cost.
+// storedDocument is the stored form of a document: a table of names, and lines that refer to names
+// by index. The form is compact because a document is written again, in full, with each batch.
 type storedDocument struct {
 	Names []string     `cbor:"1,keyasint"`
 	Lines []storedLine `cbor:"2,keyasint"`
 }
 
-// storedLine is one line. The fields but for ID, Step and the numbers of
-// tokens and money are places in the list of names.
+// storedLine is the stored form of a line. DataCentre, Team, Version, Kind and Box are indexes into
+// the table of names.
 type storedLine struct {
 	_                  struct{} `cbor:",toarray"`
 	ID                 []byte
@@ -35,9 +34,9 @@
 	Cost               int64
 }
 
-// nameTable gives each name a place.
+// nameTable assigns an index to each name.
 type nameTable struct {
-	list  []string
+	list    []string
 	indexOf map[string]int
 }
 
@@ -51,7 +50,7 @@
 	return i
 }
 
-// Encode writes a document in a stable order.
+// Encode sorts the lines of a document by request and step and encodes it.
 func Encode(doc []wire.BillLine) ([]byte, error) {
 	slices.SortFunc(doc, func(a, b wire.BillLine) int {
 		return cmp.Or(cmp.Compare(a.Request, b.Request), cmp.Compare(a.Step, b.Step))
@@ -75,7 +74,7 @@
 	return value, eris.Wrap(err, "bill document")
 }
 
-// Decode reads a document; nothing reads as an empty one.
+// Decode decodes a document; an empty value is an empty document.
 func Decode(value []byte) ([]wire.BillLine, error) {
 	if len(value) == 0 {
 		return nil, nil
@@ -107,18 +106,18 @@
 	dc := ""
 	for _, part := range []struct {
 		into  *string
-		place int
+		index int
 	}{{&dc, sl.DataCentre}, {&li.Team, sl.Team}, {&li.Version, sl.Version}, {&li.Kind, sl.Kind}, {&li.Box, sl.Box}} {
-		if part.place < 0 || part.place >= len(st.Names) {
+		if part.index < 0 || part.index >= len(st.Names) {
 			return wire.BillLine{}, eris.New("bill line: no such name")
 		}
-		*part.into = st.Names[part.place]
+		*part.into = st.Names[part.index]
 	}
 	li.Request = dc + "." + id.String()
 	return li, nil
 }
 
-// splitRequest returns the data centre and the number of a request id.
+// splitRequest splits a request id into its data centre and its UUID.
 func splitRequest(request string) (string, uuid.UUID, error) {
 	dot := strings.LastIndexByte(request, '.')
 	if dot < 0 {
--- a/internal/bill/document.go
+++ b/internal/bill/document.go
@@ -1,7 +1,7 @@
-// Package bill makes sure that each request is billed exactly once by boxes
-// that keep nothing. A line's place in the key-value service follows from its
-// request id alone, so any process may write any line, and compare-and-swap
-// removes doubles. It does no I/O and reads no clock.
+// Package bill records each request for billing exactly once, with boxes that have no durable
+// storage of their own. The key under which a line is stored depends on its request id alone, so
+// any process may write any line, and merging under compare-and-swap removes duplicates. Only Save
+// calls the store; the package reads no clock but for the time in a new request id.
 package bill
 
 import (
@@ -14,18 +14,18 @@
 	"github.com/linnetrudder/linnetrudder/internal/wire"
 )
 
-// Prefix is where the documents live in the key-value service.
+// Prefix is the key prefix of the documents in the key-value service.
 const Prefix = "linnetrudder/bills/"
 
 const (
-	// window is the span of request times that share documents.
+	// window is the length of the intervals of request times whose lines share documents.
 	window = 10 * time.Second
-	// shardsPerWindow is how many documents one data centre's window has.
+	// shardsPerWindow is the number of documents of a data centre for each window.
 	shardsPerWindow = 4
 )
 
-// NewRequestID returns an id that names the data centre and time of a
-// request, which place its bill.
+// NewRequestID returns an id with the data centre and time of a request, from which DocumentKey
+// derives the key of its bill lines.
 func NewRequestID(dataCentre string) string {
 	id, err := uuid.NewV7()
 	if err != nil {
@@ -46,7 +46,7 @@
 	return fmt.Sprintf("%s%s/%d/%d", Prefix, dc, win, shard), nil
 }
 
-// lineKey is what is unique about a line.
+// lineKey identifies a line.
 type lineKey struct {
 	request string
 	step    int
@@ -54,8 +54,8 @@
 
 func keyOf(li *wire.BillLine) lineKey { return lineKey{li.Request, li.Step} }
 
-// Merge adds lines to a document. Of two lines for the same step of the same
-// request the one that is there stays. It reports whether anything was added.
+// Merge adds lines to a document, except those whose request and step the document has already.
+// It reports whether a line was added.
 func Merge(doc, lines []wire.BillLine) ([]wire.BillLine, bool) {
 	have := make(map[lineKey]bool, len(doc)+len(lines))
 	for i := range doc {
--- a/internal/bill/ledger.go
+++ b/internal/bill/ledger.go
@@ -8,50 +8,48 @@
 	"github.com/linnetrudder/linnetrudder/internal/wire"
 )
 
-// pendingLine is a line that is not known to be durable.
+// pendingLine is a line that is not known to be durable yet.
 type pendingLine struct {
 	line wire.BillLine
-	// nextSend is when it is handed on, for the first time or again; wait is the
-	// time after that until it is handed on once more.
+	// nextSend is when the line is sent next; interval is the time from then until it is sent again.
 	nextSend time.Time
 	interval time.Duration
 }
 
-// maxRetryInterval bounds the time until a line is handed on again.
+// maxRetryInterval is the maximum time between two sends of a line.
 const maxRetryInterval = 10 * time.Minute
 
-// Outbox holds lines until they are known to be durable. Both the entry and
-// the agent of a request hold its lines, so that the loss of one box loses
-// nothing. Its exported fields are set before use; it is not safe for
-// concurrent use.
+// Outbox holds lines and sends them again until they are known to be durable. Both the entry and
+// the agent of a request have its lines in their outbox, so that the loss of one box loses none.
+// Its exported fields are set before use; it is not safe for concurrent use.
 type Outbox struct {
-	// Capacity is how many lines are held; new work is refused beyond it.
+	// Capacity is the maximum number of lines; new work is refused when it is reached.
 	Capacity int
-	// InitialDelay is how long a new line stays before it is handed on.
+	// InitialDelay is the time after which a new line is sent first.
 	InitialDelay time.Duration
-	// RetryInterval is the time after which a line is handed on again; it doubles each
-	// time, so that an hour of outage costs few bytes.
+	// RetryInterval is the time after which a line is sent again. It doubles with each send, up to
+	// 10 minutes, so that an outage of an hour causes little traffic.
 	RetryInterval time.Duration
-	// SoftLimit is how many lines are held although another box has taken them.
+	// SoftLimit is the number of lines above which RemoveAccepted removes lines.
 	SoftLimit int
 
-	// lines holds each line once, in any order.
+	// lines holds the lines by request and step.
 	lines map[lineKey]*pendingLine
 }
 
-// Add holds a line.
-func (le *Outbox) Add(li wire.BillLine, now time.Time) {
-	if le.lines == nil {
-		le.lines = map[lineKey]*pendingLine{}
+// Add adds a line, unless there is one for its request and step.
+func (ou *Outbox) Add(li wire.BillLine, now time.Time) {
+	if ou.lines == nil {
+		ou.lines = map[lineKey]*pendingLine{}
 	}
 	key := keyOf(&li)
-	if le.lines[key] == nil {
-		le.lines[key] = &pendingLine{line: intern(li), nextSend: now.Add(le.InitialDelay), interval: le.RetryInterval}
+	if ou.lines[key] == nil {
+		ou.lines[key] = &pendingLine{line: intern(li), nextSend: now.Add(ou.InitialDelay), interval: ou.RetryInterval}
 	}
 }
 
-// intern lets lines share the few names that they hold. An outage of the
-// store may leave tens of thousands of them in memory.
+// intern makes lines share the memory of equal names, since tens of thousands of lines may be in
+// memory during an outage of the store.
 func intern(li wire.BillLine) wire.BillLine {
 	li.Team = unique.Make(li.Team).Value()
 	li.Version = unique.Make(li.Version).Value()
@@ -60,50 +58,49 @@
 	return li
 }
 
-// Full reports whether work that would add a line must be refused.
-func (le *Outbox) Full() bool { return len(le.lines) >= le.Capacity }
+// Full reports whether Capacity is reached, so that work that would add a line must be refused.
+func (ou *Outbox) Full() bool { return len(ou.lines) >= ou.Capacity }
 
-// Len returns how many lines are held.
-func (le *Outbox) Len() int { return len(le.lines) }
+// Len returns the number of lines.
+func (ou *Outbox) Len() int { return len(ou.lines) }
 
-// MakeAllDue makes every line due, because the process stops or has lost the peer
-// that would have handed them on.
-func (le *Outbox) MakeAllDue(now time.Time) {
-	for _, he := range le.lines {
-		he.nextSend, he.interval = now, le.RetryInterval
+// MakeAllDue makes every line due at once, as when the process stops or has lost the peer that
+// would have sent them.
+func (ou *Outbox) MakeAllDue(now time.Time) {
+	for _, pe := range ou.lines {
+		pe.nextSend, pe.interval = now, ou.RetryInterval
 	}
 }
 
-// RemoveAccepted forgets lines that their writer holds in memory, if too many are held
-// here. The agent that ran a request holds its line in any case, so two boxes
-// still do.
-func (le *Outbox) RemoveAccepted(lines []wire.BillLine) {
-	if len(le.lines) > le.SoftLimit {
-		le.RemoveDurable(lines)
+// RemoveAccepted removes lines that a writer has accepted into memory if there are more than
+// SoftLimit. The agent that ran the request keeps its line in any case, so two boxes still have it.
+func (ou *Outbox) RemoveAccepted(lines []wire.BillLine) {
+	if len(ou.lines) > ou.SoftLimit {
+		ou.RemoveDurable(lines)
 	}
 }
 
-// TakeDue returns at most limit lines that must be handed on now, and notes that
-// they are.
-func (le *Outbox) TakeDue(limit int, now time.Time) []wire.BillLine {
+// TakeDue returns at most limit lines that are due, and schedules their next send.
+func (ou *Outbox) TakeDue(limit int, now time.Time) []wire.BillLine {
 	var due []wire.BillLine
-	for _, he := range le.lines {
+	for _, pe := range ou.lines {
 		if len(due) == limit {
 			break
 		}
-		if !now.Before(he.nextSend) {
-			he.nextSend = now.Add(he.interval)
-			he.interval = min(2*he.interval, maxRetryInterval)
-			due = append(due, he.line)
+		if !now.Before(pe.nextSend) {
+			pe.nextSend = now.Add(pe.interval)
+			pe.interval = min(2*pe.interval, maxRetryInterval)
+			due = append(due, pe.line)
 		}
 	}
 	slices.SortFunc(due, func(a, b wire.BillLine) int { return compareLines(&a, &b) })
 	return due
 }
 
-// RemoveDurable forgets lines that are known to be written, by request and step.
-func (le *Outbox) RemoveDurable(lines []wire.BillLine) {
+// RemoveDurable removes lines that are known to be in the store. Only their request and step are
+// used.
+func (ou *Outbox) RemoveDurable(lines []wire.BillLine) {
 	for i := range lines {
-		delete(le.lines, keyOf(&lines[i]))
+		delete(ou.lines, keyOf(&lines[i]))
 	}
 }
--- a/internal/bill/store.go
+++ b/internal/bill/store.go
@@ -9,20 +9,20 @@
 	"github.com/linnetrudder/linnetrudder/internal/wire"
 )
 
-// Store is what is used of the key-value service.
+// Store has the methods of the key-value service's client that Save uses.
 type Store interface {
 	Get(ctx context.Context, key string) (kv.Pair, error)
 	Swap(ctx context.Context, key string, value []byte, index uint64) (bool, error)
 }
 
-// maxSwapAttempts bounds the tries against other writers of one document.
+// maxSwapAttempts is how often Save attempts the compare-and-swap.
 const maxSwapAttempts = 8
 
 var errContended = eris.New("bill document is contended")
 
-// Save merges lines into their document. It returns nil only once a read or
-// an acknowledged swap shows that every line is there; after a lost answer it
-// reads back, and a line that is there already is not added again.
+// Save merges lines into their document in the store. It returns nil only after a read or an
+// acknowledged swap has shown that the document has every line. After a swap whose answer was lost
+// it reads the document again, so that no line is added twice.
 func Save(ctx context.Context, st Store, wr Write) error {
 	for range maxSwapAttempts {
 		pair, err := st.Get(ctx, wr.key)
@@ -49,7 +49,7 @@
 	return errContended
 }
 
-// DecodeAll reads every line below the prefix.
+// DecodeAll returns the lines of all documents.
 func DecodeAll(pairs []kv.Pair) ([]wire.BillLine, error) {
 	var all []wire.BillLine
 	for _, pair := range pairs {
--- a/internal/bill/writer.go
+++ b/internal/bill/writer.go
@@ -14,7 +14,7 @@
 	return cmp.Or(cmp.Compare(a.Request, b.Request), cmp.Compare(a.Step, b.Step))
 }
 
-// Write is one document that must be merged into the store.
+// Write is a set of lines to be merged into one document of the store.
 type Write struct {
 	key   string
 	lines []wire.BillLine
@@ -23,10 +23,11 @@
 // Key returns the document's key.
 func (wr Write) Key() string { return wr.key }
 
-// Lines returns what must be in the document afterwards.
+// Lines returns the lines to merge.
 func (wr Write) Lines() []wire.BillLine { return wr.lines }
 
-// Ack tells a peer that its lines are durable, or at least held.
+// Ack is the acknowledgement to a peer that its lines are durable, or only that the writer has them
+// in memory.
 type Ack struct {
 	peer    string
 	lines   []wire.BillLine
@@ -36,23 +37,23 @@
 // Durable reports whether the lines are in the store.
 func (ac Ack) Durable() bool { return ac.durable }
 
-// Peer returns whom to tell.
+// Peer returns the peer that sent the lines.
 func (ac Ack) Peer() string { return ac.peer }
 
-// Lines returns the lines, each by request, step and box alone.
+// Lines returns the acknowledged lines with only their request, step and box.
 func (ac Ack) Lines() []wire.BillLine { return ac.lines }
 
-// batch is what waits for one document.
+// batch holds the lines to be written to one document.
 type batch struct {
 	// lines holds each line once.
 	lines []wire.BillLine
-	// senders holds the peers that handed each line on, each once.
+	// senders holds the peers that sent each line, each peer once.
 	senders map[lineKey][]string
-	// firstAt is when the first of the lines came.
+	// firstAt is when the first line arrived.
 	firstAt time.Time
 }
 
-// add notes that a peer hands a line on. It reports whether the line is new.
+// add adds a line from a peer and reports whether the line is new.
 func (ba *batch) add(peer string, li wire.BillLine) bool {
 	key := keyOf(&li)
 	peers, known := ba.senders[key]
@@ -65,23 +66,24 @@
 	return !known
 }
 
-// Writer gathers the lines of many peers into few writes. Its exported fields
-// are set before use; it is not safe for concurrent use.
+// Writer batches the lines of many peers into few writes. Its exported fields are set before use;
+// it is not safe for concurrent use.
 type Writer struct {
-	// FlushInterval is how long the first line of a batch waits for more.
+	// FlushInterval is the time from the first line of a batch until the batch is written.
 	FlushInterval time.Duration
-	// Capacity is how many lines wait; more are dropped, and their holders hand
-	// them on again later.
+	// Capacity is the maximum number of lines in memory. Further lines are dropped; their senders
+	// send them again later.
 	Capacity int
 
-	pending map[string]*batch
-	// inFlight is the batch under way for each document.
+	// pending holds the next batch of each document, inFlight the one that is being written.
+	pending  map[string]*batch
 	inFlight map[string]*batch
-	size    int
+	// size is the number of lines in pending and inFlight.
+	size int
 }
 
-// Enqueue accepts lines from a peer. Lines whose request id is malformed are
-// dropped; no peer of ours makes such.
+// Enqueue adds lines from a peer. Lines with a malformed request id, which no peer of this system
+// sends, are dropped.
 func (wr *Writer) Enqueue(peer string, lines []wire.BillLine, now time.Time) {
 	if wr.pending == nil {
 		wr.pending = map[string]*batch{}
@@ -104,13 +106,13 @@
 	}
 }
 
-// reference is what of a line its holders need to find it.
+// reference returns the fields of a line that its senders need to find it.
 func reference(li *wire.BillLine) wire.BillLine {
 	return wire.BillLine{Request: li.Request, Step: li.Step, Box: li.Box}
 }
 
-// NextWrite returns the oldest document whose batch has waited long enough and that
-// is not being written already.
+// NextWrite returns the write of the first document, in the order of keys, whose batch is
+// FlushInterval old, or of any age if all is set. A document that is being written is skipped.
 func (wr *Writer) NextWrite(now time.Time, all bool) (Write, bool) {
 	for _, key := range slices.Sorted(maps.Keys(wr.pending)) {
 		ba := wr.pending[key]
@@ -124,9 +126,8 @@
 	return Write{}, false
 }
 
-// HandleWrite takes the outcome of a write and returns what to tell the peers that
-// handed the lines on. If it failed the lines wait again, and the peers learn
-// only that they are held here.
+// HandleWrite processes the outcome of a write and returns the acknowledgements to the senders of
+// its lines. After a failure the lines are enqueued again, and acknowledged as not durable.
 func (wr *Writer) HandleWrite(key string, ok bool, now time.Time) []Ack {
 	ba := wr.inFlight[key]
 	if ba == nil {
@@ -154,5 +155,5 @@
 	return acs
 }
 
-// Idle reports whether nothing waits or is being written.
+// Idle reports whether no line is pending or being written.
 func (wr *Writer) Idle() bool { return wr.size == 0 }
