--- a/internal/order/order.go
+++ b/internal/order/order.go
@@ -1,9 +1,10 @@
-// Package order decides when an agent orders its backend server to load or
-// unload versions, so that what the server holds follows the configuration. An
-// order carries a fencing number that grows with each lease on the server; a
-// holder whose lease is over, as after a freeze, gives no order, and a new one
-// waits the old lease out, since not every server checks the number. Reconciler
-// does no I/O and reads no clock.
+// Package order decides when an agent orders its backend server to load or unload versions, so that
+// the versions loaded on the server follow the configuration.
+//
+// Orders are given under a lease on the server, with a fencing number that grows with each lease.
+// Since not every server checks the number, a holder whose lease has expired, for instance while
+// its process was frozen, gives no order, and a new holder waits until the previous lease has
+// expired. Reconciler does no I/O and reads no clock.
 package order
 
 import (
@@ -11,94 +12,94 @@
 	"time"
 )
 
-// Prefix is where the leases live in the key-value service.
+// Prefix is the key prefix of the leases in the key-value service.
 const Prefix = "linnetrudder/leases/"
 
 const (
-	// leaseDuration is how long a lease lasts. It is taken only when there is an
-	// order to give, and not renewed.
+	// leaseDuration is the duration of a lease. A lease is acquired only when there is an order to
+	// give, and not renewed.
 	leaseDuration = 30 * time.Second
-	// clockMargin is what clocks may differ by, and how long an order may be under
-	// way.
+	// clockMargin is the maximum difference between two machines' clocks, and the maximum duration of
+	// an order.
 	clockMargin = 5 * time.Second
-	// retryDelay is the time between two tries after one failed.
+	// retryDelay is the time until the next action after a failed one.
 	retryDelay = 2 * time.Second
 )
 
-// Lease is the right to give orders to one server, as it is stored.
+// Lease is the stored form of the right to give orders to one server.
 type Lease struct {
-	// Holder is the holder's name, another one each time a process starts.
+	// Holder is the name of the holding process, a new one at each start of the process.
 	Holder string `json:"holder"`
-	// Fence grows by one with each lease.
+	// Fence is the fencing number. It grows by one with each lease.
 	Fence uint64    `json:"fence"`
 	Until time.Time `json:"until"`
 }
 
-// ActionKind is what the shell must do.
+// ActionKind is the kind of an action that the agent takes for the Reconciler.
 type ActionKind string
 
-// The things to do.
+// The kinds of actions.
 const (
-	// ListVersions asks the server what it holds.
+	// ListVersions asks the server for its loaded versions.
 	ListVersions ActionKind = "look"
 	// ReadLease reads the lease from the store.
 	ReadLease ActionKind = "read"
 	// AcquireLease writes the lease by compare-and-swap.
 	AcquireLease ActionKind = "take"
-	// Load and Unload order the server.
+	// Load and Unload are the orders to the server.
 	Load   ActionKind = "load"
 	Unload ActionKind = "unload"
 )
 
-// Action is one thing to do.
+// Action is an action that the agent takes for the Reconciler.
 type Action struct {
-	do      ActionKind
+	kind    ActionKind
 	version string
 	lease   Lease
 	index   uint64
 }
 
-// Kind returns what to do.
-func (ac Action) Kind() ActionKind { return ac.do }
+// Kind returns the kind of the action.
+func (ac Action) Kind() ActionKind { return ac.kind }
 
-// Version returns the version of an order.
+// Version returns the version to load or unload.
 func (ac Action) Version() string { return ac.version }
 
-// Lease returns the lease to write, or the one that an order is given under.
+// Lease returns the lease to write, or the lease that the order is given under.
 func (ac Action) Lease() Lease { return ac.lease }
 
-// Index returns what the stored lease's index must be.
+// Index returns the modify index of the stored lease that AcquireLease expects.
 func (ac Action) Index() uint64 { return ac.index }
 
-// Reconciler keeps one server's versions. Its exported fields are set before use;
-// it is not safe for concurrent use.
+// Reconciler brings the loaded versions of one server in line with the configuration. Its exported
+// fields are set before use; it is not safe for concurrent use.
 type Reconciler struct {
-	// Holder names this process.
+	// Holder is the name under which this process acquires leases.
 	Holder string
 
-	// desired is what the configuration says, loaded what the server said.
+	// desired holds the versions in the configuration, loaded those that the server listed last.
 	desired, loaded []string
-	// listed is false until the server said what it holds after the last
-	// order.
+	// listed is false until the server has listed its versions after the last order.
 	listed bool
-	// lease is the newest one read or taken; index is its place in the store.
-	// read is false until the store was asked since the last failure.
+	// lease is the lease as last read or written, index its modify index in the store.
 	lease Lease
 	index uint64
-	leaseRead  bool
-	// busy is true while an action is under way.
-	busy      bool
+	// leaseRead is false until the lease has been read after the last write of it or failed order.
+	leaseRead bool
+	// busy is true while an action is in progress.
+	busy bool
+	// notBefore is the earliest time of the next action.
 	notBefore time.Time
 }
 
-// SetDesired says which versions the server is to hold.
+// SetDesired sets the versions that the server is to have loaded.
 func (re *Reconciler) SetDesired(versions []string) { re.desired = slices.Clone(versions) }
 
-// HasVersion reports whether the server is known to hold a version.
+// HasVersion reports whether the server listed the version when it was last asked.
 func (re *Reconciler) HasVersion(version string) bool { return slices.Contains(re.loaded, version) }
 
-// Next returns what to do now, if anything. running says whether work of a
-// version is in progress; such a version is not unloaded.
+// Next returns the next action, if there is one now. running reports whether requests of a version
+// are in progress; such a version is not unloaded.
 func (re *Reconciler) Next(running func(version string) bool, now time.Time) (Action, bool) {
 	if re.busy || now.Before(re.notBefore) {
 		return Action{}, false
@@ -110,32 +111,32 @@
 
 func (re *Reconciler) next(running func(string) bool, now time.Time) (Action, bool) {
 	if !re.listed {
-		return Action{do: ListVersions}, true
+		return Action{kind: ListVersions}, true
 	}
 	do, version := re.nextOrder(running)
 	switch {
 	case version == "":
 		return Action{}, false
 	case !re.leaseRead:
-		return Action{do: ReadLease}, true
+		return Action{kind: ReadLease}, true
 	case re.ownsLease(now):
-		return Action{do: do, version: version, lease: re.lease}, true
+		return Action{kind: do, version: version, lease: re.lease}, true
 	case now.Before(re.lease.Until.Add(clockMargin)) && re.lease.Holder != re.Holder:
 		re.notBefore = re.lease.Until.Add(clockMargin)
 		return Action{}, false
 	}
 	lease := Lease{Holder: re.Holder, Fence: re.lease.Fence + 1, Until: now.Add(leaseDuration)}
-	return Action{do: AcquireLease, lease: lease, index: re.index}, true
+	return Action{kind: AcquireLease, lease: lease, index: re.index}, true
 }
 
-// ownsLease reports whether the lease is held here for long enough to give an
-// order.
+// ownsLease reports whether this process holds the lease for at least another clockMargin, which is
+// enough to give an order.
 func (re *Reconciler) ownsLease(now time.Time) bool {
 	return re.lease.Holder == re.Holder && now.Add(clockMargin).Before(re.lease.Until)
 }
 
-// nextOrder returns the next order that brings the server closer to what is
-// wanted: first loads, in the order of the configuration.
+// nextOrder returns the next order towards the desired versions: loads first, in the order of the
+// configuration.
 func (re *Reconciler) nextOrder(running func(string) bool) (ActionKind, string) {
 	for _, version := range re.desired {
 		if !slices.Contains(re.loaded, version) {
@@ -150,32 +151,30 @@
 	return "", ""
 }
 
-// HandleList takes the server's word on what it holds.
-func (re *Reconciler) HandleList(held []string, err error, now time.Time) {
+// HandleList processes the server's list of loaded versions.
+func (re *Reconciler) HandleList(versions []string, err error, now time.Time) {
 	if re.finishAction(err, now) {
-		re.loaded = slices.Clone(held)
+		re.loaded = slices.Clone(versions)
 		re.listed = true
 	}
 }
 
-// HandleLease takes the lease as the store holds it; a missing one is the zero value
-// with index zero.
+// HandleLease processes the stored lease. A missing lease is the zero value with index zero.
 func (re *Reconciler) HandleLease(lease Lease, index uint64, err error, now time.Time) {
 	if re.finishAction(err, now) {
 		re.lease, re.index, re.leaseRead = lease, index, true
 	}
 }
 
-// HandleAcquire takes the outcome of a Take. Whether it was made or not, the store is
-// read again: its answer has the index, and shows a write whose answer was
-// lost.
+// HandleAcquire processes the outcome of an AcquireLease. The lease is read again in any case,
+// since only a read returns the index, and shows whether a write with a lost answer was made.
 func (re *Reconciler) HandleAcquire(err error, now time.Time) {
 	re.leaseRead = false
 	re.finishAction(err, now)
 }
 
-// HandleOrder takes the outcome of an order. A server that refuses it has seen a
-// higher fencing number, so the lease is read again.
+// HandleOrder processes the outcome of an order. The lease is read again after a failure, since a
+// server that refuses an order has seen a higher fencing number.
 func (re *Reconciler) HandleOrder(err error, now time.Time) {
 	re.listed = false
 	if !re.finishAction(err, now) {
@@ -183,6 +182,7 @@
 	}
 }
 
+// finishAction records the outcome of an action and reports whether it succeeded.
 func (re *Reconciler) finishAction(err error, now time.Time) bool {
 	re.busy = false
 	if err != nil {
--- a/internal/order/order_test.go
+++ b/internal/order/order_test.go
@@ -22,14 +22,15 @@
 
 func noneRunning(string) bool { return false }
 
-// fakeServer is one server, which may check fencing numbers, and the stored lease.
+// fakeServer is a server, which checks fencing numbers if checksFence is set, with the stored
+// lease.
 type fakeServer struct {
 	checksFence bool
-	loaded   []string
-	fence  uint64
-	lease  Lease
-	index  uint64
-	// orders lists who gave which order when.
+	loaded      []string
+	fence       uint64
+	lease       Lease
+	index       uint64
+	// orders holds the accepted orders in order of time.
 	orders []givenOrder
 }
 
@@ -39,98 +40,99 @@
 	at     time.Time
 }
 
-func (wo *fakeServer) execute(re *Reconciler, ac Action, fate error, now time.Time) {
+// execute executes an action and passes its outcome to the reconciler.
+func (se *fakeServer) execute(re *Reconciler, ac Action, outcome error, now time.Time) {
 	switch ac.Kind() {
 	case ListVersions:
-		re.HandleList(wo.loaded, fate, now)
+		re.HandleList(se.loaded, outcome, now)
 	case ReadLease:
-		re.HandleLease(wo.lease, wo.index, fate, now)
+		re.HandleLease(se.lease, se.index, outcome, now)
 	case AcquireLease:
-		if ac.Index() == wo.index {
-			wo.lease = ac.Lease()
-			wo.index++
+		if ac.Index() == se.index {
+			se.lease = ac.Lease()
+			se.index++
 		}
-		re.HandleAcquire(fate, now)
+		re.HandleAcquire(outcome, now)
 	default:
-		re.HandleOrder(errors.Join(wo.order(ac, now), fate), now)
+		re.HandleOrder(errors.Join(se.order(ac, now), outcome), now)
 	}
 }
 
-func (wo *fakeServer) order(ac Action, now time.Time) error {
-	if wo.checksFence && ac.Lease().Fence < wo.fence {
+func (se *fakeServer) order(ac Action, now time.Time) error {
+	if se.checksFence && ac.Lease().Fence < se.fence {
 		return errFence
 	}
-	wo.fence = max(wo.fence, ac.Lease().Fence)
-	wo.orders = append(wo.orders, givenOrder{ac.Lease().Holder, ac.Lease().Fence, now})
+	se.fence = max(se.fence, ac.Lease().Fence)
+	se.orders = append(se.orders, givenOrder{ac.Lease().Holder, ac.Lease().Fence, now})
 	if ac.Kind() == Load {
-		wo.loaded = append(wo.loaded, ac.Version())
+		se.loaded = append(se.loaded, ac.Version())
 	} else {
-		wo.loaded = slices.DeleteFunc(wo.loaded, func(ve string) bool { return ve == ac.Version() })
+		se.loaded = slices.DeleteFunc(se.loaded, func(ve string) bool { return ve == ac.Version() })
 	}
 	return nil
 }
 
-// runFor lets a reconciler act for a while.
-func (wo *fakeServer) runFor(re *Reconciler, now time.Time, span time.Duration) {
+// runFor executes the reconciler's actions, at most one a second, for a time span.
+func (se *fakeServer) runFor(re *Reconciler, now time.Time, span time.Duration) {
 	for end := now.Add(span); now.Before(end); now = now.Add(time.Second) {
 		if ac, ok := re.Next(noneRunning, now); ok {
-			wo.execute(re, ac, nil, now)
+			se.execute(re, ac, nil, now)
 		}
 	}
 }
 
 func TestServerConvergesToConfiguration(t *testing.T) {
-	wo := &fakeServer{loaded: []string{"m@v0"}}
+	se := &fakeServer{loaded: []string{"m@v0"}}
 	re := &Reconciler{Holder: "a"}
 	re.SetDesired([]string{"m@v1", "m@v2"})
-	wo.runFor(re, start, time.Minute)
-	require.Equal(t, []string{"m@v1", "m@v2"}, wo.loaded)
+	se.runFor(re, start, time.Minute)
+	require.Equal(t, []string{"m@v1", "m@v2"}, se.loaded)
 	require.True(t, re.HasVersion("m@v2"))
-	orders := len(wo.orders)
-	wo.runFor(re, start.Add(time.Hour), time.Minute)
-	require.Len(t, wo.orders, orders, "nothing to do, nothing done")
+	orders := len(se.orders)
+	se.runFor(re, start.Add(time.Hour), time.Minute)
+	require.Len(t, se.orders, orders, "no orders once the versions match")
 }
 
 func TestVersionInUseIsNotUnloaded(t *testing.T) {
-	wo := &fakeServer{loaded: []string{"m@v0"}}
+	se := &fakeServer{loaded: []string{"m@v0"}}
 	re := &Reconciler{Holder: "a"}
 	for now := start; now.Before(start.Add(time.Minute)); now = now.Add(time.Second) {
 		if ac, ok := re.Next(func(string) bool { return true }, now); ok {
-			wo.execute(re, ac, nil, now)
+			se.execute(re, ac, nil, now)
 		}
 	}
-	require.Equal(t, []string{"m@v0"}, wo.loaded)
+	require.Equal(t, []string{"m@v0"}, se.loaded)
 }
 
 func TestNewHolderWaitsForLeaseExpiry(t *testing.T) {
-	wo := &fakeServer{}
-	old, young := &Reconciler{Holder: "old"}, &Reconciler{Holder: "young"}
+	se := &fakeServer{}
+	old, fresh := &Reconciler{Holder: "old"}, &Reconciler{Holder: "fresh"}
 	old.SetDesired([]string{"m@v1"})
-	wo.runFor(old, start, 6*time.Second)
-	require.Len(t, wo.orders, 1)
-	young.SetDesired([]string{"m@v2"})
-	wo.runFor(young, start.Add(6*time.Second), 2*leaseDuration)
-	require.Equal(t, []string{"m@v2"}, wo.loaded)
-	require.Equal(t, "young", wo.orders[1].holder)
-	require.True(t, wo.orders[1].at.After(wo.orders[0].at.Add(leaseDuration)))
-	// The old one wakes up and still wants its version.
+	se.runFor(old, start, 6*time.Second)
+	require.Len(t, se.orders, 1)
+	fresh.SetDesired([]string{"m@v2"})
+	se.runFor(fresh, start.Add(6*time.Second), 2*leaseDuration)
+	require.Equal(t, []string{"m@v2"}, se.loaded)
+	require.Equal(t, "fresh", se.orders[1].holder)
+	require.True(t, se.orders[1].at.After(se.orders[0].at.Add(leaseDuration)))
+	// The old holder resumes after its lease has expired, with an order to give.
 	old.SetDesired([]string{"m@v3"})
 	ac, ok := old.Next(noneRunning, start.Add(leaseDuration+20*time.Second))
 	for ok && ac.Kind() != Load && ac.Kind() != Unload {
-		wo.execute(old, ac, nil, start.Add(leaseDuration+20*time.Second))
+		se.execute(old, ac, nil, start.Add(leaseDuration+20*time.Second))
 		ac, ok = old.Next(noneRunning, start.Add(leaseDuration+20*time.Second))
 	}
-	require.False(t, ok, "it gives no order under the other's lease: %v", ac)
+	require.False(t, ok, "the expired holder must not give an order: %v", ac)
 }
 
-// TestOneHolderPerLease freezes and restarts agents, loses answers and lets
-// them race for one server that checks nothing. No two holders give orders
-// within one lease, and fencing numbers only grow. The naive reconciler, which
-// orders whenever it sees a difference, breaks that.
+// TestOneHolderPerLease lets two agents race for one server, which may or may not check fencing
+// numbers, with delays, restarts and lost answers. No two holders may give orders under one lease,
+// and fencing numbers must not decrease. A naive reconciler, which gives an order whenever the
+// versions differ, violates this.
 func TestOneHolderPerLease(t *testing.T) {
-	naiveBroken := 0
+	naiveViolations := 0
 	rapid.Check(t, func(rt *rapid.T) {
-		wo := &fakeServer{checksFence: rapid.Bool().Draw(rt, "checks")}
+		se := &fakeServer{checksFence: rapid.Bool().Draw(rt, "checks")}
 		reconcilers := []*Reconciler{{Holder: "a"}, {Holder: "b"}}
 		now := start
 		lastNaive := ""
@@ -149,26 +151,26 @@
 			case "act":
 				if _, version := re.nextOrder(noneRunning); version != "" {
 					if lastNaive != "" && lastNaive != re.Holder && now.Sub(lastAt) < leaseDuration {
-						naiveBroken++
+						naiveViolations++
 					}
 					lastNaive, lastAt = re.Holder, now
 				}
 				if ac, ok := re.Next(noneRunning, now); ok {
-					var fate error
-					if rapid.IntRange(0, 4).Draw(rt, "fate") == 0 {
-						fate = errLost
+					var outcome error
+					if rapid.IntRange(0, 4).Draw(rt, "outcome") == 0 {
+						outcome = errLost
 					}
-					wo.execute(re, ac, fate, now)
+					se.execute(re, ac, outcome, now)
 				}
 			}
 		}
-		for i := 1; i < len(wo.orders); i++ {
-			before, after := wo.orders[i-1], wo.orders[i]
+		for i := 1; i < len(se.orders); i++ {
+			before, after := se.orders[i-1], se.orders[i]
 			require.GreaterOrEqual(rt, after.fence, before.fence)
 			if before.holder != after.holder {
 				require.Greater(rt, after.fence, before.fence)
 			}
 		}
 	})
-	require.Positive(t, naiveBroken, "the naive reconcilers must have ordered at the same time")
+	require.Positive(t, naiveViolations, "the naive reconcilers must have given orders concurrently")
 }
