--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -16,15 +16,15 @@
 
 var validate = NewValidator()
 
-// NewValidator returns a validator that names fields as they stand in JSON.
+// NewValidator returns a validator that reports fields by their JSON names.
 func NewValidator() *validator.Validate {
 	va := validator.New(validator.WithRequiredStructEnabled())
 	va.RegisterTagNameFunc(jsonFieldName)
 	return va
 }
 
-// Decode reads a document written as JSON with comments and checks it whole.
-// The error is a *result.Error that names the offending place.
+// Decode decodes a document in JSON with comments and checks all of it. The error is a
+// *result.Error that names the offending field.
 func Decode(data []byte) (*Document, error) {
 	if len(data) > MaxBytes {
 		return nil, result.New(result.ConfigTooLarge, fmt.Sprintf("%d bytes", len(data)))
@@ -39,8 +39,8 @@
 	return &doc, nil
 }
 
-// DecodeStrict reads JSON with comments into a value and refuses unknown
-// fields. Malformed input gets the code bad.
+// DecodeStrict decodes JSON with comments into a value and rejects unknown fields. Malformed input
+// gets the result code bad.
 func DecodeStrict(data []byte, into any, bad result.Code) error {
 	plain, err := hujson.Standardize(bytes.Clone(data))
 	if err != nil {
@@ -57,7 +57,8 @@
 	return nil
 }
 
-// FirstInvalid turns a validator's answer into a numbered error.
+// FirstInvalid returns the first error of a validator as a *result.Error with the code bad, nil for
+// nil.
 func FirstInvalid(err error, bad result.Code) error {
 	if err == nil {
 		return nil
@@ -71,7 +72,7 @@
 	return result.New(bad, fmt.Sprintf("%s: must meet %s %s", path, fe.Tag(), fe.Param()))
 }
 
-// Check checks every field and every reference.
+// Check validates every field and every reference between objects.
 func (do *Document) Check() error {
 	if err := FirstInvalid(validate.Struct(do), result.BadConfiguration); err != nil {
 		return err
@@ -92,12 +93,12 @@
 }
 
 func (do *Document) checkNames() error {
-	se := map[string]bool{}
+	seen := map[string]bool{}
 	add := func(list, name string) error {
-		if se[list+name] {
+		if seen[list+name] {
 			return result.New(result.BadConfiguration, list+": "+name+" stands twice")
 		}
-		se[list+name] = true
+		seen[list+name] = true
 		return nil
 	}
 	var errs []error
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -29,7 +29,7 @@
 	for _, tc := range []struct {
 		name, data string
 		code       result.Code
-		place      string
+		field      string
 	}{
 		{"not json", `{"models": [}`, result.BadConfiguration, "hujson"},
 		{"unknown field", `{"modells": []}`, result.UnknownField, "modells"},
@@ -52,7 +52,7 @@
 		var er *result.Error
 		require.True(t, errors.As(err, &er), tc.name)
 		require.Equal(t, tc.code, er.Code(), "%s: %v", tc.name, err)
-		require.Contains(t, err.Error(), tc.place, tc.name)
+		require.Contains(t, err.Error(), tc.field, tc.name)
 	}
 }
 
@@ -77,9 +77,8 @@
 	require.Equal(t, []string{"notes@v1", "notes@v2"}, ids)
 }
 
-// TestPatch checks that differences lead from any document to any other, up
-// to the order of the lists, and to the very same one where objects change or
-// are added at the end.
+// TestPatch checks that a diff turns any document into any other, except for the order of the
+// lists, and into an identical one if objects are changed or added at the end.
 func TestPatch(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		from, to := randomDocument(rt, "from"), randomDocument(rt, "to")
@@ -138,7 +137,9 @@
 	})
 }
 
-// documentWithServers is a document of the target's size.
+// documentWithServers returns a document of the size that the system is designed for: 5 versions, 200
+// teams and the given number of servers.
+// servers.
 func documentWithServers(servers int) *Document {
 	doc := &Document{Models: []Model{{Name: "m"}}, Grants: []Grant{{Versions: &selector.Selector{}}}}
 	for i := range 5 {
--- a/internal/config/diff.go
+++ b/internal/config/diff.go
@@ -5,35 +5,34 @@
 	"slices"
 )
 
-// Op says how an object differs.
+// Op is the way in which an object differs between two documents.
 type Op string
 
-// The ways to differ.
 const (
 	Added   Op = "added"
 	Removed Op = "removed"
 	Changed Op = "changed"
 )
 
-// Difference is one object that two documents do not share.
+// Difference describes an object that differs between two documents.
 type Difference struct {
 	Op Op `json:"op"`
-	// Path is the list and name of the object, such as versions/menu@v2.
+	// Path is the object's list and name, such as versions/menu@v2.
 	Path string `json:"path"`
-	// Body is the object as it is after the change, in JSON.
+	// Body is the object after the change, in JSON.
 	Body string `json:"body,omitempty"`
 }
 
-// Diff lists the objects in which two documents differ, by path.
+// Diff returns the objects that differ between two documents, in order of their paths.
 func Diff(from, to *Document) []Difference {
 	old := bodiesByPath(from)
 	var list []Difference
 	for _, ob := range to.objects() {
-		have, ok := old[ob.path]
+		oldBody, ok := old[ob.path]
 		switch {
 		case !ok:
 			list = append(list, Difference{Added, ob.path, ob.body})
-		case have != ob.body:
+		case oldBody != ob.body:
 			list = append(list, Difference{Changed, ob.path, ob.body})
 		}
 		delete(old, ob.path)
@@ -53,9 +52,9 @@
 	return all
 }
 
-// Patch applies differences to a document and returns a new one. Added
-// objects go to the end of their lists; where that is not their place, the
-// digests of the two sides differ and the whole document is sent instead.
+// Patch applies differences to a document and returns a new one. Added objects go to the end of
+// their lists. If that isn't their position, the digests of the sender and the receiver differ, and
+// the full document is sent instead.
 func Patch(doc *Document, diff []Difference) (*Document, error) {
 	change := make(map[string]Difference, len(diff))
 	for _, di := range diff {
--- a/internal/config/envelope.go
+++ b/internal/config/envelope.go
@@ -9,20 +9,20 @@
 	"github.com/linnetrudder/linnetrudder/internal/result"
 )
 
-// StoreKey is where the configuration in force lives in the key-value service.
+// StoreKey is the key of the current configuration in the key-value service.
 const StoreKey = "linnetrudder/config"
 
-// HistoryPrefix is where earlier revisions are kept.
+// HistoryPrefix is the key prefix of earlier revisions.
 const HistoryPrefix = "linnetrudder/history/"
 
-// maxEnvelopeChanges is how many of the newest changes the envelope names.
+// maxEnvelopeChanges is the number of latest changes that an envelope lists.
 const maxEnvelopeChanges = 64
 
-// Change is one accepted change.
+// Change is the record of one accepted change.
 type Change struct {
 	Revision uint64 `json:"revision"`
-	// Operation is chosen by the operator's command; it tells after a lost
-	// answer whether the write was made.
+	// Operation is an id chosen by the operator's command. If the answer to a write is lost, it shows
+	// whether the write was made.
 	Operation string    `json:"operation"`
 	Operator  string    `json:"operator"`
 	At        time.Time `json:"at"`
@@ -36,7 +36,7 @@
 	Document *Document `json:"document"`
 }
 
-// DecodeEnvelope reads what the store holds; nothing reads as revision zero.
+// DecodeEnvelope decodes the stored value; an empty value is revision zero.
 func DecodeEnvelope(value []byte) (*Envelope, error) {
 	var en Envelope
 	if len(value) == 0 {
@@ -51,7 +51,7 @@
 	return &en, nil
 }
 
-// Encode writes the envelope as it is stored.
+// Encode returns the envelope as it is stored.
 func (en *Envelope) Encode() ([]byte, error) {
 	value, err := json.Marshal(en)
 	if err != nil {
@@ -63,15 +63,15 @@
 	return value, nil
 }
 
-// Next returns the envelope after a change.
+// Next returns the envelope with a new document and the change that led to it.
 func (en *Envelope) Next(doc *Document, ch Change) *Envelope {
 	ch.Revision = en.Revision + 1
 	changes := append([]Change{ch}, en.Changes...)
 	return &Envelope{Revision: ch.Revision, Changes: changes[:min(len(changes), maxEnvelopeChanges)], Document: doc}
 }
 
-// Extends reports whether an envelope holds all that an older one does: the older one's newest
-// change is among its changes, or too old to be named.
+// Extends reports whether an envelope is a successor of an older one: it lists the older one's
+// latest change, or that change is too old to be listed.
 func (en *Envelope) Extends(older *Envelope) bool {
 	if en.Revision <= older.Revision {
 		return false
@@ -88,7 +88,7 @@
 	return len(en.Changes) == maxEnvelopeChanges
 }
 
-// Find returns the change with the operation id, if the envelope names it.
+// Find returns the change with the operation id, if the envelope lists it.
 func (en *Envelope) Find(operation string) (Change, bool) {
 	for _, ch := range en.Changes {
 		if ch.Operation == operation {
--- a/internal/config/objects.go
+++ b/internal/config/objects.go
@@ -9,15 +9,16 @@
 	"github.com/rotisserie/eris"
 )
 
-// object is one entry of a list of the document, as it is compared and sent.
+// object is one element of a document's lists, in the form in which documents are compared and
+// sent.
 type object struct {
-	// path is the list and the entry's name, such as versions/menu@v2.
+	// path is the list and the element's name, such as versions/menu@v2.
 	path string
-	// body is the entry in JSON, always written the same way.
+	// body is the element in JSON; equal elements have equal bodies.
 	body string
 }
 
-// objects returns every object of the document in its order.
+// objects returns the elements of all lists in the order of the document.
 func (do *Document) objects() []object {
 	if do == nil {
 		return nil
@@ -57,7 +58,7 @@
 	return all
 }
 
-// documentOf makes a document of objects.
+// documentOf returns the document with the given objects.
 func documentOf(all []object) (*Document, error) {
 	var order []string
 	lists := map[string]*bytes.Buffer{}
@@ -73,19 +74,19 @@
 		}
 		buf.WriteString(ob.body)
 	}
-	var whole bytes.Buffer
-	whole.WriteByte('{')
+	var data bytes.Buffer
+	data.WriteByte('{')
 	for i, list := range order {
 		if i > 0 {
-			whole.WriteByte(',')
+			data.WriteByte(',')
 		}
-		whole.WriteString(strconv.Quote(list) + ":[")
-		whole.Write(lists[list].Bytes())
-		whole.WriteByte(']')
+		data.WriteString(strconv.Quote(list) + ":[")
+		data.Write(lists[list].Bytes())
+		data.WriteByte(']')
 	}
-	whole.WriteByte('}')
+	data.WriteByte('}')
 	var doc Document
-	if err := json.Unmarshal(whole.Bytes(), &doc); err != nil {
+	if err := json.Unmarshal(data.Bytes(), &doc); err != nil {
 		return nil, eris.Wrap(err, "assemble configuration")
 	}
 	return &doc, nil
--- a/internal/config/snapshot.go
+++ b/internal/config/snapshot.go
@@ -15,31 +15,31 @@
 	"github.com/linnetrudder/linnetrudder/internal/selector"
 )
 
-// Snapshot is one revision of the configuration, indexed for decisions. It
-// is never changed once compiled and may be read concurrently.
+// Snapshot is one revision of the configuration with indexes for request handling. It is immutable
+// and safe for concurrent use.
 type Snapshot struct {
 	// revision grows by one with each accepted change.
 	revision uint64
 	doc      *Document
-	// versions holds every version by its full name.
+	// versions holds every version by its id.
 	versions map[string]*Version
-	// byModel holds the versions of a model in the order of the document.
+	// byModel holds the versions of each model in the order of the document.
 	byModel  map[string][]*Version
 	servers  map[string]*Server
 	services map[string]*Service
 	kinds    map[string]*Kind
-	// substitutes holds, for each kind, the versions that may stand in.
+	// substitutes holds the versions that may substitute others, by kind.
 	substitutes map[string][]*Version
 	teams       map[string]*TeamView
-	// byDigest finds a team by the digest of a key; the digest is compared
-	// again in constant time.
+	// byDigest holds the teams by the digests of their keys. TeamByKey compares the digest again in
+	// constant time.
 	byDigest map[string]*TeamView
 }
 
-// TeamView is a team with the versions and services that are open to it.
+// TeamView is a team with the versions and services that it may use.
 type TeamView struct {
 	team *Team
-	// versions and services hold only what a grant opens.
+	// versions and services hold what a grant allows.
 	versions map[string]bool
 	services map[string]bool
 }
@@ -47,16 +47,16 @@
 // Name returns the team's name.
 func (te *TeamView) Name() string { return te.team.Name }
 
-// Weight returns the team's part of a full server, at least 1.
+// Weight returns the team's weight against other teams in the sharing of a full server, at least 1.
 func (te *TeamView) Weight() int { return max(1, te.team.Weight) }
 
-// MayUse reports whether a grant opens the version to the team.
+// MayUse reports whether a grant allows the team to use the version.
 func (te *TeamView) MayUse(version string) bool { return te.versions[version] }
 
-// MayCall reports whether a grant opens the plain service to the team.
+// MayCall reports whether a grant allows the team to call the plain service.
 func (te *TeamView) MayCall(service string) bool { return te.services[service] }
 
-// Compile indexes a document that has passed Check.
+// Compile builds the snapshot of a document that has passed Check.
 func Compile(revision uint64, doc *Document) *Snapshot {
 	sn := &Snapshot{
 		revision:    revision,
@@ -104,6 +104,7 @@
 	}
 }
 
+// applyGrant adds the versions and services that a grant selects to a team.
 func (sn *Snapshot) applyGrant(te *TeamView, gr *Grant, versionLabels map[string]selector.Labels) {
 	if gr.Versions != nil {
 		for id, la := range versionLabels {
@@ -121,8 +122,8 @@
 	}
 }
 
-// versionLabels returns each version's labels over its model's, with the
-// names "model" and "version" added.
+// versionLabels returns the labels of each version: those of its model, overridden by its own, and
+// the labels "model" and "version" with the two names.
 func (sn *Snapshot) versionLabels() map[string]selector.Labels {
 	models := make(map[string]selector.Labels, len(sn.doc.Models))
 	for i := range sn.doc.Models {
@@ -140,6 +141,7 @@
 	return all
 }
 
+// withLabel returns a copy of labels with one more label.
 func withLabel(la selector.Labels, name, value string) selector.Labels {
 	all := make(selector.Labels, len(la)+2)
 	for na, va := range la {
@@ -149,7 +151,7 @@
 	return all
 }
 
-// Revision returns the number of the revision; zero means none yet.
+// Revision returns the revision number, zero if there is no snapshot.
 func (sn *Snapshot) Revision() uint64 {
 	if sn == nil {
 		return 0
@@ -157,16 +159,16 @@
 	return sn.revision
 }
 
-// Document returns the document; it must not be changed.
+// Document returns the document, which must not be modified.
 func (sn *Snapshot) Document() *Document { return sn.doc }
 
-// Digest returns a checksum of the document, the same in every process.
+// Digest returns a checksum of the document that is the same in every process.
 func (sn *Snapshot) Digest() uint64 {
 	body, _ := json.Marshal(sn.doc)
 	return xxhash.Sum64(body)
 }
 
-// KeyDigest returns the form in which a key is kept.
+// KeyDigest returns the SHA-256 digest of a bearer key in hexadecimal, as in Team.KeyDigests.
 func KeyDigest(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
@@ -179,8 +181,8 @@
 	if te == nil {
 		return nil
 	}
-	for _, have := range te.team.KeyDigests {
-		if subtle.ConstantTimeCompare([]byte(strings.ToLower(have)), []byte(digest)) == 1 {
+	for _, own := range te.team.KeyDigests {
+		if subtle.ConstantTimeCompare([]byte(strings.ToLower(own)), []byte(digest)) == 1 {
 			return te
 		}
 	}
@@ -190,10 +192,10 @@
 // Team returns a team by name, or nil.
 func (sn *Snapshot) Team(name string) *TeamView { return sn.teams[name] }
 
-// Version returns a version by its full name, or nil.
+// Version returns a version by its id, or nil.
 func (sn *Snapshot) Version(id string) *Version { return sn.versions[id] }
 
-// VersionsOf returns the versions of a model; the list must not be changed.
+// VersionsOf returns the versions of a model. The slice must not be modified.
 func (sn *Snapshot) VersionsOf(model string) []*Version { return sn.byModel[model] }
 
 // Server returns a backend server by name, or nil.
@@ -202,10 +204,10 @@
 // Service returns a plain service by name, or nil.
 func (sn *Snapshot) Service(name string) *Service { return sn.services[name] }
 
-// defaultKind is how requests of a kind without an entry are served.
+// defaultKind is the rule for requests of a kind that the document doesn't list.
 var defaultKind Kind
 
-// Kind returns how requests of a kind are served; an unknown kind is plain.
+// Kind returns the rule for requests of a kind; for an unlisted kind, the rule with no settings.
 func (sn *Snapshot) Kind(name string) *Kind {
 	if ki := sn.kinds[name]; ki != nil {
 		return ki
@@ -213,12 +215,12 @@
 	return &defaultKind
 }
 
-// Deadline returns how long a request of the kind may wait for its start.
+// Deadline returns the maximum wait for the start of a request of the kind.
 func (ki *Kind) Deadline() time.Duration {
 	return deadline(ki.DeadlineMS)
 }
 
-// Deadline returns how long a call of the service may wait for its start.
+// Deadline returns the maximum wait for the start of a call of the service.
 func (se *Service) Deadline() time.Duration {
 	return deadline(se.DeadlineMS)
 }
@@ -230,9 +232,8 @@
 	return time.Duration(ms) * time.Millisecond
 }
 
-// MayStart says whether the version may start a request of the team now.
-// inSession is true if the request belongs to a session of this version.
-// result.OK means that it may.
+// MayStart returns result.OK if the version may start a request of the team now, and otherwise the
+// code of the reason. inSession is true if the request belongs to a session of this version.
 func (sn *Snapshot) MayStart(team, version string, inSession bool) result.Code {
 	te := sn.teams[team]
 	ve := sn.versions[version]
@@ -250,8 +251,8 @@
 	return result.OK
 }
 
-// Substitutes returns the versions that the kind lets stand in for a model;
-// the list must not be changed.
+// Substitutes returns the versions that may serve requests of the kind in place of the requested
+// model. The slice must not be modified.
 func (sn *Snapshot) Substitutes(ki *Kind) []*Version {
 	return sn.substitutes[ki.Name]
 }
