--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,9 +1,8 @@
-// Package clock tells the time by a steady clock that goes on while the machine is
-// suspended. The one that the language's library reads stands still meanwhile: what a
-// process knows would seem as new after it as before, a key that was taken away would be
-// accepted and a lease that has run out believed in. Whoever decides by ages takes the time
-// from here; timers and the library's deadlines go by their own clock, so that they are
-// given durations, not moments.
+// Package clock provides a monotonic clock that includes the time for which the machine was
+// suspended. Go's own monotonic clock stops during a suspension, so that after it outdated state
+// would seem fresh: a revoked key would be accepted and an expired lease relied on. Code that
+// decides by ages takes the time from this package. Timers and deadlines of the standard library
+// use Go's clock, so they must be given durations, not points in time.
 package clock
 
 import (
@@ -15,53 +14,51 @@
 )
 
 const (
-	// minStep is the difference between the time of day and the steady clock, since both
-	// were compared with the clock that goes on, from which they are compared again: a
-	// suspended machine and a time of day that was set look alike. Ages are wrong by as much
-	// at the most.
+	// minStep is the change of the drift of the wall clock against the monotonic clock from which
+	// suspended time is measured again with the boot-time clock. The drift changes both when the
+	// machine was suspended and when the wall clock was set. Ages are wrong by at most minStep.
 	minStep = 20 * time.Millisecond
-	// maxReadDuration is how long the readings of two clocks may take that are compared;
-	// readTries how often that is tried.
+	// maxReadDuration is the maximum time that reading two clocks for a comparison may take,
+	// maxReadAttempts the number of attempts.
 	maxReadDuration = 5 * time.Millisecond
-	maxReadAttempts  = 3
+	maxReadAttempts = 3
 )
 
-// processClock is the process's clock.
 var processClock = newClock(time.Now, readBootTime)
 
-// Now returns the present time. Its monotonic reading counts the time for which the machine
-// was suspended.
+// Now returns the current time. Its monotonic reading includes the time for which the machine was
+// suspended.
 func Now() time.Time { return processClock.now() }
 
-// WallTime returns the time of day, which any other machine has as well, without a monotonic
-// reading. That of Now is ahead by the time for which this machine was suspended.
+// WallTime returns the wall clock time, which is comparable between machines, without a monotonic
+// reading. The wall clock time of Now is ahead of it by the time for which this machine was
+// suspended.
 func WallTime() time.Time { return time.Now().Round(0) }
 
-// Since returns the time since a moment.
+// Since returns the time elapsed since a point in time.
 func Since(at time.Time) time.Duration { return Now().Sub(at) }
 
-// Until returns the time until a moment.
+// Until returns the time until a point in time.
 func Until(at time.Time) time.Duration { return at.Sub(Now()) }
 
-// Suspended returns for how long the machine was suspended since the process began, as far as
-// it was noticed.
+// Suspended returns the detected time for which the machine was suspended since the process
+// started.
 func Suspended() time.Duration { return time.Duration(processClock.suspended.Load()) }
 
-// Err returns why suspended time can't be counted on this system, nil if it is.
+// Err returns the reason why suspended time can't be measured on this system, nil if it can.
 func Err() error { return processClock.err }
 
-// clock compares three clocks, but only when two that are cheap to read say that something
-// happened.
+// clock derives suspended time from three clocks. The boot-time clock is read only if the drift
+// between the other two, which are cheap to read, has changed.
 type clock struct {
 	readTime func() time.Time
 	readBoot func() (time.Duration, error)
-	err  error
-	// start and bootStart are the readings that were taken together.
+	err      error
+	// start and bootStart are the readings of the two clocks at the start.
 	start     time.Time
 	bootStart time.Duration
-	// drift is how far the time of day had gone ahead of the steady clock when they were
-	// compared last, suspended the time for which the steady clock stood still, both in
-	// nanoseconds. The second one never shrinks.
+	// drift is the drift of the wall clock against the monotonic clock at the last measurement,
+	// suspended the suspended time so far, both in nanoseconds. suspended never decreases.
 	drift, suspended atomic.Int64
 }
 
@@ -72,11 +69,11 @@
 	return cl
 }
 
-// readBootTime reads the clock that counts suspended time.
+// readBootTime reads CLOCK_BOOTTIME, which includes suspended time.
 func readBootTime() (time.Duration, error) {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
-		return 0, eris.Wrap(err, "read the clock that counts suspended time")
+		return 0, eris.Wrap(err, "read CLOCK_BOOTTIME")
 	}
 	return time.Duration(ts.Nano()), nil
 }
@@ -90,13 +87,13 @@
 	return at.Add(time.Duration(cl.suspended.Load()))
 }
 
-// driftAt returns how far the time of day is ahead of the steady clock, since the start.
+// driftAt returns how far the wall clock has moved ahead of the monotonic clock since the start.
 func (cl *clock) driftAt(at time.Time) time.Duration {
 	return at.Round(0).Sub(cl.start.Round(0)) - at.Sub(cl.start)
 }
 
-// measureSuspension measures for how long the steady clock stood still. A process that was stopped
-// between two readings takes them again.
+// measureSuspension measures the suspended time. The readings are repeated if the process was
+// stopped between them, up to maxReadAttempts times in all.
 func (cl *clock) measureSuspension(drift time.Duration) {
 	for range maxReadAttempts {
 		before := cl.readTime()
@@ -104,19 +101,19 @@
 		if err != nil || cl.readTime().Sub(before) > maxReadDuration {
 			continue
 		}
-		lost := boot - cl.bootStart - before.Sub(cl.start)
-		if lost >= minStep {
-			cl.raiseSuspended(int64(lost))
+		suspended := boot - cl.bootStart - before.Sub(cl.start)
+		if suspended >= minStep {
+			cl.raiseSuspended(int64(suspended))
 		}
 		cl.drift.Store(int64(drift))
 		return
 	}
 }
 
-func (cl *clock) raiseSuspended(lost int64) {
+func (cl *clock) raiseSuspended(suspended int64) {
 	for {
 		old := cl.suspended.Load()
-		if lost <= old || cl.suspended.CompareAndSwap(old, lost) {
+		if suspended <= old || cl.suspended.CompareAndSwap(old, suspended) {
 			return
 		}
 	}
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -13,16 +13,17 @@
 	"github.com/stretchr/testify/require"
 )
 
-// fakeMachine has three clocks. A real time.Time can't be given a monotonic reading of its own,
-// so that its time of day is the one that steps.
+// fakeMachine has a monotonic clock, a boot-time clock and a drift of the wall clock. A time.Time
+// with a chosen monotonic reading can't be constructed, so tests move the wall clock against it
+// instead.
 type fakeMachine struct {
 	startedAt time.Time
-	// running is the time that the steady clock has counted, suspended what it has not, clockSet by
-	// how much the time of day was clockSet.
+	// running is the time counted by the monotonic clock, suspended the time for which it was stopped,
+	// and clockSet the amount by which the wall clock was set.
 	running, suspended, clockSet time.Duration
-	// bootReads counts the readings of the clock that goes on.
+	// bootReads is the number of readings of the boot-time clock.
 	bootReads int
-	err   error
+	err       error
 }
 
 func (ma *fakeMachine) readBoot() (time.Duration, error) {
@@ -30,14 +31,14 @@
 	return ma.running + ma.suspended, ma.err
 }
 
-// newClock returns a clock whose drift is the machine's.
+// newClock returns a clock that reads the fake machine's clocks.
 func (ma *fakeMachine) newClock() *clock {
 	ma.startedAt = time.Now()
 	return newClock(func() time.Time { return ma.startedAt.Add(ma.running) }, ma.readBoot)
 }
 
-// elapsed lets the clock compare as it does when the time of day has moved against the steady
-// clock, and returns the time that it tells since the start.
+// elapsed does what now does, with the fake machine's drift: it measures suspended time if the
+// drift has changed by minStep. It returns the clock's time since the start.
 func (ma *fakeMachine) elapsed(cl *clock) time.Duration {
 	if drift := ma.suspended + ma.clockSet; (drift - time.Duration(cl.drift.Load())).Abs() >= minStep {
 		cl.measureSuspension(drift)
@@ -50,13 +51,13 @@
 	cl := ma.newClock()
 	ma.running = time.Second
 	require.Equal(t, time.Second, ma.elapsed(cl))
-	require.Equal(t, 1, ma.bootReads, "at the start only")
+	require.Equal(t, 1, ma.bootReads, "one reading at the start")
 	ma.suspended = 5 * time.Second
 	ma.running += time.Millisecond
 	require.Equal(t, 6*time.Second+time.Millisecond, ma.elapsed(cl))
 	ma.running += time.Second
 	require.Equal(t, 7*time.Second+time.Millisecond, ma.elapsed(cl))
-	require.Equal(t, 2, ma.bootReads, "once for each")
+	require.Equal(t, 2, ma.bootReads, "one more reading for the suspension")
 	ma.suspended += 2 * time.Second
 	require.Equal(t, 9*time.Second+time.Millisecond, ma.elapsed(cl))
 }
@@ -71,18 +72,18 @@
 	}
 	ma.clockSet, ma.suspended = -5*time.Second, 5*time.Second+minStep
 	ma.running += time.Second
-	require.Equal(t, ma.running+ma.suspended, ma.elapsed(cl), "both at the same time")
+	require.Equal(t, ma.running+ma.suspended, ma.elapsed(cl), "suspended while the wall clock is set")
 }
 
 func TestSlowReadingIsRepeated(t *testing.T) {
 	ma := &fakeMachine{}
 	cl := ma.newClock()
-	stops := 2
+	pauses := 2
 	cl.readBoot = func() (time.Duration, error) {
 		at, err := ma.readBoot()
-		if stops > 0 {
-			stops--
-			ma.running += time.Second // stopped just after the reading
+		if pauses > 0 {
+			pauses--
+			ma.running += time.Second // the process is stopped after the reading
 		}
 		return at, err
 	}
@@ -92,7 +93,7 @@
 }
 
 func TestUnreadableBootClock(t *testing.T) {
-	ma := &fakeMachine{err: errors.New("no such clock")}
+	ma := &fakeMachine{err: errors.New("clock not supported")}
 	cl := ma.newClock()
 	require.Error(t, cl.err)
 	ma.running = time.Second
@@ -101,21 +102,22 @@
 
 func TestProcessClock(t *testing.T) {
 	require.NoError(t, Err())
-	began := Now()
+	startedAt := Now()
 	time.Sleep(10 * time.Millisecond)
-	require.GreaterOrEqual(t, Since(began), 10*time.Millisecond)
-	require.LessOrEqual(t, Until(began), -10*time.Millisecond)
+	require.GreaterOrEqual(t, Since(startedAt), 10*time.Millisecond)
+	require.LessOrEqual(t, Until(startedAt), -10*time.Millisecond)
 	require.Zero(t, Suspended())
 	synctest.Test(t, func(t *testing.T) {
-		began := Now()
+		startedAt := Now()
 		time.Sleep(time.Hour)
-		require.Equal(t, time.Hour, Since(began), "in simulated time as well")
+		require.Equal(t, time.Hour, Since(startedAt), "in the simulated time of synctest")
 	})
 }
 
-// A moment that is read elsewhere stands still while the machine is suspended.
+// TestGatewayAndPlatformUseThisClock guards against uses of Go's clock in the gateway and the
+// platform: it pauses while the machine is suspended.
 func TestGatewayAndPlatformUseThisClock(t *testing.T) {
-	other := regexp.MustCompile(`time\.(Now|Since|Until)\(|context\.WithDeadline\(`)
+	forbidden := regexp.MustCompile(`time\.(Now|Since|Until)\(|context\.WithDeadline\(`)
 	for _, folder := range []string{"../gateway", "../../platform"} {
 		files, err := filepath.Glob(filepath.Join(folder, "*.go"))
 		require.NoError(t, err)
@@ -126,7 +128,7 @@
 			}
 			source, err := os.ReadFile(file)
 			require.NoError(t, err)
-			require.Empty(t, other.FindAllString(string(source), -1), file)
+			require.Empty(t, forbidden.FindAllString(string(source), -1), file)
 		}
 	}
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -137,9 +137,8 @@
 	})
 }
 
-// documentWithServers returns a document of the size that the system is designed for: 5 versions, 200
-// teams and the given number of servers.
-// servers.
+// documentWithServers returns a document of the size that the system is designed for: 5 versions,
+// 200 teams and the given number of servers.
 func documentWithServers(servers int) *Document {
 	doc := &Document{Models: []Model{{Name: "m"}}, Grants: []Grant{{Versions: &selector.Selector{}}}}
 	for i := range 5 {
--- a/internal/freshness/freshness.go
+++ b/internal/freshness/freshness.go
@@ -1,100 +1,100 @@
-// Package freshness knows up to which moment a process has heard of every change
-// in the key-value service, so that it can tell how old its configuration may be
-// at the most. Only the steady clock counts. It does no I/O and reads no clock.
+// Package freshness tracks the time up to which a process knows every change in the key-value
+// service, and so the maximum age of its configuration. All times are monotonic clock readings. It
+// does no I/O and reads no clock.
 //
-// A whole read confirms a moment, the answer to a watch, and another process's word.
-// A watch that still waits confirms nothing, whatever other calls are answered
+// That time is advanced by a full read, by the answer to a watch, and by the age that another
+// process reports. A watch without an answer yet advances nothing, even if other calls are answered
 // meanwhile: it may have missed changes (docs/design/platform.md).
 package freshness
 
 import "time"
 
 const (
-	// TickInterval is how often Tick is to be called.
+	// TickInterval is the interval at which Tick must be called.
 	TickInterval = 100 * time.Millisecond
-	// stallThreshold is the time between two ticks after which the process is taken to
-	// have been stopped; a busy processor delays a tick by less.
+	// stallThreshold is the time between two ticks from which the process is assumed to have been
+	// stopped. A busy processor delays a tick by less.
 	stallThreshold = 4 * TickInterval
 )
 
-// Tracker is what one process knows. The zero value knows nothing. It is not safe
-// for concurrent use.
+// Tracker is the state of one process. The zero value has no confirmed time. It is not safe for
+// concurrent use.
 type Tracker struct {
-	// confirmed is the time up to which all changes are known. It never goes back.
+	// confirmed is the time up to which all changes are known. It never decreases.
 	confirmed time.Time
-	// lastTick is the time of the newest tick, lastStall that of the newest one that
-	// came so late that the process must have been stopped before.
+	// lastTick is the time of the last tick, lastStall that of the last tick that came more than
+	// stallThreshold after the one before.
 	lastTick, lastStall time.Time
-	// connected is set while the service answers.
+	// connected is set while calls to the service succeed.
 	connected bool
-	// failing is set while it does not, once a call has failed.
+	// failing is set from a failed call until one succeeds.
 	failing bool
 }
 
-// Age returns how old what is known may be at the most.
-func (re *Tracker) Age(now time.Time) time.Duration { return now.Sub(re.confirmed) }
+// Age returns the maximum age of the known state.
+func (tr *Tracker) Age(now time.Time) time.Duration { return now.Sub(tr.confirmed) }
 
-// ConfirmedAt returns the moment up to which all changes are known.
-func (re *Tracker) ConfirmedAt() time.Time { return re.confirmed }
+// ConfirmedAt returns the time up to which all changes are known.
+func (tr *Tracker) ConfirmedAt() time.Time { return tr.confirmed }
 
-// Tick notes that the process runs.
-func (re *Tracker) Tick(now time.Time) {
-	if !re.lastTick.IsZero() && now.Sub(re.lastTick) > stallThreshold {
-		re.lastStall = now
+// Tick records that the process is running.
+func (tr *Tracker) Tick(now time.Time) {
+	if !tr.lastTick.IsZero() && now.Sub(tr.lastTick) > stallThreshold {
+		tr.lastStall = now
 	}
-	re.lastTick = now
+	tr.lastTick = now
 }
 
-// HandleRead takes the answer to a read of everything. It reports whether the service
-// had been lost before.
-func (re *Tracker) HandleRead(sent time.Time) (regained bool) { return re.confirm(sent) }
+// HandleRead processes the answer to a full read that was sent at the given time. It reports
+// whether the connection to the service was lost before.
+func (tr *Tracker) HandleRead(sent time.Time) (regained bool) { return tr.confirm(sent) }
 
-// HandleWatch takes the answer to a watch, empty if there was no change within the
-// wait. It reports whether the service had been lost before.
-func (re *Tracker) HandleWatch(sent time.Time, wait time.Duration, empty bool, now time.Time) (regained bool) {
-	return re.confirm(re.earliestAnswer(sent, wait, empty, now))
+// HandleWatch processes the answer to a watch, which is empty if there was no change within the
+// wait. It reports whether the connection to the service was lost before.
+func (tr *Tracker) HandleWatch(sent time.Time, wait time.Duration, empty bool, now time.Time) (regained bool) {
+	return tr.confirm(tr.earliestAnswer(sent, wait, empty, now))
 }
 
-// earliestAnswer returns a time at which the answer to a watch was surely not given
-// yet, as late as can be said: an empty one is given when the wait is over, any
-// other one when it came, unless this process was stopped meanwhile and the
-// answer may have lain there.
-func (re *Tracker) earliestAnswer(sent time.Time, wait time.Duration, empty bool, now time.Time) time.Time {
+// earliestAnswer returns a lower bound, as late as possible, of the time at which a watch was
+// answered. An empty answer is given at the end of the wait. Any other answer is taken as given
+// now, unless this process was stopped meanwhile: then the answer may have been received long
+// before it was read, and the bound is the time at which the watch was sent.
+func (tr *Tracker) earliestAnswer(sent time.Time, wait time.Duration, empty bool, now time.Time) time.Time {
 	if empty && now.Sub(sent) >= wait {
 		return sent.Add(wait)
 	}
-	if now.Sub(re.lastTick) > stallThreshold || re.lastStall.After(sent) {
+	if now.Sub(tr.lastTick) > stallThreshold || tr.lastStall.After(sent) {
 		return sent
 	}
 	return now
 }
 
-// HandleRelay takes the answer to a question that was sent to another process, which
-// said how old what it knows may be. It reports whether the service had been lost
-// before.
-func (re *Tracker) HandleRelay(sent time.Time, age time.Duration) (regained bool) {
-	return re.confirm(sent.Add(-max(0, age)))
+// HandleRelay processes the answer of another process to a request that was sent at the given time;
+// age is the maximum age of that process's state. It reports whether the connection to the service
+// was lost before.
+func (tr *Tracker) HandleRelay(sent time.Time, age time.Duration) (regained bool) {
+	return tr.confirm(sent.Add(-max(0, age)))
 }
 
-// HandleFailure notes a call without a good answer. It reports whether the service
-// answered before.
-func (re *Tracker) HandleFailure() (lost bool) {
-	lost = re.connected
-	re.connected, re.failing = false, true
+// HandleFailure records a failed call. It reports whether the connection to the service was lost by
+// it.
+func (tr *Tracker) HandleFailure() (lost bool) {
+	lost = tr.connected
+	tr.connected, tr.failing = false, true
 	return lost
 }
 
-// EverConfirmed reports whether the state was ever known to hold every change up to some moment.
-func (re *Tracker) EverConfirmed() bool { return !re.confirmed.IsZero() }
+// EverConfirmed reports whether any time has been confirmed since the start.
+func (tr *Tracker) EverConfirmed() bool { return !tr.confirmed.IsZero() }
 
-// Failing reports whether the newest call was not answered.
-func (re *Tracker) Failing() bool { return re.failing }
+// Failing reports whether the last call failed.
+func (tr *Tracker) Failing() bool { return tr.failing }
 
-func (re *Tracker) confirm(at time.Time) (regained bool) {
-	if at.After(re.confirmed) {
-		re.confirmed = at
+func (tr *Tracker) confirm(at time.Time) (regained bool) {
+	if at.After(tr.confirmed) {
+		tr.confirmed = at
 	}
-	regained = !re.connected
-	re.connected, re.failing = true, false
+	regained = !tr.connected
+	tr.connected, tr.failing = true, false
 	return regained
 }
--- a/internal/grace/grace.go
+++ b/internal/grace/grace.go
@@ -1,5 +1,6 @@
-// Package grace keeps what the key-value service no longer holds for a while, since it may have
-// lost it and whoever wrote it may write it again. It does no I/O and reads no clock.
+// Package grace implements a grace period for names that are missing from the key-value service,
+// which may have lost them: whoever wrote them may write them again before they are treated as
+// removed. It does no I/O and reads no clock.
 package grace
 
 import (
@@ -7,11 +8,11 @@
 	"time"
 )
 
-// Set holds names until a deadline each. The zero value is empty. It is not safe for concurrent
+// Set holds names, each with a deadline. The zero value is empty. It is not safe for concurrent
 // use.
 type Set struct{ deadlines map[string]time.Time }
 
-// Add keeps a name until a deadline; one that is held already keeps its own.
+// Add adds a name with a deadline; a name that is in the set keeps its deadline.
 func (se *Set) Add(name string, until time.Time) {
 	if se.deadlines == nil {
 		se.deadlines = map[string]time.Time{}
@@ -21,24 +22,24 @@
 	}
 }
 
-// Remove forgets a name, as once it was written again.
+// Remove removes a name, for instance because it was written again.
 func (se *Set) Remove(name string) { delete(se.deadlines, name) }
 
-// Contains reports whether a name is held.
+// Contains reports whether a name is in the set.
 func (se *Set) Contains(name string) bool {
 	_, ok := se.deadlines[name]
 	return ok
 }
 
-// Expire forgets the names whose deadline is over and returns them in order.
+// Expire removes the names whose deadline has passed and returns them in order.
 func (se *Set) Expire(now time.Time) []string {
-	var over []string
+	var expired []string
 	for name, until := range se.deadlines {
 		if !now.Before(until) {
-			over = append(over, name)
+			expired = append(expired, name)
 			delete(se.deadlines, name)
 		}
 	}
-	slices.Sort(over)
-	return over
+	slices.Sort(expired)
+	return expired
 }
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// newViews are the pictures of a number of entries that all see the same agents.
+// newViews returns the views of a number of entries that have the same agents.
 func newViews(entries int) []*View {
 	var names []string
 	for i := range entries {
@@ -39,9 +39,9 @@
 		require.Equal(t, 2, count(all, (*View).IsWatcher))
 		require.Equal(t, 1, count(all, (*View).IsLeader))
 	}
-	alone := &View{Self: "e"}
-	require.True(t, alone.IsWatcher())
-	require.True(t, alone.IsLeader())
+	single := &View{Self: "e"}
+	require.True(t, single.IsWatcher())
+	require.True(t, single.IsLeader())
 }
 
 func TestLostLeaderIsReplaced(t *testing.T) {
@@ -63,12 +63,12 @@
 		require.Equal(t, 1, count(rest, (*View).IsLeader))
 		return
 	}
-	t.Fatal("nobody leads")
+	t.Fatal("no entry is the leader")
 }
 
 func TestEntryWithoutAgentsIsWatcher(t *testing.T) {
 	vi := newViews(10)[9]
 	vi.RemoveAgent("agent-1")
 	vi.RemoveAgent("agent-2")
-	require.True(t, vi.IsWatcher(), "a duty done twice costs a read; one done by nobody costs the promise")
+	require.True(t, vi.IsWatcher(), "an entry that knows no other must watch, or no entry might")
 }
