--- a/internal/selfreport/selfreport_test.go
+++ b/internal/selfreport/selfreport_test.go
@@ -21,7 +21,7 @@
 	return headers.Decode(status, header, now)
 }
 
-func TestEachHeaderIsDecoded(t *testing.T) {
+func TestHeadersAreDecoded(t *testing.T) {
 	require.Equal(t, Report{}, decode(http.StatusOK))
 	rate := 1.5
 	require.Equal(t, Report{Limit: &rate, Leaving: true}, decode(http.StatusOK, "X-Limit", "1.5", "X-Leaving", "1"))
@@ -29,7 +29,7 @@
 	require.False(t, decode(http.StatusOK, "X-Leaving", "0").Leaving)
 }
 
-func TestOnlyRejectionsAskForAPause(t *testing.T) {
+func TestOnlyRejectionsRequestAPause(t *testing.T) {
 	for status, want := range map[int]time.Duration{
 		http.StatusServiceUnavailable: 3 * time.Second, http.StatusTooManyRequests: 3 * time.Second,
 		http.StatusOK: 0, http.StatusInternalServerError: 0, http.StatusMovedPermanently: 0,
@@ -40,9 +40,9 @@
 
 func TestPausesAreSecondsOrDates(t *testing.T) {
 	for text, want := range map[string]time.Duration{
-		"2.5": 2500 * time.Millisecond, " 3 ": 3 * time.Second, "0": 0, "86400": longestPause,
+		"2.5": 2500 * time.Millisecond, " 3 ": 3 * time.Second, "0": 0, "86400": maxPause,
 		"Fri, 02 Jan 2026 03:04:15 GMT": 10 * time.Second, "Fri, 02 Jan 2026 03:04:00 GMT": 0,
-		"Sat, 03 Jan 2026 03:04:05 GMT": longestPause,
+		"Sat, 03 Jan 2026 03:04:05 GMT": maxPause,
 	} {
 		re := decode(http.StatusServiceUnavailable, "Retry-After", text)
 		require.NoError(t, re.Err, text)
@@ -50,7 +50,7 @@
 	}
 }
 
-func TestUnreadableHeadersAreNamed(t *testing.T) {
+func TestErrorsNameInvalidHeaders(t *testing.T) {
 	for _, text := range []string{"soon", "-1", "NaN", "1,5", "+Inf"} {
 		re := decode(http.StatusServiceUnavailable, "Retry-After", text, "X-Leaving", "1", "X-Limit", "2")
 		require.ErrorContains(t, re.Err, "Retry-After", text)
@@ -70,7 +70,7 @@
 	f.Fuzz(func(t *testing.T, status int, pause, limit, leaving string) {
 		re := headers.Decode(status, http.Header{"Retry-After": {pause}, "X-Limit": {limit}, "X-Leaving": {leaving}}, now)
 		require.GreaterOrEqual(t, re.RetryAfter, time.Duration(0))
-		require.LessOrEqual(t, re.RetryAfter, longestPause)
+		require.LessOrEqual(t, re.RetryAfter, maxPause)
 		if re.Limit != nil {
 			require.GreaterOrEqual(t, *re.Limit, 0.0)
 		}
