--- a/internal/config/diff.go
+++ b/internal/config/diff.go
@@ -8,6 +8,7 @@
 // Op is the way in which an object differs between two documents.
 type Op string
 
+// The kinds of differences.
 const (
 	Added   Op = "added"
 	Removed Op = "removed"
