--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,6 +1,5 @@
-// Package node is what entries and agents have in common: the configuration
-// in force, the links it spreads over, the log, the time line and the admin
-// port.
+// Package node implements the functions that entries and agents have in common: the configuration in
+// force and its propagation over links, the log, the timeline and the admin port.
 package node
 
 import (
@@ -19,32 +18,33 @@
 	"github.com/linnetrudder/linnetrudder/internal/wire"
 )
 
-// Node is the common part of a process. Its exported fields are set before
-// use; its methods may be called concurrently.
+// Node holds the state that every process has. Its exported fields must be set before use; its methods
+// are safe for concurrent use.
 type Node struct {
 	Settings settings.Settings
 	Log      zerolog.Logger
 	Ring     *timeline.Ring
-	// Fanout bounds the peers that a change is offered to at once.
+	// Fanout is the maximum number of peers to which a change is offered simultaneously.
 	Fanout int
-	// Adopted is called, one call at a time, for each revision that comes
-	// into force.
-	Adopted func(sn *config.Snapshot)
+	// OnAdopt is called for each revision that comes into force. Calls don't overlap; the node's lock
+	// is held during each.
+	OnAdopt func(sn *config.Snapshot)
 
-	// mu guards replica and links.
+	// mu guards replica, diffs and links.
 	mu      sync.Mutex
 	replica replica.Replica
-	// steps holds the newest differences, each from where the one before led.
-	steps []step
+	// diffs holds the latest revision diffs. Each one starts at the revision at which the previous one
+	// ends.
+	diffs []revisionDiff
 	// links holds the open link to each peer.
 	links map[string]*link.Link
-	// snapshot is the replica's, readable without the lock.
+	// snapshot is the replica's snapshot. It can be read without the lock.
 	snapshot atomic.Pointer[config.Snapshot]
-	// stopping is set once a planned stop has begun.
+	// stopping is set when a planned stop begins.
 	stopping atomic.Bool
 }
 
-// Identity returns who the process is to its peers.
+// Identity returns the process's identity for handshakes with peers.
 func (no *Node) Identity() link.Identity {
 	return link.Identity{
 		Box:        no.Settings.Box,
@@ -62,12 +62,12 @@
 // Stop begins a planned stop.
 func (no *Node) Stop() {
 	if no.stopping.CompareAndSwap(false, true) {
-		no.Note(timeline.Entry{Event: event.ProcessStopping})
+		no.Record(timeline.Entry{Event: event.ProcessStopping})
 	}
 }
 
-// Note logs an event and puts it on the time line.
-func (no *Node) Note(en timeline.Entry) {
+// Record logs an event and adds it to the timeline.
+func (no *Node) Record(en timeline.Entry) {
 	if en.Revision == 0 {
 		en.Revision = no.Snapshot().Revision()
 	}
@@ -86,9 +86,9 @@
 		Msg(en.Name)
 }
 
-// LinkUp takes a new link; an older one to the same peer is left to end.
-func (no *Node) LinkUp(li *link.Link) {
-	no.Note(timeline.Entry{Event: event.LinkUp, Detail: li.Peer.Box()})
+// AddLink adds a link. It replaces an older link to the same peer, which is not closed here.
+func (no *Node) AddLink(li *link.Link) {
+	no.Record(timeline.Entry{Event: event.LinkUp, Detail: li.Peer.Box()})
 	no.mu.Lock()
 	defer no.mu.Unlock()
 	if no.links == nil {
@@ -96,11 +96,12 @@
 		no.replica.Self, no.replica.Fanout = no.Settings.Box, no.Fanout
 	}
 	no.links[li.Peer.Box()] = li
-	no.act(no.replica.PeerUp(li.Peer.Box()))
+	no.apply(no.replica.PeerUp(li.Peer.Box()))
 }
 
-// LinkDown forgets a link. It reports whether it was the peer's newest.
-func (no *Node) LinkDown(li *link.Link, why error) bool {
+// RemoveLink removes a link after it was closed for the given reason. It reports whether it was the
+// latest link to the peer; otherwise it does nothing.
+func (no *Node) RemoveLink(li *link.Link, reason error) bool {
 	no.mu.Lock()
 	defer no.mu.Unlock()
 	box := li.Peer.Box()
@@ -108,8 +109,8 @@
 		return false
 	}
 	delete(no.links, box)
-	no.act(no.replica.PeerDown(box, time.Now()))
-	no.Note(timeline.Entry{Event: event.LinkDown, Detail: box + ": " + why.Error()})
+	no.apply(no.replica.PeerDown(box, time.Now()))
+	no.Record(timeline.Entry{Event: event.LinkDown, Detail: box + ": " + reason.Error()})
 	return true
 }
 
@@ -131,31 +132,31 @@
 	return list
 }
 
-// Install takes a configuration from the store.
+// Install adopts a configuration from the store if its revision is higher than the one in force.
 func (no *Node) Install(sn *config.Snapshot) {
 	no.mu.Lock()
 	defer no.mu.Unlock()
-	no.act(no.replica.Received(sn, time.Now()))
+	no.apply(no.replica.Received(sn, time.Now()))
 }
 
-// PeerRevisions returns the revision that each connected peer has offered.
+// PeerRevisions returns the highest revision that each connected peer has offered.
 func (no *Node) PeerRevisions() map[string]uint64 {
 	no.mu.Lock()
 	defer no.mu.Unlock()
 	return no.replica.PeerRevisions()
 }
 
-// Tick lets a request for the configuration that was not answered be made to
-// another peer.
+// Tick drives the time-outs of the configuration's propagation, for example the one after which an
+// unanswered request is sent to another peer.
 func (no *Node) Tick(now time.Time) {
 	no.mu.Lock()
 	defer no.mu.Unlock()
-	no.act(no.replica.Tick(now))
+	no.apply(no.replica.Tick(now))
 }
 
-// Control handles the frames by which the configuration spreads. It reports
-// whether the frame was one of them.
-func (no *Node) Control(li *link.Link, fr *wire.Frame) bool {
+// HandleConfigFrame handles the frames that propagate the configuration. It reports whether the frame
+// needs no further handling; a heartbeat does.
+func (no *Node) HandleConfigFrame(li *link.Link, fr *wire.Frame) bool {
 	if fr.Stamp != nil {
 		no.Ring.Observe(*fr.Stamp)
 	}
@@ -164,26 +165,26 @@
 	no.mu.Lock()
 	defer no.mu.Unlock()
 	switch fr.Kind {
-	case wire.Beat:
-		no.act(no.replica.Offered(box, fr.Revision, now))
+	case wire.Heartbeat:
+		no.apply(no.replica.Offered(box, fr.Revision, now))
 		return false
 	case wire.Offer:
-		no.act(no.replica.Offered(box, fr.Revision, now))
+		no.apply(no.replica.Offered(box, fr.Revision, now))
 	case wire.Want:
 		if fr.Nonce != 0 {
 			li.Send(&wire.Frame{Kind: wire.Offer, Revision: no.replica.Revision(), Nonce: fr.Nonce})
 		}
-		no.act(no.replica.Wanted(box, fr.Revision))
+		no.apply(no.replica.Wanted(box, fr.Revision))
 	case wire.Config:
-		no.act(no.received(li, fr.Config))
+		no.apply(no.receiveConfig(li, fr.Config))
 	default:
 		return false
 	}
 	return true
 }
 
-// act carries out the replica's decisions; the lock is held.
-func (no *Node) act(acs []replica.Action) {
+// apply executes the replica's decisions. The caller holds no.mu.
+func (no *Node) apply(acs []replica.Action) {
 	for _, ac := range acs {
 		switch ac.Kind() {
 		case replica.Adopt:
@@ -193,7 +194,7 @@
 		case replica.Want:
 			no.send(ac.Peer(), &wire.Frame{Kind: wire.Want, Revision: ac.Revision()})
 		case replica.Give:
-			no.give(ac.Peer(), ac.Revision())
+			no.sendConfig(ac.Peer(), ac.Revision())
 		}
 	}
 }
@@ -209,5 +210,5 @@
 	return &st
 }
 
-// Stamp returns a fresh stamp to send with a message.
+// Stamp returns the current stamp, to be sent with a message.
 func (no *Node) Stamp() *timeline.Stamp { return no.stamp() }
