--- a/internal/bill/codec.go
+++ b/internal/bill/codec.go
@@ -12,16 +12,15 @@
 	"github.com/linnetrudder/linnetrudder/internal/wire"
 )
 
-// stored is a document as it is kept: names once, lines by their places in
-// the list of names. A document is written again with each batch, so its size
-// is what bills cost.
-type stored struct {
+// storedDocument is the stored form of a document: a table of names, and lines that refer to names
+// by index. The form is compact because a document is written again, in full, with each batch.
+type storedDocument struct {
 	Names []string     `cbor:"1,keyasint"`
 	Lines []storedLine `cbor:"2,keyasint"`
 }
 
-// storedLine is one line. The fields but for ID, Step and the numbers of
-// tokens and money are places in the list of names.
+// storedLine is the stored form of a line. DataCentre, Team, Version, Kind and Box are indexes into
+// the table of names.
 type storedLine struct {
 	_                  struct{} `cbor:",toarray"`
 	ID                 []byte
@@ -35,29 +34,29 @@
 	Cost               int64
 }
 
-// names gives each name a place.
-type names struct {
-	list  []string
-	place map[string]int
+// nameTable assigns an index to each name.
+type nameTable struct {
+	list    []string
+	indexOf map[string]int
 }
 
-func (na *names) add(name string) int {
-	if i, ok := na.place[name]; ok {
+func (na *nameTable) add(name string) int {
+	if i, ok := na.indexOf[name]; ok {
 		return i
 	}
 	i := len(na.list)
 	na.list = append(na.list, name)
-	na.place[name] = i
+	na.indexOf[name] = i
 	return i
 }
 
-// Encode writes a document in a stable order.
+// Encode sorts the lines of a document by request and step and encodes it.
 func Encode(doc []wire.BillLine) ([]byte, error) {
 	slices.SortFunc(doc, func(a, b wire.BillLine) int {
 		return cmp.Or(cmp.Compare(a.Request, b.Request), cmp.Compare(a.Step, b.Step))
 	})
-	na := names{place: map[string]int{}}
-	st := stored{Lines: make([]storedLine, 0, len(doc))}
+	na := nameTable{indexOf: map[string]int{}}
+	st := storedDocument{Lines: make([]storedLine, 0, len(doc))}
 	for i := range doc {
 		li := &doc[i]
 		dc, id, err := splitRequest(li.Request)
@@ -75,12 +74,12 @@
 	return value, eris.Wrap(err, "bill document")
 }
 
-// Decode reads a document; nothing reads as an empty one.
+// Decode decodes a document; an empty value is an empty document.
 func Decode(value []byte) ([]wire.BillLine, error) {
 	if len(value) == 0 {
 		return nil, nil
 	}
-	var st stored
+	var st storedDocument
 	if err := cbor.Unmarshal(value, &st); err != nil {
 		return nil, eris.Wrap(err, "bill document")
 	}
@@ -95,7 +94,7 @@
 	return doc, nil
 }
 
-func (st *stored) line(sl *storedLine) (wire.BillLine, error) {
+func (st *storedDocument) line(sl *storedLine) (wire.BillLine, error) {
 	id, err := uuid.FromBytes(sl.ID)
 	if err != nil {
 		return wire.BillLine{}, eris.Wrap(err, "bill line")
@@ -107,18 +106,18 @@
 	dc := ""
 	for _, part := range []struct {
 		into  *string
-		place int
+		index int
 	}{{&dc, sl.DataCentre}, {&li.Team, sl.Team}, {&li.Version, sl.Version}, {&li.Kind, sl.Kind}, {&li.Box, sl.Box}} {
-		if part.place < 0 || part.place >= len(st.Names) {
+		if part.index < 0 || part.index >= len(st.Names) {
 			return wire.BillLine{}, eris.New("bill line: no such name")
 		}
-		*part.into = st.Names[part.place]
+		*part.into = st.Names[part.index]
 	}
 	li.Request = dc + "." + id.String()
 	return li, nil
 }
 
-// splitRequest returns the data centre and the number of a request id.
+// splitRequest splits a request id into its data centre and its UUID.
 func splitRequest(request string) (string, uuid.UUID, error) {
 	dot := strings.LastIndexByte(request, '.')
 	if dot < 0 {
--- a/internal/order/order_test.go
+++ b/internal/order/order_test.go
@@ -20,117 +20,119 @@
 	errFence = errors.New("lower fencing number")
 )
 
-func idle(string) bool { return false }
+func noneRunning(string) bool { return false }
 
-// world is one server, which may check fencing numbers, and the stored lease.
-type world struct {
-	checks bool
-	held   []string
-	fence  uint64
-	lease  Lease
-	index  uint64
-	// orders lists who gave which order when.
-	orders []given
+// fakeServer is a server, which checks fencing numbers if checksFence is set, with the stored
+// lease.
+type fakeServer struct {
+	checksFence bool
+	loaded      []string
+	fence       uint64
+	lease       Lease
+	index       uint64
+	// orders holds the accepted orders in order of time.
+	orders []givenOrder
 }
 
-type given struct {
+type givenOrder struct {
 	holder string
 	fence  uint64
 	at     time.Time
 }
 
-func (wo *world) do(re *Reconciler, ac Action, fate error, now time.Time) {
-	switch ac.Do() {
-	case Look:
-		re.Looked(wo.held, fate, now)
-	case Read:
-		re.Have(wo.lease, wo.index, fate, now)
-	case Take:
-		if ac.Index() == wo.index {
-			wo.lease = ac.Lease()
-			wo.index++
+// execute executes an action and passes its outcome to the reconciler.
+func (se *fakeServer) execute(re *Reconciler, ac Action, outcome error, now time.Time) {
+	switch ac.Kind() {
+	case ListVersions:
+		re.HandleList(se.loaded, outcome, now)
+	case ReadLease:
+		re.HandleLease(se.lease, se.index, outcome, now)
+	case AcquireLease:
+		if ac.Index() == se.index {
+			se.lease = ac.Lease()
+			se.index++
 		}
-		re.Took(fate, now)
+		re.HandleAcquire(outcome, now)
 	default:
-		re.Ordered(errors.Join(wo.order(ac, now), fate), now)
+		re.HandleOrder(errors.Join(se.order(ac, now), outcome), now)
 	}
 }
 
-func (wo *world) order(ac Action, now time.Time) error {
-	if wo.checks && ac.Lease().Fence < wo.fence {
+func (se *fakeServer) order(ac Action, now time.Time) error {
+	if se.checksFence && ac.Lease().Fence < se.fence {
 		return errFence
 	}
-	wo.fence = max(wo.fence, ac.Lease().Fence)
-	wo.orders = append(wo.orders, given{ac.Lease().Holder, ac.Lease().Fence, now})
-	if ac.Do() == Load {
-		wo.held = append(wo.held, ac.Version())
+	se.fence = max(se.fence, ac.Lease().Fence)
+	se.orders = append(se.orders, givenOrder{ac.Lease().Holder, ac.Lease().Fence, now})
+	if ac.Kind() == Load {
+		se.loaded = append(se.loaded, ac.Version())
 	} else {
-		wo.held = slices.DeleteFunc(wo.held, func(ve string) bool { return ve == ac.Version() })
+		se.loaded = slices.DeleteFunc(se.loaded, func(ve string) bool { return ve == ac.Version() })
 	}
 	return nil
 }
 
-// settle lets a reconciler act for a while.
-func (wo *world) settle(re *Reconciler, now time.Time, span time.Duration) {
+// runFor executes the reconciler's actions, at most one a second, for a time span.
+func (se *fakeServer) runFor(re *Reconciler, now time.Time, span time.Duration) {
 	for end := now.Add(span); now.Before(end); now = now.Add(time.Second) {
-		if ac, ok := re.Next(idle, now); ok {
-			wo.do(re, ac, nil, now)
+		if ac, ok := re.Next(noneRunning, now); ok {
+			se.execute(re, ac, nil, now)
 		}
 	}
 }
 
-func TestTheServerFollowsTheConfiguration(t *testing.T) {
-	wo := &world{held: []string{"m@v0"}}
+func TestServerConvergesToConfiguration(t *testing.T) {
+	se := &fakeServer{loaded: []string{"m@v0"}}
 	re := &Reconciler{Holder: "a"}
-	re.Want([]string{"m@v1", "m@v2"})
-	wo.settle(re, start, time.Minute)
-	require.Equal(t, []string{"m@v1", "m@v2"}, wo.held)
-	require.True(t, re.Holds("m@v2"))
-	orders := len(wo.orders)
-	wo.settle(re, start.Add(time.Hour), time.Minute)
-	require.Len(t, wo.orders, orders, "nothing to do, nothing done")
+	re.SetDesired([]string{"m@v1", "m@v2"})
+	se.runFor(re, start, time.Minute)
+	require.Equal(t, []string{"m@v1", "m@v2"}, se.loaded)
+	require.True(t, re.HasVersion("m@v2"))
+	orders := len(se.orders)
+	se.runFor(re, start.Add(time.Hour), time.Minute)
+	require.Len(t, se.orders, orders, "no orders once the versions match")
 }
 
-func TestAVersionInUseIsNotUnloaded(t *testing.T) {
-	wo := &world{held: []string{"m@v0"}}
+func TestVersionInUseIsNotUnloaded(t *testing.T) {
+	se := &fakeServer{loaded: []string{"m@v0"}}
 	re := &Reconciler{Holder: "a"}
 	for now := start; now.Before(start.Add(time.Minute)); now = now.Add(time.Second) {
 		if ac, ok := re.Next(func(string) bool { return true }, now); ok {
-			wo.do(re, ac, nil, now)
+			se.execute(re, ac, nil, now)
 		}
 	}
-	require.Equal(t, []string{"m@v0"}, wo.held)
+	require.Equal(t, []string{"m@v0"}, se.loaded)
 }
 
-func TestANewAgentWaitsTheOldLeaseOut(t *testing.T) {
-	wo := &world{}
-	old, young := &Reconciler{Holder: "old"}, &Reconciler{Holder: "young"}
-	old.Want([]string{"m@v1"})
-	wo.settle(old, start, 6*time.Second)
-	require.Len(t, wo.orders, 1)
-	young.Want([]string{"m@v2"})
-	wo.settle(young, start.Add(6*time.Second), 2*leaseFor)
-	require.Equal(t, []string{"m@v2"}, wo.held)
-	require.Equal(t, "young", wo.orders[1].holder)
-	require.True(t, wo.orders[1].at.After(wo.orders[0].at.Add(leaseFor)))
-	// The old one wakes up and still wants its version.
-	old.Want([]string{"m@v3"})
-	ac, ok := old.Next(idle, start.Add(leaseFor+20*time.Second))
-	for ok && ac.Do() != Load && ac.Do() != Unload {
-		wo.do(old, ac, nil, start.Add(leaseFor+20*time.Second))
-		ac, ok = old.Next(idle, start.Add(leaseFor+20*time.Second))
+func TestNewHolderWaitsForLeaseExpiry(t *testing.T) {
+	se := &fakeServer{}
+	old, fresh := &Reconciler{Holder: "old"}, &Reconciler{Holder: "fresh"}
+	old.SetDesired([]string{"m@v1"})
+	se.runFor(old, start, 6*time.Second)
+	require.Len(t, se.orders, 1)
+	fresh.SetDesired([]string{"m@v2"})
+	se.runFor(fresh, start.Add(6*time.Second), 2*leaseDuration)
+	require.Equal(t, []string{"m@v2"}, se.loaded)
+	require.Equal(t, "fresh", se.orders[1].holder)
+	require.True(t, se.orders[1].at.After(se.orders[0].at.Add(leaseDuration)))
+	// The old holder resumes after its lease has expired, with an order to give.
+	old.SetDesired([]string{"m@v3"})
+	ac, ok := old.Next(noneRunning, start.Add(leaseDuration+20*time.Second))
+	for ok && ac.Kind() != Load && ac.Kind() != Unload {
+		se.execute(old, ac, nil, start.Add(leaseDuration+20*time.Second))
+		ac, ok = old.Next(noneRunning, start.Add(leaseDuration+20*time.Second))
 	}
-	require.False(t, ok, "it gives no order under the other's lease: %v", ac)
+	require.False(t, ok, "the expired holder must not give an order: %v", ac)
 }
 
-// TestOneHolderAtATime freezes and restarts agents, loses answers and lets
-// them race for one server that checks nothing. No two holders give orders
-// within one lease, and fencing numbers only grow. The naive reconciler, which
-// orders whenever it sees a difference, breaks that.
-func TestOneHolderAtATime(t *testing.T) {
-	naiveBroken := 0
+// TestOneHolderPerLease lets two agents race for one server, which may or may not check fencing
+// numbers, with delays, restarts and lost answers. No two holders may give orders under one lease,
+// and fencing numbers must not decrease. A naive reconciler, which gives an order whenever the
+// versions differ, violates this.
+func TestOneHolderPerLease(t *testing.T) {
+	naiveViolations := 0
 	rapid.Check(t, func(rt *rapid.T) {
-		wo := &world{checks: rapid.Bool().Draw(rt, "checks")}
+		se := &fakeServer{checksFence: rapid.Bool().Draw(rt, "checks")}
 		reconcilers := []*Reconciler{{Holder: "a"}, {Holder: "b"}}
 		now := start
 		lastNaive := ""
@@ -141,34 +143,34 @@
 			re := reconcilers[k]
 			switch rapid.SampledFrom([]string{"act", "act", "act", "want", "restart"}).Draw(rt, "event") {
 			case "want":
-				re.Want(rapid.SampledFrom([][]string{{"m@v1"}, {"m@v2"}, {"m@v1", "m@v2"}}).Draw(rt, "versions"))
+				re.SetDesired(rapid.SampledFrom([][]string{{"m@v1"}, {"m@v2"}, {"m@v1", "m@v2"}}).Draw(rt, "versions"))
 			case "restart":
 				fresh := &Reconciler{Holder: re.Holder + "'"}
-				fresh.Want(re.wanted)
+				fresh.SetDesired(re.desired)
 				reconcilers[k] = fresh
 			case "act":
-				if _, version := re.difference(idle); version != "" {
-					if lastNaive != "" && lastNaive != re.Holder && now.Sub(lastAt) < leaseFor {
-						naiveBroken++
+				if _, version := re.nextOrder(noneRunning); version != "" {
+					if lastNaive != "" && lastNaive != re.Holder && now.Sub(lastAt) < leaseDuration {
+						naiveViolations++
 					}
 					lastNaive, lastAt = re.Holder, now
 				}
-				if ac, ok := re.Next(idle, now); ok {
-					var fate error
-					if rapid.IntRange(0, 4).Draw(rt, "fate") == 0 {
-						fate = errLost
+				if ac, ok := re.Next(noneRunning, now); ok {
+					var outcome error
+					if rapid.IntRange(0, 4).Draw(rt, "outcome") == 0 {
+						outcome = errLost
 					}
-					wo.do(re, ac, fate, now)
+					se.execute(re, ac, outcome, now)
 				}
 			}
 		}
-		for i := 1; i < len(wo.orders); i++ {
-			before, after := wo.orders[i-1], wo.orders[i]
+		for i := 1; i < len(se.orders); i++ {
+			before, after := se.orders[i-1], se.orders[i]
 			require.GreaterOrEqual(rt, after.fence, before.fence)
 			if before.holder != after.holder {
 				require.Greater(rt, after.fence, before.fence)
 			}
 		}
 	})
-	require.Positive(t, naiveBroken, "the naive reconcilers must have ordered at the same time")
+	require.Positive(t, naiveViolations, "the naive reconcilers must have given orders concurrently")
 }
