--- a/cmd/linnetrudder/daemon.go
+++ b/cmd/linnetrudder/daemon.go
@@ -42,12 +42,12 @@
 	li, err := lc.Listen(ctx, "tcp", se.Listen)
 	if err != nil {
 		stop()
-		return nil, eris.Wrap(err, "listen")
+		return nil, eris.Wrap(err, "listen for requests")
 	}
 	ad, err := lc.Listen(ctx, "tcp", se.Admin)
 	if err != nil {
 		stop()
-		return nil, eris.Wrap(err, "admin")
+		return nil, eris.Wrap(err, "listen for admin API")
 	}
 	return &daemon{
 		node: &node.Node{
--- a/cmd/linnetrudderctl/explain.go
+++ b/cmd/linnetrudderctl/explain.go
@@ -37,7 +37,7 @@
 		"request": cm.Request, "team": cm.Team, "model": cm.Model, "kind": cm.Kind, "session": cm.Session,
 	})
 	if err != nil {
-		return eris.Wrap(err, "explain")
+		return eris.Wrap(err, "encode request")
 	}
 	var ex entry.Explanation
 	if err := cl.call(http.MethodPost, "/v1/explain", body, &ex); err != nil {
--- a/cmd/linnetrudderctl/versions.go
+++ b/cmd/linnetrudderctl/versions.go
@@ -67,7 +67,7 @@
 	}
 	body, err := json.Marshal(map[string]any{"state": state, "share": share})
 	if err != nil {
-		return eris.Wrap(err, "version")
+		return eris.Wrap(err, "encode version change")
 	}
 	var ch config.Change
 	if err := cl.call(http.MethodPost, "/v1/versions/"+model+"/"+version, body, &ch); err != nil {
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -25,7 +25,7 @@
 // Explainer collects the log records that concern one request and explains how the request ended.
 // Its exported fields are set before Read.
 type Explainer struct {
-	// Request is the ID that the caller gave to one attempt.
+	// Request is the ID that the caller assigned to one attempt.
 	Request string
 
 	records []record
--- a/internal/explain/record.go
+++ b/internal/explain/record.go
@@ -16,7 +16,7 @@
 	Time  time.Time `json:"time"`
 	Box   string    `json:"box"`
 	Event event.ID  `json:"event"`
-	// Request is the ID that the caller gave to this attempt; empty in records about the box itself.
+	// Request is the ID that the caller assigned to this attempt; empty in records about the box itself.
 	Request string      `json:"request"`
 	Route   string      `json:"route"`
 	Team    string      `json:"team"`
