--- a/cmd/linnetrudderctl/explain.go
+++ b/cmd/linnetrudderctl/explain.go
@@ -47,7 +47,7 @@
 		fmt.Fprintf(w, "%s: %v (%s)\n", result.Of(ex.Code).Name(), ex.Steps, ex.Reason)
 		for _, ca := range ex.Candidates {
 			fmt.Fprintf(w, "  %s\t%s\tquality %.3f (at least %.3f)\tcost %.0f\n",
-				ca.Version, result.Of(ca.Code).Name(), ca.Mean, ca.Lower, ca.Cost)
+				ca.Version, result.Of(ca.Code).Name(), ca.Mean, ca.LowerBound, ca.Cost)
 		}
 	})
 }
--- a/internal/entry/admin.go
+++ b/internal/entry/admin.go
@@ -253,11 +253,11 @@
 
 // CandidateView is one version that was weighed.
 type CandidateView struct {
-	Version string      `json:"version"`
-	Code    result.Code `json:"code"`
-	Mean    float64     `json:"mean"`
-	Lower   float64     `json:"lower"`
-	Cost    float64     `json:"cost"`
+	Version    string      `json:"version"`
+	Code       result.Code `json:"code"`
+	Mean       float64     `json:"mean"`
+	LowerBound float64     `json:"lower"`
+	Cost       float64     `json:"cost"`
 }
 
 func (en *Entry) postExplain(w http.ResponseWriter, r *http.Request) {
@@ -297,7 +297,7 @@
 	for _, ca := range pl.Candidates() {
 		mean, lower := ca.Quality()
 		ex.Candidates = append(ex.Candidates, CandidateView{
-			Version: ca.Version(), Code: ca.Code(), Mean: mean, Lower: lower, Cost: ca.Cost(),
+			Version: ca.Version(), Code: ca.Code(), Mean: mean, LowerBound: lower, Cost: ca.Cost(),
 		})
 	}
 	return ex
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -54,8 +54,8 @@
 	Swap(ctx context.Context, key string, value []byte, index uint64) (bool, error)
 }
 
-// Lister reads the platform's list of boxes.
-type Lister interface {
+// BoxLister reads the platform's list of boxes.
+type BoxLister interface {
 	List(ctx context.Context) ([]boxes.Box, error)
 }
 
@@ -65,7 +65,7 @@
 	// Callers and Admin are the open listeners.
 	Callers, Admin net.Listener
 	Store          Store
-	Boxes          Lister
+	Boxes          BoxLister
 
 	// stored is the newest configuration that was read from the store; only the goroutine that
 	// watches it uses it.
--- a/internal/entry/learn.go
+++ b/internal/entry/learn.go
@@ -36,9 +36,9 @@
 	Team    string `json:"team"`
 	Kind    string `json:"kind"`
 	Version string `json:"version"`
-	// Kept is set if the answer was the kept first try of a cascade; the
+	// Accepted is set if the answer was the kept first try of a cascade; the
 	// answer's headers say so.
-	Kept bool `json:"kept"`
+	Accepted bool `json:"kept"`
 	// Score is from 0 to 1.
 	Score float64 `json:"score"`
 }
@@ -118,7 +118,7 @@
 
 func (le *learnt) rate(ra Rating) {
 	kind := ra.Kind
-	if ra.Kept {
+	if ra.Accepted {
 		kind = choice.AcceptedKind(kind)
 	}
 	ce := quality.Cell{Team: ra.Team, Kind: kind, Version: ra.Version}
--- a/standin/cmd/demo/steps.go
+++ b/standin/cmd/demo/steps.go
@@ -219,7 +219,7 @@
 func (de *demo) rate() error {
 	var list []entry.Rating
 	add := func(version string, kept bool, score float64) {
-		one := entry.Rating{Team: "kitchen-a", Kind: "draft", Version: version, Kept: kept, Score: score}
+		one := entry.Rating{Team: "kitchen-a", Kind: "draft", Version: version, Accepted: kept, Score: score}
 		list = append(list, slices.Repeat([]entry.Rating{one}, ratings)...)
 	}
 	add("menu@v1", false, 1)
