--- a/internal/entry/admin.go
+++ b/internal/entry/admin.go
@@ -68,7 +68,7 @@
 		node.WriteError(w, err)
 		return
 	}
-	re := request(r, "apply")
+	re := newChangeRequest(r, "apply")
 	re.Edit = func(*config.Document) (*config.Document, error) { return doc, nil }
 	if text := r.URL.Query().Get("base"); text != "" {
 		base, err := strconv.ParseUint(text, 10, 64)
@@ -91,12 +91,12 @@
 		node.WriteError(w, err)
 		return
 	}
-	held, err := config.DecodeEnvelope(pair.Value)
+	current, err := config.DecodeEnvelope(pair.Value)
 	if err != nil {
 		node.WriteError(w, err)
 		return
 	}
-	next, err := change.Prepare(held, re, time.Now())
+	next, err := change.Prepare(current, re, time.Now())
 	if err != nil {
 		node.WriteError(w, err)
 		return
@@ -104,8 +104,8 @@
 	node.WriteJSON(w, http.StatusOK, next)
 }
 
-// versionForm is a change of one version; fields that are nil stay.
-type versionForm struct {
+// versionChange is a change of one version; fields that are nil stay.
+type versionChange struct {
 	State *config.State `json:"state"`
 	Share *float64      `json:"share"`
 }
@@ -113,18 +113,18 @@
 // postVersion changes the state or share of one version and leaves the rest
 // as it is, whatever other operators change at the same time.
 func (en *Entry) postVersion(w http.ResponseWriter, r *http.Request) {
-	var form versionForm
+	var form versionChange
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, config.MaxBytes)).Decode(&form); err != nil {
 		node.WriteError(w, result.New(result.BadRequest, err.Error()))
 		return
 	}
 	id := mux.Vars(r)["model"] + "@" + mux.Vars(r)["version"]
-	re := request(r, "version "+id)
+	re := newChangeRequest(r, "version "+id)
 	re.Edit = func(doc *config.Document) (*config.Document, error) { return editVersion(doc, id, form) }
 	en.apply(w, r, re)
 }
 
-func editVersion(doc *config.Document, id string, form versionForm) (*config.Document, error) {
+func editVersion(doc *config.Document, id string, form versionChange) (*config.Document, error) {
 	if doc == nil {
 		return nil, result.New(result.NoConfiguration, "")
 	}
@@ -144,7 +144,7 @@
 	return nil, result.New(result.BadReference, "version: "+id)
 }
 
-func request(r *http.Request, summary string) change.Request {
+func newChangeRequest(r *http.Request, summary string) change.Request {
 	re := change.Request{
 		Operation: r.Header.Get(headerOperation),
 		Operator:  r.Header.Get(headerOperator),
@@ -233,9 +233,9 @@
 	node.WriteJSON(w, http.StatusOK, list)
 }
 
-// explainForm names a request that was made, or describes one that is only
+// explainRequest names a request that was made, or describes one that is only
 // thought of.
-type explainForm struct {
+type explainRequest struct {
 	Request string `json:"request"`
 	Team    string `json:"team"`
 	Kind    string `json:"kind"`
@@ -261,7 +261,7 @@
 }
 
 func (en *Entry) postExplain(w http.ResponseWriter, r *http.Request) {
-	var form explainForm
+	var form explainRequest
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, config.MaxBytes)).Decode(&form); err != nil {
 		node.WriteError(w, result.New(result.BadRequest, err.Error()))
 		return
@@ -271,17 +271,17 @@
 		return
 	}
 	if form.Request != "" {
-		en.explainMade(w, form.Request)
+		en.explainRecorded(w, form.Request)
 		return
 	}
-	as := &ask{team: form.Team, kind: form.Kind, model: form.Model, session: form.Session}
-	en.findPin(as)
-	node.WriteJSON(w, http.StatusOK, explain(en.choose(as)))
+	cr := &callerRequest{team: form.Team, kind: form.Kind, model: form.Model, session: form.Session}
+	en.findPin(cr)
+	node.WriteJSON(w, http.StatusOK, explain(en.choose(cr)))
 }
 
-// explainMade answers with the plan of a request that came through this entry
+// explainRecorded answers with the plan of a request that came through this entry
 // not long ago.
-func (en *Entry) explainMade(w http.ResponseWriter, request string) {
+func (en *Entry) explainRecorded(w http.ResponseWriter, request string) {
 	en.mu.Lock()
 	pl, ok := en.plans.get(request)
 	en.mu.Unlock()
--- a/internal/entry/bills.go
+++ b/internal/entry/bills.go
@@ -8,12 +8,12 @@
 	"github.com/linnetrudder/linnetrudder/internal/wire"
 )
 
-// billsPerOffer bounds the lines that are handed on at once.
-const billsPerOffer = 2000
+// maxBillsPerForward bounds the lines that are handed on at once.
+const maxBillsPerForward = 2000
 
-// hold keeps lines until they are durable: those of this entry's requests and
+// addBills keeps lines until they are durable: those of this entry's requests and
 // those that an agent hands on because their entry is gone.
-func (en *Entry) hold(lines []wire.BillLine) {
+func (en *Entry) addBills(lines []wire.BillLine) {
 	now := time.Now()
 	en.mu.Lock()
 	defer en.mu.Unlock()
@@ -22,38 +22,38 @@
 	}
 }
 
-// billed forgets durable lines and lets the agents that hold them know with
+// confirmBills forgets durable lines and lets the agents that hold them know with
 // their next heartbeats.
-func (en *Entry) billed(lines []wire.BillLine) {
+func (en *Entry) confirmBills(lines []wire.BillLine) {
 	en.mu.Lock()
 	defer en.mu.Unlock()
 	en.ledger.Durable(lines)
 	for _, li := range lines {
-		if len(en.tell[li.Box]) < maxTell {
-			en.tell[li.Box] = append(en.tell[li.Box], wire.BillLine{Request: li.Request, Step: li.Step})
+		if len(en.billAcks[li.Box]) < maxBillAcks {
+			en.billAcks[li.Box] = append(en.billAcks[li.Box], wire.BillLine{Request: li.Request, Step: li.Step})
 		}
 	}
 }
 
-// maxTell bounds what waits to be told to one agent. An agent that misses it
+// maxBillAcks bounds what waits to be told to one agent. An agent that misses it
 // hands its lines on again, and is told then.
-const maxTell = 5000
+const maxBillAcks = 5000
 
-// told returns what an agent must be told, once.
-func (en *Entry) told(box string) []wire.BillLine {
+// takeBillAcks returns what an agent must be takeBillAcks, once.
+func (en *Entry) takeBillAcks(box string) []wire.BillLine {
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	lines := en.tell[box]
-	delete(en.tell, box)
+	lines := en.billAcks[box]
+	delete(en.billAcks, box)
 	return lines
 }
 
-// offerBills hands lines to the agents that write their documents. Every line
+// forwardBills hands lines to the agents that write their documents. Every line
 // of one document goes to the same agent as long as the entries of the data
 // centre see the same agents; if they do not, compare-and-swap keeps order.
-func (en *Entry) offerBills(now time.Time) {
+func (en *Entry) forwardBills(now time.Time) {
 	en.mu.Lock()
-	lines := en.ledger.Due(billsPerOffer, now)
+	lines := en.ledger.Due(maxBillsPerForward, now)
 	en.mu.Unlock()
 	if len(lines) == 0 {
 		return
@@ -68,9 +68,9 @@
 		box := rendezvous.First(key, writers)
 		byWriter[box] = append(byWriter[box], li)
 	}
-	for box, part := range byWriter {
+	for box, batch := range byWriter {
 		if li := en.Node.Link(box); li != nil {
-			li.Send(&wire.Frame{Kind: wire.Bill, Bills: part})
+			li.Send(&wire.Frame{Kind: wire.Bill, Bills: batch})
 		}
 	}
 }
--- a/internal/entry/blocks.go
+++ b/internal/entry/blocks.go
@@ -14,76 +14,78 @@
 const (
 	// blocksKey is where the blocks are kept.
 	blocksKey = "linnetrudder/blocks"
-	// blocksCheck is how often an entry looks whether it has to store any.
-	blocksCheck = time.Second
+	// blocksInterval is how often an entry looks whether it has to store any.
+	blocksInterval = time.Second
 )
 
-// block is the route's view of what is blocked.
-type block struct {
-	en    *Entry
-	print poison.Fingerprint
+// blocklist is the route's view of what is blocked.
+type blocklist struct {
+	en          *Entry
+	fingerprint poison.Fingerprint
 }
 
 // Blocked returns how long the request is not to be sent, zero if it may be.
-func (bl block) Blocked(now time.Time) time.Duration { return bl.en.blocked(bl.print, now) }
+func (bl blocklist) Blocked(now time.Time) time.Duration {
+	return bl.en.blockRemaining(bl.fingerprint, now)
+}
 
-func (en *Entry) blocked(pr poison.Fingerprint, now time.Time) time.Duration {
+func (en *Entry) blockRemaining(fp poison.Fingerprint, now time.Time) time.Duration {
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	return en.blocks.Remaining(pr, now)
+	return en.blocks.Remaining(fp, now)
 }
 
-// suspect takes an agent's word on the end of its server. An agent tells all entries that are
+// recordSuspicions takes an agent's word on the end of its server. An agent tells all entries that are
 // connected to it, so that they count alike.
-func (en *Entry) suspect(list []poison.Suspicion, now time.Time) {
+func (en *Entry) recordSuspicions(list []poison.Suspicion, now time.Time) {
 	for _, su := range list {
 		en.mu.Lock()
-		term := en.cases.Record(su, now)
+		duration := en.detector.Record(su, now)
 		en.mu.Unlock()
-		if term > 0 {
-			en.takeBlock(poison.NewBlock(su.Fingerprint, term, clock.Day()), false, now)
+		if duration > 0 {
+			en.addBlock(poison.NewBlock(su.Fingerprint, duration, clock.Day()), false, now)
 		}
 	}
 }
 
-// liftSound ends the blocks of requests that a server has answered and lived on.
-func (en *Entry) liftSound(prints []poison.Fingerprint, now time.Time) {
-	for _, pr := range prints {
+// liftHarmless ends the blocks of requests that a server has answered and lived on.
+func (en *Entry) liftHarmless(fingerprints []poison.Fingerprint, now time.Time) {
+	for _, fp := range fingerprints {
 		en.mu.Lock()
-		lifted := en.blocks.Lift(pr)
+		lifted := en.blocks.Lift(fp)
 		if lifted {
-			en.cases.MarkHarmless(pr, now)
-			en.unwritten = true
+			en.detector.MarkHarmless(fp, now)
+			en.liftsUnstored = true
 		}
 		en.mu.Unlock()
 		if lifted {
-			en.Node.Note(timeline.Entry{Event: event.RequestUnblocked, Detail: pr.String() + ": a server answered it and lives on"})
+			en.Node.Note(timeline.Entry{Event: event.RequestUnblocked, Detail: fp.String() + ": a server answered it and lives on"})
 		}
 	}
 }
 
-// takeBlock takes a block, unless it was lifted a moment ago.
-func (en *Entry) takeBlock(bl poison.Block, stored bool, now time.Time) {
+// addBlock takes a block, unless it was lifted a moment ago.
+func (en *Entry) addBlock(bl poison.Block, stored bool, now time.Time) {
 	en.mu.Lock()
-	begun := !en.cases.IsHarmless(bl.Fingerprint) && en.blocks.Add(bl, bl.Remaining(clock.Day()), stored, now)
+	added := !en.detector.IsHarmless(bl.Fingerprint) && en.blocks.Add(bl, bl.Remaining(clock.Day()), stored, now)
 	en.mu.Unlock()
-	if begun {
+	if added {
 		en.Node.Note(timeline.Entry{Event: event.RequestBlocked, Detail: bl.Fingerprint.String()})
 	}
 }
 
-// keepBlocks reads the blocks that are kept, and stores those that are not. Of the entries
+// syncBlocks reads the blocks that are kept, and stores those that are not. Of the entries
 // that know of one, the watchers of the key-value service store it.
-func (en *Entry) keepBlocks(ctx context.Context) error {
-	var read time.Time
+func (en *Entry) syncBlocks(ctx context.Context) error {
+	var lastRead time.Time
 	for ctx.Err() == nil {
 		now := clock.Now()
-		if now.Sub(read) >= readEvery && en.readBlocks(ctx) {
-			read = now.Add(-rand.N(readEvery / 4))
+		if now.Sub(lastRead) >= readInterval && en.readBlocks(ctx) {
+			lastRead = now.Add(-rand.N(readInterval / 4))
 		}
 		en.storeBlocks(ctx)
 		en.expireBlocks(now)
-		sleep(ctx, blocksCheck)
+		sleep(ctx, blocksInterval)
 	}
 	return ctx.Err()
 }
@@ -100,47 +102,47 @@
 		return false
 	}
 	for _, bl := range list {
-		en.takeBlock(bl, true, clock.Now())
+		en.addBlock(bl, true, clock.Now())
 	}
 	return true
 }
 
 func (en *Entry) storeBlocks(ctx context.Context) {
-	if !en.watches() {
+	if !en.isWatcher() {
 		return
 	}
 	en.mu.Lock()
-	list, unwritten := en.blocks.Unstored(), en.unwritten
+	list, liftsUnstored := en.blocks.Unstored(), en.liftsUnstored
 	en.mu.Unlock()
-	if len(list) == 0 && !unwritten {
+	if len(list) == 0 && !liftsUnstored {
 		return
 	}
-	edit := func(value []byte) ([]byte, error) { return poison.MergeBlocks(value, list, en.isSound, clock.Day()) }
-	if !en.merge(ctx, blocksKey, edit) {
+	edit := func(value []byte) ([]byte, error) { return poison.MergeBlocks(value, list, en.isHarmless, clock.Day()) }
+	if !en.updateDocument(ctx, blocksKey, edit) {
 		en.Node.Note(timeline.Entry{Event: event.StoreCallFailed, Detail: "blocks could not be stored"})
 		return
 	}
 	en.mu.Lock()
-	en.unwritten = false
+	en.liftsUnstored = false
 	en.mu.Unlock()
 	for _, bl := range list {
-		en.takeBlock(bl, true, clock.Now())
+		en.addBlock(bl, true, clock.Now())
 	}
 }
 
-// isSound reports whether a server answered a request lately and lived on.
-func (en *Entry) isSound(pr poison.Fingerprint) bool {
+// isHarmless reports whether a server answered a request lately and lived on.
+func (en *Entry) isHarmless(fp poison.Fingerprint) bool {
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	return en.cases.IsHarmless(pr)
+	return en.detector.IsHarmless(fp)
 }
 
 func (en *Entry) expireBlocks(now time.Time) {
 	en.mu.Lock()
-	over := en.blocks.Expire(now)
-	en.cases.Expire(now)
+	expired := en.blocks.Expire(now)
+	en.detector.Expire(now)
 	en.mu.Unlock()
-	for _, pr := range over {
-		en.Node.Note(timeline.Entry{Event: event.RequestUnblocked, Detail: pr.String()})
+	for _, fp := range expired {
+		en.Node.Note(timeline.Entry{Event: event.RequestUnblocked, Detail: fp.String()})
 	}
 }
--- a/internal/entry/callers.go
+++ b/internal/entry/callers.go
@@ -34,35 +34,35 @@
 }
 
 func (en *Entry) serveChat(w http.ResponseWriter, r *http.Request) {
-	defer en.enter()()
-	as, err := en.read(r, chatSteps)
+	defer en.trackRequest()()
+	cr, err := en.readRequest(r, chatSteps)
 	if err != nil {
-		en.refuse(w, as, err)
+		en.refuse(w, cr, err)
 		return
 	}
-	steps, err := en.plan(r, as)
+	steps, err := en.plan(r, cr)
 	if err != nil {
-		en.refuse(w, as, err)
+		en.refuse(w, cr, err)
 		return
 	}
-	en.exchange(w, r, as, steps)
+	en.serveExchange(w, r, cr, steps)
 }
 
 func (en *Entry) serveCall(w http.ResponseWriter, r *http.Request) {
-	defer en.enter()()
-	as, err := en.read(r, callSteps)
+	defer en.trackRequest()()
+	cr, err := en.readRequest(r, callSteps)
 	if err == nil {
-		err = en.claimKey(r.Context(), as)
+		err = en.claimKey(r.Context(), cr)
 	}
 	if err != nil {
-		en.refuse(w, as, err)
+		en.refuse(w, cr, err)
 		return
 	}
-	en.exchange(w, r, as, []string{as.service})
+	en.serveExchange(w, r, cr, []string{cr.service})
 }
 
-// enter counts a request in progress until the returned function is called.
-func (en *Entry) enter() func() {
+// trackRequest counts a request in progress until the returned function is called.
+func (en *Entry) trackRequest() func() {
 	en.mu.Lock()
 	en.inProgress++
 	en.mu.Unlock()
@@ -74,75 +74,75 @@
 }
 
 // plan chooses the versions of a chat request and makes its claims.
-func (en *Entry) plan(r *http.Request, as *ask) ([]string, error) {
-	en.findPin(as)
-	pl := en.choose(as)
+func (en *Entry) plan(r *http.Request, cr *callerRequest) ([]string, error) {
+	en.findPin(cr)
+	pl := en.choose(cr)
 	if pl.Code() != result.OK {
 		return nil, result.New(pl.Code(), pl.Reason())
 	}
 	steps := pl.Steps()
-	if as.session != "" && as.pinned == "" {
+	if cr.session != "" && cr.pinned == "" {
 		// A session has one version, so it starts on the one that would be
 		// final and has no cascade.
-		won, err := en.pin(r.Context(), as, steps[len(steps)-1])
+		won, err := en.pin(r.Context(), cr, steps[len(steps)-1])
 		if err != nil {
 			return nil, err
 		}
-		as.pinned = won
-		pl = en.choose(as)
+		cr.pinned = won
+		pl = en.choose(cr)
 		if pl.Code() != result.OK {
 			return nil, result.New(pl.Code(), pl.Reason())
 		}
 		steps = pl.Steps()
 	}
-	as.inSession = as.pinned != ""
-	return steps, en.claimKey(r.Context(), as)
+	cr.inSession = cr.pinned != ""
+	return steps, en.claimKey(r.Context(), cr)
 }
 
-func (en *Entry) choose(as *ask) choice.Plan {
+func (en *Entry) choose(cr *callerRequest) choice.Plan {
 	en.mu.Lock()
 	defer en.mu.Unlock()
 	pl := choice.Choose(en.Node.Snapshot(), choice.Request{
-		Team: as.team, Kind: as.kind, Model: as.model, Pinned: as.pinned,
+		Team: cr.team, Kind: cr.kind, Model: cr.model, Pinned: cr.pinned,
 		Draw: rand.Float64(), Explore: rand.Float64(),
-	}, estimates{Table: en.learnt.table}, &en.board)
-	if as.id != "" {
-		en.plans.put(as.id, pl)
+	}, estimates{Table: en.feedback.ratings}, &en.balancer)
+	if cr.id != "" {
+		en.plans.put(cr.id, pl)
 	}
 	return pl
 }
 
-// exchange runs the request on the chosen steps.
-func (en *Entry) exchange(w http.ResponseWriter, r *http.Request, as *ask, steps []string) {
-	en.Node.Note(timeline.Entry{Event: event.RequestReceived, Request: as.id, Team: as.team, Detail: as.kind})
+// serveExchange runs the request on the chosen steps.
+func (en *Entry) serveExchange(w http.ResponseWriter, r *http.Request, cr *callerRequest, steps []string) {
+	en.Node.Note(timeline.Entry{Event: event.RequestReceived, Request: cr.id, Team: cr.team, Detail: cr.kind})
 	en.mu.Lock()
-	en.budgets.For(as.team).Deposit(time.Now())
+	en.budgets.For(cr.team).Deposit(time.Now())
 	en.mu.Unlock()
 	ex := &exchange{
-		en: en, w: w, ask: as, streams: map[int]uint64{}, ready: make(chan struct{}, 1),
+		en: en, w: w, request: cr, streams: map[int]uint64{}, wake: make(chan struct{}, 1),
 		route: &route.Request{
-			Steps: steps, Repeatable: !as.once, Deadline: as.deadline,
-			Picker: pick{en: en}, RetryBudget: pick{en: en, team: as.team}, Evaluator: judge{en: en, as: as},
-			Blocklist: block{en: en, print: as.print},
+			Steps: steps, Repeatable: !cr.atMostOnce, Deadline: cr.deadline,
+			Picker: attemptPolicy{en: en}, RetryBudget: attemptPolicy{en: en, team: cr.team}, Evaluator: evaluator{en: en, request: cr},
+			Blocklist: blocklist{en: en, fingerprint: cr.fingerprint},
 		},
 	}
 	co := ex.serve(r)
 	if result.Of(co).Run() == result.DidNotRun {
-		en.releaseKey(as)
+		en.releaseKey(cr)
 	}
 	if co != result.OK && ex.started {
 		panic(http.ErrAbortHandler)
 	}
 }
 
-func (en *Entry) refuse(w http.ResponseWriter, as *ask, err error) {
+func (en *Entry) refuse(w http.ResponseWriter, cr *callerRequest, err error) {
 	er := asResult(err)
 	metrics.Requests.Add(result.Of(er.Code()).Name(), 1)
 	en.Node.Note(timeline.Entry{
-		Event: event.RequestRefused, Request: as.id, Team: as.team, Detail: result.Of(er.Code()).Name(),
+		Event: event.RequestRefused, Request: cr.id, Team: cr.team, Detail: result.Of(er.Code()).Name(),
 	})
-	w.Header().Set(headerRequest, as.id)
-	node.WriteProblem(w, node.NewProblem(er, as.id, en.blocked(as.print, clock.Now())))
+	w.Header().Set(headerRequest, cr.id)
+	node.WriteProblem(w, node.NewProblem(er, cr.id, en.blockRemaining(cr.fingerprint, clock.Now())))
 }
 
 // modelList is the answer to /v1/models.
@@ -160,13 +160,13 @@
 
 // serveModels lists what the team may use.
 func (en *Entry) serveModels(w http.ResponseWriter, r *http.Request) {
-	as, err := en.read(r, chatSteps[:2])
+	cr, err := en.readRequest(r, chatSteps[:2])
 	if err != nil {
-		en.refuse(w, as, err)
+		en.refuse(w, cr, err)
 		return
 	}
 	sn := en.Node.Snapshot()
-	te := sn.Team(as.team)
+	te := sn.Team(cr.team)
 	var names []string
 	for i := range sn.Document().Versions {
 		ve := &sn.Document().Versions[i]
@@ -181,20 +181,20 @@
 	node.WriteJSON(w, http.StatusOK, list)
 }
 
-// judge keeps a first answer that came whole, with success, and that its
+// evaluator keeps a first answer that came whole, with success, and that its
 // engine is confident of. What it decides is learnt.
-type judge struct {
-	en *Entry
-	as *ask
+type evaluator struct {
+	en      *Entry
+	request *callerRequest
 }
 
 // minConfidence is the least confidence of a first answer that is kept.
 const minConfidence = 0.5
 
 // Acceptable says whether the answer is kept.
-func (ju judge) Acceptable(what string, status int, body []byte, us *wire.Usage) bool {
-	kept := status == http.StatusOK && len(body) > 0 && us != nil &&
+func (ev evaluator) Acceptable(target string, status int, body []byte, us *wire.Usage) bool {
+	accepted := status == http.StatusOK && len(body) > 0 && us != nil &&
 		(us.Confidence == 0 || us.Confidence >= minConfidence)
-	ju.en.tried(ju.as, what, kept)
-	return kept
+	ev.en.recordFirstTry(ev.request, target, accepted)
+	return accepted
 }
--- a/internal/entry/claims.go
+++ b/internal/entry/claims.go
@@ -17,36 +17,38 @@
 const (
 	// claimTimeout is a little more than a home takes to refuse a claim.
 	claimTimeout = 2500 * time.Millisecond
-	// claimAnswers is how many answers may wait for one request.
-	claimAnswers = 8
-	// claimHomes is how many homes are tried.
-	claimHomes = 2
+	// claimAnswerBuffer is how many answers may wait for one request.
+	claimAnswerBuffer = 8
+	// maxClaimOwners is how many homes are tried.
+	maxClaimOwners = 2
 )
 
-// pinKey names the claim of a session's version. A session has one version
+// sessionClaimKey names the claim of a session's version. A session has one version
 // of each model that it asks for.
-func pinKey(as *ask) string {
-	return "session\x00" + as.team + "\x00" + as.session + "\x00" + as.model
+func sessionClaimKey(cr *callerRequest) string {
+	return "session\x00" + cr.team + "\x00" + cr.session + "\x00" + cr.model
 }
 
-// onceKey names the claim of an idempotency key.
-func onceKey(as *ask) string { return "key\x00" + as.team + "\x00" + as.key }
+// idempotencyClaimKey names the claim of an idempotency key.
+func idempotencyClaimKey(cr *callerRequest) string {
+	return "key\x00" + cr.team + "\x00" + cr.idempotencyKey
+}
 
 // findPin looks up the version of a session that this entry has seen.
-func (en *Entry) findPin(as *ask) {
-	if as.session == "" {
+func (en *Entry) findPin(cr *callerRequest) {
+	if cr.session == "" {
 		return
 	}
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	as.pinned = en.pins.get(pinKey(as))
+	cr.pinned = en.pins.get(sessionClaimKey(cr))
 }
 
 // pin starts a session on a version and returns the one it is on, which is
 // another if the session started elsewhere before.
-func (en *Entry) pin(ctx context.Context, as *ask, version string) (string, error) {
-	key := pinKey(as)
-	won, err := en.claim(ctx, wire.ClaimLine{Key: key, Value: version})
+func (en *Entry) pin(ctx context.Context, cr *callerRequest, version string) (string, error) {
+	key := sessionClaimKey(cr)
+	won, err := en.requestClaim(ctx, wire.ClaimLine{Key: key, Value: version})
 	if err != nil {
 		return "", err
 	}
@@ -57,67 +59,67 @@
 }
 
 // claimKey makes sure that a request with a key is the only one of it.
-func (en *Entry) claimKey(ctx context.Context, as *ask) error {
-	if as.key == "" {
+func (en *Entry) claimKey(ctx context.Context, cr *callerRequest) error {
+	if cr.idempotencyKey == "" {
 		return nil
 	}
-	won, err := en.claim(ctx, wire.ClaimLine{Key: onceKey(as), Value: as.id, Durable: true})
+	won, err := en.requestClaim(ctx, wire.ClaimLine{Key: idempotencyClaimKey(cr), Value: cr.id, Durable: true})
 	if err != nil {
 		return err
 	}
 	if won.Code != result.OK {
-		en.Node.Note(timeline.Entry{Event: event.ClaimLost, Request: as.id, Team: as.team, Detail: won.Value})
+		en.Node.Note(timeline.Entry{Event: event.ClaimLost, Request: cr.id, Team: cr.team, Detail: won.Value})
 		return result.New(result.KeyAlreadyUsed, won.Value)
 	}
-	as.claimed = true
-	en.Node.Note(timeline.Entry{Event: event.ClaimWon, Request: as.id, Team: as.team})
+	cr.keyClaimed = true
+	en.Node.Note(timeline.Entry{Event: event.ClaimWon, Request: cr.id, Team: cr.team})
 	return nil
 }
 
 // releaseKey gives the key up after a request that did not run, so that the
 // caller may come back with it.
-func (en *Entry) releaseKey(as *ask) {
-	if !as.claimed {
+func (en *Entry) releaseKey(cr *callerRequest) {
+	if !cr.keyClaimed {
 		return
 	}
-	key := onceKey(as)
-	for _, box := range en.homes(key) {
+	key := idempotencyClaimKey(cr)
+	for _, box := range en.claimOwners(key) {
 		if li := en.Node.Link(box); li != nil {
-			li.Send(&wire.Frame{Kind: wire.Claim, Claims: []wire.ClaimLine{{Key: key, Value: as.id, Release: true}}})
+			li.Send(&wire.Frame{Kind: wire.Claim, Claims: []wire.ClaimLine{{Key: key, Value: cr.id, Release: true}}})
 			return
 		}
 	}
 }
 
-// homes returns the boxes that may be home to a key's log, best first.
-func (en *Entry) homes(key string) []string {
+// claimOwners returns the boxes that may be home to a key's log, best first.
+func (en *Entry) claimOwners(key string) []string {
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	return en.homesOf[claim.Shard(key)]
+	return en.ownersByShard[claim.Shard(key)]
 }
 
-// rankHomes ranks the agents for each log; the lock is held. All entries do
+// rankClaimOwners ranks the agents for each log; the lock is held. All entries do
 // so from the same list; where they differ for a while, the log's
 // compare-and-swap keeps order.
-func (en *Entry) rankHomes(agents []string) {
-	for shard := range en.homesOf {
+func (en *Entry) rankClaimOwners(agents []string) {
+	for shard := range en.ownersByShard {
 		ranked := rendezvous.Rank(claim.ShardPrefix(shard), agents)
-		en.homesOf[shard] = ranked[:min(homeCandidates, len(ranked))]
+		en.ownersByShard[shard] = ranked[:min(ownerCandidates, len(ranked))]
 	}
 }
 
-// claim asks a key's home, and the next one if the first is lost.
-func (en *Entry) claim(ctx context.Context, cl wire.ClaimLine) (wire.ClaimLine, error) {
+// requestClaim asks a key's home, and the next one if the first is lost.
+func (en *Entry) requestClaim(ctx context.Context, cl wire.ClaimLine) (wire.ClaimLine, error) {
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
 	asked := 0
-	for _, box := range en.homes(cl.Key) {
+	for _, box := range en.claimOwners(cl.Key) {
 		li := en.Node.Link(box)
-		if li == nil || asked == claimHomes {
+		if li == nil || asked == maxClaimOwners {
 			continue
 		}
 		asked++
-		won, ok := en.claimAt(ctx, li, cl)
+		won, ok := en.requestClaimFrom(ctx, li, cl)
 		if ok && won.Code == result.ClaimsUnavailable {
 			break
 		}
@@ -128,20 +130,20 @@
 	return wire.ClaimLine{}, result.New(result.ClaimsUnavailable, "")
 }
 
-// claimAt asks one home. It reports whether the home answered.
-func (en *Entry) claimAt(ctx context.Context, li *link.Link, cl wire.ClaimLine) (wire.ClaimLine, bool) {
-	got := make(chan wire.ClaimLine, claimAnswers)
+// requestClaimFrom asks one home. It reports whether the home answered.
+func (en *Entry) requestClaimFrom(ctx context.Context, li *link.Link, cl wire.ClaimLine) (wire.ClaimLine, bool) {
+	answers := make(chan wire.ClaimLine, claimAnswerBuffer)
 	en.mu.Lock()
-	en.claims[cl.Key] = append(en.claims[cl.Key], got)
+	en.claimWaiters[cl.Key] = append(en.claimWaiters[cl.Key], answers)
 	en.mu.Unlock()
-	defer en.dropClaim(cl.Key, got)
+	defer en.removeClaimWaiter(cl.Key, answers)
 	if !li.Send(&wire.Frame{Kind: wire.Claim, Claims: []wire.ClaimLine{cl}}) {
 		return wire.ClaimLine{}, false
 	}
 	for {
 		select {
-		case won := <-got:
-			if verdict, mine := judgeClaim(cl, won); mine {
+		case won := <-answers:
+			if verdict, relevant := evaluateClaim(cl, won); relevant {
 				return verdict, true
 			}
 			continue
@@ -159,10 +161,10 @@
 	}
 }
 
-// judgeClaim reads a home's answer on a key for one of the requests that wait
+// evaluateClaim reads a home's answer on a key for one of the requests that wait
 // for it. A winner is the same for all of them and each compares it with its
 // own value; a refusal is for the request that it names alone.
-func judgeClaim(asked, got wire.ClaimLine) (verdict wire.ClaimLine, mine bool) {
+func evaluateClaim(asked, got wire.ClaimLine) (verdict wire.ClaimLine, relevant bool) {
 	if got.Code == result.ClaimsUnavailable {
 		return got, got.Value == asked.Value
 	}
@@ -173,34 +175,34 @@
 	return got, true
 }
 
-// claimed hands an answer to every request that waits for the key.
-func (en *Entry) claimed(lines []wire.ClaimLine) {
+// deliverClaims hands an answer to every request that waits for the key.
+func (en *Entry) deliverClaims(lines []wire.ClaimLine) {
 	en.mu.Lock()
 	defer en.mu.Unlock()
 	for _, cl := range lines {
-		for _, got := range en.claims[cl.Key] {
+		for _, waiter := range en.claimWaiters[cl.Key] {
 			select {
-			case got <- cl:
+			case waiter <- cl:
 			default:
 			}
 		}
 	}
 }
 
-func (en *Entry) dropClaim(key string, got chan wire.ClaimLine) {
+func (en *Entry) removeClaimWaiter(key string, waiter chan wire.ClaimLine) {
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	kept := en.claims[key][:0]
-	for _, ch := range en.claims[key] {
-		if ch != got {
-			kept = append(kept, ch)
+	remaining := en.claimWaiters[key][:0]
+	for _, ch := range en.claimWaiters[key] {
+		if ch != waiter {
+			remaining = append(remaining, ch)
 		}
 	}
-	if len(kept) == 0 {
-		delete(en.claims, key)
+	if len(remaining) == 0 {
+		delete(en.claimWaiters, key)
 		return
 	}
-	en.claims[key] = kept
+	en.claimWaiters[key] = remaining
 }
 
 func asResult(err error) *result.Error {
--- a/internal/entry/claims_test.go
+++ b/internal/entry/claims_test.go
@@ -16,26 +16,26 @@
 func race(t *testing.T, answers ...wire.ClaimLine) map[string]wire.ClaimLine {
 	got := map[string]wire.ClaimLine{}
 	synctest.Test(t, func(t *testing.T) {
-		en := &Entry{claims: map[string][]chan wire.ClaimLine{}}
+		en := &Entry{claimWaiters: map[string][]chan wire.ClaimLine{}}
 		li := &link.Link{}
 		results := make(chan [2]wire.ClaimLine, 2)
 		for _, value := range []string{"a", "b"} {
 			go func() {
 				cl := wire.ClaimLine{Key: "k", Value: value, Durable: true}
-				won, _ := en.claimAt(t.Context(), li, cl)
+				won, _ := en.requestClaimFrom(t.Context(), li, cl)
 				results <- [2]wire.ClaimLine{cl, won}
 			}()
 		}
 		synctest.Wait()
 		for _, an := range answers {
-			en.claimed([]wire.ClaimLine{an})
+			en.deliverClaims([]wire.ClaimLine{an})
 			synctest.Wait()
 		}
 		for range 2 {
 			re := <-results
 			got[re[0].Value] = re[1]
 		}
-		require.Empty(t, en.claims)
+		require.Empty(t, en.claimWaiters)
 	})
 	return got
 }
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -34,16 +34,16 @@
 )
 
 const (
-	// tickEvery is how often bills and unanswered questions are looked at.
-	tickEvery = 500 * time.Millisecond
-	// billRepeat is the time after which lines are handed on again.
-	billRepeat = 20 * time.Second
-	// spareBills is how many lines an entry holds although their writers do.
-	spareBills = 10_000
-	// drainCheck is how often a planned stop looks whether all has ended.
-	drainCheck = 20 * time.Millisecond
-	// flushWait is how long the links have to send what was queued last.
-	flushWait = 100 * time.Millisecond
+	// tickInterval is how often bills and unanswered questions are looked at.
+	tickInterval = 500 * time.Millisecond
+	// billResendInterval is the time after which lines are handed on again.
+	billResendInterval = 20 * time.Second
+	// maxRedundantBills is how many lines an entry holds although their writers do.
+	maxRedundantBills = 10_000
+	// drainPollInterval is how often a planned stop looks whether all has ended.
+	drainPollInterval = 20 * time.Millisecond
+	// linkFlushTime is how long the links have to send what was queued last.
+	linkFlushTime = 100 * time.Millisecond
 )
 
 // Store is what is used of the key-value service.
@@ -67,9 +67,9 @@
 	Store          Store
 	Boxes          BoxLister
 
-	// stored is the newest configuration that was read from the store; only the goroutine that
+	// storedConfig is the newest configuration that was read from the store; only the goroutine that
 	// watches it uses it.
-	stored *config.Envelope
+	storedConfig *config.Envelope
 	// supervisor holds a dialer for each agent.
 	supervisor *suture.Supervisor
 	// streams numbers the attempts of this process.
@@ -77,38 +77,38 @@
 
 	// mu guards what follows. It may be taken while the node's lock is held,
 	// so nothing under it may call what takes the node's lock.
-	mu      sync.Mutex
-	board   balance.Balancer
-	view    member.View
-	budgets budget.Teams
-	ledger  bill.Ledger
-	// offered is when bills were last handed on; only the ticks touch it.
-	offered time.Time
-	// tell holds the durable lines that agents must be told of, by box.
-	tell map[string][]wire.BillLine
+	mu       sync.Mutex
+	balancer balance.Balancer
+	members  member.View
+	budgets  budget.Teams
+	ledger   bill.Ledger
+	// billsForwarded is when bills were last handed on; only the ticks touch it.
+	billsForwarded time.Time
+	// billAcks holds the durable lines that agents must be told of, by box.
+	billAcks map[string][]wire.BillLine
 	// dialers holds the supervised dialer of each agent, by box.
 	dialers map[string]dialer
 	// serverOf and boxOf map an agent's box to its backend server and back.
 	serverOf, boxOf map[string]string
 	// attempts holds the request that waits for each attempt's frames.
 	attempts map[uint64]*sentAttempt
-	// learnt is what has been learnt of the versions.
-	learnt learnt
+	// feedback is what has been feedback of the versions.
+	feedback feedback
 	// pins remembers the versions of sessions seen here; turned is when its
 	// newest generation began.
-	pins   pinCache
-	turned time.Time
+	pins        pinCache
+	pinsRotated time.Time
 	// plans holds why the newest requests went where they went.
 	plans planLog
-	// claims holds the requests that wait for a claim, by key.
-	claims map[string][]chan wire.ClaimLine
-	// homesOf ranks the agents for each claim log.
-	homesOf [claim.Shards][]string
-	// cases holds what agents suspect of requests, blocks those that are not to be sent.
-	cases  poison.Detector
-	blocks poison.Blocks
-	// unwritten is set if a block was lifted that may still be kept.
-	unwritten bool
+	// claimWaiters holds the requests that wait for a claim, by key.
+	claimWaiters map[string][]chan wire.ClaimLine
+	// ownersByShard ranks the agents for each claim log.
+	ownersByShard [claim.Shards][]string
+	// detector holds what agents suspect of requests, blocks those that are not to be sent.
+	detector poison.Detector
+	blocks   poison.Blocks
+	// liftsUnstored is set if a block was lifted that may still be kept.
+	liftsUnstored bool
 	// inProgress counts the callers' requests.
 	inProgress int
 }
@@ -121,11 +121,11 @@
 	en.supervisor = node.NewSupervisor("entry", en.Node)
 	en.supervisor.Add(node.Service{Name: "callers", Serving: en.serveCallers(ctx)})
 	en.supervisor.Add(node.Service{Name: "admin", Serving: en.serveAdmin})
-	en.supervisor.Add(node.Service{Name: "boxes", Serving: en.followBoxes})
+	en.supervisor.Add(node.Service{Name: "boxes", Serving: en.pollBoxes})
 	en.supervisor.Add(node.Service{Name: "watch", Serving: en.watchStore})
-	en.supervisor.Add(node.Service{Name: "learnt", Serving: en.learn})
-	en.supervisor.Add(node.Service{Name: "blocks", Serving: en.keepBlocks})
-	en.supervisor.Add(node.Service{Name: "rollouts", Serving: en.followRollouts})
+	en.supervisor.Add(node.Service{Name: "learnt", Serving: en.syncFeedback})
+	en.supervisor.Add(node.Service{Name: "blocks", Serving: en.syncBlocks})
+	en.supervisor.Add(node.Service{Name: "rollouts", Serving: en.runRollouts})
 	en.supervisor.Add(node.Service{Name: "ticks", Serving: en.tick})
 	ended := en.supervisor.ServeBackground(work)
 	en.Node.Note(timeline.Entry{Event: event.ProcessStarted, Detail: "entry"})
@@ -141,20 +141,20 @@
 
 func (en *Entry) prepare() {
 	se := en.Node.Settings
-	en.board = balance.Balancer{DataCentre: se.DataCentre}
-	en.view = member.View{Self: se.Box}
+	en.balancer = balance.Balancer{DataCentre: se.DataCentre}
+	en.members = member.View{Self: se.Box}
 	en.budgets = budget.Teams{Ratio: se.Limits.RetryRatio}
-	en.ledger = bill.Ledger{Bound: se.Limits.Bills, Every: billRepeat, Spare: spareBills}
-	en.tell = map[string][]wire.BillLine{}
+	en.ledger = bill.Ledger{Bound: se.Limits.Bills, Every: billResendInterval, Spare: maxRedundantBills}
+	en.billAcks = map[string][]wire.BillLine{}
 	en.Node.Fanout = replica.EntryFanout
 	en.dialers = map[string]dialer{}
 	en.serverOf = map[string]string{}
 	en.boxOf = map[string]string{}
 	en.attempts = map[uint64]*sentAttempt{}
-	en.learnt = newLearnt()
-	en.claims = map[string][]chan wire.ClaimLine{}
-	en.cases = poison.Detector{MinCrashes: poison.MinCrashes}
-	en.Node.Adopted = en.adopted
+	en.feedback = newFeedback()
+	en.claimWaiters = map[string][]chan wire.ClaimLine{}
+	en.detector = poison.Detector{MinCrashes: poison.MinCrashes}
+	en.Node.Adopted = en.configAdopted
 }
 
 // serveCallers stops taking requests when the process is to stop, and lets
@@ -173,16 +173,16 @@
 	return node.ServeHTTP(ctx, en.Admin, en.adminRouter(), time.Second)
 }
 
-// adopted takes a revision into force; the node's lock is held.
-func (en *Entry) adopted(sn *config.Snapshot) {
+// configAdopted takes a revision into force; the node's lock is held.
+func (en *Entry) configAdopted(sn *config.Snapshot) {
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	en.board.Reconfigure(sn)
+	en.balancer.Reconfigure(sn)
 }
 
 // Beat returns the heartbeat for an agent.
 func (en *Entry) Beat(li *link.Link) *wire.Frame {
-	fr := &wire.Frame{Kind: wire.Beat, Revision: en.Node.Snapshot().Revision(), Bills: en.told(li.Peer.Box())}
+	fr := &wire.Frame{Kind: wire.Beat, Revision: en.Node.Snapshot().Revision(), Bills: en.takeBillAcks(li.Peer.Box())}
 	en.mu.Lock()
 	defer en.mu.Unlock()
 	fr.Prints = en.blocks.Fingerprints()
@@ -196,70 +196,70 @@
 	}
 	if fr.Load != nil {
 		en.mu.Lock()
-		en.board.SetLoad(en.serverOf[li.Peer.Box()], *fr.Load)
+		en.balancer.SetLoad(en.serverOf[li.Peer.Box()], *fr.Load)
 		for _, ou := range fr.Load.Versions {
-			en.learnt.count(li.Peer.Box(), ou.Version, rollout.Tally{Started: ou.Started, Failed: ou.Failed})
+			en.feedback.addCounters(li.Peer.Box(), ou.Version, rollout.Tally{Started: ou.Started, Failed: ou.Failed})
 		}
 		en.mu.Unlock()
 	}
 	if len(fr.Prints) > 0 {
-		en.liftSound(fr.Prints, clock.Now())
+		en.liftHarmless(fr.Prints, clock.Now())
 	}
 	switch fr.Kind {
 	case wire.Verdict, wire.Head, wire.Data, wire.End:
-		en.deliver(li, fr)
+		en.handleAttemptFrame(li, fr)
 	case wire.Peers:
 		en.mu.Lock()
-		en.view.Peers(li.Peer.Box(), fr.Peers)
+		en.members.Peers(li.Peer.Box(), fr.Peers)
 		en.mu.Unlock()
 	case wire.Bill:
-		en.hold(fr.Bills)
+		en.addBills(fr.Bills)
 	case wire.Taken:
 		en.mu.Lock()
 		en.ledger.Taken(fr.Bills)
 		en.mu.Unlock()
 	case wire.Billed:
-		en.billed(fr.Bills)
+		en.confirmBills(fr.Bills)
 	case wire.Claimed:
-		en.claimed(fr.Claims)
+		en.deliverClaims(fr.Claims)
 	case wire.Suspect:
-		en.suspect(fr.Suspicions, clock.Now())
+		en.recordSuspicions(fr.Suspicions, clock.Now())
 	}
 }
 
 // tick hands bills on and asks again for what was not answered.
 func (en *Entry) tick(ctx context.Context) error {
-	return node.Every(ctx, tickEvery, func(now time.Time) {
+	return node.Every(ctx, tickInterval, func(now time.Time) {
 		en.Node.Tick(now)
-		if now.Sub(en.offered) >= en.Node.Settings.Limits.BillFlush() {
-			en.offered = now
-			en.offerBills(now)
+		if now.Sub(en.billsForwarded) >= en.Node.Settings.Limits.BillFlush() {
+			en.billsForwarded = now
+			en.forwardBills(now)
 		}
-		en.turnPins(now)
+		en.rotatePins(now)
 	})
 }
 
-func (en *Entry) turnPins(now time.Time) {
+func (en *Entry) rotatePins(now time.Time) {
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	if now.Sub(en.turned) >= pinTurn {
-		en.turned = now
-		en.pins.turn()
+	if now.Sub(en.pinsRotated) >= pinRotationInterval {
+		en.pinsRotated = now
+		en.pins.rotate()
 	}
 }
 
 // drain lets requests in progress end and hands their bills on.
 func (en *Entry) drain() {
 	en.Node.Stop()
-	until := time.Now().Add(en.Node.Settings.Limits.Stop())
-	for !en.drained() && time.Now().Before(until) {
-		en.offerBills(time.Now())
-		time.Sleep(drainCheck)
+	deadline := time.Now().Add(en.Node.Settings.Limits.Stop())
+	for !en.drained() && time.Now().Before(deadline) {
+		en.forwardBills(time.Now())
+		time.Sleep(drainPollInterval)
 	}
 	for _, li := range en.Node.Links() {
-		li.Send(&wire.Frame{Kind: wire.Billed, Bills: en.told(li.Peer.Box())})
+		li.Send(&wire.Frame{Kind: wire.Billed, Bills: en.takeBillAcks(li.Peer.Box())})
 	}
-	time.Sleep(flushWait)
+	time.Sleep(linkFlushTime)
 }
 
 func (en *Entry) drained() bool {
@@ -268,26 +268,26 @@
 	return en.inProgress == 0 && en.ledger.Len() == 0
 }
 
-// pick is the route's view of the board and of its team's budget.
-type pick struct {
+// attemptPolicy is the route's view of the board and of its team's budget.
+type attemptPolicy struct {
 	en   *Entry
 	team string
 }
 
 // Pick returns a server that was not tried yet.
-func (pi pick) Pick(what string, tried []string) (string, bool) {
-	pi.en.mu.Lock()
-	defer pi.en.mu.Unlock()
-	server, ok := pi.en.board.Pick(what, tried, rand.Uint64())
+func (ap attemptPolicy) Pick(target string, tried []string) (string, bool) {
+	ap.en.mu.Lock()
+	defer ap.en.mu.Unlock()
+	server, ok := ap.en.balancer.Pick(target, tried, rand.Uint64())
 	if ok {
-		pi.en.board.AttemptSent(server)
+		ap.en.balancer.AttemptSent(server)
 	}
 	return server, ok
 }
 
 // Take takes one retry from the team's budget.
-func (pi pick) Take(now time.Time) bool {
-	pi.en.mu.Lock()
-	defer pi.en.mu.Unlock()
-	return pi.en.budgets.For(pi.team).Take(now)
+func (ap attemptPolicy) Take(now time.Time) bool {
+	ap.en.mu.Lock()
+	defer ap.en.mu.Unlock()
+	return ap.en.budgets.For(ap.team).Take(now)
 }
--- a/internal/entry/evacuations.go
+++ b/internal/entry/evacuations.go
@@ -14,14 +14,14 @@
 // as it is, whatever other operators change at the same time.
 func (en *Entry) postEvacuation(w http.ResponseWriter, r *http.Request) {
 	dataCentre := mux.Vars(r)["data_centre"]
-	re := request(r, "evacuate "+dataCentre)
+	re := newChangeRequest(r, "evacuate "+dataCentre)
 	re.Edit = func(doc *config.Document) (*config.Document, error) { return evacuate(doc, dataCentre) }
 	en.apply(w, r, re)
 }
 
 func (en *Entry) deleteEvacuation(w http.ResponseWriter, r *http.Request) {
 	dataCentre := mux.Vars(r)["data_centre"]
-	re := request(r, "restore "+dataCentre)
+	re := newChangeRequest(r, "restore "+dataCentre)
 	re.Edit = func(doc *config.Document) (*config.Document, error) { return restore(doc, dataCentre) }
 	en.apply(w, r, re)
 }
--- a/internal/entry/exchange.go
+++ b/internal/entry/exchange.go
@@ -19,9 +19,9 @@
 
 // The headers of an answer.
 const (
-	headerRequest = "X-Linnetrudder-Request"
-	headerVersion = "X-Linnetrudder-Version"
-	headerKept    = "X-Linnetrudder-Kept"
+	headerRequest  = "X-Linnetrudder-Request"
+	headerVersion  = "X-Linnetrudder-Version"
+	headerAccepted = "X-Linnetrudder-Kept"
 )
 
 // sentAttempt finds the request that an attempt belongs to.
@@ -31,8 +31,8 @@
 	li     *link.Link
 }
 
-// arrival is one thing that happened to an attempt of a request.
-type arrival struct {
+// attemptEvent is one thing that happened to an attempt of a request.
+type attemptEvent struct {
 	number int
 	// frame is nil if the attempt's link was lost.
 	frame *wire.Frame
@@ -42,8 +42,8 @@
 type exchange struct {
 	en *Entry
 	w  http.ResponseWriter
-	// ask is what the caller asked for.
-	ask *ask
+	// request is what the caller asked for.
+	request *callerRequest
 	// route decides; only the handler's goroutine touches it.
 	route *route.Request
 	// started is true once the status line was sent.
@@ -51,91 +51,91 @@
 	// streams holds the stream of each attempt.
 	streams map[int]uint64
 	// version is the version or service that runs now, cascaded its step.
-	version  string
-	cascaded int
+	version     string
+	cascadeStep int
 
 	// mu guards the queue, into which links put what comes.
-	mu       sync.Mutex
-	arrivals []arrival
-	size     int
-	full     bool
-	// ready has room for one word that something came.
-	ready chan struct{}
+	mu          sync.Mutex
+	events      []attemptEvent
+	queuedBytes int
+	overflowed  bool
+	// wake has room for one word that something came.
+	wake chan struct{}
 }
 
-// put queues an arrival for the handler. Beyond the bound for a slow caller the
+// enqueue queues an arrival for the handler. Beyond the bound for a slow caller the
 // rest is dropped and the request fails.
-func (ex *exchange) put(ar arrival, bound int) {
+func (ex *exchange) enqueue(ev attemptEvent, bound int) {
 	ex.mu.Lock()
 	defer ex.mu.Unlock()
-	if ar.frame != nil {
-		ex.size += len(ar.frame.Body)
+	if ev.frame != nil {
+		ex.queuedBytes += len(ev.frame.Body)
 	}
-	if ex.size > bound {
-		ex.full = true
+	if ex.queuedBytes > bound {
+		ex.overflowed = true
 	} else {
-		ex.arrivals = append(ex.arrivals, ar)
+		ex.events = append(ex.events, ev)
 	}
 	select {
-	case ex.ready <- struct{}{}:
+	case ex.wake <- struct{}{}:
 	default:
 	}
 }
 
-func (ex *exchange) take() ([]arrival, bool) {
+func (ex *exchange) dequeue() ([]attemptEvent, bool) {
 	ex.mu.Lock()
 	defer ex.mu.Unlock()
-	arrivals := ex.arrivals
-	ex.arrivals = nil
-	ex.size = 0
-	return arrivals, ex.full
+	events := ex.events
+	ex.events = nil
+	ex.queuedBytes = 0
+	return events, ex.overflowed
 }
 
 // serve runs the request until its final answer is given.
 func (ex *exchange) serve(r *http.Request) result.Code {
-	defer ex.forget()
-	co := ex.act(ex.route.Begin(time.Now()))
-	ti := time.NewTicker(giveUpCheck)
+	defer ex.removeAttempts()
+	co := ex.perform(ex.route.Begin(time.Now()))
+	ti := time.NewTicker(timeoutCheckInterval)
 	defer ti.Stop()
 	waiting := true
 	for co == 0 {
 		select {
 		case <-r.Context().Done():
-			co = ex.act(ex.route.CallerGone())
+			co = ex.perform(ex.route.CallerGone())
 		case now := <-ti.C:
-			co = ex.act(ex.route.Tick(now))
-		case <-ex.ready:
-			co = ex.read()
+			co = ex.perform(ex.route.Tick(now))
+		case <-ex.wake:
+			co = ex.handleEvents()
 		}
-		waiting = ex.watch(ti, waiting)
+		waiting = ex.updateTicker(ti, waiting)
 	}
 	return co
 }
 
-// watch lets the ticker run only while time can change anything: an answer
+// updateTicker lets the ticker run only while time can change anything: an answer
 // that comes in needs no clock.
-func (ex *exchange) watch(ti *time.Ticker, before bool) bool {
+func (ex *exchange) updateTicker(ti *time.Ticker, before bool) bool {
 	waiting := ex.route.Pending()
 	switch {
 	case waiting && !before:
-		ti.Reset(giveUpCheck)
+		ti.Reset(timeoutCheckInterval)
 	case !waiting && before:
 		ti.Stop()
 	}
 	return waiting
 }
 
-// giveUpCheck is how often a request without a verdict is looked at.
-const giveUpCheck = 50 * time.Millisecond
+// timeoutCheckInterval is how often a request without a verdict is looked at.
+const timeoutCheckInterval = 50 * time.Millisecond
 
-// read hands what came to the route.
-func (ex *exchange) read() result.Code {
-	arrivals, full := ex.take()
-	if full {
-		return ex.act(ex.route.CallerTooSlow())
+// handleEvents hands what came to the route.
+func (ex *exchange) handleEvents() result.Code {
+	events, overflowed := ex.dequeue()
+	if overflowed {
+		return ex.perform(ex.route.CallerTooSlow())
 	}
-	for _, ar := range arrivals {
-		if co := ex.act(ex.step(ar, time.Now())); co != 0 {
+	for _, ev := range events {
+		if co := ex.perform(ex.handleEvent(ev, time.Now())); co != 0 {
 			return co
 		}
 	}
@@ -143,34 +143,34 @@
 	return 0
 }
 
-func (ex *exchange) step(ar arrival, now time.Time) []route.Action {
+func (ex *exchange) handleEvent(ev attemptEvent, now time.Time) []route.Action {
 	switch {
-	case ar.frame == nil:
-		return ex.route.LinkLost(ar.number, now)
-	case ar.frame.Kind == wire.Verdict:
-		after := time.Duration(ar.frame.RetryAfterMS) * time.Millisecond
-		return ex.route.Verdict(ar.number, ar.frame.Code, after, now)
+	case ev.frame == nil:
+		return ex.route.LinkLost(ev.number, now)
+	case ev.frame.Kind == wire.Verdict:
+		after := time.Duration(ev.frame.RetryAfterMS) * time.Millisecond
+		return ex.route.Verdict(ev.number, ev.frame.Code, after, now)
 	}
-	return ex.route.Frame(ar.number, ar.frame, now)
+	return ex.route.Frame(ev.number, ev.frame, now)
 }
 
-// act carries out the route's decisions. It returns the final code once there
+// perform carries out the route's decisions. It returns the final code once there
 // is one, and zero before.
-func (ex *exchange) act(acs []route.Action) result.Code {
+func (ex *exchange) perform(acs []route.Action) result.Code {
 	for _, ac := range acs {
 		switch ac.Op() {
 		case route.Dispatch:
 			if !ex.dispatch(ac) {
-				return ex.act(ex.route.Verdict(ac.Attempt(), result.NotDispatched, 0, time.Now()))
+				return ex.perform(ex.route.Verdict(ac.Attempt(), result.NotDispatched, 0, time.Now()))
 			}
 		case route.Cancel:
 			ex.cancel(ac.Attempt())
 		case route.DeliverHead:
-			ex.head(ac)
+			ex.writeHead(ac)
 		case route.Deliver:
 			_, _ = ex.w.Write(ac.Body())
 		case route.Close:
-			ex.close(ac)
+			ex.finish(ac)
 			return ac.Code()
 		}
 	}
@@ -193,16 +193,16 @@
 	en.attempts[id] = &sentAttempt{ex: ex, number: ac.Attempt(), li: li}
 	en.mu.Unlock()
 	ex.streams[ac.Attempt()] = id
-	ex.note(ex.dispatchEvent(ac), ac.Server())
-	return li.Send(&wire.Frame{Kind: wire.Open, Stream: id, Open: ex.ask.attempt(ac), Stamp: en.Node.Stamp()})
+	ex.logEvent(ex.dispatchEvent(ac), ac.Server())
+	return li.Send(&wire.Frame{Kind: wire.Open, Stream: id, Open: ex.request.attempt(ac), Stamp: en.Node.Stamp()})
 }
 
 // dispatchEvent tells a first attempt, a retry and the next step of a cascade
 // apart.
 func (ex *exchange) dispatchEvent(ac route.Action) event.ID {
 	switch {
-	case ac.Step() > ex.cascaded:
-		ex.cascaded = ac.Step()
+	case ac.Step() > ex.cascadeStep:
+		ex.cascadeStep = ac.Step()
 		return event.RequestEscalated
 	case ac.Attempt() > 1:
 		return event.RequestRetried
@@ -213,20 +213,20 @@
 func (ex *exchange) cancel(number int) {
 	id := ex.streams[number]
 	ex.en.mu.Lock()
-	ti := ex.en.attempts[id]
+	sa := ex.en.attempts[id]
 	ex.en.mu.Unlock()
-	if ti != nil {
-		ti.li.Send(&wire.Frame{Kind: wire.Cancel, Stream: id})
+	if sa != nil {
+		sa.li.Send(&wire.Frame{Kind: wire.Cancel, Stream: id})
 	}
 }
 
-func (ex *exchange) head(ac route.Action) {
+func (ex *exchange) writeHead(ac route.Action) {
 	ex.version = ac.Target()
 	ex.w.Header().Set("Content-Type", ac.Head().Type)
-	ex.w.Header().Set(headerRequest, ex.ask.id)
+	ex.w.Header().Set(headerRequest, ex.request.id)
 	ex.w.Header().Set(headerVersion, ex.version)
 	if ac.FromFirstTry() {
-		ex.w.Header().Set(headerKept, "true")
+		ex.w.Header().Set(headerAccepted, "true")
 	}
 	ex.w.WriteHeader(ac.Head().Status)
 	ex.started = true
@@ -238,24 +238,24 @@
 	}
 }
 
-// close gives the final answer: nothing more after a whole one, a described
+// finish gives the final answer: nothing more after a whole one, a described
 // problem where nothing was sent yet, and a broken connection otherwise, so
 // that a part is never taken for the whole.
-func (ex *exchange) close(ac route.Action) {
+func (ex *exchange) finish(ac route.Action) {
 	co := ac.Code()
 	metrics.Requests.Add(result.Of(co).Name(), 1)
 	switch {
 	case co == result.OK:
-		ex.note(event.RequestAnswered, "")
+		ex.logEvent(event.RequestAnswered, "")
 		return
 	case result.Of(co).Run() == result.DidNotRun:
-		ex.note(event.RequestRefused, result.Of(co).Name())
+		ex.logEvent(event.RequestRefused, result.Of(co).Name())
 	default:
-		ex.note(event.RequestFailed, result.Of(co).Name())
+		ex.logEvent(event.RequestFailed, result.Of(co).Name())
 	}
-	pr := node.NewProblem(result.New(co, ""), ex.ask.id, ac.RetryAfter())
+	pr := node.NewProblem(result.New(co, ""), ex.request.id, ac.RetryAfter())
 	if !ex.started {
-		ex.w.Header().Set(headerRequest, ex.ask.id)
+		ex.w.Header().Set(headerRequest, ex.request.id)
 		node.WriteProblem(ex.w, pr)
 		return
 	}
@@ -266,8 +266,8 @@
 	}
 }
 
-// forget drops the request's attempts; frames that come later go nowhere.
-func (ex *exchange) forget() {
+// removeAttempts drops the request's attempts; frames that come later go nowhere.
+func (ex *exchange) removeAttempts() {
 	ex.en.mu.Lock()
 	defer ex.en.mu.Unlock()
 	for _, id := range ex.streams {
@@ -275,37 +275,37 @@
 	}
 }
 
-func (ex *exchange) note(id event.ID, detail string) {
+func (ex *exchange) logEvent(id event.ID, detail string) {
 	ex.en.Node.Note(timeline.Entry{
-		Event: id, Request: ex.ask.id, Team: ex.ask.team, Version: ex.version, Detail: detail,
+		Event: id, Request: ex.request.id, Team: ex.request.team, Version: ex.version, Detail: detail,
 	})
 }
 
-// deliver queues an agent's frame for the request it belongs to. The bill of
+// handleAttemptFrame queues an agent's frame for the request it belongs to. The bill of
 // an attempt is held even if its request is gone.
-func (en *Entry) deliver(li *link.Link, fr *wire.Frame) {
+func (en *Entry) handleAttemptFrame(li *link.Link, fr *wire.Frame) {
 	if len(fr.Bills) > 0 {
-		en.hold(fr.Bills)
+		en.addBills(fr.Bills)
 	}
 	en.mu.Lock()
-	ti := en.attempts[fr.Stream]
+	sa := en.attempts[fr.Stream]
 	en.mu.Unlock()
-	if ti != nil && ti.li == li {
-		ti.ex.put(arrival{number: ti.number, frame: fr}, en.Node.Settings.Limits.StreamBytes)
+	if sa != nil && sa.li == li {
+		sa.ex.enqueue(attemptEvent{number: sa.number, frame: fr}, en.Node.Settings.Limits.StreamBytes)
 	}
 }
 
-// lose tells the requests of a lost link.
-func (en *Entry) lose(li *link.Link) {
+// failAttempts tells the requests of a lost link.
+func (en *Entry) failAttempts(li *link.Link) {
 	en.mu.Lock()
 	var lost []*sentAttempt
-	for _, ti := range en.attempts {
-		if ti.li == li {
-			lost = append(lost, ti)
+	for _, sa := range en.attempts {
+		if sa.li == li {
+			lost = append(lost, sa)
 		}
 	}
 	en.mu.Unlock()
-	for _, ti := range lost {
-		ti.ex.put(arrival{number: ti.number}, en.Node.Settings.Limits.StreamBytes)
+	for _, sa := range lost {
+		sa.ex.enqueue(attemptEvent{number: sa.number}, en.Node.Settings.Limits.StreamBytes)
 	}
 }
--- a/internal/entry/learn.go
+++ b/internal/entry/feedback.go
@@ -20,15 +20,15 @@
 const (
 	// ratingsPrefix is where each data centre adds up its ratings.
 	ratingsPrefix = "linnetrudder/ratings/"
-	// addEvery is the time between two additions to what is stored.
-	addEvery = 5 * time.Second
-	// readEvery is the time between two readings of what all have learnt; each
+	// storeInterval is the time between two additions to what is stored.
+	storeInterval = 5 * time.Second
+	// readInterval is the time between two readings of what all have learnt; each
 	// entry reads, so it is long.
-	readEvery = 20 * time.Second
+	readInterval = 20 * time.Second
 	// maxRatings bounds the ratings of one call.
 	maxRatings = 10_000
-	// maxSwaps bounds the tries against other writers of a document.
-	maxSwaps = 5
+	// maxSwapAttempts bounds the tries against other writers of a document.
+	maxSwapAttempts = 5
 )
 
 // Rating is one rated answer, as the rating service reports it.
@@ -43,40 +43,40 @@
 	Score float64 `json:"score"`
 }
 
-// learnt is what an entry has learnt and what it has not stored yet.
-type learnt struct {
-	// table is what all data centres have stored, as last read.
-	table *quality.Table
-	// fresh holds the ratings, outcomes the tallies to be added to the store.
-	fresh    quality.Table
-	outcomes rollout.Tallies
-	// counted holds the counters last reported by each agent, by box and
+// feedback is what an entry has feedback and what it has not stored yet.
+type feedback struct {
+	// stored is what all data centres have stored, as last read.
+	ratings *quality.Table
+	// pendingRatings holds the ratings, outcomes the tallies to be added to the store.
+	pendingRatings  quality.Table
+	pendingOutcomes rollout.Tallies
+	// lastCounters holds the counters last reported by each agent, by box and
 	// version.
-	counted map[string]map[string]rollout.Tally
+	lastCounters map[string]map[string]rollout.Tally
 }
 
-func newLearnt() learnt {
-	return learnt{
-		table:    &quality.Table{},
-		outcomes: rollout.Tallies{},
-		counted:  map[string]map[string]rollout.Tally{},
+func newFeedback() feedback {
+	return feedback{
+		ratings:         &quality.Table{},
+		pendingOutcomes: rollout.Tallies{},
+		lastCounters:    map[string]map[string]rollout.Tally{},
 	}
 }
 
-// count adds what an agent's counters have grown by. The first report of an
-// agent, or of one that was replaced, only sets where to count from.
-func (le *learnt) count(box, version string, ta rollout.Tally) {
-	byVersion := le.counted[box]
+// addCounters adds what an agent's counters have grown by. The first report of an
+// agent, or of one that was replaced, only sets where to addCounters from.
+func (fb *feedback) addCounters(box, version string, ta rollout.Tally) {
+	byVersion := fb.lastCounters[box]
 	if byVersion == nil {
 		byVersion = map[string]rollout.Tally{}
-		le.counted[box] = byVersion
+		fb.lastCounters[box] = byVersion
 	}
 	before, known := byVersion[version]
 	byVersion[version] = ta
 	if !known || ta.Started < before.Started || ta.Failed < before.Failed {
 		return
 	}
-	le.outcomes.Add(version, rollout.Tally{Started: ta.Started - before.Started, Failed: ta.Failed - before.Failed})
+	fb.pendingOutcomes.Add(version, rollout.Tally{Started: ta.Started - before.Started, Failed: ta.Failed - before.Failed})
 }
 
 // estimates is what the choice asks; the lock of the entry is held.
@@ -111,81 +111,81 @@
 	en.mu.Lock()
 	defer en.mu.Unlock()
 	for _, ra := range list {
-		en.learnt.rate(ra)
+		en.feedback.addRating(ra)
 	}
 	node.WriteJSON(w, http.StatusOK, map[string]int{"taken": len(list)})
 }
 
-func (le *learnt) rate(ra Rating) {
+func (fb *feedback) addRating(ra Rating) {
 	kind := ra.Kind
 	if ra.Accepted {
 		kind = choice.AcceptedKind(kind)
 	}
 	ce := quality.Cell{Team: ra.Team, Kind: kind, Version: ra.Version}
-	le.fresh.Add(ce, ra.Score)
-	le.table.Add(ce, ra.Score)
+	fb.pendingRatings.Add(ce, ra.Score)
+	fb.ratings.Add(ce, ra.Score)
 	ta := rollout.Tally{Rated: 1}
 	if ra.Score < quality.LowScore {
 		ta.Low = 1
 	}
-	le.outcomes.Add(ra.Version, ta)
+	fb.pendingOutcomes.Add(ra.Version, ta)
 }
 
-// tried notes whether the first try of a cascade was kept.
-func (en *Entry) tried(as *ask, version string, kept bool) {
+// recordFirstTry notes whether the first try of a cascade was kept.
+func (en *Entry) recordFirstTry(cr *callerRequest, version string, kept bool) {
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	en.learnt.fresh.AddFirstAttempt(as.team, as.kind, version, kept)
-	en.learnt.table.AddFirstAttempt(as.team, as.kind, version, kept)
+	en.feedback.pendingRatings.AddFirstAttempt(cr.team, cr.kind, version, kept)
+	en.feedback.ratings.AddFirstAttempt(cr.team, cr.kind, version, kept)
 }
 
-// learn stores what is fresh and reads what all have stored.
-func (en *Entry) learn(ctx context.Context) error {
-	var added, read time.Time
+// syncFeedback stores what is fresh and reads what all have stored.
+func (en *Entry) syncFeedback(ctx context.Context) error {
+	var lastStore, lastRead time.Time
 	for ctx.Err() == nil {
 		now := time.Now()
-		if now.Sub(added) >= addEvery {
-			added = now
-			en.storeLearnt(ctx)
+		if now.Sub(lastStore) >= storeInterval {
+			lastStore = now
+			en.storeFeedback(ctx)
 		}
-		if now.Sub(read) >= readEvery {
-			read = now.Add(-rand.N(readEvery / 4))
-			en.readLearnt(ctx)
+		if now.Sub(lastRead) >= readInterval {
+			lastRead = now.Add(-rand.N(readInterval / 4))
+			en.readFeedback(ctx)
 		}
 		sleep(ctx, time.Second)
 	}
 	return ctx.Err()
 }
 
-// storeLearnt adds what is fresh to the data centre's documents. What cannot
+// storeFeedback adds what is fresh to the data centre's documents. What cannot
 // be added is kept for the next time.
-func (en *Entry) storeLearnt(ctx context.Context) {
+func (en *Entry) storeFeedback(ctx context.Context) {
 	en.mu.Lock()
-	fresh, outcomes := en.learnt.fresh, en.learnt.outcomes
-	en.learnt.fresh, en.learnt.outcomes = quality.Table{}, rollout.Tallies{}
-	leads := en.view.Leads()
+	fresh, outcomes := en.feedback.pendingRatings, en.feedback.pendingOutcomes
+	en.feedback.pendingRatings, en.feedback.pendingOutcomes = quality.Table{}, rollout.Tallies{}
+	leader := en.members.Leads()
 	en.mu.Unlock()
-	if !leads {
+	if !leader {
 		// The leader hears the same agents and adds their outcomes; what
 		// comes from ratings is this entry's alone.
-		outcomes = ratedOnly(outcomes)
+		outcomes = ratingTallies(outcomes)
 	}
 	dc := en.Node.Settings.DataCentre
-	if fresh.Len() > 0 && !en.merge(ctx, ratingsPrefix+dc, addRatings(&fresh)) {
+	if fresh.Len() > 0 && !en.updateDocument(ctx, ratingsPrefix+dc, addRatings(&fresh)) {
 		en.mu.Lock()
-		en.learnt.fresh.MergeEntries(fresh.Entries())
+		en.feedback.pendingRatings.MergeEntries(fresh.Entries())
 		en.mu.Unlock()
 	}
-	if len(outcomes) > 0 && !en.merge(ctx, rollout.OutcomesPrefix+dc, addOutcomes(outcomes)) {
+	if len(outcomes) > 0 && !en.updateDocument(ctx, rollout.OutcomesPrefix+dc, addOutcomes(outcomes)) {
 		en.mu.Lock()
 		for version, ta := range outcomes {
-			en.learnt.outcomes.Add(version, ta)
+			en.feedback.pendingOutcomes.Add(version, ta)
 		}
 		en.mu.Unlock()
 	}
 }
 
-func ratedOnly(all rollout.Tallies) rollout.Tallies {
+func ratingTallies(all rollout.Tallies) rollout.Tallies {
 	rated := rollout.Tallies{}
 	for version, ta := range all {
 		if ta.Rated > 0 {
@@ -219,11 +219,11 @@
 	}
 }
 
-// merge changes a document by compare-and-swap. It reports whether that was
+// updateDocument changes a document by compare-and-swap. It reports whether that was
 // done. A lost answer may count a few outcomes twice, which the tests on them
 // bear; no promise rests on these documents.
-func (en *Entry) merge(ctx context.Context, key string, edit func([]byte) ([]byte, error)) bool {
-	for range maxSwaps {
+func (en *Entry) updateDocument(ctx context.Context, key string, edit func([]byte) ([]byte, error)) bool {
+	for range maxSwapAttempts {
 		pair, err := en.Store.Get(ctx, key)
 		if err != nil {
 			return false
@@ -232,20 +232,20 @@
 		if err != nil {
 			return false
 		}
-		made, err := en.Store.Swap(ctx, key, value, pair.Index)
+		swapped, err := en.Store.Swap(ctx, key, value, pair.Index)
 		if err != nil {
 			return false
 		}
-		if made {
+		if swapped {
 			return true
 		}
 	}
 	return false
 }
 
-// readLearnt reads what all data centres have stored, and keeps what is
+// readFeedback reads what all data centres have stored, and keeps what is
 // fresh here on top.
-func (en *Entry) readLearnt(ctx context.Context) {
+func (en *Entry) readFeedback(ctx context.Context) {
 	pairs, err := en.Store.List(ctx, ratingsPrefix)
 	if err != nil {
 		en.Node.Note(timeline.Entry{Event: event.StoreCallFailed, Detail: err.Error()})
@@ -253,13 +253,13 @@
 	}
 	all := &quality.Table{}
 	for _, pair := range pairs {
-		part, err := quality.Decode(pair.Value)
+		table, err := quality.Decode(pair.Value)
 		if err == nil {
-			all.MergeEntries(part.Entries())
+			all.MergeEntries(table.Entries())
 		}
 	}
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	all.MergeEntries(en.learnt.fresh.Entries())
-	en.learnt.table = all
+	all.MergeEntries(en.feedback.pendingRatings.Entries())
+	en.feedback.ratings = all
 }
--- a/internal/entry/links.go
+++ b/internal/entry/links.go
@@ -21,13 +21,13 @@
 	// remoteLinks is how many agents of each other data centre are linked, to
 	// take what the own one cannot.
 	remoteLinks = 4
-	// homeCandidates is how many agents are ranked for each claim log.
-	homeCandidates = 6
+	// ownerCandidates is how many agents are ranked for each claim log.
+	ownerCandidates = 6
 	// dialTimeout bounds the opening of a link.
 	dialTimeout = 2 * time.Second
-	// dialFirst and dialMost bound the pause between two tries.
-	dialFirst = 50 * time.Millisecond
-	dialMost  = 5 * time.Second
+	// minDialBackoff and dialMost bound the pause between two tries.
+	minDialBackoff = 50 * time.Millisecond
+	maxDialBackoff = 5 * time.Second
 )
 
 // dialer keeps a link to one agent.
@@ -36,15 +36,15 @@
 	address string
 }
 
-// followBoxes keeps a dialer for each agent that the list names. A reading
+// pollBoxes keeps a dialer for each agent that the list names. A reading
 // that fails changes nothing.
-func (en *Entry) followBoxes(ctx context.Context) error {
+func (en *Entry) pollBoxes(ctx context.Context) error {
 	for {
 		list, err := en.Boxes.List(ctx)
 		if err != nil {
 			en.Node.Note(timeline.Entry{Event: event.StoreCallFailed, Detail: err.Error()})
 		} else {
-			en.setBoxes(list)
+			en.updateDialers(list)
 		}
 		every := en.Node.Settings.Platform.BoxesEvery()
 		pause := every/2 + rand.N(every)
@@ -56,14 +56,14 @@
 	}
 }
 
-// setBoxes starts and ends dialers so that they match the list.
-func (en *Entry) setBoxes(list []boxes.Box) {
+// updateDialers starts and ends dialers so that they match the list.
+func (en *Entry) updateDialers(list []boxes.Box) {
 	wanted := map[string]boxes.Box{}
-	for _, bo := range en.worthLinking(list) {
+	for _, bo := range en.agentsToLink(list) {
 		wanted[bo.Name] = bo
 	}
 	en.mu.Lock()
-	en.rankHomes(agentNames(list))
+	en.rankClaimOwners(agentNames(list))
 	var ending []dialer
 	for box, di := range en.dialers {
 		if bo, ok := wanted[box]; !ok || bo.Address != di.address {
@@ -76,14 +76,14 @@
 		en.serverOf[box] = bo.Server
 		en.boxOf[bo.Server] = box
 		if bo.State == boxes.Leaving {
-			en.board.SetLeaving(bo.Server)
+			en.balancer.SetLeaving(bo.Server)
 		}
 		if _, ok := en.dialers[box]; !ok {
 			starting = append(starting, bo)
 		}
 	}
 	for _, bo := range starting {
-		token := en.supervisor.Add(node.Service{Name: "link to " + bo.Name, Serving: en.keepLink(bo)})
+		token := en.supervisor.Add(node.Service{Name: "link to " + bo.Name, Serving: en.maintainLink(bo)})
 		en.dialers[bo.Name] = dialer{token: token, address: bo.Address}
 	}
 	en.mu.Unlock()
@@ -105,10 +105,10 @@
 	return names
 }
 
-// worthLinking returns all agents of the own data centre, the homes of the
+// agentsToLink returns all agents of the own data centre, the homes of the
 // claim logs, and a few agents of each other data centre, not the same few for
 // every entry.
-func (en *Entry) worthLinking(list []boxes.Box) []boxes.Box {
+func (en *Entry) agentsToLink(list []boxes.Box) []boxes.Box {
 	self := en.Node.Settings
 	homes := map[string]bool{}
 	for shard := range claim.Shards {
@@ -142,14 +142,14 @@
 	return wanted
 }
 
-// keepLink dials an agent again and again, with growing pauses.
-func (en *Entry) keepLink(bo boxes.Box) func(context.Context) error {
+// maintainLink dials an agent again and again, with growing pauses.
+func (en *Entry) maintainLink(bo boxes.Box) func(context.Context) error {
 	return func(ctx context.Context) error {
 		pause := backoff.NewExponentialBackOff()
-		pause.InitialInterval = dialFirst
-		pause.MaxInterval = dialMost
+		pause.InitialInterval = minDialBackoff
+		pause.MaxInterval = maxDialBackoff
 		for ctx.Err() == nil {
-			if en.holdLink(ctx, bo) {
+			if en.serveLink(ctx, bo) {
 				pause.Reset()
 			}
 			select {
@@ -161,8 +161,8 @@
 	}
 }
 
-// holdLink opens one link and serves it. It reports whether it was opened.
-func (en *Entry) holdLink(ctx context.Context, bo boxes.Box) bool {
+// serveLink opens one link and serves it. It reports whether it was opened.
+func (en *Entry) serveLink(ctx context.Context, bo boxes.Box) bool {
 	dialing, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
 	li, err := link.Dial(dialing, bo.Address, en.Node.Identity(), time.Now())
@@ -174,16 +174,16 @@
 	en.mu.Lock()
 	en.serverOf[li.Peer.Box()] = bo.Server
 	en.boxOf[bo.Server] = li.Peer.Box()
-	en.board.LinkUp(bo.Server, bo.DataCentre)
+	en.balancer.LinkUp(bo.Server, bo.DataCentre)
 	en.mu.Unlock()
 	en.Node.LinkUp(li)
 	err = li.Run(ctx)
 	if en.Node.LinkDown(li, err) {
 		en.mu.Lock()
-		en.board.LinkDown(bo.Server)
-		en.view.AgentDown(li.Peer.Box())
+		en.balancer.LinkDown(bo.Server)
+		en.members.AgentDown(li.Peer.Box())
 		en.mu.Unlock()
 	}
-	en.lose(li)
+	en.failAttempts(li)
 	return true
 }
--- a/internal/entry/rollouts.go
+++ b/internal/entry/rollouts.go
@@ -12,18 +12,18 @@
 	"github.com/linnetrudder/linnetrudder/internal/timeline"
 )
 
-// decideEvery is the time between two looks at the roll-outs under way.
-const decideEvery = 2 * time.Second
+// rolloutInterval is the time between two looks at the roll-outs under way.
+const rolloutInterval = 2 * time.Second
 
-// followRollouts decides on the roll-outs while this entry leads its data
+// runRollouts decides on the roll-outs while this entry leads its data
 // centre. The leaders of all data centres do so from the same documents;
 // compare-and-swap lets one of them through, and whoever comes next continues
 // from what it stored.
-func (en *Entry) followRollouts(ctx context.Context) error {
+func (en *Entry) runRollouts(ctx context.Context) error {
 	for ctx.Err() == nil {
-		sleep(ctx, decideEvery)
+		sleep(ctx, rolloutInterval)
 		sn := en.Node.Snapshot()
-		if sn == nil || len(sn.Document().Rollouts) == 0 || !en.leads() {
+		if sn == nil || len(sn.Document().Rollouts) == 0 || !en.isLeader() {
 			continue
 		}
 		all, err := en.readOutcomes(ctx)
@@ -38,10 +38,10 @@
 	return ctx.Err()
 }
 
-func (en *Entry) leads() bool {
+func (en *Entry) isLeader() bool {
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	return en.view.Leads()
+	return en.members.Leads()
 }
 
 func (en *Entry) readOutcomes(ctx context.Context) (rollout.Tallies, error) {
@@ -51,11 +51,11 @@
 	}
 	all := rollout.Tallies{}
 	for _, pair := range pairs {
-		part, err := rollout.DecodeTallies(pair.Value)
+		tallies, err := rollout.DecodeTallies(pair.Value)
 		if err != nil {
 			continue
 		}
-		for version, ta := range part {
+		for version, ta := range tallies {
 			all.Add(version, ta)
 		}
 	}
@@ -82,8 +82,8 @@
 		if err != nil {
 			return
 		}
-		made, err := en.Store.Swap(ctx, key, value, pair.Index)
-		if err != nil || !made {
+		swapped, err := en.Store.Swap(ctx, key, value, pair.Index)
+		if err != nil || !swapped {
 			return
 		}
 	}
--- a/internal/entry/store.go
+++ b/internal/entry/store.go
@@ -10,8 +10,8 @@
 	"github.com/linnetrudder/linnetrudder/internal/timeline"
 )
 
-// dutyCheck is how often an entry looks whether it must watch the store.
-const dutyCheck = 500 * time.Millisecond
+// watchPollInterval is how often an entry looks whether it must watch the store.
+const watchPollInterval = 500 * time.Millisecond
 
 // watchStore watches the configuration while this entry is one of its data
 // centre's watchers.
@@ -19,19 +19,19 @@
 	watching := false
 	var index uint64
 	for ctx.Err() == nil {
-		if duty := en.watches(); duty != watching {
-			watching = duty
-			en.noteDuty(duty)
+		if watcher := en.isWatcher(); watcher != watching {
+			watching = watcher
+			en.logWatching(watcher)
 		}
 		if !watching {
-			sleep(ctx, dutyCheck)
+			sleep(ctx, watchPollInterval)
 			continue
 		}
 		next, err := en.watchOnce(ctx, index)
 		if err != nil {
 			en.Node.Note(timeline.Entry{Event: event.StoreCallFailed, Detail: err.Error()})
 			index = 0
-			sleep(ctx, dutyCheck)
+			sleep(ctx, watchPollInterval)
 			continue
 		}
 		index = next
@@ -39,14 +39,14 @@
 	return ctx.Err()
 }
 
-func (en *Entry) watches() bool {
+func (en *Entry) isWatcher() bool {
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	return en.view.Watches()
+	return en.members.Watches()
 }
 
-func (en *Entry) noteDuty(duty bool) {
-	if duty {
+func (en *Entry) logWatching(watcher bool) {
+	if watcher {
 		en.Node.Note(timeline.Entry{Event: event.WatchStarted})
 		return
 	}
@@ -64,7 +64,7 @@
 		index = 0
 	}
 	if index == 0 {
-		sleep(ctx, dutyCheck)
+		sleep(ctx, watchPollInterval)
 	}
 	en.install(ctx, pair)
 	return index, nil
@@ -78,49 +78,49 @@
 		en.Node.Note(timeline.Entry{Event: event.ConfigRefused, Detail: err.Error()})
 		return
 	}
-	held := en.Node.Snapshot().Revision()
-	if ev.Revision < held {
+	current := en.Node.Snapshot().Revision()
+	if ev.Revision < current {
 		en.Node.Note(timeline.Entry{Event: event.ConfigRefused, Detail: "the store holds a lower revision"})
-		en.writeAgain(ctx, ev, pair.Index)
+		en.restoreStoredConfig(ctx, ev, pair.Index)
 		return
 	}
 	if ev.Document == nil {
 		return
 	}
-	if ev.Revision > held {
+	if ev.Revision > current {
 		if err := ev.Document.Check(); err != nil {
 			en.Node.Note(timeline.Entry{Event: event.ConfigRefused, Detail: err.Error()})
 			return
 		}
 		en.Node.Install(config.Compile(ev.Revision, ev.Document))
 	}
-	en.stored = ev
+	en.storedConfig = ev
 }
 
-// writeAgain writes the newest accepted configuration to a store that went back to an older one, so
+// restoreStoredConfig writes the newest accepted configuration to a store that went back to an older one, so
 // that the next change follows it. A store that holds a change which is not part of it is left to
 // an operator.
-func (en *Entry) writeAgain(ctx context.Context, older *config.Envelope, index uint64) {
-	if en.stored == nil || !en.stored.Extends(older) {
+func (en *Entry) restoreStoredConfig(ctx context.Context, older *config.Envelope, index uint64) {
+	if en.storedConfig == nil || !en.storedConfig.Extends(older) {
 		return
 	}
-	value, err := en.stored.Encode()
+	value, err := en.storedConfig.Encode()
 	if err != nil {
 		en.Node.Note(timeline.Entry{Event: event.StoreCallFailed, Detail: err.Error()})
 		return
 	}
-	made, err := en.Store.Swap(ctx, config.StoreKey, value, index)
+	swapped, err := en.Store.Swap(ctx, config.StoreKey, value, index)
 	switch {
 	case err != nil:
 		en.Node.Note(timeline.Entry{Event: event.StoreCallFailed, Detail: err.Error()})
-	case made:
-		en.Node.Note(timeline.Entry{Event: event.ConfigAccepted, Revision: en.stored.Revision, Detail: "written again to a store that had lost it"})
+	case swapped:
+		en.Node.Note(timeline.Entry{Event: event.ConfigAccepted, Revision: en.storedConfig.Revision, Detail: "written again to a store that had lost it"})
 	}
 }
 
-func sleep(ctx context.Context, pause time.Duration) {
+func sleep(ctx context.Context, duration time.Duration) {
 	select {
 	case <-ctx.Done():
-	case <-time.After(pause):
+	case <-time.After(duration):
 	}
 }
