--- a/internal/entry/admin.go
+++ b/internal/entry/admin.go
@@ -20,7 +20,7 @@
 	"github.com/linnetrudder/linnetrudder/internal/timeline"
 )
 
-// The headers of the administration API.
+// The request headers of the administration API.
 const (
 	headerOperation = "Linnetrudder-Operation"
 	headerOperator  = "Linnetrudder-Operator"
@@ -45,7 +45,7 @@
 	return ro
 }
 
-// getConfig answers with the revision in force here.
+// getConfig returns the configuration revision in force in this process.
 func (en *Entry) getConfig(w http.ResponseWriter, _ *http.Request) {
 	sn := en.Node.Snapshot()
 	if sn == nil {
@@ -55,8 +55,9 @@
 	node.WriteJSON(w, http.StatusOK, config.Envelope{Revision: sn.Revision(), Document: sn.Document()})
 }
 
-// putConfig replaces the whole document. Queries: base=REVISION refuses if
-// another change came first, dry_run=true only checks.
+// putConfig replaces the whole configuration document. With the query parameter base=REVISION it
+// fails if another change was made since that revision; with dry_run=true it only validates the
+// change.
 func (en *Entry) putConfig(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, config.MaxBytes))
 	if err != nil {
@@ -104,14 +105,15 @@
 	node.WriteJSON(w, http.StatusOK, next)
 }
 
-// versionChange is a change of one version; fields that are nil stay.
+// versionChange is the body of a request to change one version. Fields that are nil remain
+// unchanged.
 type versionChange struct {
 	State *config.State `json:"state"`
 	Share *float64      `json:"share"`
 }
 
-// postVersion changes the state or share of one version and leaves the rest
-// as it is, whatever other operators change at the same time.
+// postVersion changes the state or share of one version. The rest of the document is preserved,
+// including concurrent changes of other operators.
 func (en *Entry) postVersion(w http.ResponseWriter, r *http.Request) {
 	var form versionChange
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, config.MaxBytes)).Decode(&form); err != nil {
@@ -156,8 +158,8 @@
 	return re
 }
 
-// apply makes a change and takes it into force here at once; the watch would
-// bring it a little later.
+// apply applies a change to the stored configuration and installs the result in this process
+// without waiting for the watch to deliver it.
 func (en *Entry) apply(w http.ResponseWriter, r *http.Request, re change.Request) {
 	ch := change.Writer{Store: en.Store, Backoff: change.DefaultBackoff}
 	ev, err := ch.Apply(r.Context(), re, time.Now())
@@ -208,7 +210,7 @@
 	node.WriteError(w, result.New(result.BadReference, "revision "+mux.Vars(r)["revision"]+" is not kept"))
 }
 
-// getBill answers with every line that is durable.
+// getBill returns all bill lines that are durable.
 func (en *Entry) getBill(w http.ResponseWriter, r *http.Request) {
 	pairs, err := en.Store.List(r.Context(), bill.Prefix)
 	if err != nil {
@@ -223,7 +225,7 @@
 	node.WriteJSON(w, http.StatusOK, lines)
 }
 
-// getBoxes answers with the platform's list as read now.
+// getBoxes returns the platform's current list of boxes.
 func (en *Entry) getBoxes(w http.ResponseWriter, r *http.Request) {
 	list, err := en.Boxes.List(r.Context())
 	if err != nil {
@@ -233,8 +235,7 @@
 	node.WriteJSON(w, http.StatusOK, list)
 }
 
-// explainRequest names a request that was made, or describes one that is only
-// thought of.
+// explainRequest identifies a past request by id, or describes a hypothetical one.
 type explainRequest struct {
 	Request string `json:"request"`
 	Team    string `json:"team"`
@@ -243,7 +244,7 @@
 	Session string `json:"session"`
 }
 
-// Explanation says what would be chosen and why.
+// Explanation describes the versions that are selected for a request and the reason.
 type Explanation struct {
 	Steps      []string        `json:"steps"`
 	Reason     string          `json:"reason"`
@@ -251,7 +252,7 @@
 	Candidates []CandidateView `json:"candidates"`
 }
 
-// CandidateView is one version that was weighed.
+// CandidateView is one version that was considered for a request.
 type CandidateView struct {
 	Version    string      `json:"version"`
 	Code       result.Code `json:"code"`
@@ -279,8 +280,7 @@
 	node.WriteJSON(w, http.StatusOK, explain(en.choose(cr)))
 }
 
-// explainRecorded answers with the plan of a request that came through this entry
-// not long ago.
+// explainRecorded returns the recorded plan of a recent request that this entry processed.
 func (en *Entry) explainRecorded(w http.ResponseWriter, request string) {
 	en.mu.Lock()
 	pl, ok := en.plans.get(request)
--- a/internal/entry/bills.go
+++ b/internal/entry/bills.go
@@ -8,11 +8,11 @@
 	"github.com/linnetrudder/linnetrudder/internal/wire"
 )
 
-// maxBillsPerForward bounds the lines that are handed on at once.
+// maxBillsPerForward is the maximum number of bill lines that are forwarded at once.
 const maxBillsPerForward = 2000
 
-// addBills keeps lines until they are durable: those of this entry's requests and
-// those that an agent hands on because their entry is gone.
+// addBills adds bill lines to the ledger, which retains them until they are durable. They are from
+// this entry's requests, or from an agent whose link to the entry of the request is lost.
 func (en *Entry) addBills(lines []wire.BillLine) {
 	now := time.Now()
 	en.mu.Lock()
@@ -22,8 +22,8 @@
 	}
 }
 
-// confirmBills forgets durable lines and lets the agents that hold them know with
-// their next heartbeats.
+// confirmBills removes durable lines from the ledger and acknowledges them to the agents that
+// retain them, with the next heartbeat.
 func (en *Entry) confirmBills(lines []wire.BillLine) {
 	en.mu.Lock()
 	defer en.mu.Unlock()
@@ -35,11 +35,11 @@
 	}
 }
 
-// maxBillAcks bounds what waits to be told to one agent. An agent that misses it
-// hands its lines on again, and is told then.
+// maxBillAcks is the maximum number of acknowledgements that are pending for one agent. Further
+// ones are dropped; the agent then sends its lines again and they are acknowledged again.
 const maxBillAcks = 5000
 
-// takeBillAcks returns what an agent must be takeBillAcks, once.
+// takeBillAcks returns and removes the pending acknowledgements for an agent.
 func (en *Entry) takeBillAcks(box string) []wire.BillLine {
 	en.mu.Lock()
 	defer en.mu.Unlock()
@@ -48,9 +48,9 @@
 	return lines
 }
 
-// forwardBills hands lines to the agents that write their documents. Every line
-// of one document goes to the same agent as long as the entries of the data
-// centre see the same agents; if they do not, compare-and-swap keeps order.
+// forwardBills sends due bill lines to the agents that write them to the store. All lines of one
+// document go to the same agent as long as the entries of the data centre are connected to the same
+// agents; otherwise compare-and-swap resolves concurrent writes.
 func (en *Entry) forwardBills(now time.Time) {
 	en.mu.Lock()
 	lines := en.ledger.Due(maxBillsPerForward, now)
@@ -75,8 +75,8 @@
 	}
 }
 
-// localAgents returns the linked agents of the own data centre, or all that
-// are linked if there is none.
+// localAgents returns the connected agents in the entry's own data centre, or all connected agents
+// if it has none.
 func (en *Entry) localAgents() []string {
 	var local, all []string
 	for _, li := range en.Node.Links() {
--- a/internal/entry/blocks.go
+++ b/internal/entry/blocks.go
@@ -12,31 +12,32 @@
 )
 
 const (
-	// blocksKey is where the blocks are kept.
+	// blocksKey is the key under which the blocks are stored.
 	blocksKey = "linnetrudder/blocks"
-	// blocksInterval is how often an entry looks whether it has to store any.
+	// blocksInterval is the time between two checks for blocks that have to be stored.
 	blocksInterval = time.Second
 )
 
-// blocklist is the route's view of what is blocked.
+// blocklist implements route.Blocklist for one request.
 type blocklist struct {
 	en          *Entry
 	fingerprint poison.Fingerprint
 }
 
-// Blocked returns how long the request is not to be sent, zero if it may be.
+// Blocked returns how long the request remains blocked, zero if it is not.
 func (bl blocklist) Blocked(now time.Time) time.Duration {
 	return bl.en.blockRemaining(bl.fingerprint, now)
 }
 
+// blockRemaining returns how long a request remains blocked, zero if it is not.
 func (en *Entry) blockRemaining(fp poison.Fingerprint, now time.Time) time.Duration {
 	en.mu.Lock()
 	defer en.mu.Unlock()
 	return en.blocks.Remaining(fp, now)
 }
 
-// recordSuspicions takes an agent's word on the end of its server. An agent tells all entries that are
-// connected to it, so that they count alike.
+// recordSuspicions records which requests an agent suspects of having crashed its server. Agents
+// report to all entries that are connected to them, so that these entries have the same counts.
 func (en *Entry) recordSuspicions(list []poison.Suspicion, now time.Time) {
 	for _, su := range list {
 		en.mu.Lock()
@@ -48,7 +49,7 @@
 	}
 }
 
-// liftHarmless ends the blocks of requests that a server has answered and lived on.
+// liftHarmless lifts the blocks of requests that a server answered completely without crashing.
 func (en *Entry) liftHarmless(fingerprints []poison.Fingerprint, now time.Time) {
 	for _, fp := range fingerprints {
 		en.mu.Lock()
@@ -64,7 +65,7 @@
 	}
 }
 
-// addBlock takes a block, unless it was lifted a moment ago.
+// addBlock adds a block unless the request was recently found harmless.
 func (en *Entry) addBlock(bl poison.Block, stored bool, now time.Time) {
 	en.mu.Lock()
 	added := !en.detector.IsHarmless(bl.Fingerprint) && en.blocks.Add(bl, bl.Remaining(clock.Day()), stored, now)
@@ -74,8 +75,8 @@
 	}
 }
 
-// syncBlocks reads the blocks that are kept, and stores those that are not. Of the entries
-// that know of one, the watchers of the key-value service store it.
+// syncBlocks periodically reads the stored blocks and stores new ones. A block is stored by those
+// of the entries with the block that watch the key-value service.
 func (en *Entry) syncBlocks(ctx context.Context) error {
 	var lastRead time.Time
 	for ctx.Err() == nil {
@@ -90,7 +91,7 @@
 	return ctx.Err()
 }
 
-// readBlocks reports whether the blocks that are kept could be read.
+// readBlocks adds the stored blocks. It reports whether they could be read.
 func (en *Entry) readBlocks(ctx context.Context) bool {
 	pair, err := en.Store.Get(ctx, blocksKey)
 	var list []poison.Block
@@ -107,6 +108,7 @@
 	return true
 }
 
+// storeBlocks stores new blocks and removes lifted ones from the store.
 func (en *Entry) storeBlocks(ctx context.Context) {
 	if !en.isWatcher() {
 		return
@@ -130,7 +132,7 @@
 	}
 }
 
-// isHarmless reports whether a server answered a request lately and lived on.
+// isHarmless reports whether a server recently answered a request completely without crashing.
 func (en *Entry) isHarmless(fp poison.Fingerprint) bool {
 	en.mu.Lock()
 	defer en.mu.Unlock()
--- a/internal/entry/caller_request.go
+++ b/internal/entry/caller_request.go
@@ -20,7 +20,7 @@
 	"github.com/linnetrudder/linnetrudder/internal/wire"
 )
 
-// The headers of a request.
+// The headers of a caller's request.
 const (
 	headerSession        = "X-Linnetrudder-Session"
 	headerKind           = "X-Linnetrudder-Kind"
@@ -28,21 +28,21 @@
 	headerIdempotencyKey = "Idempotency-Key"
 )
 
-// maxIDBytes bounds a session id and an idempotency key.
+// maxIDBytes is the maximum length of a session id and of an idempotency key.
 const maxIDBytes = 128
 
-// callerRequest is a caller's request after it was read and before it is routed.
+// callerRequest is a caller's request after it was parsed and before it is routed.
 type callerRequest struct {
 	id, team, kind, session, idempotencyKey string
-	// model is what the caller named; empty for a plain service.
+	// model is the model that the caller requested, empty for a plain service.
 	model string
-	// service is the plain service; empty for a model.
+	// service is the name of the plain service, empty for a model.
 	service string
-	// atMostOnce is set for a request that may not be repeated.
+	// atMostOnce is set for a request that must not run more than once.
 	atMostOnce bool
-	// keyClaimed is set once the key belongs to this request.
+	// keyClaimed is set once this request has claimed its idempotency key.
 	keyClaimed bool
-	// pinned is set if the session has a version already.
+	// pinned is the version that the session is pinned to, empty if there is none yet.
 	pinned      string
 	inSession   bool
 	priority    int
@@ -50,16 +50,17 @@
 	method      string
 	path        string
 	contentType string
-	// fingerprint is the same for all copies of the request.
+	// fingerprint is identical for all copies of the request.
 	fingerprint poison.Fingerprint
-	// body is the body of a plain call; fields are the parts of a chat body.
+	// body is the body of a call to a plain service; fields are the top-level fields of a chat
+	// request's body.
 	body   []byte
 	fields map[string]json.RawMessage
-	// hideUsage is set for a stream whose caller did not ask for usage.
+	// hideUsage is set for a streaming request whose caller did not ask for token usage.
 	hideUsage bool
 }
 
-// attempt returns what an agent needs to run one step.
+// attempt returns the description of an attempt that is sent to an agent.
 func (cr *callerRequest) attempt(ac route.Action) *wire.Attempt {
 	at := &wire.Attempt{
 		Request: cr.id, Number: ac.Attempt(), Step: ac.Step(), Team: cr.team, Kind: cr.kind,
@@ -78,7 +79,7 @@
 	return at
 }
 
-// chatBody writes the caller's body with the version in place of the model.
+// chatBody returns the caller's body with the model replaced by the selected version.
 func (cr *callerRequest) chatBody(version string) []byte {
 	fields := make(map[string]json.RawMessage, len(cr.fields)+2)
 	for na, va := range cr.fields {
@@ -100,14 +101,13 @@
 	return body
 }
 
-// readStep is one check or look-up on the way of a request; the list below shows
-// the order.
+// readStep is one step of parsing and validating a request.
 type readStep struct {
 	name string
 	run  func(en *Entry, r *http.Request, cr *callerRequest) error
 }
 
-// chatSteps make an ask of a chat request.
+// chatSteps are the steps for a chat request, in order.
 var chatSteps = []readStep{
 	{"ready", (*Entry).checkReady},
 	{"team", (*Entry).findTeam},
@@ -118,7 +118,7 @@
 	{"kind", (*Entry).applyKind},
 }
 
-// callSteps make an ask of a call to a plain service.
+// callSteps are the steps for a call to a plain service, in order.
 var callSteps = []readStep{
 	{"ready", (*Entry).checkReady},
 	{"team", (*Entry).findTeam},
@@ -128,7 +128,8 @@
 	{"service", (*Entry).findService},
 }
 
-// readRequest runs the steps.
+// readRequest parses and validates a request. It returns the request as far as it was parsed, also
+// with an error.
 func (en *Entry) readRequest(r *http.Request, steps []readStep) (*callerRequest, error) {
 	cr := &callerRequest{id: bill.NewRequestID(en.Node.Settings.DataCentre), method: r.Method, contentType: r.Header.Get("Content-Type")}
 	for _, st := range steps {
@@ -190,10 +191,11 @@
 	return nil
 }
 
-// checkBlocklist takes the fingerprint; a request that is blocked is refused before anything is
-// chosen or claimed for it.
+// checkBlocklist computes the request's fingerprint. It refuses a blocked request before a version
+// is selected or a claim is made for it.
 func (en *Entry) checkBlocklist(r *http.Request, cr *callerRequest) error {
-	// No host: callers reach each entry by a name or number of its own, and none is routed by it.
+	// The host is not part of the fingerprint: each entry has a name or address of its own, and
+	// requests are not routed by host.
 	cr.fingerprint = poison.FingerprintOf(poison.Request{
 		Team: cr.team, Method: r.Method, Target: r.URL.RequestURI(), Body: cr.body,
 	})
@@ -203,7 +205,7 @@
 	return nil
 }
 
-// chatRequest is the part of a chat request that is checked here.
+// chatRequest holds the fields of a chat request that the entry validates or uses.
 type chatRequest struct {
 	Model         string            `json:"model"`
 	Messages      []json.RawMessage `json:"messages"`
--- a/internal/entry/callers.go
+++ b/internal/entry/callers.go
@@ -19,7 +19,7 @@
 	"github.com/linnetrudder/linnetrudder/internal/wire"
 )
 
-// servicePrefix is where plain services are called.
+// servicePrefix is the path prefix of calls to plain services.
 const servicePrefix = "/services/"
 
 func (en *Entry) callerRouter() http.Handler {
@@ -61,7 +61,7 @@
 	en.serveExchange(w, r, cr, []string{cr.service})
 }
 
-// trackRequest counts a request in progress until the returned function is called.
+// trackRequest counts a request as in progress until the returned function is called.
 func (en *Entry) trackRequest() func() {
 	en.mu.Lock()
 	en.inProgress++
@@ -73,7 +73,7 @@
 	}
 }
 
-// plan chooses the versions of a chat request and makes its claims.
+// plan selects the versions of a chat request and claims its session and idempotency key.
 func (en *Entry) plan(r *http.Request, cr *callerRequest) ([]string, error) {
 	en.findPin(cr)
 	pl := en.choose(cr)
@@ -82,8 +82,8 @@
 	}
 	steps := pl.Steps()
 	if cr.session != "" && cr.pinned == "" {
-		// A session has one version, so it starts on the one that would be
-		// final and has no cascade.
+		// A session has a single version and therefore no cascade. It is pinned to the version that
+		// the cascade would end with.
 		won, err := en.pin(r.Context(), cr, steps[len(steps)-1])
 		if err != nil {
 			return nil, err
@@ -112,7 +112,7 @@
 	return pl
 }
 
-// serveExchange runs the request on the chosen steps.
+// serveExchange runs the request with the selected versions, or the plain service, as steps.
 func (en *Entry) serveExchange(w http.ResponseWriter, r *http.Request, cr *callerRequest, steps []string) {
 	en.Node.Note(timeline.Entry{Event: event.RequestReceived, Request: cr.id, Team: cr.team, Detail: cr.kind})
 	en.mu.Lock()
@@ -135,6 +135,7 @@
 	}
 }
 
+// refuse responds to a request that is not dispatched to any server.
 func (en *Entry) refuse(w http.ResponseWriter, cr *callerRequest, err error) {
 	er := asResult(err)
 	metrics.Requests.Add(result.Of(er.Code()).Name(), 1)
@@ -145,7 +146,7 @@
 	node.WriteProblem(w, node.NewProblem(er, cr.id, en.blockRemaining(cr.fingerprint, clock.Now())))
 }
 
-// modelList is the answer to /v1/models.
+// modelList is the response body of /v1/models.
 type modelList struct {
 	Object string      `json:"object"`
 	Data   []modelItem `json:"data"`
@@ -158,7 +159,7 @@
 	OwnedBy string `json:"owned_by"`
 }
 
-// serveModels lists what the team may use.
+// serveModels lists the models that the team may use.
 func (en *Entry) serveModels(w http.ResponseWriter, r *http.Request) {
 	cr, err := en.readRequest(r, chatSteps[:2])
 	if err != nil {
@@ -181,17 +182,19 @@
 	node.WriteJSON(w, http.StatusOK, list)
 }
 
-// evaluator keeps a first answer that came whole, with success, and that its
-// engine is confident of. What it decides is learnt.
+// evaluator implements route.Evaluator for one request. Its decisions are recorded as feedback for
+// the selection of versions.
 type evaluator struct {
 	en      *Entry
 	request *callerRequest
 }
 
-// minConfidence is the least confidence of a first answer that is kept.
+// minConfidence is the minimum confidence of the engine at which the answer of a first try is
+// accepted.
 const minConfidence = 0.5
 
-// Acceptable says whether the answer is kept.
+// Acceptable reports whether the answer of a first try is delivered: it must be complete and
+// successful, and its engine must report no confidence or at least minConfidence.
 func (ev evaluator) Acceptable(target string, status int, body []byte, us *wire.Usage) bool {
 	accepted := status == http.StatusOK && len(body) > 0 && us != nil &&
 		(us.Confidence == 0 || us.Confidence >= minConfidence)
--- a/internal/entry/claims.go
+++ b/internal/entry/claims.go
@@ -15,26 +15,26 @@
 )
 
 const (
-	// claimTimeout is a little more than a home takes to refuse a claim.
+	// claimTimeout is slightly longer than the time after which a claim's owner refuses it.
 	claimTimeout = 2500 * time.Millisecond
-	// claimAnswerBuffer is how many answers may wait for one request.
+	// claimAnswerBuffer is the number of answers that are buffered for one waiting request.
 	claimAnswerBuffer = 8
-	// maxClaimOwners is how many homes are tried.
+	// maxClaimOwners is the maximum number of agents that are asked for one claim.
 	maxClaimOwners = 2
 )
 
-// sessionClaimKey names the claim of a session's version. A session has one version
-// of each model that it asks for.
+// sessionClaimKey returns the key of the claim for a session's version. A session has one version
+// of each model that it requests.
 func sessionClaimKey(cr *callerRequest) string {
 	return "session\x00" + cr.team + "\x00" + cr.session + "\x00" + cr.model
 }
 
-// idempotencyClaimKey names the claim of an idempotency key.
+// idempotencyClaimKey returns the key of the claim for an idempotency key.
 func idempotencyClaimKey(cr *callerRequest) string {
 	return "key\x00" + cr.team + "\x00" + cr.idempotencyKey
 }
 
-// findPin looks up the version of a session that this entry has seen.
+// findPin looks up the version that the session is pinned to in this entry's cache.
 func (en *Entry) findPin(cr *callerRequest) {
 	if cr.session == "" {
 		return
@@ -44,8 +44,8 @@
 	cr.pinned = en.pins.get(sessionClaimKey(cr))
 }
 
-// pin starts a session on a version and returns the one it is on, which is
-// another if the session started elsewhere before.
+// pin pins a session to a version and returns the version that it is pinned to, which differs if
+// the session was pinned before through another entry.
 func (en *Entry) pin(ctx context.Context, cr *callerRequest, version string) (string, error) {
 	key := sessionClaimKey(cr)
 	won, err := en.requestClaim(ctx, wire.ClaimLine{Key: key, Value: version})
@@ -58,7 +58,8 @@
 	return won.Value, nil
 }
 
-// claimKey makes sure that a request with a key is the only one of it.
+// claimKey claims the request's idempotency key, if any. It fails if another request has used the
+// key.
 func (en *Entry) claimKey(ctx context.Context, cr *callerRequest) error {
 	if cr.idempotencyKey == "" {
 		return nil
@@ -76,8 +77,8 @@
 	return nil
 }
 
-// releaseKey gives the key up after a request that did not run, so that the
-// caller may come back with it.
+// releaseKey releases the idempotency key of a request that did not run, so that the caller may
+// retry with the same key.
 func (en *Entry) releaseKey(cr *callerRequest) {
 	if !cr.keyClaimed {
 		return
@@ -91,16 +92,16 @@
 	}
 }
 
-// claimOwners returns the boxes that may be home to a key's log, best first.
+// claimOwners returns the boxes that may own the log of a key, in order of preference.
 func (en *Entry) claimOwners(key string) []string {
 	en.mu.Lock()
 	defer en.mu.Unlock()
 	return en.ownersByShard[claim.Shard(key)]
 }
 
-// rankClaimOwners ranks the agents for each log; the lock is held. All entries do
-// so from the same list; where they differ for a while, the log's
-// compare-and-swap keeps order.
+// rankClaimOwners ranks the agents for each claim log. The entry's lock must be held. All entries
+// compute the ranking from the same list of boxes; while their copies differ, the compare-and-swap
+// on the log resolves conflicts.
 func (en *Entry) rankClaimOwners(agents []string) {
 	for shard := range en.ownersByShard {
 		ranked := rendezvous.Rank(claim.ShardPrefix(shard), agents)
@@ -108,7 +109,8 @@
 	}
 }
 
-// requestClaim asks a key's home, and the next one if the first is lost.
+// requestClaim requests a claim from the key's owner, or from the next one if the link to the first
+// is down or lost.
 func (en *Entry) requestClaim(ctx context.Context, cl wire.ClaimLine) (wire.ClaimLine, error) {
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
@@ -130,7 +132,7 @@
 	return wire.ClaimLine{}, result.New(result.ClaimsUnavailable, "")
 }
 
-// requestClaimFrom asks one home. It reports whether the home answered.
+// requestClaimFrom requests a claim from one owner. It reports whether the owner answered.
 func (en *Entry) requestClaimFrom(ctx context.Context, li *link.Link, cl wire.ClaimLine) (wire.ClaimLine, bool) {
 	answers := make(chan wire.ClaimLine, claimAnswerBuffer)
 	en.mu.Lock()
@@ -151,9 +153,9 @@
 		case <-ctx.Done():
 		}
 		if cl.Durable {
-			// It may still become durable; then it is given back, since its
-			// request is not going to run. A session's claim stays, for its
-			// value is not this request's alone.
+			// The claim may still become durable, so it is released: its request is not going to
+			// run. The claim of a session is not released, since other requests of the session
+			// may use the same value.
 			cl.Release = true
 			li.Send(&wire.Frame{Kind: wire.Claim, Claims: []wire.ClaimLine{cl}})
 		}
@@ -161,9 +163,10 @@
 	}
 }
 
-// evaluateClaim reads a home's answer on a key for one of the requests that wait
-// for it. A winner is the same for all of them and each compares it with its
-// own value; a refusal is for the request that it names alone.
+// evaluateClaim interprets an owner's answer for one of the requests that wait for the key. The
+// answer that names the winner concerns all of them, and each compares the winner with its own
+// value; a refusal concerns only the request that it names. It reports whether the answer concerns
+// the request.
 func evaluateClaim(asked, got wire.ClaimLine) (verdict wire.ClaimLine, relevant bool) {
 	if got.Code == result.ClaimsUnavailable {
 		return got, got.Value == asked.Value
@@ -175,7 +178,7 @@
 	return got, true
 }
 
-// deliverClaims hands an answer to every request that waits for the key.
+// deliverClaims passes answers to all requests that wait for their keys.
 func (en *Entry) deliverClaims(lines []wire.ClaimLine) {
 	en.mu.Lock()
 	defer en.mu.Unlock()
@@ -205,6 +208,7 @@
 	en.claimWaiters[key] = remaining
 }
 
+// asResult returns the result error in err's chain, or a BadRequest error.
 func asResult(err error) *result.Error {
 	var er *result.Error
 	if errors.As(err, &er) {
--- a/internal/entry/claims_test.go
+++ b/internal/entry/claims_test.go
@@ -11,9 +11,9 @@
 	"github.com/linnetrudder/linnetrudder/internal/wire"
 )
 
-// race lets two requests of one entry claim the same key, and hands in the
-// home's answers one after the other.
-func race(t *testing.T, answers ...wire.ClaimLine) map[string]wire.ClaimLine {
+// claimConcurrently claims the same key for two requests of one entry, whose values are a and b, and
+// delivers the owner's answers one after the other. It returns the result of each request by value.
+func claimConcurrently(t *testing.T, answers ...wire.ClaimLine) map[string]wire.ClaimLine {
 	got := map[string]wire.ClaimLine{}
 	synctest.Test(t, func(t *testing.T) {
 		en := &Entry{claimWaiters: map[string][]chan wire.ClaimLine{}}
@@ -40,15 +40,18 @@
 	return got
 }
 
-func TestTwoRequestsOfOneEntryDoNotBothWinAKey(t *testing.T) {
-	got := race(t, wire.ClaimLine{Key: "k", Value: "a", Code: result.OK})
+// Guards against two requests of one entry both taking the owner's answer on their common key as
+// success.
+func TestConcurrentClaimsOfOneKeyHaveOneWinner(t *testing.T) {
+	got := claimConcurrently(t, wire.ClaimLine{Key: "k", Value: "a", Code: result.OK})
 	require.Equal(t, result.OK, got["a"].Code)
-	require.Equal(t, result.KeyAlreadyUsed, got["b"].Code, "the other's victory is not its own")
+	require.Equal(t, result.KeyAlreadyUsed, got["b"].Code, "the other request has the key")
 	require.Equal(t, "a", got["b"].Value)
 }
 
-func TestARefusalIsForItsOwnRequestAlone(t *testing.T) {
-	got := race(t,
+// Guards against an owner's refusal of one request failing another one that waits for the same key.
+func TestClaimRefusalConcernsOneRequest(t *testing.T) {
+	got := claimConcurrently(t,
 		wire.ClaimLine{Key: "k", Value: "a", Code: result.ClaimsUnavailable},
 		wire.ClaimLine{Key: "k", Value: "b", Code: result.OK})
 	require.Equal(t, result.ClaimsUnavailable, got["a"].Code)
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -1,6 +1,6 @@
-// Package entry is the process that callers reach: it knows teams and
-// versions, chooses where each request goes, and gives the caller one whole
-// answer or one final code.
+// Package entry implements the process that callers connect to: it identifies the caller's team,
+// selects a version and a backend server for each request, and responds with one complete answer or
+// one final result code.
 package entry
 
 import (
@@ -34,19 +34,24 @@
 )
 
 const (
-	// tickInterval is how often bills and unanswered questions are looked at.
+	// tickInterval is the time between two checks for due bills and unanswered configuration
+	// requests.
 	tickInterval = 500 * time.Millisecond
-	// billResendInterval is the time after which lines are handed on again.
+	// billResendInterval is the time after which a bill line is first sent again if it is not known
+	// to be durable.
 	billResendInterval = 20 * time.Second
-	// maxRedundantBills is how many lines an entry holds although their writers do.
+	// maxRedundantBills is the number of bill lines that an entry retains although their writers
+	// hold them in memory.
 	maxRedundantBills = 10_000
-	// drainPollInterval is how often a planned stop looks whether all has ended.
+	// drainPollInterval is the time between two checks during a planned stop whether all requests
+	// and bills are done.
 	drainPollInterval = 20 * time.Millisecond
-	// linkFlushTime is how long the links have to send what was queued last.
+	// linkFlushTime is how long the links may take to send the last queued frames before the
+	// process stops.
 	linkFlushTime = 100 * time.Millisecond
 )
 
-// Store is what is used of the key-value service.
+// Store is the subset of the key-value service that the entry uses.
 type Store interface {
 	Get(ctx context.Context, key string) (kv.Pair, error)
 	Watch(ctx context.Context, key string, after uint64, wait time.Duration) (kv.Pair, uint64, error)
@@ -59,7 +64,7 @@
 	List(ctx context.Context) ([]boxes.Box, error)
 }
 
-// Entry serves callers. Its exported fields are set before Run.
+// Entry serves callers. Its exported fields must be set before Run.
 type Entry struct {
 	Node *node.Node
 	// Callers and Admin are the open listeners.
@@ -67,53 +72,53 @@
 	Store          Store
 	Boxes          BoxLister
 
-	// storedConfig is the newest configuration that was read from the store; only the goroutine that
-	// watches it uses it.
+	// storedConfig is the newest configuration read from the store. Only the goroutine that watches
+	// the store uses it.
 	storedConfig *config.Envelope
-	// supervisor holds a dialer for each agent.
+	// supervisor runs the services of the process and a dialer for each agent.
 	supervisor *suture.Supervisor
-	// streams numbers the attempts of this process.
+	// streams is the number of the latest attempt of this process.
 	streams atomic.Uint64
 
-	// mu guards what follows. It may be taken while the node's lock is held,
-	// so nothing under it may call what takes the node's lock.
+	// mu guards the fields below. It may be locked while the node's lock is held, so code that
+	// holds it must not call anything that locks the node.
 	mu       sync.Mutex
 	balancer balance.Balancer
 	members  member.View
 	budgets  budget.Teams
 	ledger   bill.Ledger
-	// billsForwarded is when bills were last handed on; only the ticks touch it.
+	// billsForwarded is the time when bills were last forwarded. Only the tick goroutine uses it.
 	billsForwarded time.Time
-	// billAcks holds the durable lines that agents must be told of, by box.
+	// billAcks holds the acknowledgements of durable lines that are pending for each agent, by box.
 	billAcks map[string][]wire.BillLine
 	// dialers holds the supervised dialer of each agent, by box.
 	dialers map[string]dialer
-	// serverOf and boxOf map an agent's box to its backend server and back.
+	// serverOf maps an agent's box to its backend server, boxOf is the inverse.
 	serverOf, boxOf map[string]string
-	// attempts holds the request that waits for each attempt's frames.
+	// attempts maps the stream number of each attempt to its request.
 	attempts map[uint64]*sentAttempt
-	// feedback is what has been feedback of the versions.
+	// feedback holds the observed quality of the versions.
 	feedback feedback
-	// pins remembers the versions of sessions seen here; turned is when its
-	// newest generation began.
+	// pins caches the versions of sessions; pinsRotated is the time of its last rotation.
 	pins        pinCache
 	pinsRotated time.Time
-	// plans holds why the newest requests went where they went.
+	// plans holds the plans of recent requests, for the explain command.
 	plans planLog
 	// claimWaiters holds the requests that wait for a claim, by key.
 	claimWaiters map[string][]chan wire.ClaimLine
-	// ownersByShard ranks the agents for each claim log.
+	// ownersByShard holds the ranked agents of each claim log.
 	ownersByShard [claim.Shards][]string
-	// detector holds what agents suspect of requests, blocks those that are not to be sent.
+	// detector counts the server crashes of each suspected request; blocks holds the requests that
+	// must not be sent.
 	detector poison.Detector
 	blocks   poison.Blocks
-	// liftsUnstored is set if a block was lifted that may still be kept.
+	// liftsUnstored is set if a block was lifted and the store may still hold it.
 	liftsUnstored bool
-	// inProgress counts the callers' requests.
+	// inProgress is the number of callers' requests in progress.
 	inProgress int
 }
 
-// Run serves until the context ends, and then ends all work in progress.
+// Run serves until the context ends, and then waits for the work in progress.
 func (en *Entry) Run(ctx context.Context) error {
 	en.prepare()
 	work, stopWork := context.WithCancel(context.WithoutCancel(ctx))
@@ -157,8 +162,7 @@
 	en.Node.Adopted = en.configAdopted
 }
 
-// serveCallers stops taking requests when the process is to stop, and lets
-// those in progress end.
+// serveCallers serves callers until stop ends, and then waits for the requests in progress.
 func (en *Entry) serveCallers(stop context.Context) func(context.Context) error {
 	return func(context.Context) error {
 		err := node.ServeHTTP(stop, en.Callers, en.callerRouter(), en.Node.Settings.Limits.Stop())
@@ -173,14 +177,14 @@
 	return node.ServeHTTP(ctx, en.Admin, en.adminRouter(), time.Second)
 }
 
-// configAdopted takes a revision into force; the node's lock is held.
+// configAdopted applies a new configuration revision. The node's lock is held by the caller.
 func (en *Entry) configAdopted(sn *config.Snapshot) {
 	en.mu.Lock()
 	defer en.mu.Unlock()
 	en.balancer.Reconfigure(sn)
 }
 
-// Beat returns the heartbeat for an agent.
+// Beat returns the heartbeat to send to an agent.
 func (en *Entry) Beat(li *link.Link) *wire.Frame {
 	fr := &wire.Frame{Kind: wire.Beat, Revision: en.Node.Snapshot().Revision(), Bills: en.takeBillAcks(li.Peer.Box())}
 	en.mu.Lock()
@@ -189,7 +193,7 @@
 	return fr
 }
 
-// Frame takes a frame from an agent.
+// Frame handles a frame from an agent.
 func (en *Entry) Frame(li *link.Link, fr *wire.Frame) {
 	if en.Node.Control(li, fr) {
 		return
@@ -227,7 +231,8 @@
 	}
 }
 
-// tick hands bills on and asks again for what was not answered.
+// tick periodically forwards bills, rotates the session cache and repeats unanswered configuration
+// requests.
 func (en *Entry) tick(ctx context.Context) error {
 	return node.Every(ctx, tickInterval, func(now time.Time) {
 		en.Node.Tick(now)
@@ -248,7 +253,8 @@
 	}
 }
 
-// drain lets requests in progress end and hands their bills on.
+// drain waits for the requests in progress to end and for their bills to become durable, up to the
+// stop timeout of the settings.
 func (en *Entry) drain() {
 	en.Node.Stop()
 	deadline := time.Now().Add(en.Node.Settings.Limits.Stop())
@@ -268,7 +274,7 @@
 	return en.inProgress == 0 && en.ledger.Len() == 0
 }
 
-// attemptPolicy is the route's view of the board and of its team's budget.
+// attemptPolicy implements route.Picker and, for a team, route.RetryBudget.
 type attemptPolicy struct {
 	en   *Entry
 	team string
@@ -285,7 +291,7 @@
 	return server, ok
 }
 
-// Take takes one retry from the team's budget.
+// Take reports whether a retry is allowed by the team's budget and, if so, consumes it.
 func (ap attemptPolicy) Take(now time.Time) bool {
 	ap.en.mu.Lock()
 	defer ap.en.mu.Unlock()
--- a/internal/entry/evacuations.go
+++ b/internal/entry/evacuations.go
@@ -10,8 +10,8 @@
 	"github.com/linnetrudder/linnetrudder/internal/result"
 )
 
-// postEvacuation empties a data centre, deleteEvacuation gives it back. Both leave the rest
-// as it is, whatever other operators change at the same time.
+// postEvacuation marks a data centre as evacuated. The rest of the document is preserved, including
+// concurrent changes of other operators.
 func (en *Entry) postEvacuation(w http.ResponseWriter, r *http.Request) {
 	dataCentre := mux.Vars(r)["data_centre"]
 	re := newChangeRequest(r, "evacuate "+dataCentre)
@@ -19,6 +19,7 @@
 	en.apply(w, r, re)
 }
 
+// deleteEvacuation ends the evacuation of a data centre, in the same manner.
 func (en *Entry) deleteEvacuation(w http.ResponseWriter, r *http.Request) {
 	dataCentre := mux.Vars(r)["data_centre"]
 	re := newChangeRequest(r, "restore "+dataCentre)
@@ -26,8 +27,8 @@
 	en.apply(w, r, re)
 }
 
-// evacuate returns the document with a data centre emptied. One without servers is refused:
-// its name is most likely mistyped.
+// evacuate returns the document with a data centre marked as evacuated. It refuses a data centre
+// without servers, since its name is most likely mistyped.
 func evacuate(doc *config.Document, dataCentre string) (*config.Document, error) {
 	if doc == nil {
 		return nil, result.New(result.NoConfiguration, "")
@@ -41,7 +42,7 @@
 	return doc, nil
 }
 
-// restore returns the document with a data centre given back.
+// restore returns the document without the evacuation of a data centre.
 func restore(doc *config.Document, dataCentre string) (*config.Document, error) {
 	if doc == nil {
 		return nil, result.New(result.NoConfiguration, "")
--- a/internal/entry/evacuations_test.go
+++ b/internal/entry/evacuations_test.go
@@ -9,12 +9,12 @@
 	"github.com/linnetrudder/linnetrudder/internal/result"
 )
 
-func TestADataCentreIsEvacuatedAndGivenBack(t *testing.T) {
+func TestEvacuateAndRestoreDataCentre(t *testing.T) {
 	doc := &config.Document{Servers: []config.Server{{Name: "a", DataCentre: "north"}, {Name: "b", DataCentre: "south"}}}
 	doc, err := evacuate(doc, "north")
 	require.NoError(t, err)
 	doc, err = evacuate(doc, "north")
-	require.NoError(t, err, "twice is once")
+	require.NoError(t, err, "evacuating twice is allowed")
 	doc, err = evacuate(doc, "south")
 	require.NoError(t, err)
 	require.Len(t, doc.Evacuations, 2)
--- a/internal/entry/exchange.go
+++ b/internal/entry/exchange.go
@@ -17,61 +17,63 @@
 	"github.com/linnetrudder/linnetrudder/internal/wire"
 )
 
-// The headers of an answer.
+// The headers of a response.
 const (
 	headerRequest  = "X-Linnetrudder-Request"
 	headerVersion  = "X-Linnetrudder-Version"
 	headerAccepted = "X-Linnetrudder-Kept"
 )
 
-// sentAttempt finds the request that an attempt belongs to.
+// sentAttempt identifies the request that an attempt belongs to, and the link that the attempt was
+// sent on.
 type sentAttempt struct {
 	ex     *exchange
 	number int
 	li     *link.Link
 }
 
-// attemptEvent is one thing that happened to an attempt of a request.
+// attemptEvent is a received frame or a lost link of an attempt.
 type attemptEvent struct {
 	number int
 	// frame is nil if the attempt's link was lost.
 	frame *wire.Frame
 }
 
-// exchange is one request in progress: the shell around a route.Request.
+// exchange is a request in progress. It performs the I/O for the state machine in route.Request.
 type exchange struct {
 	en *Entry
 	w  http.ResponseWriter
-	// request is what the caller asked for.
+	// request is the caller's request.
 	request *callerRequest
-	// route decides; only the handler's goroutine touches it.
+	// route is the state machine. Only the handler's goroutine uses it.
 	route *route.Request
-	// started is true once the status line was sent.
+	// started is set once the status line was sent.
 	started bool
-	// streams holds the stream of each attempt.
+	// streams maps each attempt's number to its stream.
 	streams map[int]uint64
-	// version is the version or service that runs now, cascaded its step.
+	// version is the version or plain service of the latest attempt, or of the answer that is being
+	// delivered; cascadeStep is the highest cascade step that was started.
 	version     string
 	cascadeStep int
 
-	// mu guards the queue, into which links put what comes.
+	// mu guards the queue of events, which the links fill.
 	mu          sync.Mutex
 	events      []attemptEvent
 	queuedBytes int
 	overflowed  bool
-	// wake has room for one word that something came.
+	// wake signals that events are queued. It has a buffer of one.
 	wake chan struct{}
 }
 
-// enqueue queues an arrival for the handler. Beyond the bound for a slow caller the
-// rest is dropped and the request fails.
-func (ex *exchange) enqueue(ev attemptEvent, bound int) {
+// enqueue queues an event for the handler. If the caller reads so slowly that the queued body data
+// exceeds maxBytes, further events are dropped and the request fails.
+func (ex *exchange) enqueue(ev attemptEvent, maxBytes int) {
 	ex.mu.Lock()
 	defer ex.mu.Unlock()
 	if ev.frame != nil {
 		ex.queuedBytes += len(ev.frame.Body)
 	}
-	if ex.queuedBytes > bound {
+	if ex.queuedBytes > maxBytes {
 		ex.overflowed = true
 	} else {
 		ex.events = append(ex.events, ev)
@@ -82,6 +84,7 @@
 	}
 }
 
+// dequeue returns and removes the queued events. It reports whether events were dropped.
 func (ex *exchange) dequeue() ([]attemptEvent, bool) {
 	ex.mu.Lock()
 	defer ex.mu.Unlock()
@@ -91,7 +94,7 @@
 	return events, ex.overflowed
 }
 
-// serve runs the request until its final answer is given.
+// serve runs the request until its final result.
 func (ex *exchange) serve(r *http.Request) result.Code {
 	defer ex.removeAttempts()
 	co := ex.perform(ex.route.Begin(time.Now()))
@@ -112,23 +115,23 @@
 	return co
 }
 
-// updateTicker lets the ticker run only while time can change anything: an answer
-// that comes in needs no clock.
-func (ex *exchange) updateTicker(ti *time.Ticker, before bool) bool {
+// updateTicker runs the ticker only while the request has timeouts; receiving an answer has none.
+func (ex *exchange) updateTicker(ti *time.Ticker, wasWaiting bool) bool {
 	waiting := ex.route.Pending()
 	switch {
-	case waiting && !before:
+	case waiting && !wasWaiting:
 		ti.Reset(timeoutCheckInterval)
-	case !waiting && before:
+	case !waiting && wasWaiting:
 		ti.Stop()
 	}
 	return waiting
 }
 
-// timeoutCheckInterval is how often a request without a verdict is looked at.
+// timeoutCheckInterval is the time between two checks for timeouts of a request whose attempt
+// awaits its start.
 const timeoutCheckInterval = 50 * time.Millisecond
 
-// handleEvents hands what came to the route.
+// handleEvents passes the queued events to the state machine and performs its actions.
 func (ex *exchange) handleEvents() result.Code {
 	events, overflowed := ex.dequeue()
 	if overflowed {
@@ -154,8 +157,8 @@
 	return ex.route.Frame(ev.number, ev.frame, now)
 }
 
-// perform carries out the route's decisions. It returns the final code once there
-// is one, and zero before.
+// perform carries out actions of the state machine. It returns the final result code, or zero if
+// there is none yet.
 func (ex *exchange) perform(acs []route.Action) result.Code {
 	for _, ac := range acs {
 		switch ac.Op() {
@@ -177,7 +180,7 @@
 	return 0
 }
 
-// dispatch sends an attempt. It reports whether there was a link to send on.
+// dispatch sends an attempt to an agent. It reports whether there was a link to send it on.
 func (ex *exchange) dispatch(ac route.Action) bool {
 	ex.version = ac.Target()
 	en := ex.en
@@ -197,8 +200,8 @@
 	return li.Send(&wire.Frame{Kind: wire.Open, Stream: id, Open: ex.request.attempt(ac), Stamp: en.Node.Stamp()})
 }
 
-// dispatchEvent tells a first attempt, a retry and the next step of a cascade
-// apart.
+// dispatchEvent returns the log event of an attempt: a first attempt, a retry or the next step of a
+// cascade.
 func (ex *exchange) dispatchEvent(ac route.Action) event.ID {
 	switch {
 	case ac.Step() > ex.cascadeStep:
@@ -238,9 +241,10 @@
 	}
 }
 
-// finish gives the final answer: nothing more after a whole one, a described
-// problem where nothing was sent yet, and a broken connection otherwise, so
-// that a part is never taken for the whole.
+// finish ends the response. A complete answer needs nothing more. A failure is described by a
+// problem body if nothing was sent yet. Otherwise it is described by an additional event if the
+// answer is an event stream, and the connection is aborted, so that the caller can't mistake a
+// partial answer for a complete one.
 func (ex *exchange) finish(ac route.Action) {
 	co := ac.Code()
 	metrics.Requests.Add(result.Of(co).Name(), 1)
@@ -266,7 +270,7 @@
 	}
 }
 
-// removeAttempts drops the request's attempts; frames that come later go nowhere.
+// removeAttempts removes the request's attempts. Frames that arrive for them later are ignored.
 func (ex *exchange) removeAttempts() {
 	ex.en.mu.Lock()
 	defer ex.en.mu.Unlock()
@@ -281,8 +285,8 @@
 	})
 }
 
-// handleAttemptFrame queues an agent's frame for the request it belongs to. The bill of
-// an attempt is held even if its request is gone.
+// handleAttemptFrame queues an agent's frame for its request. The bill of an attempt is recorded
+// even if the request has ended.
 func (en *Entry) handleAttemptFrame(li *link.Link, fr *wire.Frame) {
 	if len(fr.Bills) > 0 {
 		en.addBills(fr.Bills)
@@ -295,7 +299,7 @@
 	}
 }
 
-// failAttempts tells the requests of a lost link.
+// failAttempts notifies the requests with attempts on a lost link.
 func (en *Entry) failAttempts(li *link.Link) {
 	en.mu.Lock()
 	var lost []*sentAttempt
--- a/internal/entry/feedback.go
+++ b/internal/entry/feedback.go
@@ -18,40 +18,42 @@
 )
 
 const (
-	// ratingsPrefix is where each data centre adds up its ratings.
+	// ratingsPrefix is the key prefix under which each data centre accumulates its ratings.
 	ratingsPrefix = "linnetrudder/ratings/"
-	// storeInterval is the time between two additions to what is stored.
+	// storeInterval is the time between two updates of the stored documents.
 	storeInterval = 5 * time.Second
-	// readInterval is the time between two readings of what all have learnt; each
-	// entry reads, so it is long.
+	// readInterval is the time between two reads of the documents of all data centres. It is long
+	// because every entry reads them.
 	readInterval = 20 * time.Second
-	// maxRatings bounds the ratings of one call.
+	// maxRatings is the maximum number of ratings in one call.
 	maxRatings = 10_000
-	// maxSwapAttempts bounds the tries against other writers of a document.
+	// maxSwapAttempts is the maximum number of compare-and-swap attempts when other processes write
+	// the same document.
 	maxSwapAttempts = 5
 )
 
-// Rating is one rated answer, as the rating service reports it.
+// Rating is one rated answer as reported by the rating service.
 type Rating struct {
 	Team    string `json:"team"`
 	Kind    string `json:"kind"`
 	Version string `json:"version"`
-	// Accepted is set if the answer was the kept first try of a cascade; the
-	// answer's headers say so.
+	// Accepted is set if the answer is the accepted first try of a cascade, which the response
+	// headers indicate.
 	Accepted bool `json:"kept"`
-	// Score is from 0 to 1.
+	// Score is in the range from 0 to 1.
 	Score float64 `json:"score"`
 }
 
-// feedback is what an entry has feedback and what it has not stored yet.
+// feedback holds the ratings and outcomes of versions that the entry knows, and those that it has
+// not stored yet.
 type feedback struct {
-	// stored is what all data centres have stored, as last read.
+	// ratings holds the ratings of all data centres as last read from the store, and the ones that
+	// this entry has received since.
 	ratings *quality.Table
-	// pendingRatings holds the ratings, outcomes the tallies to be added to the store.
+	// pendingRatings and pendingOutcomes hold the ratings and tallies that are not stored yet.
 	pendingRatings  quality.Table
 	pendingOutcomes rollout.Tallies
-	// lastCounters holds the counters last reported by each agent, by box and
-	// version.
+	// lastCounters holds the last counters reported by each agent, by box and version.
 	lastCounters map[string]map[string]rollout.Tally
 }
 
@@ -63,8 +65,8 @@
 	}
 }
 
-// addCounters adds what an agent's counters have grown by. The first report of an
-// agent, or of one that was replaced, only sets where to addCounters from.
+// addCounters adds the increase of an agent's counters since its previous report. The first report
+// of an agent, or of one that was replaced and started counting anew, only sets the baseline.
 func (fb *feedback) addCounters(box, version string, ta rollout.Tally) {
 	byVersion := fb.lastCounters[box]
 	if byVersion == nil {
@@ -79,23 +81,24 @@
 	fb.pendingOutcomes.Add(version, rollout.Tally{Started: ta.Started - before.Started, Failed: ta.Failed - before.Failed})
 }
 
-// estimates is what the choice asks; the lock of the entry is held.
+// estimates implements choice.Estimates: quality and pass rate come from the ratings, token counts
+// from the prior. It must be used while the entry's lock is held.
 type estimates struct {
 	*quality.Table
 	choice.Prior
 }
 
-// Quality returns what the ratings say.
+// Quality returns the estimate from the ratings.
 func (es estimates) Quality(team, kind string, ve *config.Version) (mean, lower float64) {
 	return es.Table.Quality(team, kind, ve)
 }
 
-// PassRate returns what the cascades say.
+// PassRate returns the estimate from the recorded first tries of cascades.
 func (es estimates) PassRate(team, kind string, ve *config.Version) float64 {
 	return es.Table.PassRate(team, kind, ve)
 }
 
-// postRatings takes ratings from the rating service.
+// postRatings receives ratings from the rating service.
 func (en *Entry) postRatings(w http.ResponseWriter, r *http.Request) {
 	var list []Rating
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, config.MaxBytes)).Decode(&list); err != nil {
@@ -131,15 +134,15 @@
 	fb.pendingOutcomes.Add(ra.Version, ta)
 }
 
-// recordFirstTry notes whether the first try of a cascade was kept.
-func (en *Entry) recordFirstTry(cr *callerRequest, version string, kept bool) {
+// recordFirstTry records whether the first try of a cascade was accepted.
+func (en *Entry) recordFirstTry(cr *callerRequest, version string, accepted bool) {
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	en.feedback.pendingRatings.AddFirstAttempt(cr.team, cr.kind, version, kept)
-	en.feedback.ratings.AddFirstAttempt(cr.team, cr.kind, version, kept)
+	en.feedback.pendingRatings.AddFirstAttempt(cr.team, cr.kind, version, accepted)
+	en.feedback.ratings.AddFirstAttempt(cr.team, cr.kind, version, accepted)
 }
 
-// syncFeedback stores what is fresh and reads what all have stored.
+// syncFeedback periodically stores pending feedback and reads the ratings of all data centres.
 func (en *Entry) syncFeedback(ctx context.Context) error {
 	var lastStore, lastRead time.Time
 	for ctx.Err() == nil {
@@ -157,8 +160,8 @@
 	return ctx.Err()
 }
 
-// storeFeedback adds what is fresh to the data centre's documents. What cannot
-// be added is kept for the next time.
+// storeFeedback adds pending feedback to the data centre's documents. What can't be stored remains
+// pending.
 func (en *Entry) storeFeedback(ctx context.Context) {
 	en.mu.Lock()
 	fresh, outcomes := en.feedback.pendingRatings, en.feedback.pendingOutcomes
@@ -166,8 +169,8 @@
 	leader := en.members.Leads()
 	en.mu.Unlock()
 	if !leader {
-		// The leader hears the same agents and adds their outcomes; what
-		// comes from ratings is this entry's alone.
+		// The leader receives the same agents' counters and stores their outcomes. Ratings were
+		// received by this entry only.
 		outcomes = ratingTallies(outcomes)
 	}
 	dc := en.Node.Settings.DataCentre
@@ -185,6 +188,7 @@
 	}
 }
 
+// ratingTallies returns the tallies without the outcomes that agents report.
 func ratingTallies(all rollout.Tallies) rollout.Tallies {
 	rated := rollout.Tallies{}
 	for version, ta := range all {
@@ -219,9 +223,9 @@
 	}
 }
 
-// updateDocument changes a document by compare-and-swap. It reports whether that was
-// done. A lost answer may count a few outcomes twice, which the tests on them
-// bear; no promise rests on these documents.
+// updateDocument edits a stored document by compare-and-swap and reports whether it succeeded. If
+// the response to a swap is lost, the edit may be made twice. For outcomes this counts a few of
+// them twice, which the statistical tests tolerate; no guarantee depends on these documents.
 func (en *Entry) updateDocument(ctx context.Context, key string, edit func([]byte) ([]byte, error)) bool {
 	for range maxSwapAttempts {
 		pair, err := en.Store.Get(ctx, key)
@@ -243,8 +247,7 @@
 	return false
 }
 
-// readFeedback reads what all data centres have stored, and keeps what is
-// fresh here on top.
+// readFeedback reads the ratings of all data centres and adds the pending ratings of this entry.
 func (en *Entry) readFeedback(ctx context.Context) {
 	pairs, err := en.Store.List(ctx, ratingsPrefix)
 	if err != nil {
--- a/internal/entry/links.go
+++ b/internal/entry/links.go
@@ -18,26 +18,26 @@
 )
 
 const (
-	// remoteLinks is how many agents of each other data centre are linked, to
-	// take what the own one cannot.
+	// remoteLinks is the number of connected agents in each other data centre. They receive the
+	// requests that the entry's own data centre can't serve.
 	remoteLinks = 4
-	// ownerCandidates is how many agents are ranked for each claim log.
+	// ownerCandidates is the number of agents that are ranked for each claim log.
 	ownerCandidates = 6
-	// dialTimeout bounds the opening of a link.
+	// dialTimeout is the timeout for opening a link.
 	dialTimeout = 2 * time.Second
-	// minDialBackoff and dialMost bound the pause between two tries.
+	// minDialBackoff and maxDialBackoff are the limits of the delay between two dial attempts.
 	minDialBackoff = 50 * time.Millisecond
 	maxDialBackoff = 5 * time.Second
 )
 
-// dialer keeps a link to one agent.
+// dialer identifies the supervised service that maintains the link to one agent.
 type dialer struct {
 	token   suture.ServiceToken
 	address string
 }
 
-// pollBoxes keeps a dialer for each agent that the list names. A reading
-// that fails changes nothing.
+// pollBoxes periodically reads the list of boxes and updates the dialers. A failed read changes
+// nothing.
 func (en *Entry) pollBoxes(ctx context.Context) error {
 	for {
 		list, err := en.Boxes.List(ctx)
@@ -56,7 +56,7 @@
 	}
 }
 
-// updateDialers starts and ends dialers so that they match the list.
+// updateDialers starts and stops dialers to match the list of boxes.
 func (en *Entry) updateDialers(list []boxes.Box) {
 	wanted := map[string]boxes.Box{}
 	for _, bo := range en.agentsToLink(list) {
@@ -105,14 +105,13 @@
 	return names
 }
 
-// agentsToLink returns all agents of the own data centre, the homes of the
-// claim logs, and a few agents of each other data centre, not the same few for
-// every entry.
+// agentsToLink returns the agents to connect to: all in the entry's own data centre, the owners of
+// the claim logs, and a few in each other data centre, which differ from entry to entry.
 func (en *Entry) agentsToLink(list []boxes.Box) []boxes.Box {
 	self := en.Node.Settings
-	homes := map[string]bool{}
+	owners := map[string]bool{}
 	for shard := range claim.Shards {
-		homes[rendezvous.First(claim.ShardPrefix(shard), agentNames(list))] = true
+		owners[rendezvous.First(claim.ShardPrefix(shard), agentNames(list))] = true
 	}
 	var wanted []boxes.Box
 	remote := map[string]map[string]boxes.Box{}
@@ -120,7 +119,7 @@
 		if bo.Role != boxes.Agent {
 			continue
 		}
-		if bo.DataCentre == self.DataCentre || homes[bo.Name] {
+		if bo.DataCentre == self.DataCentre || owners[bo.Name] {
 			wanted = append(wanted, bo)
 			continue
 		}
@@ -142,7 +141,8 @@
 	return wanted
 }
 
-// maintainLink dials an agent again and again, with growing pauses.
+// maintainLink returns a service that dials an agent whenever the link is down, with exponential
+// backoff.
 func (en *Entry) maintainLink(bo boxes.Box) func(context.Context) error {
 	return func(ctx context.Context) error {
 		pause := backoff.NewExponentialBackOff()
@@ -161,7 +161,7 @@
 	}
 }
 
-// serveLink opens one link and serves it. It reports whether it was opened.
+// serveLink opens a link and serves it until it closes. It reports whether the link was opened.
 func (en *Entry) serveLink(ctx context.Context, bo boxes.Box) bool {
 	dialing, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
--- a/internal/entry/pins.go
+++ b/internal/entry/pins.go
@@ -2,18 +2,19 @@
 
 import "github.com/linnetrudder/linnetrudder/internal/claim"
 
-// maxPinsPerGeneration is how many sessions one generation of the cache holds.
+// maxPinsPerGeneration is the maximum number of sessions in one generation of the cache.
 const maxPinsPerGeneration = 20_000
 
-// pinRotationInterval is the time between two generations. Two of them are less than what
-// a home keeps a claim for.
+// pinRotationInterval is the time between two rotations. Two of them are shorter than the time for
+// which a claim is retained.
 const pinRotationInterval = claim.Retention / 4
 
-// pinCache remembers the versions of sessions in two generations. An entry of
-// it lives for two turns at the most, whether it is used or not: then the claim
-// is made again, and its home keeps it longer.
+// pinCache caches the versions of sessions in two generations. A cached version expires after two
+// rotations at most, even if it is in use. The session's claim is then requested again, which extends its
+// retention.
 type pinCache struct {
-	// current takes new entries; once full it becomes previous, and previous goes.
+	// current receives new entries. When it is full it becomes previous, and the old previous is
+	// dropped.
 	current, previous map[string]string
 }
 
@@ -31,7 +32,7 @@
 	pc.current[key] = version
 }
 
-// rotate begins a new generation. The clock does so too, every pinTurn.
+// rotate starts a new generation. It is also called every pinRotationInterval.
 func (pc *pinCache) rotate() {
 	pc.previous = pc.current
 	pc.current = map[string]string{}
--- a/internal/entry/plans.go
+++ b/internal/entry/plans.go
@@ -2,14 +2,14 @@
 
 import "github.com/linnetrudder/linnetrudder/internal/choice"
 
-// maxPlans is how many plans are kept for operators who ask why.
+// maxPlans is the number of plans that are retained for the explain command.
 const maxPlans = 2000
 
-// planLog keeps the newest plans by request id.
+// planLog holds the plans of the most recent requests by request id.
 type planLog struct {
 	plans map[string]choice.Plan
-	// ring holds the ids in the order of their coming; next is the oldest once
-	// it is full.
+	// ring holds the request ids in order of insertion. Once it is full, next is the index of the
+	// oldest.
 	ring []string
 	next int
 }
--- a/internal/entry/rollouts.go
+++ b/internal/entry/rollouts.go
@@ -12,13 +12,12 @@
 	"github.com/linnetrudder/linnetrudder/internal/timeline"
 )
 
-// rolloutInterval is the time between two looks at the roll-outs under way.
+// rolloutInterval is the time between two decisions on the active roll-outs.
 const rolloutInterval = 2 * time.Second
 
-// runRollouts decides on the roll-outs while this entry leads its data
-// centre. The leaders of all data centres do so from the same documents;
-// compare-and-swap lets one of them through, and whoever comes next continues
-// from what it stored.
+// runRollouts decides on the active roll-outs while this entry is the leader of its data centre.
+// The leaders of all data centres decide from the same documents. Compare-and-swap lets only one of
+// them succeed, and the next one continues from what it stored.
 func (en *Entry) runRollouts(ctx context.Context) error {
 	for ctx.Err() == nil {
 		sleep(ctx, rolloutInterval)
@@ -44,6 +43,7 @@
 	return en.members.Leads()
 }
 
+// readOutcomes returns the sum of the outcomes of all data centres.
 func (en *Entry) readOutcomes(ctx context.Context) (rollout.Tallies, error) {
 	pairs, err := en.Store.List(ctx, rollout.OutcomesPrefix)
 	if err != nil {
@@ -62,9 +62,9 @@
 	return all, nil
 }
 
-// decideRollout moves one roll-out on: first its progress is stored, then the
-// configuration follows it. If this process dies in between, the next one sees
-// that the configuration does not follow yet.
+// decideRollout advances a roll-out: it stores the progress first and then updates the
+// configuration. If the process dies in between, the next leader detects that the configuration
+// does not match the progress yet.
 func (en *Entry) decideRollout(ctx context.Context, doc *config.Document, plan *config.Rollout, all rollout.Tallies) {
 	key := rollout.ProgressPrefix + plan.Model + "@" + plan.To
 	pair, err := en.Store.Get(ctx, key)
@@ -90,6 +90,7 @@
 	en.applyRollout(ctx, doc, plan, next, share)
 }
 
+// applyRollout updates the configuration to match a roll-out's progress.
 func (en *Entry) applyRollout(ctx context.Context, doc *config.Document, plan *config.Rollout, pr rollout.Progress, share float64) {
 	if _, changed := rollout.Apply(doc, plan, pr, share); !changed {
 		return
--- a/internal/entry/store.go
+++ b/internal/entry/store.go
@@ -10,11 +10,12 @@
 	"github.com/linnetrudder/linnetrudder/internal/timeline"
 )
 
-// watchPollInterval is how often an entry looks whether it must watch the store.
+// watchPollInterval is the time between two checks whether the entry has to watch the store, and
+// the delay after a failed watch.
 const watchPollInterval = 500 * time.Millisecond
 
-// watchStore watches the configuration while this entry is one of its data
-// centre's watchers.
+// watchStore watches the configuration in the store while this entry is one of its data centre's
+// watchers.
 func (en *Entry) watchStore(ctx context.Context) error {
 	watching := false
 	var index uint64
@@ -53,8 +54,8 @@
 	en.Node.Note(timeline.Entry{Event: event.WatchStopped})
 }
 
-// watchOnce waits for a change and takes it into force. An index that went
-// back, as after a loss of the service's data, starts the watch anew.
+// watchOnce waits for a change and installs it. If the index decreased, as after a loss of the
+// service's data, the watch restarts from zero.
 func (en *Entry) watchOnce(ctx context.Context, after uint64) (uint64, error) {
 	pair, index, err := en.Store.Watch(ctx, config.StoreKey, after, en.Node.Settings.Platform.Watch())
 	if err != nil {
@@ -70,8 +71,8 @@
 	return index, nil
 }
 
-// install takes a stored value into force if it is newer. A value that does
-// not decode is refused and what is in force stays.
+// install installs a stored configuration if its revision is higher than the one in force. A value
+// that can't be decoded is refused and the one in force remains.
 func (en *Entry) install(ctx context.Context, pair kv.Pair) {
 	ev, err := config.DecodeEnvelope(pair.Value)
 	if err != nil {
@@ -97,9 +98,9 @@
 	en.storedConfig = ev
 }
 
-// restoreStoredConfig writes the newest accepted configuration to a store that went back to an older one, so
-// that the next change follows it. A store that holds a change which is not part of it is left to
-// an operator.
+// restoreStoredConfig writes the newest accepted configuration to a store that has reverted to an
+// older one, so that the next change is based on it. If the store holds a change that is not part
+// of that configuration's history, an operator has to resolve the conflict.
 func (en *Entry) restoreStoredConfig(ctx context.Context, older *config.Envelope, index uint64) {
 	if en.storedConfig == nil || !en.storedConfig.Extends(older) {
 		return
--- a/internal/entry/store_test.go
+++ b/internal/entry/store_test.go
@@ -14,58 +14,60 @@
 	"github.com/linnetrudder/linnetrudder/internal/timeline"
 )
 
-// oneKey is a store that holds the configuration.
-type oneKey struct{ pair kv.Pair }
+// singleKeyStore is a Store with the configuration as its only key.
+type singleKeyStore struct{ pair kv.Pair }
 
-func (ok *oneKey) Get(context.Context, string) (kv.Pair, error) { return ok.pair, nil }
+func (st *singleKeyStore) Get(context.Context, string) (kv.Pair, error) { return st.pair, nil }
 
-func (ok *oneKey) Watch(context.Context, string, uint64, time.Duration) (kv.Pair, uint64, error) {
-	return ok.pair, ok.pair.Index, nil
+func (st *singleKeyStore) Watch(context.Context, string, uint64, time.Duration) (kv.Pair, uint64, error) {
+	return st.pair, st.pair.Index, nil
 }
 
-func (*oneKey) List(context.Context, string) ([]kv.Pair, error) { return nil, nil }
+func (*singleKeyStore) List(context.Context, string) ([]kv.Pair, error) { return nil, nil }
 
-func (ok *oneKey) Swap(_ context.Context, key string, value []byte, index uint64) (bool, error) {
-	if index != ok.pair.Index {
+func (st *singleKeyStore) Swap(_ context.Context, key string, value []byte, index uint64) (bool, error) {
+	if index != st.pair.Index {
 		return false, nil
 	}
-	ok.pair = kv.Pair{Key: key, Value: value, Index: index + 1}
+	st.pair = kv.Pair{Key: key, Value: value, Index: index + 1}
 	return true, nil
 }
 
-// put lets the store hold a configuration at an index.
-func (ok *oneKey) put(t *testing.T, en *config.Envelope, index uint64) {
+// put sets the stored configuration and its index.
+func (st *singleKeyStore) put(t *testing.T, en *config.Envelope, index uint64) {
 	t.Helper()
 	value, err := en.Encode()
 	require.NoError(t, err)
-	ok.pair = kv.Pair{Key: config.StoreKey, Value: value, Index: index}
+	st.pair = kv.Pair{Key: config.StoreKey, Value: value, Index: index}
 }
 
-// watching returns an entry that watches a store.
-func watching(st Store) *Entry {
+// newWatcher returns an entry that watches a store.
+func newWatcher(st Store) *Entry {
 	no := &node.Node{Log: zerolog.Nop(), Ring: &timeline.Ring{}, Adopted: func(*config.Snapshot) {}}
 	return &Entry{Store: st, Node: no}
 }
 
-// changed returns an envelope after a change.
-func changed(en *config.Envelope, operation string) *config.Envelope {
+// withChange returns the envelope that follows en after a change.
+func withChange(en *config.Envelope, operation string) *config.Envelope {
 	return en.Next(&config.Document{}, config.Change{Operation: operation})
 }
 
-func TestConfigurationIsWrittenAgainToAStoreThatLostIt(t *testing.T) {
-	first := changed(&config.Envelope{}, "one")
-	second := changed(first, "two")
-	third := changed(second, "three")
+// Guards against losing the newest configuration when the store reverts to an older one, and against
+// overwriting a change that was made to the store in the meantime.
+func TestConfigIsRestoredToStoreThatLostIt(t *testing.T) {
+	first := withChange(&config.Envelope{}, "one")
+	second := withChange(first, "two")
+	third := withChange(second, "three")
 	for name, ca := range map[string]struct {
 		older *config.Envelope
 		want  uint64
 	}{
-		"an older copy":                  {first, 3},
-		"an older copy of no change":     {&config.Envelope{Revision: 1, Document: &config.Document{}}, 3},
-		"another change in the meantime": {changed(first, "other"), 2},
+		"an older revision":                 {first, 3},
+		"an older revision without history": {&config.Envelope{Revision: 1, Document: &config.Document{}}, 3},
+		"a conflicting change":              {withChange(first, "other"), 2},
 	} {
-		store := &oneKey{}
-		en := watching(store)
+		store := &singleKeyStore{}
+		en := newWatcher(store)
 		store.put(t, third, 30)
 		_, err := en.watchOnce(t.Context(), 0)
 		require.NoError(t, err)
@@ -74,18 +76,20 @@
 		store.put(t, ca.older, 10)
 		_, err = en.watchOnce(t.Context(), 30)
 		require.NoError(t, err)
-		held, err := config.DecodeEnvelope(store.pair.Value)
+		stored, err := config.DecodeEnvelope(store.pair.Value)
 		require.NoError(t, err)
-		require.Equal(t, ca.want, held.Revision, name)
+		require.Equal(t, ca.want, stored.Revision, name)
 		require.Equal(t, uint64(3), en.Node.Snapshot().Revision(), name)
 	}
 }
 
-func TestEntryThatReadNoConfigurationWritesNone(t *testing.T) {
-	store := &oneKey{}
-	en := watching(store)
+// Guards against an entry overwriting the store's configuration with one that it did not read from
+// the store.
+func TestEntryRestoresOnlyConfigReadFromStore(t *testing.T) {
+	store := &singleKeyStore{}
+	en := newWatcher(store)
 	en.Node.Install(config.Compile(3, &config.Document{}))
-	store.put(t, changed(&config.Envelope{}, "one"), 10)
+	store.put(t, withChange(&config.Envelope{}, "one"), 10)
 	_, err := en.watchOnce(t.Context(), 0)
 	require.NoError(t, err)
 	require.Equal(t, uint64(10), store.pair.Index)
