--- a/internal/entry/bills.go
+++ b/internal/entry/bills.go
@@ -70,7 +70,7 @@
 	}
 	for box, batch := range byWriter {
 		if li := en.Node.Link(box); li != nil {
-			li.Send(&wire.Frame{Kind: wire.Bill, Bills: batch})
+			li.Send(&wire.Frame{Kind: wire.Bills, Bills: batch})
 		}
 	}
 }
--- a/internal/entry/blocks.go
+++ b/internal/entry/blocks.go
@@ -60,7 +60,7 @@
 		}
 		en.mu.Unlock()
 		if lifted {
-			en.Node.Note(timeline.Entry{Event: event.RequestUnblocked, Detail: fp.String() + ": a server answered it and lives on"})
+			en.Node.Record(timeline.Entry{Event: event.RequestUnblocked, Detail: fp.String() + ": a server answered it and lives on"})
 		}
 	}
 }
@@ -71,7 +71,7 @@
 	added := !en.detector.IsHarmless(bl.Fingerprint) && en.blocks.Add(bl, bl.Remaining(clock.Day()), stored, now)
 	en.mu.Unlock()
 	if added {
-		en.Node.Note(timeline.Entry{Event: event.RequestBlocked, Detail: bl.Fingerprint.String()})
+		en.Node.Record(timeline.Entry{Event: event.RequestBlocked, Detail: bl.Fingerprint.String()})
 	}
 }
 
@@ -99,7 +99,7 @@
 		list, err = poison.DecodeBlocks(pair.Value)
 	}
 	if err != nil {
-		en.Node.Note(timeline.Entry{Event: event.StoreCallFailed, Detail: err.Error()})
+		en.Node.Record(timeline.Entry{Event: event.StoreCallFailed, Detail: err.Error()})
 		return false
 	}
 	for _, bl := range list {
@@ -121,7 +121,7 @@
 	}
 	edit := func(value []byte) ([]byte, error) { return poison.MergeBlocks(value, list, en.isHarmless, clock.Day()) }
 	if !en.updateDocument(ctx, blocksKey, edit) {
-		en.Node.Note(timeline.Entry{Event: event.StoreCallFailed, Detail: "blocks could not be stored"})
+		en.Node.Record(timeline.Entry{Event: event.StoreCallFailed, Detail: "blocks could not be stored"})
 		return
 	}
 	en.mu.Lock()
@@ -145,6 +145,6 @@
 	en.detector.Expire(now)
 	en.mu.Unlock()
 	for _, fp := range expired {
-		en.Node.Note(timeline.Entry{Event: event.RequestUnblocked, Detail: fp.String()})
+		en.Node.Record(timeline.Entry{Event: event.RequestUnblocked, Detail: fp.String()})
 	}
 }
--- a/internal/entry/caller_request.go
+++ b/internal/entry/caller_request.go
@@ -65,8 +65,8 @@
 	at := &wire.Attempt{
 		Request: cr.id, Number: ac.Attempt(), Step: ac.Step(), Team: cr.team, Kind: cr.kind,
 		Priority: cr.priority, WaitMS: max(0, time.Until(cr.deadline).Milliseconds()),
-		Once: cr.atMostOnce, Method: cr.method, Path: cr.path, Type: cr.contentType, HideUsage: cr.hideUsage,
-		Print: cr.fingerprint,
+		AtMostOnce: cr.atMostOnce, Method: cr.method, Path: cr.path, Type: cr.contentType, HideUsage: cr.hideUsage,
+		Fingerprint: cr.fingerprint,
 	}
 	if cr.service != "" {
 		at.Service = cr.service
--- a/internal/entry/callers.go
+++ b/internal/entry/callers.go
@@ -114,7 +114,7 @@
 
 // serveExchange runs the request with the selected versions, or the plain service, as steps.
 func (en *Entry) serveExchange(w http.ResponseWriter, r *http.Request, cr *callerRequest, steps []string) {
-	en.Node.Note(timeline.Entry{Event: event.RequestReceived, Request: cr.id, Team: cr.team, Detail: cr.kind})
+	en.Node.Record(timeline.Entry{Event: event.RequestReceived, Request: cr.id, Team: cr.team, Detail: cr.kind})
 	en.mu.Lock()
 	en.budgets.For(cr.team).Deposit(time.Now())
 	en.mu.Unlock()
@@ -139,11 +139,11 @@
 func (en *Entry) refuse(w http.ResponseWriter, cr *callerRequest, err error) {
 	er := asResult(err)
 	metrics.Requests.Add(result.Of(er.Code()).Name(), 1)
-	en.Node.Note(timeline.Entry{
+	en.Node.Record(timeline.Entry{
 		Event: event.RequestRefused, Request: cr.id, Team: cr.team, Detail: result.Of(er.Code()).Name(),
 	})
 	w.Header().Set(headerRequest, cr.id)
-	node.WriteProblem(w, node.NewProblem(er, cr.id, en.blockRemaining(cr.fingerprint, clock.Now())))
+	node.WriteErrorBody(w, node.NewErrorBody(er, cr.id, en.blockRemaining(cr.fingerprint, clock.Now())))
 }
 
 // modelList is the response body of /v1/models.
--- a/internal/entry/claims.go
+++ b/internal/entry/claims.go
@@ -69,11 +69,11 @@
 		return err
 	}
 	if won.Code != result.OK {
-		en.Node.Note(timeline.Entry{Event: event.ClaimLost, Request: cr.id, Team: cr.team, Detail: won.Value})
+		en.Node.Record(timeline.Entry{Event: event.ClaimLost, Request: cr.id, Team: cr.team, Detail: won.Value})
 		return result.New(result.KeyAlreadyUsed, won.Value)
 	}
 	cr.keyClaimed = true
-	en.Node.Note(timeline.Entry{Event: event.ClaimWon, Request: cr.id, Team: cr.team})
+	en.Node.Record(timeline.Entry{Event: event.ClaimWon, Request: cr.id, Team: cr.team})
 	return nil
 }
 
@@ -145,8 +145,8 @@
 	for {
 		select {
 		case won := <-answers:
-			if verdict, relevant := evaluateClaim(cl, won); relevant {
-				return verdict, true
+			if outcome, relevant := evaluateClaim(cl, won); relevant {
+				return outcome, true
 			}
 			continue
 		case <-li.Done():
@@ -167,7 +167,7 @@
 // answer that names the winner concerns all of them, and each compares the winner with its own
 // value; a refusal concerns only the request that it names. It reports whether the answer concerns
 // the request.
-func evaluateClaim(asked, got wire.ClaimLine) (verdict wire.ClaimLine, relevant bool) {
+func evaluateClaim(asked, got wire.ClaimLine) (outcome wire.ClaimLine, relevant bool) {
 	if got.Code == result.ClaimsUnavailable {
 		return got, got.Value == asked.Value
 	}
--- a/internal/entry/claims_test.go
+++ b/internal/entry/claims_test.go
@@ -11,8 +11,9 @@
 	"github.com/linnetrudder/linnetrudder/internal/wire"
 )
 
-// claimConcurrently claims the same key for two requests of one entry, whose values are a and b, and
-// delivers the owner's answers one after the other. It returns the result of each request by value.
+// claimConcurrently claims the same key for two requests of one entry, whose values are a and b,
+// and delivers the owner's answers one after the other. It returns the result of each request by
+// value.
 func claimConcurrently(t *testing.T, answers ...wire.ClaimLine) map[string]wire.ClaimLine {
 	got := map[string]wire.ClaimLine{}
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -124,23 +124,23 @@
 	work, stopWork := context.WithCancel(context.WithoutCancel(ctx))
 	defer stopWork()
 	en.supervisor = node.NewSupervisor("entry", en.Node)
-	en.supervisor.Add(node.Service{Name: "callers", Serving: en.serveCallers(ctx)})
-	en.supervisor.Add(node.Service{Name: "admin", Serving: en.serveAdmin})
-	en.supervisor.Add(node.Service{Name: "boxes", Serving: en.pollBoxes})
-	en.supervisor.Add(node.Service{Name: "watch", Serving: en.watchStore})
-	en.supervisor.Add(node.Service{Name: "learnt", Serving: en.syncFeedback})
-	en.supervisor.Add(node.Service{Name: "blocks", Serving: en.syncBlocks})
-	en.supervisor.Add(node.Service{Name: "rollouts", Serving: en.runRollouts})
-	en.supervisor.Add(node.Service{Name: "ticks", Serving: en.tick})
+	en.supervisor.Add(node.Service{Name: "callers", Run: en.serveCallers(ctx)})
+	en.supervisor.Add(node.Service{Name: "admin", Run: en.serveAdmin})
+	en.supervisor.Add(node.Service{Name: "boxes", Run: en.pollBoxes})
+	en.supervisor.Add(node.Service{Name: "watch", Run: en.watchStore})
+	en.supervisor.Add(node.Service{Name: "learnt", Run: en.syncFeedback})
+	en.supervisor.Add(node.Service{Name: "blocks", Run: en.syncBlocks})
+	en.supervisor.Add(node.Service{Name: "rollouts", Run: en.runRollouts})
+	en.supervisor.Add(node.Service{Name: "ticks", Run: en.tick})
 	ended := en.supervisor.ServeBackground(work)
-	en.Node.Note(timeline.Entry{Event: event.ProcessStarted, Detail: "entry"})
+	en.Node.Record(timeline.Entry{Event: event.ProcessStarted, Detail: "entry"})
 	select {
 	case err := <-ended:
 		return eris.Wrap(err, "entry")
 	case <-ctx.Done():
 	}
 	en.drain()
-	en.Node.Note(timeline.Entry{Event: event.ProcessStopped})
+	en.Node.Record(timeline.Entry{Event: event.ProcessStopped})
 	return nil
 }
 
@@ -159,7 +159,7 @@
 	en.feedback = newFeedback()
 	en.claimWaiters = map[string][]chan wire.ClaimLine{}
 	en.detector = poison.Detector{MinCrashes: poison.MinCrashes}
-	en.Node.Adopted = en.configAdopted
+	en.Node.OnAdopt = en.configAdopted
 }
 
 // serveCallers serves callers until stop ends, and then waits for the requests in progress.
@@ -184,18 +184,18 @@
 	en.balancer.Reconfigure(sn)
 }
 
-// Beat returns the heartbeat to send to an agent.
-func (en *Entry) Beat(li *link.Link) *wire.Frame {
-	fr := &wire.Frame{Kind: wire.Beat, Revision: en.Node.Snapshot().Revision(), Bills: en.takeBillAcks(li.Peer.Box())}
+// Heartbeat returns the heartbeat to send to an agent.
+func (en *Entry) Heartbeat(li *link.Link) *wire.Frame {
+	fr := &wire.Frame{Kind: wire.Heartbeat, Revision: en.Node.Snapshot().Revision(), Bills: en.takeBillAcks(li.Peer.Box())}
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	fr.Prints = en.blocks.Fingerprints()
+	fr.Fingerprints = en.blocks.Fingerprints()
 	return fr
 }
 
-// Frame handles a frame from an agent.
-func (en *Entry) Frame(li *link.Link, fr *wire.Frame) {
-	if en.Node.Control(li, fr) {
+// HandleFrame handles a frame from an agent.
+func (en *Entry) HandleFrame(li *link.Link, fr *wire.Frame) {
+	if en.Node.HandleConfigFrame(li, fr) {
 		return
 	}
 	if fr.Load != nil {
@@ -206,27 +206,27 @@
 		}
 		en.mu.Unlock()
 	}
-	if len(fr.Prints) > 0 {
-		en.liftHarmless(fr.Prints, clock.Now())
+	if len(fr.Fingerprints) > 0 {
+		en.liftHarmless(fr.Fingerprints, clock.Now())
 	}
 	switch fr.Kind {
-	case wire.Verdict, wire.Head, wire.Data, wire.End:
+	case wire.Admission, wire.Head, wire.Data, wire.End:
 		en.handleAttemptFrame(li, fr)
 	case wire.Peers:
 		en.mu.Lock()
 		en.members.Peers(li.Peer.Box(), fr.Peers)
 		en.mu.Unlock()
-	case wire.Bill:
+	case wire.Bills:
 		en.addBills(fr.Bills)
-	case wire.Taken:
+	case wire.BillsBuffered:
 		en.mu.Lock()
 		en.ledger.Taken(fr.Bills)
 		en.mu.Unlock()
-	case wire.Billed:
+	case wire.BillsStored:
 		en.confirmBills(fr.Bills)
-	case wire.Claimed:
+	case wire.ClaimReply:
 		en.deliverClaims(fr.Claims)
-	case wire.Suspect:
+	case wire.CrashSuspects:
 		en.recordSuspicions(fr.Suspicions, clock.Now())
 	}
 }
@@ -263,7 +263,7 @@
 		time.Sleep(drainPollInterval)
 	}
 	for _, li := range en.Node.Links() {
-		li.Send(&wire.Frame{Kind: wire.Billed, Bills: en.takeBillAcks(li.Peer.Box())})
+		li.Send(&wire.Frame{Kind: wire.BillsStored, Bills: en.takeBillAcks(li.Peer.Box())})
 	}
 	time.Sleep(linkFlushTime)
 }
--- a/internal/entry/exchange.go
+++ b/internal/entry/exchange.go
@@ -150,7 +150,7 @@
 	switch {
 	case ev.frame == nil:
 		return ex.route.LinkLost(ev.number, now)
-	case ev.frame.Kind == wire.Verdict:
+	case ev.frame.Kind == wire.Admission:
 		after := time.Duration(ev.frame.RetryAfterMS) * time.Millisecond
 		return ex.route.Verdict(ev.number, ev.frame.Code, after, now)
 	}
@@ -257,14 +257,14 @@
 	default:
 		ex.logEvent(event.RequestFailed, result.Of(co).Name())
 	}
-	pr := node.NewProblem(result.New(co, ""), ex.request.id, ac.RetryAfter())
+	eb := node.NewErrorBody(result.New(co, ""), ex.request.id, ac.RetryAfter())
 	if !ex.started {
 		ex.w.Header().Set(headerRequest, ex.request.id)
-		node.WriteProblem(ex.w, pr)
+		node.WriteErrorBody(ex.w, eb)
 		return
 	}
 	if strings.HasPrefix(ex.w.Header().Get("Content-Type"), "text/event-stream") {
-		body, _ := json.Marshal(pr)
+		body, _ := json.Marshal(eb)
 		_, _ = ex.w.Write([]byte("data: " + string(body) + "\n\n"))
 		ex.flush()
 	}
@@ -280,7 +280,7 @@
 }
 
 func (ex *exchange) logEvent(id event.ID, detail string) {
-	ex.en.Node.Note(timeline.Entry{
+	ex.en.Node.Record(timeline.Entry{
 		Event: id, Request: ex.request.id, Team: ex.request.team, Version: ex.version, Detail: detail,
 	})
 }
--- a/internal/entry/feedback.go
+++ b/internal/entry/feedback.go
@@ -251,7 +251,7 @@
 func (en *Entry) readFeedback(ctx context.Context) {
 	pairs, err := en.Store.List(ctx, ratingsPrefix)
 	if err != nil {
-		en.Node.Note(timeline.Entry{Event: event.StoreCallFailed, Detail: err.Error()})
+		en.Node.Record(timeline.Entry{Event: event.StoreCallFailed, Detail: err.Error()})
 		return
 	}
 	all := &quality.Table{}
--- a/internal/entry/pins.go
+++ b/internal/entry/pins.go
@@ -10,8 +10,8 @@
 const pinRotationInterval = claim.Retention / 4
 
 // pinCache caches the versions of sessions in two generations. A cached version expires after two
-// rotations at most, even if it is in use. The session's claim is then requested again, which extends its
-// retention.
+// rotations at most, even if it is in use. The session's claim is then requested again, which
+// extends its retention.
 type pinCache struct {
 	// current receives new entries. When it is full it becomes previous, and the old previous is
 	// dropped.
--- a/internal/entry/store.go
+++ b/internal/entry/store.go
@@ -30,7 +30,7 @@
 		}
 		next, err := en.watchOnce(ctx, index)
 		if err != nil {
-			en.Node.Note(timeline.Entry{Event: event.StoreCallFailed, Detail: err.Error()})
+			en.Node.Record(timeline.Entry{Event: event.StoreCallFailed, Detail: err.Error()})
 			index = 0
 			sleep(ctx, watchPollInterval)
 			continue
@@ -48,10 +48,10 @@
 
 func (en *Entry) logWatching(watcher bool) {
 	if watcher {
-		en.Node.Note(timeline.Entry{Event: event.WatchStarted})
+		en.Node.Record(timeline.Entry{Event: event.WatchStarted})
 		return
 	}
-	en.Node.Note(timeline.Entry{Event: event.WatchStopped})
+	en.Node.Record(timeline.Entry{Event: event.WatchStopped})
 }
 
 // watchOnce waits for a change and installs it. If the index decreased, as after a loss of the
@@ -76,12 +76,12 @@
 func (en *Entry) install(ctx context.Context, pair kv.Pair) {
 	ev, err := config.DecodeEnvelope(pair.Value)
 	if err != nil {
-		en.Node.Note(timeline.Entry{Event: event.ConfigRefused, Detail: err.Error()})
+		en.Node.Record(timeline.Entry{Event: event.ConfigRefused, Detail: err.Error()})
 		return
 	}
 	current := en.Node.Snapshot().Revision()
 	if ev.Revision < current {
-		en.Node.Note(timeline.Entry{Event: event.ConfigRefused, Detail: "the store holds a lower revision"})
+		en.Node.Record(timeline.Entry{Event: event.ConfigRefused, Detail: "the store holds a lower revision"})
 		en.restoreStoredConfig(ctx, ev, pair.Index)
 		return
 	}
@@ -90,7 +90,7 @@
 	}
 	if ev.Revision > current {
 		if err := ev.Document.Check(); err != nil {
-			en.Node.Note(timeline.Entry{Event: event.ConfigRefused, Detail: err.Error()})
+			en.Node.Record(timeline.Entry{Event: event.ConfigRefused, Detail: err.Error()})
 			return
 		}
 		en.Node.Install(config.Compile(ev.Revision, ev.Document))
@@ -107,15 +107,15 @@
 	}
 	value, err := en.storedConfig.Encode()
 	if err != nil {
-		en.Node.Note(timeline.Entry{Event: event.StoreCallFailed, Detail: err.Error()})
+		en.Node.Record(timeline.Entry{Event: event.StoreCallFailed, Detail: err.Error()})
 		return
 	}
 	swapped, err := en.Store.Swap(ctx, config.StoreKey, value, index)
 	switch {
 	case err != nil:
-		en.Node.Note(timeline.Entry{Event: event.StoreCallFailed, Detail: err.Error()})
+		en.Node.Record(timeline.Entry{Event: event.StoreCallFailed, Detail: err.Error()})
 	case swapped:
-		en.Node.Note(timeline.Entry{Event: event.ConfigAccepted, Revision: en.storedConfig.Revision, Detail: "written again to a store that had lost it"})
+		en.Node.Record(timeline.Entry{Event: event.ConfigAccepted, Revision: en.storedConfig.Revision, Detail: "written again to a store that had lost it"})
 	}
 }
 
--- a/internal/entry/store_test.go
+++ b/internal/entry/store_test.go
@@ -43,7 +43,7 @@
 
 // newWatcher returns an entry that watches a store.
 func newWatcher(st Store) *Entry {
-	no := &node.Node{Log: zerolog.Nop(), Ring: &timeline.Ring{}, Adopted: func(*config.Snapshot) {}}
+	no := &node.Node{Log: zerolog.Nop(), Ring: &timeline.Ring{}, OnAdopt: func(*config.Snapshot) {}}
 	return &Entry{Store: st, Node: no}
 }
 
@@ -52,8 +52,8 @@
 	return en.Next(&config.Document{}, config.Change{Operation: operation})
 }
 
-// Guards against losing the newest configuration when the store reverts to an older one, and against
-// overwriting a change that was made to the store in the meantime.
+// Guards against losing the newest configuration when the store reverts to an older one, and
+// against overwriting a change that was made to the store in the meantime.
 func TestConfigIsRestoredToStoreThatLostIt(t *testing.T) {
 	first := withChange(&config.Envelope{}, "one")
 	second := withChange(first, "two")
--- a/internal/link/link.go
+++ b/internal/link/link.go
@@ -1,5 +1,5 @@
-// Package link keeps one WebSocket connection between an entry and an agent:
-// it proves the peer, sends frames in batches and notices a silent peer.
+// Package link implements the WebSocket connection between an entry and an agent. It authenticates the
+// peer, sends frames in batches and detects an unresponsive peer.
 package link
 
 import (
@@ -15,15 +15,15 @@
 	"github.com/linnetrudder/linnetrudder/internal/wire"
 )
 
-// Handler takes what arrives on a link.
+// Handler handles the frames that arrive on a link.
 type Handler interface {
-	// Frame is called for each frame in order.
-	Frame(li *Link, fr *wire.Frame)
-	// Beat returns the heartbeat to send now.
-	Beat(li *Link) *wire.Frame
+	// HandleFrame is called for each frame, in the order of arrival.
+	HandleFrame(li *Link, fr *wire.Frame)
+	// Heartbeat returns the heartbeat to send now.
+	Heartbeat(li *Link) *wire.Frame
 }
 
-// Peer is the process at the other end.
+// Peer identifies the process at the other end of a link.
 type Peer struct {
 	box, dataCentre string
 }
@@ -35,70 +35,70 @@
 func (pe Peer) DataCentre() string { return pe.dataCentre }
 
 const (
-	// dataFrames bounds the frames of answers that wait to be sent; their
-	// senders wait for room.
-	dataFrames = 128
-	// controlFrames bounds the other frames that wait; a peer so far behind
-	// loses the link.
-	controlFrames = 8192
-	// batchBytes is the size at which a batch is sent.
+	// maxDataFrames is the capacity of the queue for data frames, which carry responses. If it is
+	// full, senders block.
+	maxDataFrames = 128
+	// maxControlFrames is the capacity of the queue for all other frames. If it is full, the link is
+	// closed.
+	maxControlFrames = 8192
+	// batchBytes is the size from which on no more data frames are added to a batch.
 	batchBytes = 64 << 10
-	// keepBytes is the size up to which a write buffer is kept for the next
-	// batch.
-	keepBytes = 8 << 10
-	// missedBeats is how many heartbeats may be missed.
-	missedBeats = 3
+	// maxRetainedBytes is the maximum capacity of a write buffer that is reused for the next batch.
+	maxRetainedBytes = 8 << 10
+	// maxMissedHeartbeats is the number of heartbeat intervals without any message after which the
+	// link is closed.
+	maxMissedHeartbeats = 3
 )
 
 var (
-	errSilent = eris.New("peer is silent")
-	errSlow   = eris.New("peer reads too slowly")
+	errPeerTimeout = eris.New("no message from peer within the heartbeat time-out")
+	errPeerTooSlow = eris.New("peer reads too slowly: queue of control frames is full")
 )
 
-// Link is one open connection. Its exported fields are set before Run.
+// Link is an open connection. Its exported fields must be set before Run.
 type Link struct {
-	// Conn is the open connection.
+	// Conn is the WebSocket connection.
 	Conn *websocket.Conn
-	// Peer is who was proved to be at the other end.
+	// Peer is the authenticated process at the other end.
 	Peer Peer
-	// Name is unique among the links that a process has had, so that a peer
-	// that starts anew is not taken for what it was before.
+	// Name is unique among all links of a process over its lifetime, so that a restarted peer is not
+	// confused with its predecessor.
 	Name string
-	// Handler takes the frames.
+	// Handler handles the received frames.
 	Handler Handler
-	// Heartbeat is the time between two heartbeats.
-	Heartbeat time.Duration
+	// HeartbeatInterval is the interval between heartbeats.
+	HeartbeatInterval time.Duration
 
 	once sync.Once
-	// data holds frames of answers.
-	data chan *wire.Frame
-	// mu guards control, which holds all other frames; ready has room for one
-	// word that there are some.
-	mu      sync.Mutex
-	control []*wire.Frame
-	ready   chan struct{}
-	// done is closed when the link has ended.
+	// dataQueue holds the data frames to send.
+	dataQueue chan *wire.Frame
+	// mu guards controlQueue, which holds all other frames to send. ready signals that it is not
+	// empty; its capacity is one.
+	mu           sync.Mutex
+	controlQueue []*wire.Frame
+	ready        chan struct{}
+	// done is closed when the link is closed.
 	done chan struct{}
-	// slow gets the word that too many control frames wait.
-	slow chan struct{}
+	// overflow signals that the control queue is full.
+	overflow chan struct{}
 }
 
 func (li *Link) init() {
 	li.once.Do(func() {
-		li.data = make(chan *wire.Frame, dataFrames)
+		li.dataQueue = make(chan *wire.Frame, maxDataFrames)
 		li.ready = make(chan struct{}, 1)
 		li.done = make(chan struct{})
-		li.slow = make(chan struct{}, 1)
+		li.overflow = make(chan struct{}, 1)
 	})
 }
 
-// Run serves the link until it breaks or the context ends, and returns why.
+// Run serves the link until it fails or the context is cancelled, and returns the cause.
 func (li *Link) Run(ctx context.Context) error {
 	li.init()
 	ctx, stop := context.WithCancelCause(ctx)
 	defer stop(nil)
-	li.Conn.SetReadLimit(wire.MaxMessage)
-	watchdog := time.AfterFunc(missedBeats*li.Heartbeat, func() { stop(errSilent) })
+	li.Conn.SetReadLimit(wire.MaxMessageBytes)
+	watchdog := time.AfterFunc(maxMissedHeartbeats*li.HeartbeatInterval, func() { stop(errPeerTimeout) })
 	defer watchdog.Stop()
 	var wg sync.WaitGroup
 	wg.Go(func() {
@@ -111,8 +111,8 @@
 	return context.Cause(ctx)
 }
 
-// Send queues a frame ahead of answers. A peer that reads so slowly that too
-// many wait loses the link. It reports whether the frame was queued.
+// Send queues a control frame, which is sent before all data frames. If the queue is full because the
+// peer reads too slowly, the link is closed. Send reports whether the frame was queued.
 func (li *Link) Send(fr *wire.Frame) bool {
 	li.init()
 	select {
@@ -121,33 +121,33 @@
 	default:
 	}
 	li.mu.Lock()
-	full := len(li.control) >= controlFrames
+	full := len(li.controlQueue) >= maxControlFrames
 	if !full {
-		li.control = append(li.control, fr)
+		li.controlQueue = append(li.controlQueue, fr)
 	}
 	li.mu.Unlock()
 	if full {
-		signal(li.slow)
+		notify(li.overflow)
 		return false
 	}
-	signal(li.ready)
+	notify(li.ready)
 	return true
 }
 
-// signal leaves a word in a channel that has room for one.
-func signal(ch chan struct{}) {
+// notify sends to a channel with a capacity of one, unless a notification is already pending.
+func notify(ch chan struct{}) {
 	select {
 	case ch <- struct{}{}:
 	default:
 	}
 }
 
-// SendWait queues a frame and waits for room; it serves answers, whose
+// SendWait queues a data frame and blocks while the queue is full. It is meant for responses, whose
 // source can be slowed down. It reports whether the frame was queued.
 func (li *Link) SendWait(ctx context.Context, fr *wire.Frame) bool {
 	li.init()
 	select {
-	case li.data <- fr:
+	case li.dataQueue <- fr:
 		return true
 	case <-li.done:
 		return false
@@ -156,25 +156,25 @@
 	}
 }
 
-// Done is closed when the link has ended.
+// Done returns a channel that is closed when the link is closed.
 func (li *Link) Done() <-chan struct{} {
 	li.init()
 	return li.done
 }
 
-// read hands frames on. Each message puts off the end that a silent peer
-// comes to.
+// read passes received frames to the handler. Each message resets the watchdog, which closes the link of
+// an unresponsive peer.
 func (li *Link) read(ctx context.Context, watchdog *time.Timer) error {
 	for {
 		_, msg, err := li.Conn.Read(ctx)
 		if err != nil {
 			return eris.Wrap(err, "read")
 		}
-		watchdog.Reset(missedBeats * li.Heartbeat)
+		watchdog.Reset(maxMissedHeartbeats * li.HeartbeatInterval)
 		frames, err := wire.Decode(msg)
 		metrics.In.Message(len(msg), dataBytes(frames), len(frames))
 		for _, fr := range frames {
-			li.Handler.Frame(li, fr)
+			li.Handler.HandleFrame(li, fr)
 		}
 		if err != nil {
 			return err
@@ -182,24 +182,24 @@
 	}
 }
 
-// write sends what is queued and the heartbeats, in one goroutine: a process
-// has many links.
+// write sends queued frames and heartbeats. It uses only one goroutine for both because a process has
+// many links.
 func (li *Link) write(ctx context.Context) error {
 	var ba batch
-	ti := time.NewTicker(li.Heartbeat)
+	ti := time.NewTicker(li.HeartbeatInterval)
 	defer ti.Stop()
 	for {
 		ba.reset()
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-li.slow:
-			return errSlow
+		case <-li.overflow:
+			return errPeerTooSlow
 		case <-li.ready:
-		case fr := <-li.data:
+		case fr := <-li.dataQueue:
 			ba.add(fr)
 		case <-ti.C:
-			ba.add(li.Handler.Beat(li))
+			ba.add(li.Handler.Heartbeat(li))
 		}
 		li.fill(&ba)
 		if err := ba.err; err != nil {
@@ -215,18 +215,19 @@
 	}
 }
 
-// fill adds all control frames that wait, and answers up to the batch's size.
+// fill adds all queued control frames to the batch, and then queued data frames until the batch has
+// batchBytes.
 func (li *Link) fill(ba *batch) {
 	li.mu.Lock()
-	control := li.control
-	li.control = nil
+	control := li.controlQueue
+	li.controlQueue = nil
 	li.mu.Unlock()
 	for _, fr := range control {
 		ba.add(fr)
 	}
 	for ba.buf.Len() < batchBytes {
 		select {
-		case fr := <-li.data:
+		case fr := <-li.dataQueue:
 			ba.add(fr)
 		default:
 			return
@@ -234,7 +235,7 @@
 	}
 }
 
-// batch is the frames of one message.
+// batch collects the frames of one message.
 type batch struct {
 	frames []*wire.Frame
 	buf    bytes.Buffer
@@ -244,7 +245,7 @@
 func (ba *batch) reset() {
 	ba.frames = ba.frames[:0]
 	ba.buf.Reset()
-	if ba.buf.Cap() > keepBytes {
+	if ba.buf.Cap() > maxRetainedBytes {
 		ba.buf = bytes.Buffer{}
 	}
 }
@@ -256,14 +257,14 @@
 	}
 }
 
-// dataBytes returns the callers' part of a message, so that the budget for
-// control can be watched. The few bytes around a part of an answer count as
-// data too: they would not be there without it.
+// dataBytes returns the number of bytes in a message that carry callers' data, so that the budget for
+// control traffic can be monitored. The overhead of a data frame counts as data too, since it would not
+// exist without the data.
 func dataBytes(frames []*wire.Frame) int {
 	data := 0
 	for _, fr := range frames {
 		if len(fr.Body) > 0 {
-			data += len(fr.Body) + dataOverhead
+			data += len(fr.Body) + dataFrameOverheadBytes
 		}
 		if fr.Open != nil {
 			data += len(fr.Open.Body)
@@ -272,5 +273,5 @@
 	return data
 }
 
-// dataOverhead is the size of a data frame without its body.
-const dataOverhead = 20
+// dataFrameOverheadBytes is the approximate size of a data frame without its body.
+const dataFrameOverheadBytes = 20
