--- a/internal/entry/feedback.go
+++ b/internal/entry/feedback.go
@@ -164,7 +164,7 @@
 // pending.
 func (en *Entry) storeFeedback(ctx context.Context) {
 	en.mu.Lock()
-	fresh, outcomes := en.feedback.pendingRatings, en.feedback.pendingOutcomes
+	pending, outcomes := en.feedback.pendingRatings, en.feedback.pendingOutcomes
 	en.feedback.pendingRatings, en.feedback.pendingOutcomes = quality.Table{}, rollout.Tallies{}
 	leader := en.members.Leads()
 	en.mu.Unlock()
@@ -174,9 +174,9 @@
 		outcomes = ratingTallies(outcomes)
 	}
 	dc := en.Node.Settings.DataCentre
-	if fresh.Len() > 0 && !en.updateDocument(ctx, ratingsPrefix+dc, addRatings(&fresh)) {
+	if pending.Len() > 0 && !en.updateDocument(ctx, ratingsPrefix+dc, addRatings(&pending)) {
 		en.mu.Lock()
-		en.feedback.pendingRatings.MergeEntries(fresh.Entries())
+		en.feedback.pendingRatings.MergeEntries(pending.Entries())
 		en.mu.Unlock()
 	}
 	if len(outcomes) > 0 && !en.updateDocument(ctx, rollout.OutcomesPrefix+dc, addOutcomes(outcomes)) {
@@ -199,24 +199,24 @@
 	return rated
 }
 
-func addRatings(fresh *quality.Table) func([]byte) ([]byte, error) {
+func addRatings(pending *quality.Table) func([]byte) ([]byte, error) {
 	return func(value []byte) ([]byte, error) {
 		ta, err := quality.Decode(value)
 		if err != nil {
 			ta = &quality.Table{}
 		}
-		ta.MergeEntries(fresh.Entries())
+		ta.MergeEntries(pending.Entries())
 		return ta.Encode()
 	}
 }
 
-func addOutcomes(fresh rollout.Tallies) func([]byte) ([]byte, error) {
+func addOutcomes(pending rollout.Tallies) func([]byte) ([]byte, error) {
 	return func(value []byte) ([]byte, error) {
 		ts, err := rollout.DecodeTallies(value)
 		if err != nil {
 			ts = rollout.Tallies{}
 		}
-		for version, ta := range fresh {
+		for version, ta := range pending {
 			ts.Add(version, ta)
 		}
 		return json.Marshal(ts)
