--- a/internal/agent/claims.go
+++ b/internal/agent/claims.go
@@ -48,7 +48,7 @@
 	lo := ag.logs[shard]
 	if lo == nil {
 		flush := ag.Node.Settings.Limits.ClaimFlush()
-		lo = &claim.Log{Shard: shard, Flush: flush, Patience: claimTimeout}
+		lo = &claim.Log{Shard: shard, FlushInterval: flush, ClaimTimeout: claimTimeout}
 		ag.logs[shard] = lo
 	}
 	return lo
@@ -118,19 +118,19 @@
 		pairs, loadErr := ag.Store.List(ctx, op.Key())
 		err = loadErr
 		ag.mu.Lock()
-		res = lo.Loaded(pairs, err, time.Now())
+		res = lo.HandleLoad(pairs, err, time.Now())
 		ag.mu.Unlock()
 	case claim.Read:
 		pair, readErr := ag.Store.Get(ctx, op.Key())
 		err = readErr
 		ag.mu.Lock()
-		res = lo.Read(pair, err, time.Now())
+		res = lo.HandleRead(pair, err, time.Now())
 		ag.mu.Unlock()
 	case claim.Swap:
 		swapped, swapErr := ag.Store.Swap(ctx, op.Key(), op.Value(), op.Index())
 		err = swapErr
 		ag.mu.Lock()
-		res = lo.Swapped(swapped, err, time.Now())
+		res = lo.HandleSwap(swapped, err, time.Now())
 		ag.mu.Unlock()
 	}
 	if err != nil {
--- a/internal/agent/crash.go
+++ b/internal/agent/crash.go
@@ -84,7 +84,7 @@
 func (ag *Agent) reportCrash(now time.Time) {
 	ag.mu.Lock()
 	suspects, at := ag.dispatched.Crashed(ag.serverName(), now)
-	instance := ag.serverName() + "@" + strconv.FormatInt(clock.Day().UnixMilli(), 36)
+	instance := ag.serverName() + "@" + strconv.FormatInt(clock.WallTime().UnixMilli(), 36)
 	var list []poison.Suspicion
 	for _, ru := range suspects {
 		if !ru.Fingerprint().IsZero() && !ag.detector.IsHarmless(ru.Fingerprint()) {
--- a/internal/agent/selfreports.go
+++ b/internal/agent/selfreports.go
@@ -28,7 +28,7 @@
 // applySelfReport applies the rate limit, pause or shutdown that the server reports in the headers of
 // a response.
 func (ag *Agent) applySelfReport(resp *http.Response) {
-	re := selfReports.Decode(resp.StatusCode, resp.Header, clock.Day())
+	re := selfReports.Decode(resp.StatusCode, resp.Header, clock.WallTime())
 	if re.Err != nil {
 		ag.Node.Record(timeline.Entry{Event: event.ReportUnreadable, Detail: re.Err.Error()})
 	}
@@ -92,7 +92,7 @@
 		ag.Node.Record(timeline.Entry{Event: event.ServerUnclear, Detail: err.Error()})
 		return
 	}
-	if selfReports.Decode(resp.StatusCode, resp.Header, clock.Day()).Leaving {
+	if selfReports.Decode(resp.StatusCode, resp.Header, clock.WallTime()).Leaving {
 		return
 	}
 	ag.mu.Lock()
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -17,7 +17,7 @@
 
 func TestMain(m *testing.M) { seeded.Main(m) }
 
-func example(t require.TestingT) *Document {
+func exampleDocument(t require.TestingT) *Document {
 	data, err := os.ReadFile("../../examples/fleet.jsonc")
 	require.NoError(t, err)
 	doc, err := Decode(data)
@@ -25,11 +25,11 @@
 	return doc
 }
 
-func TestDecodeNamesTheOffendingPlace(t *testing.T) {
+func TestDecodeErrorNamesField(t *testing.T) {
 	for _, tc := range []struct {
 		name, data string
 		code       result.Code
-		place      string
+		field      string
 	}{
 		{"not json", `{"models": [}`, result.BadConfiguration, "hujson"},
 		{"unknown field", `{"modells": []}`, result.UnknownField, "modells"},
@@ -52,12 +52,12 @@
 		var er *result.Error
 		require.True(t, errors.As(err, &er), tc.name)
 		require.Equal(t, tc.code, er.Code(), "%s: %v", tc.name, err)
-		require.Contains(t, err.Error(), tc.place, tc.name)
+		require.Contains(t, err.Error(), tc.field, tc.name)
 	}
 }
 
 func TestGrants(t *testing.T) {
-	sn := Compile(1, example(t))
+	sn := Compile(1, exampleDocument(t))
 	kitchen := sn.TeamByKey("kitchen-key")
 	require.Equal(t, "kitchen-a", kitchen.Name())
 	require.True(t, kitchen.MayUse("menu@v1"))
@@ -69,7 +69,7 @@
 }
 
 func TestSubstitutes(t *testing.T) {
-	sn := Compile(1, example(t))
+	sn := Compile(1, exampleDocument(t))
 	var ids []string
 	for _, ve := range sn.Substitutes(sn.Kind("allergen")) {
 		ids = append(ids, ve.ID())
@@ -77,12 +77,11 @@
 	require.Equal(t, []string{"notes@v1", "notes@v2"}, ids)
 }
 
-// TestPatch checks that differences lead from any document to any other, up
-// to the order of the lists, and to the very same one where objects change or
-// are added at the end.
+// TestPatch checks that a diff turns any document into any other, except for the order of the
+// lists, and into an identical one if objects are changed or added at the end.
 func TestPatch(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		from, to := random(rt, "from"), random(rt, "to")
+		from, to := randomDocument(rt, "from"), randomDocument(rt, "to")
 		got, err := Patch(from, Diff(from, to))
 		require.NoError(rt, err)
 		require.Empty(rt, Diff(got, to))
@@ -95,7 +94,7 @@
 	})
 }
 
-func random(rt *rapid.T, label string) *Document {
+func randomDocument(rt *rapid.T, label string) *Document {
 	doc := &Document{Models: []Model{{Name: "m"}}}
 	for _, n := range rapid.SliceOfNDistinct(rapid.IntRange(0, 8), 0, 6, rapid.ID[int]).Draw(rt, label) {
 		ve := Version{Model: "m", Name: fmt.Sprintf("v%d", n), State: Serving, InputPrice: int64(rapid.IntRange(0, 2).Draw(rt, "price"))}
@@ -110,7 +109,7 @@
 }
 
 func TestMayStart(t *testing.T) {
-	sn := Compile(1, example(t))
+	sn := Compile(1, exampleDocument(t))
 	require.Equal(t, result.OK, sn.MayStart("kitchen-a", "menu@v1", false))
 	require.Equal(t, result.VersionNotAllowed, sn.MayStart("kitchen-a", "menu@v2", false))
 	require.Equal(t, result.VersionNotAllowed, sn.MayStart("nobody", "menu@v1", false))
@@ -138,8 +137,9 @@
 	})
 }
 
-// sized is a document of the target's size.
-func sized(servers int) *Document {
+// documentWithServers returns a document of the size that the system is designed for: 5 versions,
+// 200 teams and the given number of servers.
+func documentWithServers(servers int) *Document {
 	doc := &Document{Models: []Model{{Name: "m"}}, Grants: []Grant{{Versions: &selector.Selector{}}}}
 	for i := range 5 {
 		doc.Versions = append(doc.Versions, Version{Model: "m", Name: fmt.Sprint("v", i), State: Serving})
@@ -152,15 +152,15 @@
 		})
 	}
 	for i := range 200 {
-		doc.Teams = append(doc.Teams, Team{Name: fmt.Sprint("team-", i), KeyDigests: []string{Digest(fmt.Sprint(i))}})
+		doc.Teams = append(doc.Teams, Team{Name: fmt.Sprint("team-", i), KeyDigests: []string{KeyDigest(fmt.Sprint(i))}})
 	}
 	return doc
 }
 
-func BenchmarkWhole(b *testing.B) {
+func BenchmarkDecodeAndCompile(b *testing.B) {
 	for _, servers := range []int{150, 1500, 4000} {
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
-			body, err := json.Marshal(sized(servers))
+			body, err := json.Marshal(documentWithServers(servers))
 			require.NoError(b, err)
 			for b.Loop() {
 				doc, err := Decode(body)
@@ -172,10 +172,10 @@
 	}
 }
 
-func BenchmarkStep(b *testing.B) {
+func BenchmarkDiffAndPatch(b *testing.B) {
 	for _, servers := range []int{150, 1500, 4000} {
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
-			from, to := sized(servers), sized(servers)
+			from, to := documentWithServers(servers), documentWithServers(servers)
 			to.Versions[1].State = Withdrawn
 			size := 0
 			for b.Loop() {
--- a/internal/entry/bills.go
+++ b/internal/entry/bills.go
@@ -11,23 +11,23 @@
 // maxBillsPerForward is the maximum number of bill lines that are forwarded at once.
 const maxBillsPerForward = 2000
 
-// addBills adds bill lines to the ledger, which retains them until they are durable. They are from
+// addBills adds bill lines to the outbox, which retains them until they are durable. They are from
 // this entry's requests, or from an agent whose link to the entry of the request is lost.
 func (en *Entry) addBills(lines []wire.BillLine) {
 	now := time.Now()
 	en.mu.Lock()
 	defer en.mu.Unlock()
 	for _, li := range lines {
-		en.ledger.Add(li, now)
+		en.outbox.Add(li, now)
 	}
 }
 
-// confirmBills removes durable lines from the ledger and acknowledges them to the agents that
+// confirmBills removes durable lines from the outbox and acknowledges them to the agents that
 // retain them, with the next heartbeat.
 func (en *Entry) confirmBills(lines []wire.BillLine) {
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	en.ledger.Durable(lines)
+	en.outbox.RemoveDurable(lines)
 	for _, li := range lines {
 		if len(en.billAcks[li.Box]) < maxBillAcks {
 			en.billAcks[li.Box] = append(en.billAcks[li.Box], wire.BillLine{Request: li.Request, Step: li.Step})
@@ -53,7 +53,7 @@
 // agents; otherwise compare-and-swap resolves concurrent writes.
 func (en *Entry) forwardBills(now time.Time) {
 	en.mu.Lock()
-	lines := en.ledger.Due(maxBillsPerForward, now)
+	lines := en.outbox.TakeDue(maxBillsPerForward, now)
 	en.mu.Unlock()
 	if len(lines) == 0 {
 		return
--- a/internal/entry/blocks.go
+++ b/internal/entry/blocks.go
@@ -44,7 +44,7 @@
 		duration := en.detector.Record(su, now)
 		en.mu.Unlock()
 		if duration > 0 {
-			en.addBlock(poison.NewBlock(su.Fingerprint, duration, clock.Day()), false, now)
+			en.addBlock(poison.NewBlock(su.Fingerprint, duration, clock.WallTime()), false, now)
 		}
 	}
 }
@@ -68,7 +68,7 @@
 // addBlock adds a block unless the request was recently found harmless.
 func (en *Entry) addBlock(bl poison.Block, stored bool, now time.Time) {
 	en.mu.Lock()
-	added := !en.detector.IsHarmless(bl.Fingerprint) && en.blocks.Add(bl, bl.Remaining(clock.Day()), stored, now)
+	added := !en.detector.IsHarmless(bl.Fingerprint) && en.blocks.Add(bl, bl.Remaining(clock.WallTime()), stored, now)
 	en.mu.Unlock()
 	if added {
 		en.Node.Record(timeline.Entry{Event: event.RequestBlocked, Detail: bl.Fingerprint.String()})
@@ -119,7 +119,9 @@
 	if len(list) == 0 && !liftsUnstored {
 		return
 	}
-	edit := func(value []byte) ([]byte, error) { return poison.MergeBlocks(value, list, en.isHarmless, clock.Day()) }
+	edit := func(value []byte) ([]byte, error) {
+		return poison.MergeBlocks(value, list, en.isHarmless, clock.WallTime())
+	}
 	if !en.updateDocument(ctx, blocksKey, edit) {
 		en.Node.Record(timeline.Entry{Event: event.StoreCallFailed, Detail: "blocks could not be stored"})
 		return
--- a/internal/entry/caller_request.go
+++ b/internal/entry/caller_request.go
@@ -149,7 +149,7 @@
 	}
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	if en.ledger.Full() {
+	if en.outbox.Full() {
 		return result.New(result.BillsFull, "")
 	}
 	return nil
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -86,7 +86,7 @@
 	balancer balance.Balancer
 	members  member.View
 	budgets  budget.Teams
-	ledger   bill.Ledger
+	outbox   bill.Outbox
 	// billsForwarded is the time when bills were last forwarded. Only the tick goroutine uses it.
 	billsForwarded time.Time
 	// billAcks holds the acknowledgements of durable lines that are pending for each agent, by box.
@@ -149,7 +149,7 @@
 	en.balancer = balance.Balancer{DataCentre: se.DataCentre}
 	en.members = member.View{Self: se.Box}
 	en.budgets = budget.Teams{Ratio: se.Limits.RetryRatio}
-	en.ledger = bill.Ledger{Bound: se.Limits.Bills, Every: billResendInterval, Spare: maxRedundantBills}
+	en.outbox = bill.Outbox{Capacity: se.Limits.Bills, RetryInterval: billResendInterval, SoftLimit: maxRedundantBills}
 	en.billAcks = map[string][]wire.BillLine{}
 	en.Node.Fanout = replica.EntryFanout
 	en.dialers = map[string]dialer{}
@@ -214,13 +214,13 @@
 		en.handleAttemptFrame(li, fr)
 	case wire.Peers:
 		en.mu.Lock()
-		en.members.Peers(li.Peer.Box(), fr.Peers)
+		en.members.SetEntries(li.Peer.Box(), fr.Peers)
 		en.mu.Unlock()
 	case wire.Bills:
 		en.addBills(fr.Bills)
 	case wire.BillsBuffered:
 		en.mu.Lock()
-		en.ledger.Taken(fr.Bills)
+		en.outbox.RemoveAccepted(fr.Bills)
 		en.mu.Unlock()
 	case wire.BillsStored:
 		en.confirmBills(fr.Bills)
@@ -271,7 +271,7 @@
 func (en *Entry) drained() bool {
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	return en.inProgress == 0 && en.ledger.Len() == 0
+	return en.inProgress == 0 && en.outbox.Len() == 0
 }
 
 // attemptPolicy implements route.Picker and, for a team, route.RetryBudget.
--- a/internal/entry/feedback.go
+++ b/internal/entry/feedback.go
@@ -166,7 +166,7 @@
 	en.mu.Lock()
 	pending, outcomes := en.feedback.pendingRatings, en.feedback.pendingOutcomes
 	en.feedback.pendingRatings, en.feedback.pendingOutcomes = quality.Table{}, rollout.Tallies{}
-	leader := en.members.Leads()
+	leader := en.members.IsLeader()
 	en.mu.Unlock()
 	if !leader {
 		// The leader receives the same agents' counters and stores their outcomes. Ratings were
--- a/internal/entry/links.go
+++ b/internal/entry/links.go
@@ -181,7 +181,7 @@
 	if en.Node.RemoveLink(li, err) {
 		en.mu.Lock()
 		en.balancer.LinkDown(bo.Server)
-		en.members.AgentDown(li.Peer.Box())
+		en.members.RemoveAgent(li.Peer.Box())
 		en.mu.Unlock()
 	}
 	en.failAttempts(li)
--- a/internal/entry/rollouts.go
+++ b/internal/entry/rollouts.go
@@ -40,7 +40,7 @@
 func (en *Entry) isLeader() bool {
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	return en.members.Leads()
+	return en.members.IsLeader()
 }
 
 // readOutcomes returns the sum of the outcomes of all data centres.
--- a/internal/entry/store.go
+++ b/internal/entry/store.go
@@ -43,7 +43,7 @@
 func (en *Entry) isWatcher() bool {
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	return en.members.Watches()
+	return en.members.IsWatcher()
 }
 
 func (en *Entry) logWatching(watcher bool) {
--- a/internal/member/member_test.go
+++ b/internal/member/member_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// views are the pictures of a number of entries that all see the same agents.
-func views(entries int) []*View {
+// newViews returns the views of a number of entries that have the same agents.
+func newViews(entries int) []*View {
 	var names []string
 	for i := range entries {
 		names = append(names, fmt.Sprintf("e%d", i))
@@ -16,8 +16,8 @@
 	var all []*View
 	for _, na := range names {
 		vi := &View{Self: na}
-		vi.Peers("agent-1", names)
-		vi.Peers("agent-2", names[:1])
+		vi.SetEntries("agent-1", names)
+		vi.SetEntries("agent-2", names[:1])
 		all = append(all, vi)
 	}
 	return all
@@ -33,21 +33,21 @@
 	return n
 }
 
-func TestTwoWatchAndOneLeads(t *testing.T) {
+func TestTwoWatchersAndOneLeader(t *testing.T) {
 	for _, entries := range []int{2, 3, 46} {
-		all := views(entries)
-		require.Equal(t, 2, count(all, (*View).Watches))
-		require.Equal(t, 1, count(all, (*View).Leads))
+		all := newViews(entries)
+		require.Equal(t, 2, count(all, (*View).IsWatcher))
+		require.Equal(t, 1, count(all, (*View).IsLeader))
 	}
-	alone := &View{Self: "e"}
-	require.True(t, alone.Watches())
-	require.True(t, alone.Leads())
+	single := &View{Self: "e"}
+	require.True(t, single.IsWatcher())
+	require.True(t, single.IsLeader())
 }
 
-func TestALostWatcherIsReplaced(t *testing.T) {
-	all := views(10)
+func TestLostLeaderIsReplaced(t *testing.T) {
+	all := newViews(10)
 	for i, vi := range all {
-		if !vi.Leads() {
+		if !vi.IsLeader() {
 			continue
 		}
 		rest := append(append([]*View{}, all[:i]...), all[i+1:]...)
@@ -56,19 +56,19 @@
 			names = append(names, ot.Self)
 		}
 		for _, ot := range rest {
-			ot.AgentDown("agent-2")
-			ot.Peers("agent-1", names)
+			ot.RemoveAgent("agent-2")
+			ot.SetEntries("agent-1", names)
 		}
-		require.Equal(t, 2, count(rest, (*View).Watches))
-		require.Equal(t, 1, count(rest, (*View).Leads))
+		require.Equal(t, 2, count(rest, (*View).IsWatcher))
+		require.Equal(t, 1, count(rest, (*View).IsLeader))
 		return
 	}
-	t.Fatal("nobody leads")
+	t.Fatal("no entry is the leader")
 }
 
-func TestWhoHearsOfNobodyTakesTheDuty(t *testing.T) {
-	vi := views(10)[9]
-	vi.AgentDown("agent-1")
-	vi.AgentDown("agent-2")
-	require.True(t, vi.Watches(), "a duty done twice costs a read; one done by nobody costs the promise")
+func TestEntryWithoutAgentsIsWatcher(t *testing.T) {
+	vi := newViews(10)[9]
+	vi.RemoveAgent("agent-1")
+	vi.RemoveAgent("agent-2")
+	require.True(t, vi.IsWatcher(), "an entry that knows no other must watch, or no entry might")
 }
--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -88,7 +88,7 @@
 	if len(keys) == 0 {
 		return true
 	}
-	digest := config.Digest(BearerKey(r))
+	digest := config.KeyDigest(BearerKey(r))
 	// All keys are compared, so that the duration does not depend on which one matches.
 	matched := 0
 	for _, key := range keys {
