--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -1,6 +1,6 @@
-// Package entry is the process that callers reach: it knows teams and
-// versions, chooses where each request goes, and gives the caller one whole
-// answer or one final code.
+// Package entry implements the process that callers connect to: it identifies the caller's team,
+// selects a version and a backend server for each request, and responds with one complete answer or
+// one final result code.
 package entry
 
 import (
@@ -34,19 +34,24 @@
 )
 
 const (
-	// tickEvery is how often bills and unanswered questions are looked at.
-	tickEvery = 500 * time.Millisecond
-	// billRepeat is the time after which lines are handed on again.
-	billRepeat = 20 * time.Second
-	// spareBills is how many lines an entry holds although their writers do.
-	spareBills = 10_000
-	// drainCheck is how often a planned stop looks whether all has ended.
-	drainCheck = 20 * time.Millisecond
-	// flushWait is how long the links have to send what was queued last.
-	flushWait = 100 * time.Millisecond
+	// tickInterval is the time between two checks for due bills and unanswered configuration
+	// requests.
+	tickInterval = 500 * time.Millisecond
+	// billResendInterval is the time after which a bill line is first sent again if it is not known
+	// to be durable.
+	billResendInterval = 20 * time.Second
+	// maxRedundantBills is the number of bill lines that an entry retains although their writers
+	// hold them in memory.
+	maxRedundantBills = 10_000
+	// drainPollInterval is the time between two checks during a planned stop whether all requests
+	// and bills are done.
+	drainPollInterval = 20 * time.Millisecond
+	// linkFlushTime is how long the links may take to send the last queued frames before the
+	// process stops.
+	linkFlushTime = 100 * time.Millisecond
 )
 
-// Store is what is used of the key-value service.
+// Store is the subset of the key-value service that the entry uses.
 type Store interface {
 	Get(ctx context.Context, key string) (kv.Pair, error)
 	Watch(ctx context.Context, key string, after uint64, wait time.Duration) (kv.Pair, uint64, error)
@@ -54,66 +59,66 @@
 	Swap(ctx context.Context, key string, value []byte, index uint64) (bool, error)
 }
 
-// Lister reads the platform's list of boxes.
-type Lister interface {
+// BoxLister reads the platform's list of boxes.
+type BoxLister interface {
 	List(ctx context.Context) ([]boxes.Box, error)
 }
 
-// Entry serves callers. Its exported fields are set before Run.
+// Entry serves callers. Its exported fields must be set before Run.
 type Entry struct {
 	Node *node.Node
 	// Callers and Admin are the open listeners.
 	Callers, Admin net.Listener
 	Store          Store
-	Boxes          Lister
+	Boxes          BoxLister
 
-	// stored is the newest configuration that was read from the store; only the goroutine that
-	// watches it uses it.
-	stored *config.Envelope
-	// supervisor holds a dialer for each agent.
+	// storedConfig is the newest configuration read from the store. Only the goroutine that watches
+	// the store uses it.
+	storedConfig *config.Envelope
+	// supervisor runs the services of the process and a dialer for each agent.
 	supervisor *suture.Supervisor
-	// streams numbers the attempts of this process.
+	// streams is the number of the latest attempt of this process.
 	streams atomic.Uint64
 
-	// mu guards what follows. It may be taken while the node's lock is held,
-	// so nothing under it may call what takes the node's lock.
-	mu      sync.Mutex
-	board   balance.Balancer
-	view    member.View
-	budgets budget.Teams
-	ledger  bill.Outbox
-	// offered is when bills were last handed on; only the ticks touch it.
-	offered time.Time
-	// tell holds the durable lines that agents must be told of, by box.
-	tell map[string][]wire.BillLine
+	// mu guards the fields below. It may be locked while the node's lock is held, so code that
+	// holds it must not call anything that locks the node.
+	mu       sync.Mutex
+	balancer balance.Balancer
+	members  member.View
+	budgets  budget.Teams
+	outbox   bill.Outbox
+	// billsForwarded is the time when bills were last forwarded. Only the tick goroutine uses it.
+	billsForwarded time.Time
+	// billAcks holds the acknowledgements of durable lines that are pending for each agent, by box.
+	billAcks map[string][]wire.BillLine
 	// dialers holds the supervised dialer of each agent, by box.
 	dialers map[string]dialer
-	// serverOf and boxOf map an agent's box to its backend server and back.
+	// serverOf maps an agent's box to its backend server, boxOf is the inverse.
 	serverOf, boxOf map[string]string
-	// attempts holds the request that waits for each attempt's frames.
+	// attempts maps the stream number of each attempt to its request.
 	attempts map[uint64]*sentAttempt
-	// learnt is what has been learnt of the versions.
-	learnt learnt
-	// pins remembers the versions of sessions seen here; turned is when its
-	// newest generation began.
-	pins   pinCache
-	turned time.Time
-	// plans holds why the newest requests went where they went.
+	// feedback holds the observed quality of the versions.
+	feedback feedback
+	// pins caches the versions of sessions; pinsRotated is the time of its last rotation.
+	pins        pinCache
+	pinsRotated time.Time
+	// plans holds the plans of recent requests, for the explain command.
 	plans planLog
-	// claims holds the requests that wait for a claim, by key.
-	claims map[string][]chan wire.ClaimLine
-	// homesOf ranks the agents for each claim log.
-	homesOf [claim.Shards][]string
-	// cases holds what agents suspect of requests, blocks those that are not to be sent.
-	cases  poison.Detector
-	blocks poison.Blocks
-	// unwritten is set if a block was lifted that may still be kept.
-	unwritten bool
-	// inProgress counts the callers' requests.
+	// claimWaiters holds the requests that wait for a claim, by key.
+	claimWaiters map[string][]chan wire.ClaimLine
+	// ownersByShard holds the ranked agents of each claim log.
+	ownersByShard [claim.Shards][]string
+	// detector counts the server crashes of each suspected request; blocks holds the requests that
+	// must not be sent.
+	detector poison.Detector
+	blocks   poison.Blocks
+	// liftsUnstored is set if a block was lifted and the store may still hold it.
+	liftsUnstored bool
+	// inProgress is the number of callers' requests in progress.
 	inProgress int
 }
 
-// Run serves until the context ends, and then ends all work in progress.
+// Run serves until the context ends, and then waits for the work in progress.
 func (en *Entry) Run(ctx context.Context) error {
 	en.prepare()
 	work, stopWork := context.WithCancel(context.WithoutCancel(ctx))
@@ -121,11 +126,11 @@
 	en.supervisor = node.NewSupervisor("entry", en.Node)
 	en.supervisor.Add(node.Service{Name: "callers", Run: en.serveCallers(ctx)})
 	en.supervisor.Add(node.Service{Name: "admin", Run: en.serveAdmin})
-	en.supervisor.Add(node.Service{Name: "boxes", Run: en.followBoxes})
+	en.supervisor.Add(node.Service{Name: "boxes", Run: en.pollBoxes})
 	en.supervisor.Add(node.Service{Name: "watch", Run: en.watchStore})
-	en.supervisor.Add(node.Service{Name: "learnt", Run: en.learn})
-	en.supervisor.Add(node.Service{Name: "blocks", Run: en.keepBlocks})
-	en.supervisor.Add(node.Service{Name: "rollouts", Run: en.followRollouts})
+	en.supervisor.Add(node.Service{Name: "learnt", Run: en.syncFeedback})
+	en.supervisor.Add(node.Service{Name: "blocks", Run: en.syncBlocks})
+	en.supervisor.Add(node.Service{Name: "rollouts", Run: en.runRollouts})
 	en.supervisor.Add(node.Service{Name: "ticks", Run: en.tick})
 	ended := en.supervisor.ServeBackground(work)
 	en.Node.Record(timeline.Entry{Event: event.ProcessStarted, Detail: "entry"})
@@ -141,24 +146,23 @@
 
 func (en *Entry) prepare() {
 	se := en.Node.Settings
-	en.board = balance.Balancer{DataCentre: se.DataCentre}
-	en.view = member.View{Self: se.Box}
+	en.balancer = balance.Balancer{DataCentre: se.DataCentre}
+	en.members = member.View{Self: se.Box}
 	en.budgets = budget.Teams{Ratio: se.Limits.RetryRatio}
-	en.ledger = bill.Outbox{Capacity: se.Limits.Bills, RetryInterval: billRepeat, SoftLimit: spareBills}
-	en.tell = map[string][]wire.BillLine{}
+	en.outbox = bill.Outbox{Capacity: se.Limits.Bills, RetryInterval: billResendInterval, SoftLimit: maxRedundantBills}
+	en.billAcks = map[string][]wire.BillLine{}
 	en.Node.Fanout = replica.EntryFanout
 	en.dialers = map[string]dialer{}
 	en.serverOf = map[string]string{}
 	en.boxOf = map[string]string{}
 	en.attempts = map[uint64]*sentAttempt{}
-	en.learnt = newLearnt()
-	en.claims = map[string][]chan wire.ClaimLine{}
-	en.cases = poison.Detector{MinCrashes: poison.MinCrashes}
-	en.Node.OnAdopt = en.adopted
+	en.feedback = newFeedback()
+	en.claimWaiters = map[string][]chan wire.ClaimLine{}
+	en.detector = poison.Detector{MinCrashes: poison.MinCrashes}
+	en.Node.OnAdopt = en.configAdopted
 }
 
-// serveCallers stops taking requests when the process is to stop, and lets
-// those in progress end.
+// serveCallers serves callers until stop ends, and then waits for the requests in progress.
 func (en *Entry) serveCallers(stop context.Context) func(context.Context) error {
 	return func(context.Context) error {
 		err := node.ServeHTTP(stop, en.Callers, en.callerRouter(), en.Node.Settings.Limits.StopTimeout())
@@ -173,121 +177,123 @@
 	return node.ServeHTTP(ctx, en.Admin, en.adminRouter(), time.Second)
 }
 
-// adopted takes a revision into force; the node's lock is held.
-func (en *Entry) adopted(sn *config.Snapshot) {
+// configAdopted applies a new configuration revision. The node's lock is held by the caller.
+func (en *Entry) configAdopted(sn *config.Snapshot) {
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	en.board.Reconfigure(sn)
+	en.balancer.Reconfigure(sn)
 }
 
-// Heartbeat returns the heartbeat for an agent.
+// Heartbeat returns the heartbeat to send to an agent.
 func (en *Entry) Heartbeat(li *link.Link) *wire.Frame {
-	fr := &wire.Frame{Kind: wire.Heartbeat, Revision: en.Node.Snapshot().Revision(), Bills: en.told(li.Peer.Box())}
+	fr := &wire.Frame{Kind: wire.Heartbeat, Revision: en.Node.Snapshot().Revision(), Bills: en.takeBillAcks(li.Peer.Box())}
 	en.mu.Lock()
 	defer en.mu.Unlock()
 	fr.Fingerprints = en.blocks.Fingerprints()
 	return fr
 }
 
-// HandleFrame takes a frame from an agent.
+// HandleFrame handles a frame from an agent.
 func (en *Entry) HandleFrame(li *link.Link, fr *wire.Frame) {
 	if en.Node.HandleConfigFrame(li, fr) {
 		return
 	}
 	if fr.Load != nil {
 		en.mu.Lock()
-		en.board.SetLoad(en.serverOf[li.Peer.Box()], *fr.Load)
+		en.balancer.SetLoad(en.serverOf[li.Peer.Box()], *fr.Load)
 		for _, ou := range fr.Load.Versions {
-			en.learnt.count(li.Peer.Box(), ou.Version, rollout.Tally{Started: ou.Started, Failed: ou.Failed})
+			en.feedback.addCounters(li.Peer.Box(), ou.Version, rollout.Tally{Started: ou.Started, Failed: ou.Failed})
 		}
 		en.mu.Unlock()
 	}
 	if len(fr.Fingerprints) > 0 {
-		en.liftSound(fr.Fingerprints, clock.Now())
+		en.liftHarmless(fr.Fingerprints, clock.Now())
 	}
 	switch fr.Kind {
 	case wire.Admission, wire.Head, wire.Data, wire.End:
-		en.deliver(li, fr)
+		en.handleAttemptFrame(li, fr)
 	case wire.Peers:
 		en.mu.Lock()
-		en.view.SetEntries(li.Peer.Box(), fr.Peers)
+		en.members.SetEntries(li.Peer.Box(), fr.Peers)
 		en.mu.Unlock()
 	case wire.Bills:
-		en.hold(fr.Bills)
+		en.addBills(fr.Bills)
 	case wire.BillsBuffered:
 		en.mu.Lock()
-		en.ledger.RemoveAccepted(fr.Bills)
+		en.outbox.RemoveAccepted(fr.Bills)
 		en.mu.Unlock()
 	case wire.BillsStored:
-		en.billed(fr.Bills)
+		en.confirmBills(fr.Bills)
 	case wire.ClaimReply:
-		en.claimed(fr.Claims)
+		en.deliverClaims(fr.Claims)
 	case wire.CrashSuspects:
-		en.suspect(fr.Suspicions, clock.Now())
+		en.recordSuspicions(fr.Suspicions, clock.Now())
 	}
 }
 
-// tick hands bills on and asks again for what was not answered.
+// tick periodically forwards bills, rotates the session cache and repeats unanswered configuration
+// requests.
 func (en *Entry) tick(ctx context.Context) error {
-	return node.Every(ctx, tickEvery, func(now time.Time) {
+	return node.Every(ctx, tickInterval, func(now time.Time) {
 		en.Node.Tick(now)
-		if now.Sub(en.offered) >= en.Node.Settings.Limits.BillFlushInterval() {
-			en.offered = now
-			en.offerBills(now)
+		if now.Sub(en.billsForwarded) >= en.Node.Settings.Limits.BillFlushInterval() {
+			en.billsForwarded = now
+			en.forwardBills(now)
 		}
-		en.turnPins(now)
+		en.rotatePins(now)
 	})
 }
 
-func (en *Entry) turnPins(now time.Time) {
+func (en *Entry) rotatePins(now time.Time) {
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	if now.Sub(en.turned) >= pinTurn {
-		en.turned = now
-		en.pins.turn()
+	if now.Sub(en.pinsRotated) >= pinRotationInterval {
+		en.pinsRotated = now
+		en.pins.rotate()
 	}
 }
 
-// drain lets requests in progress end and hands their bills on.
+// drain waits for the requests in progress to end and for their bills to become durable, up to the
+// stop timeout of the settings.
 func (en *Entry) drain() {
 	en.Node.Stop()
-	until := time.Now().Add(en.Node.Settings.Limits.StopTimeout())
-	for !en.drained() && time.Now().Before(until) {
-		en.offerBills(time.Now())
-		time.Sleep(drainCheck)
+	deadline := time.Now().Add(en.Node.Settings.Limits.StopTimeout())
+	for !en.drained() && time.Now().Before(deadline) {
+		en.forwardBills(time.Now())
+		time.Sleep(drainPollInterval)
 	}
 	for _, li := range en.Node.Links() {
-		li.Send(&wire.Frame{Kind: wire.BillsStored, Bills: en.told(li.Peer.Box())})
+		li.Send(&wire.Frame{Kind: wire.BillsStored, Bills: en.takeBillAcks(li.Peer.Box())})
 	}
-	time.Sleep(flushWait)
+	time.Sleep(linkFlushTime)
 }
 
 func (en *Entry) drained() bool {
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	return en.inProgress == 0 && en.ledger.Len() == 0
+	return en.inProgress == 0 && en.outbox.Len() == 0
 }
 
-// pick is the route's view of the board and of its team's budget.
-type pick struct {
+// attemptPolicy implements route.Picker and, for a team, route.RetryBudget.
+type attemptPolicy struct {
 	en   *Entry
 	team string
 }
 
 // Pick returns a server that was not tried yet.
-func (pi pick) Pick(what string, tried []string) (string, bool) {
-	pi.en.mu.Lock()
-	defer pi.en.mu.Unlock()
-	server, ok := pi.en.board.Pick(what, tried, rand.Uint64())
+func (ap attemptPolicy) Pick(target string, tried []string) (string, bool) {
+	ap.en.mu.Lock()
+	defer ap.en.mu.Unlock()
+	server, ok := ap.en.balancer.Pick(target, tried, rand.Uint64())
 	if ok {
-		pi.en.board.AttemptSent(server)
+		ap.en.balancer.AttemptSent(server)
 	}
 	return server, ok
 }
 
-// Take takes one retry from the team's budget.
-func (pi pick) Take(now time.Time) bool {
-	pi.en.mu.Lock()
-	defer pi.en.mu.Unlock()
-	return pi.en.budgets.For(pi.team).Take(now)
+// Take reports whether a retry is allowed by the team's budget and, if so, consumes it.
+func (ap attemptPolicy) Take(now time.Time) bool {
+	ap.en.mu.Lock()
+	defer ap.en.mu.Unlock()
+	return ap.en.budgets.For(ap.team).Take(now)
 }
