--- a/cmd/linnetrudderctl/explain.go
+++ b/cmd/linnetrudderctl/explain.go
@@ -10,22 +10,22 @@
 	"github.com/rotisserie/eris"
 
 	"github.com/linnetrudder/linnetrudder/internal/entry"
+	"github.com/linnetrudder/linnetrudder/internal/explain"
 	"github.com/linnetrudder/linnetrudder/internal/result"
-	"github.com/linnetrudder/linnetrudder/internal/story"
 )
 
-// explainCmd asks why.
+// explainCmd explains how a hypothetical request would be routed, or how a past request ended.
 type explainCmd struct {
-	Request string `help:"Id of a request that was made; the entries that kept it are asked."`
-	Team    string `help:"Team of a request that is only thought of."`
-	Model   string `default:"auto" help:"Model that the caller names."`
+	Request string `help:"ID of a past request; the entries are searched for it."`
+	Team    string `help:"Team of a hypothetical request."`
+	Model   string `default:"auto" help:"Model that the request names."`
 	Kind    string `help:"Kind of the request."`
 	Session string `help:"Session of the request."`
-	// Logs stand in place of the entries.
-	Logs []string `help:"Files with the logs of gateways, of any boxes in any order: tells from them what became of --request." type:"existingfile"`
+	// Logs are searched instead of asking the entries.
+	Logs []string `help:"Gateway log files, from any boxes in any order, from which to explain how --request ended." type:"existingfile"`
 }
 
-// Run asks an entry what it would do, or tells from logs what became of a request.
+// Run asks an entry for an explanation, or derives it from log files if any are given.
 func (cm *explainCmd) Run(cl *client, pr *printer) error {
 	if len(cm.Logs) > 0 {
 		return cm.fromLogs(pr)
@@ -37,51 +37,51 @@
 		"request": cm.Request, "team": cm.Team, "model": cm.Model, "kind": cm.Kind, "session": cm.Session,
 	})
 	if err != nil {
-		return eris.Wrap(err, "explain")
+		return eris.Wrap(err, "encode request")
 	}
 	var ex entry.Explanation
 	if err := cl.call(http.MethodPost, "/v1/explain", body, &ex); err != nil {
 		return err
 	}
 	return pr.show(ex, func(w io.Writer) {
-		fmt.Fprintf(w, "%s: %v (%s)\n", result.Of(ex.Code).Name(), ex.Steps, ex.Reason)
+		fmt.Fprintf(w, "%s: %v (%s)\n", result.Lookup(ex.Code).Name(), ex.Steps, ex.Reason)
 		for _, ca := range ex.Candidates {
 			fmt.Fprintf(w, "  %s\t%s\tquality %.3f (at least %.3f)\tcost %.0f\n",
-				ca.Version, result.Of(ca.Code).Name(), ca.Mean, ca.Lower, ca.Cost)
+				ca.Version, result.Lookup(ca.Code).Name(), ca.Mean, ca.LowerBound, ca.Cost)
 		}
 	})
 }
 
-// fromLogs tells what the logs say of a request.
+// fromLogs explains from log files how a request ended.
 func (cm *explainCmd) fromLogs(pr *printer) error {
 	if cm.Request == "" {
 		return result.New(result.BadRequest, "--logs needs --request")
 	}
-	st := story.Story{Request: cm.Request}
+	ex := explain.Explainer{Request: cm.Request}
 	for _, path := range cm.Logs {
-		if err := readLog(&st, path); err != nil {
+		if err := readLog(&ex, path); err != nil {
 			return err
 		}
 	}
-	told, err := st.Tell()
+	sentences, err := ex.Explain()
 	if err != nil {
 		return err
 	}
-	return pr.show(told, func(w io.Writer) {
-		for _, sentence := range told {
+	return pr.show(sentences, func(w io.Writer) {
+		for _, sentence := range sentences {
 			fmt.Fprintln(w, sentence)
 		}
-		if torn := st.Torn(); torn > 0 {
-			fmt.Fprintf(w, "%d torn lines were passed over.\n", torn)
+		if malformed := ex.MalformedLines(); malformed > 0 {
+			fmt.Fprintf(w, "Skipped %d malformed lines.\n", malformed)
 		}
 	})
 }
 
-func readLog(st *story.Story, path string) error {
+func readLog(ex *explain.Explainer, path string) error {
 	file, err := os.Open(path)
 	if err != nil {
 		return eris.Wrap(err, "open log")
 	}
 	defer file.Close()
-	return eris.Wrap(st.Read(file), path)
+	return eris.Wrap(ex.Read(file), path)
 }
--- a/internal/agent/selfreports_test.go
+++ b/internal/agent/selfreports_test.go
@@ -70,7 +70,7 @@
 			acs = acs[1:]
 			if ac.Kind() == gate.Refuse {
 				refused++
-				require.Equal(t, result.DidNotRun, result.Of(ac.Code()).Run())
+				require.Equal(t, result.DidNotRun, result.Lookup(ac.Code()).Run())
 				require.Positive(t, ac.RetryAfter())
 				continue
 			}
@@ -147,7 +147,7 @@
 		ac := ag.tryAttempt(t, 2+i, now)
 		require.Equal(t, gate.Refuse, ac.Kind())
 		require.Equal(t, result.Leaving, ac.Code())
-		require.Equal(t, result.DidNotRun, result.Of(ac.Code()).Run())
+		require.Equal(t, result.DidNotRun, result.Lookup(ac.Code()).Run())
 	}
 	require.EqualValues(t, 1, requests.Load())
 	require.True(t, ag.load().Leaving, "entries must not send it attempts")
@@ -197,10 +197,10 @@
 	se := &config.Server{Versions: []string{"m@v1"}}
 	ac, ok := ag.nextAction(se)
 	require.True(t, ok)
-	require.Equal(t, order.Look, ac.Do())
+	require.Equal(t, order.ListVersions, ac.Kind())
 	require.NoError(t, ag.callOrders(t.Context(), http.MethodPost, nil, nil))
 	require.True(t, ag.gate.ServerLeaving(), "responses to orders announce it as well")
-	ag.reconciler.Looked(nil, nil, clock.Now())
+	ag.reconciler.HandleList(nil, nil, clock.Now())
 	_, ok = ag.nextAction(se)
 	require.False(t, ok)
 }
--- a/internal/agent/streams.go
+++ b/internal/agent/streams.go
@@ -58,10 +58,10 @@
 		Kind: wire.Admission, Stream: key.Stream, Code: co, RetryAfterMS: after.Milliseconds(),
 		Load: &lo, Revision: ag.gate.Revision(), Stamp: ag.Node.Stamp(),
 	})
-	metrics.Attempts.Add(result.Of(co).Name(), 1)
+	metrics.Attempts.Add(result.Lookup(co).Name(), 1)
 	ag.Node.Record(timeline.Entry{
 		Event: event.AttemptRefused, Request: at.Request, Team: at.Team, Version: at.Version,
-		Detail: result.Of(co).Name(),
+		Detail: result.Lookup(co).Name(),
 	})
 }
 
@@ -103,7 +103,7 @@
 // once.
 func (ag *Agent) cancelLinkStreams(li *link.Link) {
 	ag.mu.Lock()
-	ag.ledger.MakeDue(time.Now())
+	ag.ledger.MakeAllDue(time.Now())
 	var keys []gate.Key
 	for key, st := range ag.streams {
 		if st.li == li && (st.cancel == nil || !st.at.AtMostOnce) {
--- a/internal/entry/bills.go
+++ b/internal/entry/bills.go
@@ -8,52 +8,52 @@
 	"github.com/linnetrudder/linnetrudder/internal/wire"
 )
 
-// billsPerOffer bounds the lines that are handed on at once.
-const billsPerOffer = 2000
+// maxBillsPerForward is the maximum number of bill lines that are forwarded at once.
+const maxBillsPerForward = 2000
 
-// hold keeps lines until they are durable: those of this entry's requests and
-// those that an agent hands on because their entry is gone.
-func (en *Entry) hold(lines []wire.BillLine) {
+// addBills adds bill lines to the outbox, which retains them until they are durable. They are from
+// this entry's requests, or from an agent whose link to the entry of the request is lost.
+func (en *Entry) addBills(lines []wire.BillLine) {
 	now := time.Now()
 	en.mu.Lock()
 	defer en.mu.Unlock()
 	for _, li := range lines {
-		en.ledger.Add(li, now)
+		en.outbox.Add(li, now)
 	}
 }
 
-// billed forgets durable lines and lets the agents that hold them know with
-// their next heartbeats.
-func (en *Entry) billed(lines []wire.BillLine) {
+// confirmBills removes durable lines from the outbox and acknowledges them to the agents that
+// retain them, with the next heartbeat.
+func (en *Entry) confirmBills(lines []wire.BillLine) {
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	en.ledger.Durable(lines)
+	en.outbox.RemoveDurable(lines)
 	for _, li := range lines {
-		if len(en.tell[li.Box]) < maxTell {
-			en.tell[li.Box] = append(en.tell[li.Box], wire.BillLine{Request: li.Request, Step: li.Step})
+		if len(en.billAcks[li.Box]) < maxBillAcks {
+			en.billAcks[li.Box] = append(en.billAcks[li.Box], wire.BillLine{Request: li.Request, Step: li.Step})
 		}
 	}
 }
 
-// maxTell bounds what waits to be told to one agent. An agent that misses it
-// hands its lines on again, and is told then.
-const maxTell = 5000
+// maxBillAcks is the maximum number of acknowledgements that are pending for one agent. Further
+// ones are dropped; the agent then sends its lines again and they are acknowledged again.
+const maxBillAcks = 5000
 
-// told returns what an agent must be told, once.
-func (en *Entry) told(box string) []wire.BillLine {
+// takeBillAcks returns and removes the pending acknowledgements for an agent.
+func (en *Entry) takeBillAcks(box string) []wire.BillLine {
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	lines := en.tell[box]
-	delete(en.tell, box)
+	lines := en.billAcks[box]
+	delete(en.billAcks, box)
 	return lines
 }
 
-// offerBills hands lines to the agents that write their documents. Every line
-// of one document goes to the same agent as long as the entries of the data
-// centre see the same agents; if they do not, compare-and-swap keeps order.
-func (en *Entry) offerBills(now time.Time) {
+// forwardBills sends due bill lines to the agents that write them to the store. All lines of one
+// document go to the same agent as long as the entries of the data centre are connected to the same
+// agents; otherwise compare-and-swap resolves concurrent writes.
+func (en *Entry) forwardBills(now time.Time) {
 	en.mu.Lock()
-	lines := en.ledger.Due(billsPerOffer, now)
+	lines := en.outbox.TakeDue(maxBillsPerForward, now)
 	en.mu.Unlock()
 	if len(lines) == 0 {
 		return
@@ -68,15 +68,15 @@
 		box := rendezvous.First(key, writers)
 		byWriter[box] = append(byWriter[box], li)
 	}
-	for box, part := range byWriter {
+	for box, batch := range byWriter {
 		if li := en.Node.Link(box); li != nil {
-			li.Send(&wire.Frame{Kind: wire.Bills, Bills: part})
+			li.Send(&wire.Frame{Kind: wire.Bills, Bills: batch})
 		}
 	}
 }
 
-// localAgents returns the linked agents of the own data centre, or all that
-// are linked if there is none.
+// localAgents returns the connected agents in the entry's own data centre, or all connected agents
+// if it has none.
 func (en *Entry) localAgents() []string {
 	var local, all []string
 	for _, li := range en.Node.Links() {
--- a/standin/cmd/experiment/main.go
+++ b/standin/cmd/experiment/main.go
@@ -170,7 +170,7 @@
 	var goodput, others table
 	points := map[string][][2]float64{}
 	for _, load := range []float64{0.5, 1, 1.5, 3, 10} {
-		row := fmt.Sprintf("%.1f times", load)
+		row := fmt.Sprintf("%.1f times the capacity", load)
 		for seed := range fl.Seeds {
 			for _, ou := range trial.Loads(trial.Rush{Load: load, Burst: 1, For: 2 * time.Minute, Seed: uint64(seed)}) {
 				goodput.add(row, ou.Strategy, ou.Goodput)
--- a/standin/e2e/caller_test.go
+++ b/standin/e2e/caller_test.go
@@ -162,7 +162,7 @@
 func TestTeamWithoutGrantSeesNoModels(t *testing.T) {
 	sy := newSystem(t, 1, time.Millisecond)
 	doc := sy.baseConfig()
-	doc.Teams = append(doc.Teams, config.Team{Name: "other", KeyDigests: []string{config.Digest("other-key")}})
+	doc.Teams = append(doc.Teams, config.Team{Name: "other", KeyDigests: []string{config.KeyDigest("other-key")}})
 	doc.Grants[0].Teams.Equal = map[string]string{"team": "team"}
 	sy.applyConfig(doc)
 	sy.waitRevision(2, sy.fleet.Members()...)
