--- a/standin/cmd/days/disruption.go
+++ b/standin/cmd/days/disruption.go
@@ -27,9 +27,9 @@
 	target targetKind
 	// targetRequired is set if the target is always given.
 	targetRequired bool
-	// share is the fraction of the matching objects that are affected and count their number. factor
-	// is the strength of the disruption, duration its length and gap the pause between its steps,
-	// both in seconds.
+	// share is the fraction of the matching objects that are affected and count their number.
+	// factor is the strength of the disruption, duration its length and gap the pause between its
+	// steps, both in seconds.
 	share, count, factor, duration, gap valueRange
 }
 
--- a/standin/cmd/days/losses.go
+++ b/standin/cmd/days/losses.go
@@ -188,6 +188,7 @@
 	return en.Route
 }
 
+// add counts a request and its credit. lastPlace is the position of the largest model.
 func (lo *lossTally) add(en requestEnd, credit float64, lastPlace int) {
 	lo.requests++
 	lo.credit += credit
--- a/standin/cmd/days/timeline.go
+++ b/standin/cmd/days/timeline.go
@@ -24,8 +24,8 @@
 // intervalSeconds is the length of the interval that a row of a report covers.
 const intervalSeconds = 2
 
-// interval is a row of a report: the second at which the interval starts, the number of requests and
-// the number of answers in time.
+// interval is a row of a report: the second at which the interval starts, the number of requests
+// and the number of answers in time.
 type interval struct {
 	from, requests, inTime float64
 }
--- a/standin/cmd/demo/steps.go
+++ b/standin/cmd/demo/steps.go
@@ -212,13 +212,13 @@
 	return nil
 }
 
-// ratingsPerCase is the number of ratings for each version and value of Accepted, enough for the system
-// to rely on them.
+// ratingsPerCase is the number of ratings for each version and value of Accepted, enough for the
+// system to rely on them.
 const ratingsPerCase = 60
 
 // submitRatings sends ratings as the rating service would: the strong model's drafts are good, the
-// cheap one's are poor except for first attempts that the cascade accepted. Without these ratings the
-// system sends drafts to the strong model directly and tries the cheap one only occasionally.
+// cheap one's are poor except for first attempts that the cascade accepted. Without these ratings
+// the system sends drafts to the strong model directly and tries the cheap one only occasionally.
 func (de *demo) submitRatings() error {
 	var list []entry.Rating
 	add := func(version string, accepted bool, score float64) {
--- a/standin/cmd/measure/bills.go
+++ b/standin/cmd/measure/bills.go
@@ -32,14 +32,14 @@
 	if err != nil {
 		return err
 	}
-	ru := lo.sendAtRate(targets[1])
+	lr := lo.sendAtRate(targets[1])
 	after, err := takeSamplePair(entry, agent)
 	if err != nil {
 		return err
 	}
-	n := float64(ru.firstByte.TotalCount())
+	n := float64(lr.firstByte.TotalCount())
 	fmt.Printf("store down, %.0f requests answered, %d failed: entry %+.0f B, agent %+.0f B per buffered request\n",
-		n, ru.failed, float64(after.entry.rss-before.entry.rss)/n, float64(after.agent.rss-before.agent.rss)/n)
+		n, lr.failed, float64(after.entry.rss-before.entry.rss)/n, float64(after.agent.rss-before.agent.rss)/n)
 	if err := fe.Fault(store.Faults{}); err != nil {
 		return err
 	}
--- a/standin/cmd/measure/hold.go
+++ b/standin/cmd/measure/hold.go
@@ -35,10 +35,10 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	ru := &loadResult{firstByte: hdrhistogram.New(1, 60_000_000, 3)}
+	lr := &loadResult{firstByte: hdrhistogram.New(1, 60_000_000, 3)}
 	hc := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: cm.Streams}}
 	for range cm.Streams {
-		go ru.sendRequest(ctx, hc, targets[1])
+		go lr.sendRequest(ctx, hc, targets[1])
 		time.Sleep(time.Millisecond)
 	}
 	time.Sleep(5 * time.Second)
--- a/standin/cmd/measure/load.go
+++ b/standin/cmd/measure/load.go
@@ -33,23 +33,23 @@
 	if err != nil {
 		return err
 	}
-	for _, pa := range targets {
+	for _, ta := range targets {
 		before, err := takeSamplePair(entry, agent)
 		if err != nil {
 			return err
 		}
-		ru := cm.sendAtRate(pa)
+		lr := cm.sendAtRate(ta)
 		after, err := takeSamplePair(entry, agent)
 		if err != nil {
 			return err
 		}
-		for cause, n := range ru.failuresByError {
+		for cause, n := range lr.failuresByError {
 			fmt.Printf("%d failed: %s\n", n, cause)
 		}
-		tokens := float64(ru.firstByte.TotalCount()) * float64(cm.Tokens)
+		tokens := float64(lr.firstByte.TotalCount()) * float64(cm.Tokens)
 		cpu := (after.entry.cpu - before.entry.cpu) + (after.agent.cpu - before.agent.cpu)
 		fmt.Printf("%s: %d requests, %d failed, first byte p50 %d us, p99 %d us; cpu %.2f us/token (entry %.2f, agent %.2f)\n",
-			pa.name, ru.firstByte.TotalCount(), ru.failed, ru.firstByte.ValueAtQuantile(50), ru.firstByte.ValueAtQuantile(99),
+			ta.name, lr.firstByte.TotalCount(), lr.failed, lr.firstByte.ValueAtQuantile(50), lr.firstByte.ValueAtQuantile(99),
 			cpu.Seconds()*1e6/tokens, (after.entry.cpu-before.entry.cpu).Seconds()*1e6/tokens,
 			(after.agent.cpu-before.agent.cpu).Seconds()*1e6/tokens)
 	}
@@ -96,8 +96,8 @@
 }
 
 // sendAtRate sends requests at a fixed rate without waiting for earlier ones to complete.
-func (cm *loadCmd) sendAtRate(pa target) *loadResult {
-	ru := &loadResult{firstByte: hdrhistogram.New(1, 60_000_000, 3)}
+func (cm *loadCmd) sendAtRate(ta target) *loadResult {
+	lr := &loadResult{firstByte: hdrhistogram.New(1, 60_000_000, 3)}
 	hc := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 4096}}
 	ctx, cancel := context.WithTimeout(context.Background(), cm.For+time.Minute)
 	defer cancel()
@@ -106,48 +106,49 @@
 	defer ti.Stop()
 	for range int(cm.For.Seconds()) * cm.Rate {
 		<-ti.C
-		wg.Go(func() { ru.sendRequest(ctx, hc, pa) })
+		wg.Go(func() { lr.sendRequest(ctx, hc, ta) })
 	}
 	wg.Wait()
-	return ru
+	return lr
 }
 
 // sendRequest sends a streamed request, reads the complete answer and records the result.
-func (ru *loadResult) sendRequest(ctx context.Context, hc *http.Client, pa target) {
-	body := `{"model":"` + pa.model + `","stream":true,"messages":[{"role":"user","content":"menu"}]}`
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, pa.url, strings.NewReader(body))
+func (lr *loadResult) sendRequest(ctx context.Context, hc *http.Client, ta target) {
+	body := `{"model":"` + ta.model + `","stream":true,"messages":[{"role":"user","content":"menu"}]}`
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, ta.url, strings.NewReader(body))
 	if err != nil {
 		return
 	}
 	req.Header.Set("Authorization", "Bearer key")
-	began := time.Now()
+	start := time.Now()
 	resp, err := hc.Do(req)
 	if err != nil {
-		ru.recordFailure(err.Error())
+		lr.recordFailure(err.Error())
 		return
 	}
 	defer resp.Body.Close()
 	buf := make([]byte, 1)
 	_, err = io.ReadFull(resp.Body, buf)
-	took := time.Since(began)
+	elapsed := time.Since(start)
 	rest, restErr := io.ReadAll(resp.Body)
 	if err != nil || restErr != nil || resp.StatusCode != http.StatusOK || !strings.Contains(string(rest), "[DONE]") {
-		ru.recordFailure(fmt.Sprint(resp.Status, err, restErr, lastBytes(rest)))
+		lr.recordFailure(fmt.Sprint(resp.Status, err, restErr, lastBytes(rest)))
 		return
 	}
-	ru.mu.Lock()
-	defer ru.mu.Unlock()
-	_ = ru.firstByte.RecordValue(took.Microseconds())
+	lr.mu.Lock()
+	defer lr.mu.Unlock()
+	_ = lr.firstByte.RecordValue(elapsed.Microseconds())
 }
 
-func (ru *loadResult) recordFailure(cause string) {
-	ru.mu.Lock()
-	defer ru.mu.Unlock()
-	ru.failed++
-	if ru.failuresByError == nil {
-		ru.failuresByError = map[string]int{}
+// recordFailure counts a failed request.
+func (lr *loadResult) recordFailure(cause string) {
+	lr.mu.Lock()
+	defer lr.mu.Unlock()
+	lr.failed++
+	if lr.failuresByError == nil {
+		lr.failuresByError = map[string]int{}
 	}
-	ru.failuresByError[cause]++
+	lr.failuresByError[cause]++
 }
 
 // lastBytes returns the last 200 bytes of an answer, where the error of a failed one is.
