--- a/standin/cmd/days/compare.go
+++ b/standin/cmd/days/compare.go
@@ -81,7 +81,7 @@
 	}
 	days := map[string]*dayComparison{}
 	for _, pl := range after {
-		was, ok := worth[pl.key()]
+		previous, ok := worth[pl.key()]
 		if !ok {
 			continue
 		}
@@ -91,9 +91,9 @@
 		}
 		ro := days[name]
 		n := float64(len(ro.differences))
-		ro.before = (ro.before*n + was) / (n + 1)
+		ro.before = (ro.before*n + previous) / (n + 1)
 		ro.after = (ro.after*n + pl.Worth) / (n + 1)
-		ro.differences = append(ro.differences, pl.Worth-was)
+		ro.differences = append(ro.differences, pl.Worth-previous)
 	}
 	rows := make([]dayComparison, 0, len(days))
 	for _, ro := range days {
