--- a/internal/rollout/canary.go
+++ b/internal/rollout/canary.go
@@ -25,7 +25,7 @@
 
 const (
 	// badConfirmTime is how long a version must count as bad before it fails. Within it the
-	// gateways exchange their outcomes: they report bad answers first and receive the outcomes of
+	// gateways exchange their outcomes: they report bad responses first and receive the outcomes of
 	// the others in return.
 	badConfirmTime = 800 * time.Millisecond
 	// minTrialTime is the minimum duration of the trial, even if the store was unavailable when the
@@ -55,7 +55,7 @@
 	burst float64
 	// routes holds a failure test for each route, since a version may be bad on one route only.
 	routes map[string]*failureTest
-	// slow is the test for slow answers.
+	// slow is the test for slow responses.
 	slow latencyTest
 	// own holds the outcomes of the new version on this gateway.
 	own Outcomes
@@ -85,8 +85,8 @@
 	}
 }
 
-// phaseRank orders the phases. Complete ranks above Failed, so that a stored Complete overrides the
-// local decision of a gateway that the version failed.
+// phaseRank orders the phases. Complete ranks above Failed, so that a stored Complete overrides a
+// gateway's own decision that the version failed.
 var phaseRank = map[Phase]int{Waiting: 0, Trying: 1, Shifting: 2, Failed: 3, Complete: 4}
 
 // Shares returns the trial share of each route, nil if it is unknown.
--- a/internal/rollout/canary_test.go
+++ b/internal/rollout/canary_test.go
@@ -47,9 +47,9 @@
 	require.False(t, a.SelectsSession("any", "r", inBurst))
 }
 
-// Sessions from before the order must not move to the new version in the first half of the
-// roll-out. They did whenever they continued on another gateway than the one that served their last
-// request.
+// Guards against sessions from before the order moving to the new version in the first half of the
+// roll-out, which happened whenever such a session continued on another gateway than the one that
+// served its last request.
 func TestNoSessionMovesInTheFirstHalf(t *testing.T) {
 	ca := waitingCanary()
 	for at := time.Duration(0); at < ca.Plan.Within/2; at += time.Second / 10 {
@@ -198,8 +198,8 @@
 	require.LessOrEqual(t, falseAlarms, 5)
 }
 
-// A gateway on which the version fails after the other gateways completed the roll-out must not
-// return to the old version, whose servers are stopped.
+// A gateway that detects a bad version only after the other gateways completed the roll-out must
+// not return to the old version, whose servers are stopped.
 func TestCompleteRolloutIsNotReverted(t *testing.T) {
 	ca := trialCanary()
 	ca.Enter(Shifting)
@@ -217,8 +217,7 @@
 	require.Equal(t, Complete, ca.Phase())
 }
 
-// Two servers of the new version that failed on their own must not cause a roll-back of a good
-// version.
+// Guards against a roll-back of a good version because two of its servers failed on their own.
 func TestFailingServersDoNotMakeAVersionBad(t *testing.T) {
 	ra := rand.New(rand.NewPCG(1, 2))
 	for range 200 {
@@ -313,8 +312,8 @@
 	require.Equal(t, Failed, ca.Phase())
 }
 
-// While the slow answers are too few to fail a version but exceed chance, the trial must continue.
-// A slow version received all requests in two of four simulated runs.
+// While the slow responses are too few to fail a version but exceed chance, the trial must
+// continue. A slow version received all requests in two of four simulated runs.
 func TestTrialContinuesForSuspiciousVersion(t *testing.T) {
 	ca := trialCanary()
 	for i, slow := range []bool{true, true, false, false, false} {
@@ -354,8 +353,9 @@
 	}
 }
 
-// Concurrent prompt processing slows the answers of both versions, so that a good version must not
-// count as bad if it is as slow as the old one. It did in four of twelve simulated runs.
+// Concurrent prompt processing slows the responses of both versions, so that a good version must
+// not count as bad if it is as slow as the old one. A good version counted as bad in four of twelve
+// simulated runs.
 func TestVersionThatIsAsSlowAsTheOldOneIsNotBad(t *testing.T) {
 	for _, tc := range []struct {
 		slow float64
--- a/internal/rollout/exposure.go
+++ b/internal/rollout/exposure.go
@@ -64,7 +64,7 @@
 		return true
 	}
 	rest := ex.arrivals.PerSecond("", now) * max(0, left.Seconds())
-	return ex.used()+rest <= (pl.MostShare-shareMargin/2)*(float64(ex.total)+rest)+plannedExtraPart*pl.MostExtra
+	return ex.used()+rest <= (pl.MostShare-shareMargin/2)*(float64(ex.total)+rest)+plannedExtraFraction*pl.MostExtra
 }
 
 // shiftLead returns how long before the deadline everything may go to the version, assuming the
@@ -75,6 +75,6 @@
 	}
 	perSecond := float64(ex.total) / elapsed.Seconds()
 	rest := pl.share()*pl.Within.Seconds() - ex.used()/perSecond
-	limit := time.Duration(maxShiftLeadPart * float64(pl.Within))
+	limit := time.Duration(maxShiftLeadFraction * float64(pl.Within))
 	return max(pl.minShiftLead(), min(limit, time.Duration(rest*float64(time.Second))))
 }
--- a/internal/rollout/outcomes.go
+++ b/internal/rollout/outcomes.go
@@ -3,25 +3,25 @@
 import "time"
 
 const (
-	// defaultFailureRate is the assumed normal rate of bad answers without data, minBadRate the
+	// defaultFailureRate is the assumed normal rate of bad responses without data, minBadRate the
 	// minimum rate that must be detected.
 	defaultFailureRate = 0.02
 	minBadRate         = 0.15
 	// highBadRate is the rate of a version that fails half of its requests.
 	highBadRate = 0.5
-	// minNormalSlowRate and maxNormalSlowRate bound the normal rate of slow answers, which is taken
-	// from the old version: concurrent prompt processing slows the answers of both. badSlowRate is
-	// the minimum rate that must be detected.
+	// minNormalSlowRate and maxNormalSlowRate bound the normal rate of slow responses, which is
+	// taken from the old version: concurrent prompt processing slows the responses of both.
+	// badSlowRate is the minimum rate that must be detected.
 	minNormalSlowRate = 0.05
 	maxNormalSlowRate = 0.25
 	badSlowRate       = 0.45
-	// clearRate is the rate of bad answers that must be ruled out before a roll-out completes,
-	// clearThreshold the log likelihood ratio for it: seven good answers.
+	// clearRate is the rate of bad responses that must be ruled out before a roll-out completes,
+	// clearThreshold the log likelihood ratio for it: seven good responses.
 	clearRate      = 0.3
 	clearThreshold = 2.3
-	// minRoutePart is the part of a service's requests from which a route must be clear. Bad
-	// answers on a rarer route are too few to be detected or to do much harm.
-	minRoutePart = 0.1
+	// minRouteFraction is the fraction of a service's requests from which a route must be clear.
+	// Bad responses on a rarer route are too few to be detected or to do much harm.
+	minRouteFraction = 0.1
 	// badThreshold is the cumulative log likelihood ratio at which a version counts as bad. A good
 	// version that fails as often as the old one, at a rate of 0.14, reaches it in 1 % of the
 	// roll-outs with 60 outcomes (see the tests).
@@ -69,11 +69,11 @@
 	return evidenceForGood(float64(ft.newTried), float64(ft.newBad), normal, bad) >= clearThreshold
 }
 
-// latencyTest is the test for slow answers.
+// latencyTest is the test for slow responses.
 type latencyTest struct {
 	// sum is the cumulative sum of the test; never below zero.
 	sum float64
-	// oldTimed and oldSlow count the answers of the old version.
+	// oldTimed and oldSlow count the responses of the old version.
 	oldTimed, oldSlow int
 	servers           serverSet
 }
@@ -87,15 +87,15 @@
 type RouteOutcomes struct {
 	Tried int `json:"tried"`
 	Bad   int `json:"bad"`
-	// Servers are the servers that gave bad answers.
+	// Servers are the servers that gave bad responses.
 	Servers []string `json:"servers,omitempty"`
 }
 
 // Outcomes holds the outcomes of the new version on one gateway, for the other gateways.
 type Outcomes struct {
 	Routes map[string]RouteOutcomes `json:"routes"`
-	// Timed counts the answers whose latency was evaluated, Slow the slow ones of them. SlowServers
-	// are the servers that gave slow answers.
+	// Timed counts the responses whose latency was evaluated, Slow the slow ones of them.
+	// SlowServers are the servers that gave slow responses.
 	Timed       int      `json:"paced"`
 	Slow        int      `json:"slow"`
 	SlowServers []string `json:"slow_servers,omitempty"`
@@ -141,8 +141,8 @@
 	ca.own.Routes[route] = own
 }
 
-// ObserveLatency records whether an answer of one of the versions was several times slower than the
-// old version at its best. It is evaluated only until the shift, after which the old version's
+// ObserveLatency records whether a response of one of the versions was several times slower than
+// the old version at its best. It is evaluated only until the shift, after which the old version's
 // servers are more loaded than the new version's. It is not evaluated in the burst of a
 // concentrated trial, where the new version's servers have the same load but no prompts cached yet:
 // a good version counted as slow on a simulated day without disruptions with 32 gateways.
@@ -168,7 +168,7 @@
 	ca.own.Slow += count
 }
 
-// Counts returns the new version's outcomes on this gateway; a slow answer counts as bad.
+// Counts returns the new version's outcomes on this gateway; a slow response counts as bad.
 func (ca *Canary) Counts() (tried, bad int) {
 	tried, bad = ca.own.totals()
 	return tried, bad + ca.own.Slow
@@ -186,7 +186,7 @@
 	return out
 }
 
-// TotalBad returns the known number of bad and slow answers on all gateways.
+// TotalBad returns the known number of bad and slow responses on all gateways.
 func (ca *Canary) TotalBad() int {
 	_, bad := ca.Counts()
 	for _, out := range ca.peers {
@@ -237,7 +237,7 @@
 }
 
 // Bad reports whether the new version counts as bad: one of the tests exceeds its threshold by
-// answers from enough of the servers.
+// responses from enough of the servers.
 func (ca *Canary) Bad() bool {
 	if ca.slow.sum >= badThreshold && ca.slow.servers.widespread(ca.concentrated()) {
 		return true
@@ -251,7 +251,7 @@
 }
 
 // suspicious reports whether the evidence against the version exceeds chance. The trial then
-// continues, which costs a missed deadline at most. A few slow answers of single servers are
+// continues, which costs a missed deadline at most. A few slow responses of single servers are
 // chance.
 func (ca *Canary) suspicious() bool {
 	if ca.slow.sum > suspicionThreshold && ca.slow.servers.widespread(ca.concentrated()) {
@@ -265,10 +265,10 @@
 	return false
 }
 
-// cleared reports whether the evidence for the version suffices on each significant route. It does
-// not on a process that has just started and seen no answer: one of three gateways that were
-// restarted in turn completed the roll-out of a bad version 0.7 s after its start, while another
-// had seen 18 bad answers of 49.
+// cleared reports whether the evidence for the version suffices on each significant route. It is
+// false on a process that has just started and received no response: one of three gateways that
+// were restarted in turn completed the roll-out of a bad version 0.7 s after its start, while
+// another had seen 18 bad responses of 49.
 func (ca *Canary) cleared() bool {
 	total := 0
 	for _, ft := range ca.routes {
@@ -278,7 +278,7 @@
 		return false
 	}
 	for _, ft := range ca.routes {
-		if float64(ft.oldTried+ft.newTried) >= minRoutePart*float64(total) && !ft.isClear() {
+		if float64(ft.oldTried+ft.newTried) >= minRouteFraction*float64(total) && !ft.isClear() {
 			return false
 		}
 	}
--- a/internal/rollout/power_test.go
+++ b/internal/rollout/power_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// badOnOneRoute is a simulated roll-out of a version that fails a part of one route's requests.
+// badOnOneRoute is a simulated roll-out of a version that fails a fraction of one route's requests.
 type badOnOneRoute struct {
 	within time.Duration
 	// perSecond is the request rate of each route; the requests of the first route fail.
@@ -19,20 +19,20 @@
 	extra       float64
 }
 
-// outcome is the result of a simulated roll-out.
-type outcome struct {
+// simulationResult is the result of a simulated roll-out.
+type simulationResult struct {
 	// failed is set if the version failed before the roll-out completed.
 	failed bool
 	// toNew and all count requests before the deadline, late those that the version received more
-	// than five seconds after its 50th bad answer.
+	// than five seconds after its 50th bad response.
 	toNew, all, late int
 	bad              int
 }
 
 // run simulates the roll-out in steps of 10 ms on several gateways, which receive each other's
 // outcomes every 0.5 s.
-func (ro badOnOneRoute) run(rn *rand.Rand) outcome {
-	var out outcome
+func (ro badOnOneRoute) run(rn *rand.Rand) simulationResult {
+	var out simulationResult
 	gateways := make([]*Canary, ro.gateways)
 	rates := map[string]float64{}
 	for i, rate := range ro.perSecond {
@@ -94,7 +94,7 @@
 	return out
 }
 
-// The table in docs/design/rollouts.md: how often a version that fails a part of one route's
+// The table in docs/design/rollouts.md: how often a version that fails a fraction of one route's
 // requests is detected before the roll-out completes.
 func TestTrialDetectsVersionThatIsBadOnOneRoute(t *testing.T) {
 	const runs = 60
--- a/internal/rollout/servers.go
+++ b/internal/rollout/servers.go
@@ -3,15 +3,15 @@
 import "slices"
 
 const (
-	// badServerPart is the minimum part of the tried servers that must have given bad answers. A
-	// bad version is bad on all servers, while failing servers of a good version are few: the
-	// users' disruptions affect up to a fifth.
-	badServerPart = 0.3
-	// badServerPartConcentrated is that part for a concentrated trial. Under disruptions a fifth of
-	// the servers fail on their own, so that two of eight do more often than not.
-	badServerPartConcentrated = 0.5
-	// badServerRate is the part of a server's answers that must be bad for the server to count as
-	// bad.
+	// badServerFraction is the minimum fraction of the tried servers that must have given bad
+	// responses. A bad version is bad on all servers, while failing servers of a good version are
+	// few: the users' disruptions affect up to a fifth.
+	badServerFraction = 0.3
+	// badServerFractionConcentrated is that fraction for a concentrated trial. Under disruptions a
+	// fifth of the servers fail on their own, so that two of eight do more often than not.
+	badServerFractionConcentrated = 0.5
+	// badServerRate is the fraction of a server's responses that must be bad for the server to
+	// count as bad.
 	badServerRate = 0.2
 	// minBadServers is the minimum number of bad servers, unless fewer were tried.
 	minBadServers = 2
@@ -24,7 +24,7 @@
 // serverCounts counts the outcomes of one server.
 type serverCounts struct{ tried, bad int }
 
-// isBad reports whether the server's bad answers exceed what chance explains.
+// isBad reports whether the server's bad responses exceed what chance explains.
 func (sc serverCounts) isBad() bool {
 	return sc.bad > 0 && float64(sc.bad) >= badServerRate*float64(sc.tried)
 }
@@ -41,7 +41,7 @@
 	ss.servers[server] = sc
 }
 
-// addBad records servers that gave bad answers to another gateway.
+// addBad records servers that gave bad responses to another gateway.
 func (ss *serverSet) addBad(servers []string) {
 	for _, server := range servers {
 		ss.add(server, true)
@@ -60,12 +60,12 @@
 	return list
 }
 
-// widespread reports whether enough of the servers gave bad answers.
+// widespread reports whether enough of the servers gave bad responses.
 func (ss *serverSet) widespread(concentrated bool) bool {
-	part := badServerPart
+	fraction := badServerFraction
 	if concentrated {
-		part = badServerPartConcentrated
+		fraction = badServerFractionConcentrated
 	}
 	bad, seen := len(ss.bad()), len(ss.servers)
-	return bad >= min(minBadServers, seen) && float64(bad) >= part*float64(seen)
+	return bad >= min(minBadServers, seen) && float64(bad) >= fraction*float64(seen)
 }
--- a/internal/rollout/sessions.go
+++ b/internal/rollout/sessions.go
@@ -26,10 +26,10 @@
 
 // RetriesOnNew reports whether a request is retried on the new version, given whether its first
 // attempt was. During the trial, requests that started on another version stay off the new one. A
-// partially delivered answer with one attempt left goes to the old version, because the stream
-// could not be continued if the version on trial broke it again. Requests of which nothing was
-// delivered stay on the new version, so that a failed request does not change the version of its
-// session.
+// partially delivered response with only one attempt left is continued on the old version, because
+// the stream could not be continued if the version on trial broke it again. Requests of which
+// nothing was delivered stay on the new version, so that a failed request does not change the
+// version of its session.
 func (ca *Canary) RetriesOnNew(onNew, lastAttempt bool) bool {
 	switch ca.Phase() {
 	case Trying:
--- a/internal/rollout/shares.go
+++ b/internal/rollout/shares.go
@@ -20,8 +20,8 @@
 	AnyRoute = ""
 )
 
-// Shares maps routes to the part of their requests that a version receives during the trial. All
-// gateways use the shares that are stored with the phase.
+// Shares maps routes to the fraction of their requests that a version receives during the trial.
+// All gateways use the shares that are stored with the phase.
 type Shares map[string]float64
 
 // Of returns the share of a route.
@@ -41,7 +41,7 @@
 	}
 	loading := trialLoadFactor * minTrialServers / float64(pl.Servers)
 	wanted := loading * total * burstTime.Seconds()
-	if loading > maxBurstShare || wanted > burstBudgetPart*budget {
+	if loading > maxBurstShare || wanted > burstBudgetFraction*budget {
 		return 0
 	}
 	return wanted
@@ -60,7 +60,7 @@
 		return Shares{}, 0
 	}
 	afterShift := pl.minShiftLead().Seconds()
-	budget := pl.share()*total*within + plannedExtraPart*pl.MostExtra - total*afterShift
+	budget := pl.share()*total*within + plannedExtraFraction*pl.MostExtra - total*afterShift
 	if total <= 0 {
 		// The load is unknown: use a share that is safe at any load.
 		return Shares{AnyRoute: min(maxTrialShare, (pl.share()*within-afterShift)/trial)}, 0
--- a/internal/rollout/storedelay.go
+++ b/internal/rollout/storedelay.go
@@ -9,12 +9,12 @@
 )
 
 const (
-	// stepDelay is the delay between consecutive gateways. A phase stored by one mostly reaches the
-	// next within it, since a watch batches changes for at most 0.3 s.
-	stepDelay = 300 * time.Millisecond
-	// maxSteps is the number of different delays. All gateways from the third on wait equally long,
-	// so that a phase is stored soon even if the first ones are down.
-	maxSteps = 3
+	// positionDelay is the delay between consecutive gateways in the sequence. A phase stored by
+	// one mostly reaches the next within it, since a watch batches changes for at most 0.3 s.
+	positionDelay = 300 * time.Millisecond
+	// maxPositions is the number of different delays in the sequence. All gateways from the third
+	// on wait equally long, so that a phase is stored soon even if the first ones are down.
+	maxPositions = 3
 	// maxSimultaneousGateways is the number of gateways up to which all store a later phase at
 	// once.
 	maxSimultaneousGateways = 8
@@ -30,7 +30,7 @@
 // meantime. Any gateway may store a phase, and the store accepts one write. The first phase is
 // stored in a sequence of gateways that depends on the order, so that not all of them write. Later
 // phases have no sequence: some gateways learn of an order a second late, and waiting for one of
-// those would miss the deadline. If there are many gateways, each has a delay of its own instead.
+// those could miss the deadline. If there are many gateways, each has a delay of its own instead.
 //
 // boxes are the gateways in the sequence, gateways is the number of all gateways.
 func StoreDelay(box string, boxes []string, gateways int, order uint64, ph Phase) time.Duration {
@@ -46,9 +46,9 @@
 		}
 	}
 	if !slices.Contains(boxes, box) {
-		position = maxSteps
+		position = maxPositions
 	}
-	return stepDelay * time.Duration(min(position, maxSteps-1))
+	return positionDelay * time.Duration(min(position, maxPositions-1))
 }
 
 // spreadDelay returns a gateway's delay within the time over which the writes of all gateways are
--- a/internal/rollout/storedelay_test.go
+++ b/internal/rollout/storedelay_test.go
@@ -27,7 +27,7 @@
 				first[box] = true
 			}
 		}
-		require.Equal(t, map[time.Duration]int{0: 1, stepDelay: 1, 2 * stepDelay: 28}, delays)
+		require.Equal(t, map[time.Duration]int{0: 1, positionDelay: 1, 2 * positionDelay: 28}, delays)
 	}
 	require.Greater(t, len(first), 20, "the first gateway differs by order")
 }
@@ -43,8 +43,8 @@
 }
 
 func TestUnlistedGatewayStoresLast(t *testing.T) {
-	require.Equal(t, 2*stepDelay, StoreDelay("new", boxes(5), 6, 7, Waiting))
-	require.Equal(t, 2*stepDelay, StoreDelay("new", nil, 1, 7, Waiting), "other gateways may exist")
+	require.Equal(t, 2*positionDelay, StoreDelay("new", boxes(5), 6, 7, Waiting))
+	require.Equal(t, 2*positionDelay, StoreDelay("new", nil, 1, 7, Waiting), "other gateways may exist")
 }
 
 // Without the spread, 103 gateways stored each later phase 103 times.
--- a/internal/rollout/underload_test.go
+++ b/internal/rollout/underload_test.go
@@ -10,14 +10,14 @@
 )
 
 // underLoad is a simulated roll-out of a version whose servers fail half of their requests while
-// their load exceeds a part of their load after the shift.
+// their load exceeds a fraction of their load after the shift.
 type underLoad struct {
 	within    time.Duration
 	perSecond float64
 	servers   int
-	// above is that part.
-	above float64
-	share float64
+	// loadThreshold is that part.
+	loadThreshold float64
+	share         float64
 	// concentrated is set if the trial runs on a subset of the servers.
 	concentrated bool
 }
@@ -58,7 +58,7 @@
 				recent[server] = recent[server][1:]
 			}
 			recent[server] = append(recent[server], at)
-			loaded := float64(len(recent[server])) > ul.above*ul.perSecond/float64(ul.servers)
+			loaded := float64(len(recent[server])) > ul.loadThreshold*ul.perSecond/float64(ul.servers)
 			ca.Observe(fmt.Sprint(server), "r", true, loaded && rn.IntN(2) == 0)
 		}
 	}
@@ -165,5 +165,5 @@
 	for i := range 100 {
 		ca.ObserveLatency(fmt.Sprint(i%minTrialServers), true, true, orderTime.Add(12*time.Second))
 	}
-	require.True(t, ca.Bad(), "slow answers before the burst count")
+	require.True(t, ca.Bad(), "slow responses before the burst count")
 }
