--- a/internal/quality/quality.go
+++ b/internal/quality/quality.go
@@ -24,7 +24,7 @@
 	Low float64 `cbor:"3,keyasint,omitempty" json:"low,omitempty"`
 }
 
-// LowScore is the rating below which an answer counts as bad.
+// LowScore is the rating below which a response counts as bad.
 const LowScore = 0.5
 
 const (
@@ -41,7 +41,7 @@
 	// maxCount bounds the number of ratings in a cell. Above it the count is halved, so that recent
 	// ratings have enough weight to show a change.
 	maxCount = 4000
-	// minVariance prevents a false certainty with few, equal ratings.
+	// minVariance prevents a standard error that is too small if there are few, equal ratings.
 	minVariance = 0.01
 )
 
@@ -144,15 +144,15 @@
 		return ve.Quality, 0
 	}
 	// Ratings lie in [0, 1], so their variance is at most mean * (1 - mean).
-	spread := math.Sqrt(max(minVariance, mean*(1-mean)) / weight)
-	return mean, max(0, mean-lowerBoundErrors*spread)
+	standardError := math.Sqrt(max(minVariance, mean*(1-mean)) / weight)
+	return mean, max(0, mean-lowerBoundErrors*standardError)
 }
 
 // FirstAttemptKind returns the kind under which the acceptance of first attempts of a kind is
 // counted.
 func FirstAttemptKind(kind string) string { return kind + "/tries" }
 
-// AddFirstAttempt records whether the answer of a first attempt was accepted.
+// AddFirstAttempt records whether the response to a first attempt was accepted.
 func (ta *Table) AddFirstAttempt(team, kind, version string, accepted bool) {
 	score := 0.0
 	if accepted {
@@ -161,7 +161,7 @@
 	ta.Add(Cell{Team: team, Kind: FirstAttemptKind(kind), Version: version}, score)
 }
 
-// PassRate returns how often the answer of a first attempt is accepted.
+// PassRate returns how often the response to a first attempt is accepted.
 func (ta *Table) PassRate(team, kind string, ve *config.Version) float64 {
 	mean, _ := ta.Quality(team, FirstAttemptKind(kind), ve)
 	return mean
@@ -178,16 +178,16 @@
 	po.sharedWeight = maxSharedWeight
 	mean := po.count.Sum / po.count.N
 	variance := max(minVariance, mean*(1-mean))
-	spread, n, squares := 0.0, 0.0, 0.0
+	cochranQ, n, squares := 0.0, 0.0, 0.0
 	for _, ce := range po.teams {
 		co := ta.cells[ce]
 		if co.N > 0 {
-			spread += co.N * (co.Sum/co.N - mean) * (co.Sum/co.N - mean) / variance
+			cochranQ += co.N * (co.Sum/co.N - mean) * (co.Sum/co.N - mean) / variance
 			n += co.N
 			squares += co.N * co.N
 		}
 	}
-	excess := spread - float64(len(po.teams)-1)
+	excess := cochranQ - float64(len(po.teams)-1)
 	if scale := n - squares/max(1, n); excess > 0 && scale > 0 {
 		po.sharedWeight = min(maxSharedWeight, max(minSharedWeight, scale/excess))
 	}
--- a/internal/quality/quality_test.go
+++ b/internal/quality/quality_test.go
@@ -13,8 +13,8 @@
 
 func cell(team string) Cell { return Cell{Team: team, Kind: "draft", Version: "menu@v1"} }
 
-// rate adds ratings of 1 with a probability and of 0 otherwise.
-func rate(ta *Table, team string, n int, probability float64, ra *rand.Rand) {
+// addRatings adds ratings of 1 with a probability and of 0 otherwise.
+func addRatings(ta *Table, team string, n int, probability float64, ra *rand.Rand) {
 	for range n {
 		score := 0.0
 		if ra.Float64() < probability {
@@ -35,7 +35,7 @@
 	var ta Table
 	ra := rand.New(rand.NewPCG(1, 1))
 	for _, team := range []string{"a", "b", "c", "d"} {
-		rate(&ta, team, 300, 0.92, ra)
+		addRatings(&ta, team, 300, 0.92, ra)
 	}
 	mean, lower := ta.Quality("new", "draft", version)
 	require.InDelta(t, 0.92, mean, 0.03)
@@ -46,9 +46,9 @@
 	var ta Table
 	ra := rand.New(rand.NewPCG(1, 2))
 	for _, team := range []string{"a", "b", "c", "d"} {
-		rate(&ta, team, 1000, 0.92, ra)
+		addRatings(&ta, team, 1000, 0.92, ra)
 	}
-	rate(&ta, "different", 40, 0.5, ra)
+	addRatings(&ta, "different", 40, 0.5, ra)
 	_, lower := ta.Quality("different", "draft", version)
 	require.Less(t, lower, 0.7, "4,000 good ratings of other teams must not outweigh 40 of its own")
 	mean, _ := ta.Quality("a", "draft", version)
@@ -61,7 +61,7 @@
 	var entries []Entry
 	for _, team := range []string{"a", "b", "c"} {
 		var ta Table
-		rate(&ta, team, 50, 0.8, ra)
+		addRatings(&ta, team, 50, 0.8, ra)
 		entries = append(entries, ta.Entries()...)
 	}
 	one.MergeEntries(entries)
@@ -78,8 +78,8 @@
 func TestOldRatingsLoseWeight(t *testing.T) {
 	var ta Table
 	ra := rand.New(rand.NewPCG(1, 4))
-	rate(&ta, "a", 20_000, 0.95, ra)
-	rate(&ta, "a", 6000, 0.5, ra)
+	addRatings(&ta, "a", 20_000, 0.95, ra)
+	addRatings(&ta, "a", 6000, 0.5, ra)
 	mean, _ := ta.Quality("a", "draft", version)
 	require.Less(t, mean, 0.7)
 }
@@ -105,7 +105,7 @@
 	var ta Table
 	ra := rand.New(rand.NewPCG(1, 5))
 	for i := range 200 {
-		rate(&ta, string(rune('a'+i)), 10, 0.9, ra)
+		addRatings(&ta, string(rune('a'+i)), 10, 0.9, ra)
 	}
 	b.ReportAllocs()
 	for b.Loop() {
