--- a/internal/quota/fleet.go
+++ b/internal/quota/fleet.go
@@ -3,12 +3,12 @@
 import "time"
 
 const (
-	// countRetention is how long a count of gateways is retained. A gateway sees only a part of the
+	// countRetention is how long a count of gateways is retained. A gateway sees only some of the
 	// others while collectors change or data centres are partitioned.
 	countRetention = 30 * time.Second
 	// settleTime is how long after its start a gateway may not know all others yet.
 	settleTime = 3 * time.Second
-	// assumedGateways is the assumed number of gateways until then, the largest supported.
+	// assumedGateways is the assumed number of gateways until then, the largest supported number.
 	assumedGateways = 410
 )
 
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -15,13 +15,13 @@
 	// transitTime extends the window of a limit for a gateway's own requests: the limit applies to
 	// arrivals, and connections differ in latency.
 	transitTime = 250 * time.Millisecond
-	// usablePart is the part of the limit that all gateways together use. Gateways that have just
-	// started may not be counted yet.
-	usablePart = 0.9
+	// usableFraction is the fraction of the limit that all gateways together use. Gateways that
+	// have just started may not be counted yet.
+	usableFraction = 0.9
 	// deviations is the distance of the limit from the expected number of selected gateways in
-	// standard deviations.
+	// standard deviations. It makes it very unlikely that the selected gateways exceed the limit.
 	deviations = 5.5
-	// drawInterval is how long a selection is valid for long-lived limits.
+	// drawInterval is how long a selection of gateways is valid for long-lived limits.
 	drawInterval = 10 * time.Second
 	// usageRetention is how long requests are counted; it exceeds every window.
 	usageRetention = 5 * time.Second
@@ -55,10 +55,11 @@
 // shareOf divides a limit among a number of gateways.
 func (li Limit) shareOf(gateways int) share {
 	n := float64(max(1, gateways))
-	if n <= usablePart*li.MaxInWindow {
-		return share{probability: 1, maxInWindow: int(usablePart * li.MaxInWindow / n), minInterval: li.minInterval(n)}
+	if n <= usableFraction*li.MaxInWindow {
+		return share{probability: 1, maxInWindow: int(usableFraction * li.MaxInWindow / n), minInterval: li.minInterval(n)}
 	}
-	// Each selected gateway sends one request: selected + deviations * sqrt(selected) = MaxInWindow.
+	// Each selected gateway sends one request: selected + deviations * sqrt(selected) =
+	// MaxInWindow.
 	root := (math.Sqrt(deviations*deviations+4*li.MaxInWindow) - deviations) / 2
 	selected := root * root
 	if li.LongLived {
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -60,21 +60,21 @@
 
 func (se *selection) sent(gateway, server int, now time.Time) { se.uses[gateway][server].Add(now) }
 
-// equalParts gives each gateway an equal part and at least one request per second. With one gateway
-// it gives the full limit to each.
-type equalParts struct {
+// equalShares gives each gateway an equal share and at least one request per second. With one
+// gateway it gives the full limit to each.
+type equalShares struct {
 	gateways int
 	log      map[[2]int][]time.Time
 }
 
-func (ep *equalParts) allows(gateway, server int, now time.Time) bool {
+func (ep *equalShares) allows(gateway, server int, now time.Time) bool {
 	log := ep.log[[2]int{gateway, server}]
 	log = slices.DeleteFunc(log, func(at time.Time) bool { return now.Sub(at) >= time.Second })
 	ep.log[[2]int{gateway, server}] = log
 	return len(log) < max(1, int(typicalLimit.PerSecond)/ep.gateways)
 }
 
-func (ep *equalParts) sent(gateway, server int, now time.Time) {
+func (ep *equalShares) sent(gateway, server int, now time.Time) {
 	key := [2]int{gateway, server}
 	ep.log[key] = append(ep.log[key], now)
 }
@@ -117,7 +117,7 @@
 type result struct {
 	// maxArrivals is the maximum number of arrivals at a server within a second.
 	maxArrivals int
-	// used is the used part of the servers' total rate.
+	// used is the used fraction of the servers' total rate.
 	used float64
 }
 
@@ -179,8 +179,8 @@
 					strategy strategy
 				}{
 					{"selection", newSelection(gateways, servers)},
-					{"full limit each", &equalParts{gateways: 1, log: map[[2]int][]time.Time{}}},
-					{"equal parts", &equalParts{gateways: gateways, log: map[[2]int][]time.Time{}}},
+					{"full limit each", &equalShares{gateways: 1, log: map[[2]int][]time.Time{}}},
+					{"equal shares", &equalShares{gateways: gateways, log: map[[2]int][]time.Time{}}},
 					{"reported use", &reportedUse{gateways: gateways, log: map[int][]reportedRequest{}}},
 					{"reported use, randomized", &reportedUse{gateways: gateways, randomized: true, rn: rn, log: map[int][]reportedRequest{}}},
 				} {
@@ -195,7 +195,7 @@
 				require.Greater(t, worst["full limit each"].maxArrivals, int(typicalLimit.MaxInWindow))
 			}
 			if gateways > int(typicalLimit.MaxInWindow) && demand > 1 {
-				require.Greater(t, worst["equal parts"].maxArrivals, int(typicalLimit.MaxInWindow))
+				require.Greater(t, worst["equal shares"].maxArrivals, int(typicalLimit.MaxInWindow))
 				require.Greater(t, worst["reported use"].maxArrivals, int(typicalLimit.MaxInWindow))
 			}
 		}
