--- a/internal/warmup/warmup.go
+++ b/internal/warmup/warmup.go
@@ -1,6 +1,6 @@
 // Package warmup limits the requests to cold backend servers: for some seconds after its start a
-// server handles only a part of its usual load. The limit applies to all gateways together. It does
-// no I/O and reads no clock.
+// server handles only a fraction of its usual load. The limit applies to all gateways together. It
+// does no I/O and reads no clock.
 package warmup
 
 import (
