--- a/internal/backpressure/backpressure.go
+++ b/internal/backpressure/backpressure.go
@@ -1,6 +1,6 @@
-// Package backpressure tracks the load that backend servers accept, as reported in their answers:
+// Package backpressure tracks the load that backend servers accept, as reported in their responses:
 // rate limits, which apply to all gateways together, and pauses, which a server requests from one
-// process. Gateways exchange these reports, since each sees only the answers to its own requests.
+// process. Gateways exchange these reports, since each sees only the responses to its own requests.
 // The package does no I/O and reads no clock.
 package backpressure
 
@@ -21,12 +21,13 @@
 	burstFactor = 1.5
 	burstOffset = 5
 	// minRate is the rate in requests per second at which a server with a lower limit is still
-	// called, since only an answer can raise the limit again.
+	// called, since only a response can raise the limit again.
 	minRate = 0.1
-	// silentAfter is how long a limited server may send no answer before it is preferred.
+	// silentAfter is how long a limited server may send no response before it is preferred, so that
+	// the end of its limit is detected.
 	silentAfter = 2 * time.Second
 	// rateTolerance is the relative difference up to which a new rate is neither logged nor
-	// propagated: servers may recompute it for each answer.
+	// propagated: servers may recompute it for each response.
 	rateTolerance = 0.1
 	// unlistedRetention is how long the limit of a server without an entry is retained after the
 	// server last reported it, since the entry may reappear.
@@ -69,7 +70,7 @@
 	facts gossip.FactSet
 }
 
-// Report applies the limit reported in an answer: a rate in requests per second, nil for no limit.
+// Report applies the limit reported in a response: a rate in requests per second, nil for no limit.
 func (tr *Tracker) Report(key string, perSecond *float64, now time.Time) Change {
 	return tr.apply(key, update{perSecond: perSecond, at: now}, now)
 }
--- a/internal/backpressure/strategies_test.go
+++ b/internal/backpressure/strategies_test.go
@@ -18,7 +18,7 @@
 	sent(gateway int, now time.Time)
 }
 
-// repeatedSelection is the strategy of this package: equal parts, or a selection of gateways that
+// repeatedSelection is the strategy of this package: equal shares, or a selection of gateways that
 // is repeated.
 type repeatedSelection struct {
 	server   string
@@ -56,18 +56,18 @@
 
 func (ss *singleSelection) sent(gateway int, now time.Time) { ss.uses[gateway].Add(now) }
 
-// equalParts allows each gateway a number of requests within the window.
-type equalParts struct {
+// equalShares allows each gateway a number of requests within the window.
+type equalShares struct {
 	limit int
 	log   map[int][]time.Time
 }
 
-func (ep *equalParts) allows(gateway int, now time.Time) bool {
+func (ep *equalShares) allows(gateway int, now time.Time) bool {
 	ep.log[gateway] = slices.DeleteFunc(ep.log[gateway], func(at time.Time) bool { return now.Sub(at) >= window })
 	return len(ep.log[gateway]) < ep.limit
 }
 
-func (ep *equalParts) sent(gateway int, now time.Time) {
+func (ep *equalShares) sent(gateway int, now time.Time) {
 	ep.log[gateway] = append(ep.log[gateway], now)
 }
 
@@ -100,8 +100,8 @@
 
 // result is what one server received in a simulation.
 type result struct {
-	// maxArrivals is the maximum number of arrivals within a window, used the used part of the reported
-	// rate, silent the longest time without an arrival.
+	// maxArrivals is the maximum number of arrivals within a window, used the used fraction of the
+	// reported rate, silent the longest time without an arrival.
 	maxArrivals int
 	used        float64
 	silent      time.Duration
@@ -152,8 +152,8 @@
 			for run := range runs {
 				server := fmt.Sprint("server-", run)
 				for name, st := range map[string]strategy{
-					"full limit each": &equalParts{limit: max(1, int(perSecond*window.Seconds())), log: map[int][]time.Time{}},
-					"equal parts": &equalParts{
+					"full limit each": &equalShares{limit: max(1, int(perSecond*window.Seconds())), log: map[int][]time.Time{}},
+					"equal shares": &equalShares{
 						limit: max(1, int(perSecond*window.Seconds()/float64(gateways))), log: map[int][]time.Time{},
 					},
 					"reported use": &reportedUse{maxKnown: int(perSecond*window.Seconds()) + 1},
@@ -170,7 +170,7 @@
 			require.LessOrEqual(t, worst["repeated selection"].maxArrivals, int(li.MaxInWindow), "%v, %d gateways", perSecond, gateways)
 			if gateways > int(li.MaxInWindow) {
 				require.Greater(t, worst["full limit each"].maxArrivals, int(li.MaxInWindow))
-				require.Greater(t, worst["equal parts"].maxArrivals, int(li.MaxInWindow))
+				require.Greater(t, worst["equal shares"].maxArrivals, int(li.MaxInWindow))
 				require.Greater(t, worst["reported use"].maxArrivals, int(li.MaxInWindow))
 			}
 		}
