--- a/internal/selfreport/selfreport.go
+++ b/internal/selfreport/selfreport.go
@@ -1,6 +1,6 @@
-// Package selfreport decodes what a backend server reports about itself in the header of an answer,
-// independent of the result of the request: a rate limit, a pause, its shutdown. It does no I/O and
-// reads no clock.
+// Package selfreport decodes what a backend server reports about itself in the header of a
+// response, independent of the result of the request: a rate limit, a pause, its shutdown. It does
+// no I/O and reads no clock.
 package selfreport
 
 import (
@@ -29,7 +29,8 @@
 	Leaving string
 }
 
-// Report is the decoded report of one answer.
+// Report is the decoded report of one response. Its fields are exported because it is data without
+// behaviour.
 type Report struct {
 	// Limit is the rate in requests per second that the server accepts from all clients together;
 	// nil if it reports none or the header is invalid.
@@ -43,7 +44,7 @@
 	Err error
 }
 
-// Decode decodes the report of an answer with a status. now is the time of day, used for a pause
+// Decode decodes the report of a response with a status. now is the time of day, used for a pause
 // that ends at a date.
 func (he Headers) Decode(status int, header http.Header, now time.Time) Report {
 	var re Report
