--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -1,5 +1,5 @@
 // Package gossip decides which facts a gateway propagates to other gateways, and for how long.
-// Facts travel with the reports of load: from a gateway to its collector, between collectors, and
+// Facts are included in the load reports: from a gateway to its collector, between collectors, and
 // from a collector to its gateways. It does no I/O and reads no clock.
 package gossip
 
@@ -9,8 +9,8 @@
 )
 
 const (
-	// FactLifetime is how long a fact is propagated. Reports are sent ten times per second, so that
-	// the loss of a few is tolerated.
+	// FactLifetime is how long a fact is propagated. Reports are sent ten times per second, so a
+	// few may be lost.
 	FactLifetime = time.Second
 	// MaxFactsPerReport bounds the facts of one kind in one report, at about 25 B each.
 	MaxFactsPerReport = 64
