--- a/internal/latency/latency.go
+++ b/internal/latency/latency.go
@@ -1,5 +1,5 @@
-// Package latency estimates the usual, lowest and smoothed latencies of answers, so that an attempt
-// is not abandoned only because all answers are slow. It does no I/O and reads no clock.
+// Package latency estimates the usual, lowest and smoothed latencies of responses, so that an
+// attempt is not abandoned only because all responses are slow. It does no I/O and reads no clock.
 package latency
 
 import "time"
@@ -27,7 +27,7 @@
 	// baselineQuantile is the quantile of the latencies that the baseline estimates.
 	baselineQuantile = 0.01
 	// baselineStep is the relative step size of the estimate: it rises by 0.1 % with each slower
-	// answer, so that a few seconds of load do not shift it.
+	// response, so that a few seconds of load do not shift it.
 	baselineStep = 0.1
 )
 
--- a/internal/latency/prompttime.go
+++ b/internal/latency/prompttime.go
@@ -19,8 +19,8 @@
 	minSamples = 10
 )
 
-// PromptTime estimates the time that a model takes per prompt token on an idle server; most answers
-// take longer. The zero value is empty. It is not safe for concurrent use.
+// PromptTime estimates the time that a model takes per prompt token on an idle server; most
+// responses take longer. The zero value is empty. It is not safe for concurrent use.
 type PromptTime struct {
 	perToken map[string]float64
 	// samples counts the samples by model.
