--- a/internal/poison/blocks.go
+++ b/internal/poison/blocks.go
@@ -8,17 +8,18 @@
 
 const (
 	// FirstBlockDuration is how long a request is blocked the first time. It is short because the
-	// block may be wrong: just after a start, a common request has no complete answers yet that
+	// block may be wrong: just after a start, a common request has no complete responses yet that
 	// would show it to be harmless.
 	FirstBlockDuration = 5 * time.Minute
 	// RepeatBlockDuration is how long a request is blocked if it crashes another server after the
 	// first block. A caller who keeps sending it then crashes at most four servers an hour, and is
 	// served again without an operator once the engine is fixed.
 	RepeatBlockDuration = time.Hour
-	// recentFor is how long a new block is included in the reports to other gateways. Reports are
-	// sent ten times a second; gateways that start later read the block from the key-value service.
-	recentFor = 3 * time.Second
-	// maxBlocks bounds the active blocks. Each has cost three servers.
+	// blockReportDuration is how long a new block is included in the reports to other gateways.
+	// Reports are sent ten times a second; gateways that start later read the block from the
+	// key-value service.
+	blockReportDuration = 3 * time.Second
+	// maxBlocks bounds the active blocks. Each was caused by the crashes of three servers.
 	maxBlocks = 1024
 )
 
@@ -126,7 +127,7 @@
 
 // Recent returns the blocks that other gateways may not have received yet.
 func (bs *Blocks) Recent(now time.Time) []Block {
-	return bs.list(func(ab *activeBlock) bool { return now.Sub(ab.updated) < recentFor })
+	return bs.list(func(ab *activeBlock) bool { return now.Sub(ab.updated) < blockReportDuration })
 }
 
 func (bs *Blocks) list(include func(ab *activeBlock) bool) []Block {
--- a/internal/poison/detector.go
+++ b/internal/poison/detector.go
@@ -10,34 +10,35 @@
 	// the failure of a rack, which takes down all its servers at once. A poison request crashes one
 	// server after the other, each in its first steps there.
 	crashInterval = 100 * time.Millisecond
-	// maxPerInterval is how many crashes within that interval count against a request, provided that
-	// it was sent to the later server after the earlier one had crashed. With a limit of 1, a request
-	// that crashes servers immediately and is sent every few seconds crashed nine servers before it
-	// was blocked. With 3, harmless requests that are retried along a failing rack are counted.
+	// maxPerInterval is how many crashes within that interval count against a request, provided
+	// that it was sent to the later server after the earlier one had crashed. With a limit of 1, a
+	// request that crashes servers immediately and is sent every few seconds crashed nine servers
+	// before it was blocked. With 3, harmless requests that are retried along a failing rack are
+	// counted.
 	maxPerInterval = 2
 	// suspectRetention is how long crashes are remembered. Callers retry within seconds or minutes.
 	// It is longer than FirstBlockDuration, so that one more crash after the first block is enough.
 	suspectRetention = 10 * time.Minute
-	// harmlessRetention is the minimum time for which a request is known to be harmless; the maximum
-	// is twice that.
+	// harmlessRetention is the minimum time for which a request is known to be harmless; the
+	// maximum is twice that.
 	harmlessRetention = time.Minute
 	// maxHarmless bounds the fingerprints in each of the two generations: some minutes of a busy
 	// gateway, 64 KB.
 	maxHarmless = 4096
-	// suspicionRetention is how long suspicions are kept to be sent to other gateways. These no longer
-	// exchange reports with a gateway that was silent for longer.
+	// suspicionRetention is how long suspicions are stored to be sent to other gateways. Other
+	// gateways stop exchanging reports with a gateway that was silent for longer.
 	suspicionRetention = 10 * time.Second
 	// maxSuspects bounds the suspected requests, at some 250 B each. Where many servers crash, most
 	// requests that ran there are suspected once.
 	maxSuspects = 1 << 14
-	// maxRecent bounds the suspicions that are kept to be sent to others, maxPerMessage those in
-	// one message, at some 50 B each.
+	// maxRecent bounds the suspicions that are stored to be sent to other gateways, maxPerMessage
+	// those in one message, at some 50 B each.
 	maxRecent     = 1024
 	maxPerMessage = 128
 )
 
-// Suspicion records that a request was on a server shortly before the server crashed. Its fields are
-// exported because the codec needs them.
+// Suspicion records that a request was on a server shortly before the server crashed. Its fields
+// are exported because the codec needs them.
 type Suspicion struct {
 	Fingerprint Fingerprint `cbor:"1,keyasint"`
 	// Server identifies the server process; a restarted server has another identifier.
@@ -67,36 +68,36 @@
 
 // suspect is the evidence against one request.
 type suspect struct {
-	// servers holds the server processes that crashed under the request, intervals when they did;
-	// crashes is the number that count.
-	servers   map[string]bool
-	intervals []interval
-	crashes   int
-	latest    time.Time
+	// servers holds the server processes that crashed under the request, groups the times at which
+	// they did; crashes is the number that count.
+	servers map[string]bool
+	groups  []crashGroup
+	crashes int
+	latest  time.Time
 	// firstBlocked is when the request was first considered to cause the crashes, zero before.
 	firstBlocked time.Time
 }
 
-// interval groups the crashes around one time; crashes is the number that count.
-type interval struct {
+// crashGroup holds the crashes around one time; crashes is the number that count.
+type crashGroup struct {
 	at      time.Time
 	crashes int
 }
 
 // count counts a crash of a server to which the request had been sent before.
 func (su *suspect) count(sent, crashed time.Time) {
-	for i := range su.intervals {
-		in := &su.intervals[i]
-		if crashed.Sub(in.at).Abs() >= crashInterval {
+	for i := range su.groups {
+		gr := &su.groups[i]
+		if crashed.Sub(gr.at).Abs() >= crashInterval {
 			continue
 		}
-		if in.crashes < maxPerInterval && sent.After(in.at) {
-			in.crashes++
+		if gr.crashes < maxPerInterval && sent.After(gr.at) {
+			gr.crashes++
 			su.crashes++
 		}
 		return
 	}
-	su.intervals = append(su.intervals, interval{at: crashed, crashes: 1})
+	su.groups = append(su.groups, crashGroup{at: crashed, crashes: 1})
 	su.crashes++
 }
 
@@ -154,9 +155,9 @@
 	return 0
 }
 
-// MarkHarmless records that servers stayed up after complete answers to a request. A request that is
-// sent often, or by many callers alike, is sooner or later on a server that crashes for another
-// reason, and must not be suspected of it.
+// MarkHarmless records that servers stayed up after complete responses to a request. A request that
+// is sent often, or by many callers, is sooner or later on a server that crashes for another
+// reason, and must not be suspected of that crash.
 func (de *Detector) MarkHarmless(fp Fingerprint, now time.Time) {
 	if de.harmless == nil || now.Sub(de.rotated) >= harmlessRetention || len(de.harmless) >= maxHarmless {
 		de.harmless, de.previousHarmless, de.rotated = map[Fingerprint]bool{}, de.harmless, now
--- a/internal/poison/detector_test.go
+++ b/internal/poison/detector_test.go
@@ -153,7 +153,7 @@
 	require.False(t, bs.Add(bl, RepeatBlockDuration, true, t0))
 	require.Empty(t, bs.Unstored())
 	require.Equal(t, []Block{bl}, bs.Stored())
-	require.Empty(t, bs.Recent(t0.Add(recentFor)))
+	require.Empty(t, bs.Recent(t0.Add(blockReportDuration)))
 	require.Equal(t, []Fingerprint{bl.Fingerprint}, bs.Expire(t0.Add(RepeatBlockDuration)))
 	require.False(t, bs.Lift(bl.Fingerprint))
 }
@@ -195,9 +195,9 @@
 	}
 }
 
-// A suspicion that arrives some tens of milliseconds late moves the crash that it reports towards the
-// next one. The two may then be attributed to a rack, so that one more server crashes before the
-// block.
+// A suspicion that arrives some tens of milliseconds late moves the crash that it reports towards
+// the next one. Both may then be attributed to a failing rack, so that one more server crashes
+// before the request is blocked.
 func TestDelayedSuspicionCostsOneMoreServer(t *testing.T) {
 	de := Detector{MinCrashes: MinCrashes}
 	fp := fingerprint("x")
--- a/internal/poison/document.go
+++ b/internal/poison/document.go
@@ -7,7 +7,7 @@
 	"github.com/rotisserie/eris"
 )
 
-// DecodeBlocks decodes a stored document of blocks; an empty one holds none.
+// DecodeBlocks decodes a stored document of blocks; an empty document contains none.
 func DecodeBlocks(value []byte) ([]Block, error) {
 	if len(value) == 0 {
 		return nil, nil
@@ -21,7 +21,7 @@
 
 // MergeBlocks returns a stored document with added blocks and without those that are over or were
 // lifted. A document that can't be decoded is replaced, since no block could be stored otherwise;
-// each block that it held costs three servers once more.
+// each request whose block is lost crashes three more servers before it is blocked again.
 func MergeBlocks(value []byte, added []Block, lifted func(fp Fingerprint) bool, wallTime time.Time) ([]byte, error) {
 	stored, err := DecodeBlocks(value)
 	if err != nil {
--- a/internal/poison/fuzz_test.go
+++ b/internal/poison/fuzz_test.go
@@ -33,8 +33,8 @@
 	})
 }
 
-// Suspicions with any content from another process give valid block durations, only after MinCrashes
-// servers, and are all dropped once they expire.
+// Suspicions with any content from another process give valid block durations, only after
+// MinCrashes servers, and are all dropped once they expire.
 func FuzzSuspicions(f *testing.F) {
 	valid, err := cbor.Marshal([]Suspicion{{Fingerprint: fingerprint("a"), Server: "s", SinceCrash: time.Second, RequestAge: time.Minute}})
 	require.NoError(f, err)
--- a/internal/poison/runs.go
+++ b/internal/poison/runs.go
@@ -14,11 +14,11 @@
 	// disconnectValidity is how long the time of a lost connection is taken as the time of a crash
 	// that is detected later.
 	disconnectValidity = time.Second
-	// survivalTime is how long after the end of a request its server must still answer something to
-	// show that the request did not crash it.
+	// survivalTime is how long after the end of a request its server must still respond to any
+	// request, or accept a connection, to show that the request did not crash it.
 	survivalTime = suspectWindow
-	// runRetention is how long finished runs are kept. A crash that no connection reveals is detected
-	// when the server's registration expires, some three seconds later.
+	// runRetention is how long finished runs are stored. A crash that no connection reveals is
+	// detected when the server's registration expires, some three seconds later.
 	runRetention = 5 * time.Second
 )
 
@@ -27,11 +27,11 @@
 	fingerprint Fingerprint
 	requestID   string
 	server      string
-	// sent is when the request was sent, first when the first part of its answer arrived, finished
-	// when it ended or was cancelled; each is zero before.
+	// sent is when the request was sent, first when the first part of its response arrived,
+	// finished when it ended or was cancelled; each is zero before.
 	sent, first, finished time.Time
-	// complete is set if the complete answer arrived, unsent if the request never reached the server
-	// or the server reported that it did not run.
+	// complete is set if the complete response arrived, unsent if the request never reached the
+	// server or the server reported that it did not run.
 	complete, unsent bool
 }
 
@@ -44,8 +44,8 @@
 // MarkUnsent records that the server never began the request.
 func (ru *Run) MarkUnsent() { ru.unsent = true }
 
-// Finish records that the request is no longer on the server; complete is set if its complete answer
-// arrived.
+// Finish records that the request is no longer on the server; complete is set if its complete
+// response arrived.
 func (ru *Run) Finish(complete bool, now time.Time) {
 	if ru.finished.IsZero() {
 		ru.finished, ru.complete = now, complete
@@ -62,8 +62,8 @@
 type serverRuns struct {
 	// runs holds those in progress, and those that finished less than runRetention ago.
 	runs []*Run
-	// lastAnswer is when the server last answered anything.
-	lastAnswer time.Time
+	// lastAlive is when the server last sent a part of a response or accepted a connection.
+	lastAlive time.Time
 	// disconnected is when a connection was lost, possibly because the server crashed; zero if none
 	// was lost recently.
 	disconnected time.Time
@@ -82,13 +82,13 @@
 	return Suspicion{Fingerprint: ru.fingerprint, Server: server, SinceCrash: now.Sub(crashed), RequestAge: max(0, crashed.Sub(ru.sent))}
 }
 
-// Answered records that a part of an answer arrived.
+// Answered records that a part of a response arrived.
 func (rs *Runs) Answered(ru *Run, now time.Time) {
 	if ru.first.IsZero() {
 		ru.first = now
 	}
 	if sr := rs.servers[ru.server]; sr != nil {
-		sr.lastAnswer = now
+		sr.lastAlive = now
 	}
 }
 
@@ -114,19 +114,20 @@
 // Alive records that a server has not crashed: it has just accepted a connection.
 func (rs *Runs) Alive(server string, now time.Time) {
 	if sr := rs.servers[server]; sr != nil {
-		sr.disconnected, sr.lastAnswer = time.Time{}, now
+		sr.disconnected, sr.lastAlive = time.Time{}, now
 	}
 }
 
-// Unconfirmed returns the server processes that completed a suspected request and have answered
-// nothing since that would show that they survived it. The caller probes them: where all traffic
-// consists of suspected requests, nothing else would show these to be harmless. Without the probes,
-// a harmless request was refused until the block's end in 15 of 30 test runs without a network.
+// Unconfirmed returns the server processes that completed a suspected request and were not seen
+// alive long enough after it to show that they survived it. The caller probes them: where all
+// traffic consists of suspected requests, nothing else would show these to be harmless. Without the
+// probes, a harmless request was refused until the block's end in 15 of 30 test runs without a
+// network.
 func (rs *Runs) Unconfirmed(suspected func(fp Fingerprint) bool, now time.Time) []string {
 	var list []string
 	for server, sr := range rs.servers {
 		if slices.ContainsFunc(sr.runs, func(ru *Run) bool {
-			return ru.complete && now.Sub(ru.finished) >= survivalTime && sr.lastAnswer.Sub(ru.finished) < survivalTime && suspected(ru.fingerprint)
+			return ru.complete && now.Sub(ru.finished) >= survivalTime && sr.lastAlive.Sub(ru.finished) < survivalTime && suspected(ru.fingerprint)
 		}) {
 			list = append(list, server)
 		}
@@ -134,8 +135,8 @@
 	return list
 }
 
-// IsDisconnected reports whether a server recently closed a connection unexpectedly and has not been
-// found alive since.
+// IsDisconnected reports whether a server recently closed a connection unexpectedly and has not
+// been found alive since.
 func (rs *Runs) IsDisconnected(server string, now time.Time) bool {
 	sr := rs.servers[server]
 	return sr != nil && !sr.disconnected.IsZero() && now.Sub(sr.disconnected) < runRetention
@@ -144,8 +145,8 @@
 // HasServer reports whether any recent run or lost connection of a server is recorded.
 func (rs *Runs) HasServer(server string) bool { return rs.servers[server] != nil }
 
-// Crashed returns the runs that may have caused the crash of a server and the best known time of the
-// crash, and removes the server.
+// Crashed returns the runs that may have caused the crash of a server and the best known time of
+// the crash, and removes the server.
 func (rs *Runs) Crashed(server string, now time.Time) (suspects []*Run, crashed time.Time) {
 	sr := rs.servers[server]
 	if sr == nil {
@@ -171,8 +172,8 @@
 	}
 	crashed := sr.disconnected
 	if crashed.IsZero() {
-		// The server crashed at some time after its last answer: take the end of the run, or now if it
-		// has not finished.
+		// The server crashed at some time after its last response: take the end of the run, or now
+		// if it has not finished.
 		crashed = now
 		if !ru.finished.IsZero() {
 			crashed = ru.finished
@@ -192,7 +193,7 @@
 	for server, sr := range rs.servers {
 		remaining := sr.runs[:0]
 		for _, ru := range sr.runs {
-			survived := !ru.finished.IsZero() && sr.lastAnswer.Sub(ru.finished) >= survivalTime
+			survived := !ru.finished.IsZero() && sr.lastAlive.Sub(ru.finished) >= survivalTime
 			switch {
 			case survived && ru.complete:
 				harmless = append(harmless, ru.fingerprint)
--- a/internal/poison/runs_test.go
+++ b/internal/poison/runs_test.go
@@ -63,8 +63,8 @@
 	require.True(t, rs.HasServer("other"))
 }
 
-// A gateway may cancel a run at its first token. If the server crashes a moment later, no request is
-// open there any more.
+// A gateway may cancel a run at its first token. If the server crashes a moment later, no request
+// is open there any more.
 func TestRunCancelledShortlyBeforeTheCrashIsSuspected(t *testing.T) {
 	var rs Runs
 	cancelled := rs.Sent("s", fingerprint("cancelled"), "cancelled", after(0))
--- a/internal/poison/trial.go
+++ b/internal/poison/trial.go
@@ -3,7 +3,8 @@
 import "time"
 
 const (
-	// FreshDuration is how long a block may be lifted by an answer that was in flight when it began.
+	// FreshDuration is how long a block may be lifted by a response that was in flight when it
+	// began.
 	FreshDuration = time.Second
 	// resultDelay is the Retry-After of a request that waits for a trial's result.
 	resultDelay = time.Second
@@ -12,14 +13,14 @@
 )
 
 // trials are the intervals, from the beginning of a block on, in each of which one copy of the
-// request is sent to a server. If the server answers and does not crash, the block is lifted.
+// request is sent to a server. If the server responds and does not crash, the block is lifted.
 var trials = []struct{ from, until time.Duration }{
 	{600 * time.Millisecond, 3 * time.Second},
 	{10 * time.Second, time.Minute},
 }
 
-// age returns how long ago a block of FirstBlockDuration began. For a longer block it is negative most
-// of the time, so that no trials are due then.
+// age returns how long ago a block of FirstBlockDuration began. For a longer block it is negative
+// most of the time, so that no trials are due then.
 func (ab *activeBlock) age(now time.Time) time.Duration {
 	return FirstBlockDuration - ab.until.Sub(now)
 }
@@ -49,8 +50,8 @@
 	return 0, 0
 }
 
-// RecordTrial records that a trial is made. It is propagated and stored, so that gateways that start
-// later do not repeat it.
+// RecordTrial records that a trial is made. It is propagated and stored, so that gateways that
+// start later do not repeat it.
 func (bs *Blocks) RecordTrial(fp Fingerprint, trial int, now time.Time) {
 	if ab := bs.active[fp]; ab != nil {
 		ab.recordTrial(trial, now)
@@ -65,8 +66,8 @@
 	}
 }
 
-// RetryAfter returns the Retry-After of a blocked request: until the result of the next trial, or the
-// end of the block; zero if it is not blocked.
+// RetryAfter returns the Retry-After of a blocked request: until the result of the next trial, or
+// the end of the block; zero if it is not blocked.
 func (bs *Blocks) RetryAfter(fp Fingerprint, now time.Time) time.Duration {
 	remaining := bs.Remaining(fp, now)
 	if remaining == 0 {
--- a/internal/poison/trial_test.go
+++ b/internal/poison/trial_test.go
@@ -38,7 +38,7 @@
 	bs.RecordTrial(fp, 1, at)
 	require.Len(t, bs.Unstored(), 1)
 	require.True(t, bs.IsStored(fp))
-	require.Len(t, bs.Recent(at.Add(recentFor-1)), 1)
+	require.Len(t, bs.Recent(at.Add(blockReportDuration-1)), 1)
 	for _, bl := range bs.Recent(at) {
 		other.Add(bl, bl.Remaining(at), false, at)
 	}
@@ -77,8 +77,8 @@
 	}
 }
 
-// At whatever times trials are made, a block gets at most len(trials) of them, and Retry-After never
-// exceeds the block's end.
+// At whatever times trials are made, a block gets at most len(trials) of them, and Retry-After
+// never exceeds the block's end.
 func TestTrialsAreBounded(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		var bs Blocks
