--- a/internal/gate/gate.go
+++ b/internal/gate/gate.go
@@ -59,7 +59,7 @@
 	key     Key
 	attempt *wire.Attempt
 	arrived time.Time
-	// deadline is when the attempt is refused if it has not started.
+	// deadline is the time at which the attempt is refused if it has not started.
 	deadline time.Time
 }
 
@@ -67,8 +67,8 @@
 	// stallThreshold is the gap between two events after which the process is assumed to have been
 	// suspended and its configuration to be out of date.
 	stallThreshold = 2 * time.Second
-	// smoothing is the weight of the newest service time in the mean.
-	smoothing = 0.1
+	// smoothingFactor is the weight of the newest service time in the mean.
+	smoothingFactor = 0.1
 	// minRetryAfter is the minimum Retry-After of a refusal.
 	minRetryAfter = 100 * time.Millisecond
 )
@@ -106,8 +106,8 @@
 	queue []queued
 	// serviceTime is the smoothed time that an attempt occupies its slot.
 	serviceTime time.Duration
-	// limits holds the server's rate limit and the times of starts, pauses the pause that the server
-	// requested.
+	// limits holds the server's rate limit and the times of starts, pauses the pause that the
+	// server requested.
 	limits backpressure.Tracker
 	pauses backpressure.Pauses
 }
@@ -122,7 +122,7 @@
 	if len(ga.queue) == 0 && ga.mayStart(now) {
 		return []Action{ga.start(qu, now)}
 	}
-	if wait := ga.estimate(at); now.Add(wait).After(qu.deadline) {
+	if wait := ga.estimateWait(at); now.Add(wait).After(qu.deadline) {
 		return []Action{ga.refuse(qu, result.Overloaded)}
 	}
 	ga.queue = append(ga.queue, qu)
@@ -165,9 +165,8 @@
 	return append(ga.sweep(now), ga.fill(now)...)
 }
 
-// Confirm records a peer's answer, with the revision that the peer holds, to a query that was sent
-// after the process had been suspended. The configuration is confirmed unless the peer has a newer
-// one.
+// Confirm records the revision that a peer reported in response to a query that was sent after the
+// process had been suspended. The configuration is confirmed unless the peer has a newer one.
 func (ga *Gate) Confirm(revision uint64, now time.Time) []Action {
 	ga.observe(now)
 	if revision > ga.snapshot.Revision() {
@@ -195,8 +194,8 @@
 	return ga.leaving || ga.serverLeaving || ga.server() != nil && ga.server().Leaving
 }
 
-// SetServerLeaving records whether the server announced its shutdown. If it did, queued attempts are
-// refused, and new ones until the server restarts.
+// SetServerLeaving records whether the server announced its shutdown. If it did, queued attempts
+// are refused, and new ones until the server restarts.
 func (ga *Gate) SetServerLeaving(leaving bool, now time.Time) []Action {
 	ga.observe(now)
 	ga.serverLeaving = leaving
@@ -229,8 +228,8 @@
 // Revision returns the revision in force.
 func (ga *Gate) Revision() uint64 { return ga.snapshot.Revision() }
 
-// observe records the time of an event. A gap that the caller's regular ticks rule out means that the
-// process was suspended, so the configuration has to be confirmed again.
+// observe records the time of an event. A gap that the caller's regular ticks rule out means that
+// the process was suspended, so the configuration has to be confirmed again.
 func (ga *Gate) observe(now time.Time) {
 	if !ga.lastEvent.IsZero() && Stalled(ga.lastEvent, now) {
 		ga.confirmed = false
@@ -240,12 +239,12 @@
 	}
 }
 
-// Stalled reports whether a decision is too old to be acted on because the process has been suspended
-// since it was made.
+// Stalled reports whether a decision is too old to be acted on because the process has been
+// suspended since it was made.
 func Stalled(decided, now time.Time) bool { return now.Sub(decided) > stallThreshold }
 
-// check returns result.OK if the configuration and the server's state allow the attempt to start, and
-// otherwise the reason for its refusal.
+// check returns result.OK if the configuration and the server's state allow the attempt to start,
+// and otherwise the reason for its refusal.
 func (ga *Gate) check(at *wire.Attempt) result.Code {
 	switch {
 	case ga.snapshot == nil || !ga.confirmed:
@@ -343,7 +342,7 @@
 func (ga *Gate) refuse(qu queued, co result.Code) Action {
 	after := result.Lookup(co).RetryAfter()
 	if co == result.Overloaded || co == result.ShareExceeded || co == result.DeadlinePassed {
-		after = max(minRetryAfter, ga.estimate(qu.attempt))
+		after = max(minRetryAfter, ga.estimateWait(qu.attempt))
 	}
 	return Action{kind: Refuse, key: qu.key, attempt: qu.attempt, code: co, retryAfter: after}
 }
--- a/internal/gate/gate_test.go
+++ b/internal/gate/gate_test.go
@@ -165,15 +165,16 @@
 	require.True(t, ga.Idle())
 }
 
-// A server leaves by each of the two signals while attempts arrive. The gate starts nothing afterwards.
-// A naive gate that waits for the platform's list of servers would start attempts on it.
+// A server is marked as leaving by the configuration or by Leave while attempts arrive. The gate
+// starts nothing afterwards. A naive gate that waits for the platform's list of servers would start
+// attempts on it.
 func TestLeavingStartsNothing(t *testing.T) {
 	naiveStarted := 0
 	rapid.Check(t, func(rt *rapid.T) {
 		ga := newGate(rt, 1, config.Serving, 4)
 		byConfig := rapid.Bool().Draw(rt, "by configuration")
 		leaves := rapid.IntRange(1, 20).Draw(rt, "leaves at")
-		// The platform's list shows it only later.
+		// The platform's list shows that the server is leaving only later.
 		listed := leaves + rapid.IntRange(1, 10).Draw(rt, "lag")
 		for i := 1; i < 30; i++ {
 			now := start.Add(time.Duration(i) * 100 * time.Millisecond)
@@ -208,8 +209,8 @@
 	return Start
 }
 
-// The gate and a naive gate get the same random events. The gate decides on each attempt once, keeps to
-// the slots and starts no withdrawn version; the naive one starts withdrawn versions.
+// The gate and a naive gate receive the same random events. The gate decides on each attempt once,
+// never exceeds the slots and starts no withdrawn version; the naive one starts withdrawn versions.
 func TestRandomEventsKeepTheInvariants(t *testing.T) {
 	violations := 0
 	rapid.Check(t, func(rt *rapid.T) {
@@ -282,9 +283,9 @@
 func (panicker) Errorf(format string, args ...any) { panic(fmt.Sprintf(format, args...)) }
 func (panicker) FailNow()                          { panic("failed") }
 
-// In an evacuated data centre, running attempts continue while queued and new ones are refused, so that
-// they go elsewhere. After the evacuation the server accepts attempts again, so its load reports must
-// not show it as leaving.
+// In an evacuated data centre, running attempts continue while queued and new ones are refused, so
+// that they go elsewhere. After the evacuation the server accepts attempts again, so its load
+// reports must not show it as leaving.
 func TestServerOfAnEvacuatedDataCentreRefusesNewAttempts(t *testing.T) {
 	ga := newGate(t, 1, config.Serving, 1)
 	require.Equal(t, Start, submit(ga, 1, attempt("one", "m@v2"), start)[0].Kind())
--- a/internal/gate/order.go
+++ b/internal/gate/order.go
@@ -33,8 +33,8 @@
 	return max(ga.teamTime[team], ga.virtualTime)
 }
 
-// charge advances a team's virtual time by one start, and removes the teams whose virtual time is no
-// longer ahead.
+// charge advances a team's virtual time by one start, and removes the teams whose virtual time is
+// no longer ahead.
 func (ga *Gate) charge(team string) {
 	ga.virtualTime = ga.teamVirtualTime(team)
 	ga.teamTime[team] = ga.virtualTime + 1/float64(ga.weight(team))
@@ -52,12 +52,12 @@
 	return 1
 }
 
-// shed refuses one queued attempt if the queue is too long, or if that attempt can't start before its
-// deadline. It is the newest attempt of the lowest priority from the team with the most queued attempts
-// for its weight, so that one team's burst displaces only attempts of that team.
+// shed refuses one queued attempt if the queue is too long, or if that attempt can't start before
+// its deadline. It is the newest attempt of the lowest priority from the team with the most queued
+// attempts for its weight, so that one team's burst displaces only attempts of that team.
 func (ga *Gate) shed(now time.Time) []Action {
-	last := ga.lastInOrder()
-	lastStart := now.Add(ga.wait(len(ga.queue)))
+	last := ga.shedCandidate()
+	lastStart := now.Add(ga.waitAt(len(ga.queue)))
 	if len(ga.queue) <= ga.MaxQueued && !lastStart.After(ga.queue[last].deadline) {
 		return nil
 	}
@@ -66,8 +66,8 @@
 	return []Action{ga.refuse(qu, result.ShareExceeded)}
 }
 
-// lastInOrder returns the index of the queued attempt that shed refuses.
-func (ga *Gate) lastInOrder() int {
+// shedCandidate returns the index of the queued attempt that shed refuses.
+func (ga *Gate) shedCandidate() int {
 	count := map[string]int{}
 	for i := range ga.queue {
 		count[ga.queue[i].attempt.Team]++
@@ -88,9 +88,9 @@
 	return last
 }
 
-// estimate returns how long a new attempt would wait: for all queued attempts of a higher priority,
-// and for those of the same priority that fair queueing places before it.
-func (ga *Gate) estimate(at *wire.Attempt) time.Duration {
+// estimateWait returns how long a new attempt would wait: for all queued attempts of a higher
+// priority, and for those of the same priority that fair queueing places before it.
+func (ga *Gate) estimateWait(at *wire.Attempt) time.Duration {
 	ahead := 1
 	counted := map[string]float64{}
 	for i := range ga.queue {
@@ -108,13 +108,13 @@
 			ahead++
 		}
 	}
-	return ga.wait(ahead)
+	return ga.waitAt(ahead)
 }
 
-// wait returns how long the attempt at a position of the queue, counted from one, waits: after the
-// server's pause, all slots serve at the smoothed service time, or at the server's rate limit if that
-// is slower.
-func (ga *Gate) wait(position int) time.Duration {
+// waitAt returns how long the attempt at a position of the queue, counted from one, waits: after
+// the server's pause, all slots serve at the smoothed service time, or at the server's rate limit
+// if that is slower.
+func (ga *Gate) waitAt(position int) time.Duration {
 	wait := ga.pauses.LocalRemaining(ga.Server, ga.lastEvent) + ga.serviceTime*time.Duration(position)/time.Duration(max(1, ga.slots()))
 	if interval, ok := ga.limits.Interval(ga.Server); ok {
 		wait = max(wait, ga.limitWait(ga.lastEvent)+time.Duration(position-1)*interval)
@@ -128,5 +128,5 @@
 		ga.serviceTime = took
 		return
 	}
-	ga.serviceTime += time.Duration(smoothing * float64(took-ga.serviceTime))
+	ga.serviceTime += time.Duration(smoothingFactor * float64(took-ga.serviceTime))
 }
