--- a/internal/budget/budget.go
+++ b/internal/budget/budget.go
@@ -1,5 +1,5 @@
-// Package budget limits retries to a fraction of the first attempts, so that retries can't multiply the
-// load during an outage.
+// Package budget limits retries to a fraction of the first attempts, so that retries can't multiply
+// the load during an outage.
 package budget
 
 import "time"
@@ -46,8 +46,8 @@
 	bu.updated = now
 }
 
-// Teams holds a budget for each team, so that a burst of one team that is refused does not use up the
-// retries of the others. It is not safe for concurrent use.
+// Teams holds a budget for each team, so that a burst of one team that is refused does not use up
+// the retries of the others. It is not safe for concurrent use.
 type Teams struct {
 	// Ratio is the number of retries that each first attempt allows.
 	Ratio float64
--- a/internal/budget/budget_test.go
+++ b/internal/budget/budget_test.go
@@ -9,8 +9,8 @@
 
 var start = time.Unix(1_800_000_000, 0)
 
-// failAll makes first attempts that all fail and retries each up to three times while the budget allows
-// it. It returns the total number of attempts.
+// failAll makes first attempts that all fail and retries each up to three times while the budget
+// allows it. It returns the total number of attempts.
 func failAll(bu *Budget, firsts int, span time.Duration) int {
 	attempts := 0
 	for i := range firsts {
@@ -45,7 +45,7 @@
 
 func TestTeamsHaveSeparateBudgets(t *testing.T) {
 	te := Teams{Ratio: 0.1}
-	for te.For("loud").Take(start) {
+	for te.For("busy").Take(start) {
 	}
-	require.True(t, te.For("quiet").Take(start))
+	require.True(t, te.For("idle").Take(start))
 }
--- a/internal/budget/window.go
+++ b/internal/budget/window.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// maxReserveFraction bounds a window's reserve to a fraction of the allowed retries: in a window with
-// few requests the full reserve would leave no optional ones.
+// maxReserveFraction bounds a window's reserve to a fraction of the allowed retries: in a window
+// with few requests the full reserve would leave no optional ones.
 const maxReserveFraction = 0.1
 
 // windowBuckets is the number of buckets of a window. An event expires at most one bucket too late.
@@ -12,9 +12,10 @@
 // bucket holds the counts of one part of a window.
 type bucket struct{ requests, retries int }
 
-// Window limits the retries within any time span to a ratio of the requests in it. If each of several
-// processes keeps the limit in its own window, their sum keeps it too, whatever the share of each.
-// Its exported fields are set before use; it is not safe for concurrent use.
+// Window limits the retries within any time span to a ratio of the requests in it. If each of
+// several processes applies the limit to its own window, the limit also holds for their sum,
+// however the requests are distributed. Its exported fields are set before use; it is not safe for
+// concurrent use.
 type Window struct {
 	// Span is the length of the window.
 	Span time.Duration
@@ -43,8 +44,8 @@
 	return true
 }
 
-// TakeOptional is Take for a retry that its request can do without: it leaves a reserve for other
-// retries, or a tenth of the allowed number if that is less.
+// TakeOptional is Take for a retry that is not required to complete its request: it leaves a
+// reserve for other retries, or a tenth of the allowed number if that is less.
 func (wi *Window) TakeOptional(reserve float64, now time.Time) bool {
 	allowed, used := wi.count(now)
 	return allowed-used >= 1+min(reserve, maxReserveFraction*allowed) && wi.Take(now)
--- a/internal/budget/window_test.go
+++ b/internal/budget/window_test.go
@@ -45,8 +45,8 @@
 	}
 }
 
-// Whenever a retry is allowed, the time span before it keeps the ratio. Since a window counts in
-// buckets, its span may be one bucket shorter for retries.
+// Whenever a retry is allowed, the ratio holds for the time span before it. Since a window counts
+// in buckets, its span may be one bucket shorter for retries.
 func TestAnySpanKeepsTheRatio(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		wi := Window{Span: 10 * time.Second, Ratio: 0.85, Allowance: 3}
