--- a/internal/relay/loads_test.go
+++ b/internal/relay/loads_test.go
@@ -14,7 +14,7 @@
 	"github.com/linnetrudder/linnetrudder/internal/load"
 )
 
-// reporter is one gateway that sends and answers reports.
+// reporter is one gateway that sends reports and replies to them.
 type reporter struct {
 	plan  Plan
 	own   load.Work
@@ -28,7 +28,7 @@
 	return Report{Box: re.plan.Box, Work: re.own}
 }
 
-func (re *reporter) answer(rp Report) Report {
+func (re *reporter) reply(rp Report) Report {
 	if rp.Collector {
 		re.table.PutGroup(rp.Box, rp.Work, now)
 		return Report{Box: re.plan.Box, Work: re.table.GroupSum(re.own)}
@@ -37,8 +37,8 @@
 	return Report{Box: re.plan.Box, Work: re.table.SumExcept(rp.Box, re.own)}
 }
 
-// With any members, each gateway knows the work of all others after three rounds of reports, and counts
-// none of it twice.
+// With any members, each gateway knows the work of all others after three rounds of reports, and
+// counts none of that work twice.
 func TestEachGatewayKnowsTheWorkOfAllOthersOnce(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		all := members(rapid.IntRange(1, 40).Draw(rt, "members"))
@@ -58,8 +58,8 @@
 				re := gateways[me.Box]
 				peers, collector := re.plan.Peers(all, now)
 				for _, peer := range peers {
-					answer := gateways[peer.Box].answer(re.report(collector))
-					re.table.PutGroup(answer.Box, answer.Work, now)
+					reply := gateways[peer.Box].reply(re.report(collector))
+					re.table.PutGroup(reply.Box, reply.Work, now)
 				}
 			}
 		}
@@ -73,16 +73,16 @@
 
 func TestReportsPerGatewayAreBounded(t *testing.T) {
 	for _, n := range []int{4, 30, 410} {
-		all, most := members(n), 0
+		all, maxPeers := members(n), 0
 		for _, me := range all {
 			pl := Plan{Box: me.Box, DataCentre: me.DataCentre}
 			peers, collector := pl.Peers(all, now)
 			if !collector {
 				require.Len(t, peers, 1)
 			}
-			most = max(most, len(peers))
+			maxPeers = max(maxPeers, len(peers))
 		}
-		require.LessOrEqual(t, most, 5, "collectors of three data centres")
+		require.LessOrEqual(t, maxPeers, 5, "collectors of three data centres")
 	}
 }
 
@@ -96,11 +96,11 @@
 	}
 	peers, _ := pl.Peers(all, now)
 	require.Empty(t, peers)
-	peers, _ = pl.Peers(all, now.Add(avoidFor))
+	peers, _ = pl.Peers(all, now.Add(avoidDuration))
 	require.Len(t, peers, 1)
 }
 
-// echo answers each report with the same work under the box name "echo".
+// echo replies to each report with the same work under the box name "echo".
 type echo struct{}
 
 func (echo) Reported(re Report) Report { return Report{Box: "echo", Collector: true, Work: re.Work} }
@@ -112,8 +112,8 @@
 	t.Cleanup(cl.Close)
 	for i := range 3 {
 		wo := load.Work{load.KeyOf(fmt.Sprint(i)): 70_000}
-		answer, err := cl.Exchange(t.Context(), Report{Box: "a", Work: wo})
+		reply, err := cl.Exchange(t.Context(), Report{Box: "a", Work: wo})
 		require.NoError(t, err)
-		require.Equal(t, Report{Box: "echo", Collector: true, Work: wo}, answer)
+		require.Equal(t, Report{Box: "echo", Collector: true, Work: wo}, reply)
 	}
 }
--- a/internal/relay/plan.go
+++ b/internal/relay/plan.go
@@ -9,24 +9,25 @@
 
 const (
 	// watchersPerCentre is the number of gateways in each data centre that watch the key-value
-	// service. It is two so that one of them may fail.
+	// service. There are two, so that one may fail.
 	watchersPerCentre = 2
-	// maxDirectWatchers is the number of watchers in all data centres up to which each of them calls
-	// the service. If there are more, only maxRoots of them do, the roots, each in another data
-	// centre; the other watchers ask a root.
+	// maxDirectWatchers is the number of watchers in all data centres up to which each of them
+	// calls the service. If there are more, only maxRoots of them do, the roots, each in another
+	// data centre; the other watchers ask a root.
 	maxDirectWatchers = 4
 	maxRoots          = 3
-	// avoidFor is how long a watcher that failed is not asked again.
-	avoidFor = 5 * time.Second
+	// avoidDuration is how long a watcher that failed is not asked again.
+	avoidDuration = 5 * time.Second
 	// serviceInterval is the minimum time between two calls to a service that does not answer, by a
-	// gateway that is not a watcher. The watchers call more often and pass on the service's recovery.
+	// gateway that is not a watcher. The watchers call more often and propagate the recovery of the
+	// service.
 	serviceInterval = time.Second
-	// longServiceInterval replaces serviceInterval if at least minStaleWatchers watchers have answered
-	// within it that the service does not answer them either.
+	// longServiceInterval replaces serviceInterval if at least minStaleWatchers watchers have
+	// answered within it that the service does not answer them either.
 	longServiceInterval = 5 * time.Second
 	minStaleWatchers    = 3
-	// catchUpInterval is the minimum time between two calls to the service by a gateway whose revision
-	// is not in its watcher's history.
+	// catchUpInterval is the minimum time between two calls to the service by a gateway whose
+	// revision is not in its watcher's history.
 	catchUpInterval = time.Second
 )
 
@@ -39,26 +40,26 @@
 	LinkMbps int
 }
 
-// Plan selects the source from which a gateway gets changes. Its exported fields are set before use; it
-// is not safe for concurrent use.
+// Plan selects the source from which a gateway gets changes. Its exported fields are set before
+// use; it is not safe for concurrent use.
 type Plan struct {
 	// Box and DataCentre are the gateway's own.
 	Box, DataCentre string
 
-	// failed holds the time of each watcher's last failure, by box; stale holds the time at which each
-	// last answered that its state is out of date.
+	// failed holds the time of each watcher's last failure, by box; stale holds the time at which
+	// each last answered that its state is out of date.
 	failed, stale map[string]time.Time
 	// serviceFailed is when the key-value service last failed to answer this gateway.
 	serviceFailed time.Time
-	// caughtUp is when AllowCatchUp last allowed a call.
-	caughtUp time.Time
+	// lastCatchUp is when AllowCatchUp last allowed a call.
+	lastCatchUp time.Time
 }
 
-// Watcher returns the member to ask, or false if the gateway calls the key-value service itself: as a
-// root, as a watcher where there are no roots, or because all the members that it would ask have
-// failed. If the service fails as well, a gateway that is not a watcher asks those of other data
-// centres, and after these have failed its own ones again. Gateways that know the same members select
-// the same watchers, those with the largest links.
+// Watcher returns the member to ask, or false if the gateway calls the key-value service itself: as
+// a root, as a watcher where there are no roots, or because all the members that it would ask have
+// failed. If the service fails as well, a gateway that is not a watcher asks the watchers of other
+// data centres, and if these fail too, those of its own data centre again. Gateways that know the
+// same members select the same watchers, those with the largest links.
 func (pl *Plan) Watcher(members []Member, now time.Time) (Member, bool) {
 	own := watchersOf(members, pl.DataCentre)
 	if !pl.isOneOf(own) {
@@ -71,8 +72,8 @@
 	return pl.choose(roots, nil, now)
 }
 
-// choose returns one of the preferred watchers that has not failed recently. If there is none and the
-// service has failed recently as well, it returns one of the others, or any preferred one.
+// choose returns one of the preferred watchers that has not failed recently. If there is none and
+// the service has failed recently as well, it returns one of the others, or any preferred one.
 func (pl *Plan) choose(preferred, others []Member, now time.Time) (Member, bool) {
 	available := pl.available(preferred, now)
 	if len(available) == 0 && now.Sub(pl.serviceFailed) < pl.serviceDelay(now) {
@@ -130,8 +131,8 @@
 	return len(own) == 0 || pl.isOneOf(own)
 }
 
-// Serves reports whether other members may ask this gateway for changes: it is a watcher, and its data
-// centre has members that are not watchers.
+// Serves reports whether other members may ask this gateway for changes: it is a watcher, and its
+// data centre has members that are not watchers.
 func (pl *Plan) Serves(members []Member) bool {
 	own := 0
 	for _, me := range members {
@@ -144,7 +145,7 @@
 
 // Peers returns the members to which this gateway reports its load, and whether it does so as a
 // collector. The watchers are the collectors. Of two collectors, the one whose box name sorts first
-// reports to the other, which answers with its own report.
+// reports to the other, which replies with its own report.
 func (pl *Plan) Peers(members []Member, now time.Time) (peers []Member, collector bool) {
 	if !pl.isOneOf(watchersOf(members, pl.DataCentre)) {
 		if wa, ok := pl.Watcher(members, now); ok {
@@ -185,17 +186,17 @@
 // ServiceFailed records that the key-value service did not answer this gateway.
 func (pl *Plan) ServiceFailed(now time.Time) { pl.serviceFailed = now }
 
-// AllowCatchUp reports whether a gateway whose revision is not in its watcher's history may call the
-// service now, and records the call.
+// AllowCatchUp reports whether a gateway whose revision is not in its watcher's history may call
+// the service now, and records the call.
 func (pl *Plan) AllowCatchUp(now time.Time) bool {
-	if now.Sub(pl.caughtUp) < catchUpInterval {
+	if now.Sub(pl.lastCatchUp) < catchUpInterval {
 		return false
 	}
-	pl.caughtUp = now
+	pl.lastCatchUp = now
 	return true
 }
 
 func (pl *Plan) avoided(box string, now time.Time) bool {
 	at, ok := pl.failed[box]
-	return ok && now.Sub(at) < avoidFor
+	return ok && now.Sub(at) < avoidDuration
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -1,9 +1,9 @@
 // Package relay propagates the state of the key-value service among gateways, so that only some of
-// them call the service. In each data centre a few gateways, the watchers, watch it; the others ask a
-// watcher for changes, over a WebSocket with messages in CBOR, and call the service if their watchers
-// fail. If there are many watchers, only some of them, the roots, call the service. Over the same kind
-// of connection, gateways report the load of backend servers, the number of gateways and the outcomes
-// of a version under trial.
+// them call the service. In each data centre a few gateways, the watchers, watch it; the others ask
+// a watcher for changes, over a WebSocket with messages in CBOR, and call the service if their
+// watchers fail. If there are many watchers, only some of them, the roots, call the service. Over
+// the same kind of connection, gateways report the load of backend servers, the number of gateways
+// and the outcomes of a version under trial.
 package relay
 
 import (
@@ -17,11 +17,11 @@
 	"github.com/linnetrudder/linnetrudder/internal/revision"
 )
 
-// Request asks for the changes after a revision of the key-value service. The
-// fields are exported because the codec needs them.
+// Request asks for the changes after a revision of the key-value service. The fields are exported
+// because the codec needs them.
 type Request struct {
 	After revision.Revision `cbor:"1,keyasint"`
-	// Wait is how long the answer may be delayed until there is a change.
+	// Wait is how long the response may be delayed until there is a change.
 	Wait time.Duration `cbor:"2,keyasint"`
 }
 
@@ -35,7 +35,8 @@
 	Batches []Batch `cbor:"3,keyasint,omitempty"`
 	// Unknown is set if the watcher's history does not reach back to the revision.
 	Unknown bool `cbor:"4,keyasint,omitempty"`
-	// Snapshot holds the complete state as the watcher encoded it, if its history does not reach back.
+	// Snapshot holds the complete state as the watcher encoded it, if its history does not reach
+	// back.
 	Snapshot []byte `cbor:"5,keyasint,omitempty"`
 }
 
@@ -50,11 +51,12 @@
 
 // Feed answers requests.
 type Feed interface {
-	// Updates returns the changes after a revision, or none if there are none before the wait is over.
+	// Updates returns the changes after a revision, or none if there are none before the wait is
+	// over.
 	Updates(ctx context.Context, rq Request) Update
 }
 
-// Report is sent to another gateway, which answers with its own. The fields are exported because
+// Report is sent to another gateway, which replies with its own. The fields are exported because
 // the codec needs them.
 type Report struct {
 	// Box is the sender's box.
@@ -66,8 +68,8 @@
 	Ready bool `cbor:"4,keyasint,omitempty"`
 	// Gateways is the number of gateways that Work includes.
 	Gateways int `cbor:"5,keyasint,omitempty"`
-	// Tallies holds outcomes of versions under trial as the sender encoded them, for the collector to
-	// pass on.
+	// Tallies holds outcomes of versions under trial as the sender encoded them, for the collector
+	// to pass on.
 	Tallies []byte `cbor:"6,keyasint,omitempty"`
 	// Suspicions holds the suspicions that the receiver does not have yet, Blocks the requests that
 	// were blocked recently.
@@ -85,14 +87,14 @@
 
 // ReportHandler handles reports.
 type ReportHandler interface {
-	// Reported handles a report and returns the answer to it.
+	// Reported handles a report and returns the reply to it.
 	Reported(re Report) Report
 }
 
 // maxBatches bounds a watcher's history. A gateway that is further behind gets the complete state.
 const maxBatches = 64
 
-// History holds the newest changes of one era. The zero value has no revision. It is not safe for
+// History holds the latest changes of one era. The zero value has no revision. It is not safe for
 // concurrent use.
 type History struct {
 	batches []Batch
@@ -126,9 +128,9 @@
 	}
 }
 
-// Since returns the changes after a revision and the revision to continue from, or false if the history
-// does not hold all of them, as for another era. A batch that the revision is within is returned
-// completely, since changes may be applied again in their order.
+// Since returns the changes after a revision and the revision to continue from, or false if the
+// history does not hold all of them, as for another era. A batch that extends beyond the revision
+// is returned completely, since changes may be applied again in their order.
 func (hi *History) Since(after revision.Revision) (batches []Batch, to revision.Revision, ok bool) {
 	if hi.to.IsZero() || after.Era != hi.to.Era || hi.from.After(after) {
 		return nil, after, false
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -44,7 +44,7 @@
 	require.Len(t, asked, 6, "each watcher serves some gateways")
 }
 
-func TestOnlyWatchersOfOtherMembersServe(t *testing.T) {
+func TestWatchersServeOnlyIfTheirDataCentreHasOtherMembers(t *testing.T) {
 	for n, want := range map[int]int{1: 0, 6: 0, 7: 2, 9: 6, 30: 6} {
 		all, serving := members(n), 0
 		for _, me := range all {
@@ -79,7 +79,7 @@
 	pl.Failed(second.Box, now)
 	_, ok = pl.Watcher(all, now)
 	require.False(t, ok)
-	again, ok := pl.Watcher(all, now.Add(avoidFor))
+	again, ok := pl.Watcher(all, now.Add(avoidDuration))
 	require.True(t, ok)
 	require.Equal(t, first.Box, again.Box)
 }
@@ -109,9 +109,9 @@
 	}
 }
 
-// If the service rejects some of the gateways, watchers in another data centre may still have a current
-// state, so they are asked before the service is called again. If it answers no gateway, those that are
-// not watchers rarely call it.
+// If the service rejects some of the gateways, watchers in another data centre may still have a
+// current state, so they are asked before the service is called again. If it answers no gateway,
+// those that are not watchers rarely call it.
 func TestWatchersInOtherDataCentresAreAskedBeforeTheServiceAgain(t *testing.T) {
 	all := members(12)
 	pl := Plan{Box: "b09", DataCentre: "dc0"}
@@ -202,8 +202,8 @@
 // rev returns a revision of a service without eras.
 func rev(number uint64) revision.Revision { return revision.Revision{Number: number} }
 
-// With any revisions of the batches and of a gateway, the gateway gets every change after its revision,
-// or the answer that the history does not hold them.
+// With any revisions of the batches and of a gateway, the gateway gets every change after its
+// revision, or is informed that the history does not contain them.
 func TestHistoryReturnsEveryChange(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		var hi History
--- a/internal/relay/socket.go
+++ b/internal/relay/socket.go
@@ -17,17 +17,17 @@
 )
 
 const (
-	// maxAnswerBytes bounds an answer: a configuration may be a megabyte.
-	maxAnswerBytes = 16 << 20
+	// maxResponseBytes bounds a response: a configuration may be a megabyte.
+	maxResponseBytes = 16 << 20
 	// maxRequestBytes bounds a request, which is a few bytes long.
 	maxRequestBytes = 1 << 10
 	// maxReportBytes bounds a load report: some ten bytes for each server.
 	maxReportBytes = 1 << 20
-	// maxWait bounds how long an answer is delayed, whatever the request asks for.
+	// maxWait bounds how long a response is delayed, whatever the request asks for.
 	maxWait = 5 * time.Second
 	// idleTimeout closes a connection on which no message arrives.
 	idleTimeout = 10 * time.Second
-	// writeTimeout bounds the writing of an answer.
+	// writeTimeout bounds the writing of a response.
 	writeTimeout = 2 * time.Second
 )
 
@@ -48,7 +48,7 @@
 	})
 }
 
-// LoadServer answers load reports on WebSockets. Its exported fields are set before use.
+// LoadServer replies to load reports on WebSockets. Its exported fields are set before use.
 type LoadServer struct{ Handler ReportHandler }
 
 // ServeHTTP serves one connection.
@@ -62,9 +62,9 @@
 	})
 }
 
-// serve answers the messages of one connection one after the other, until one can't be read, answered
-// or written.
-func serve(w http.ResponseWriter, r *http.Request, maxBytes int64, answer func(context.Context, []byte) (any, error)) {
+// serve answers the messages of one connection one after the other, until one can't be read,
+// answered or written.
+func serve(w http.ResponseWriter, r *http.Request, maxBytes int64, handle func(context.Context, []byte) (any, error)) {
 	conn, err := websocket.Accept(w, r, nil)
 	if err != nil {
 		return // Accept has already answered
@@ -72,18 +72,18 @@
 	defer func() { _ = conn.CloseNow() }()
 	conn.SetReadLimit(maxBytes)
 	for err == nil {
-		err = serveOne(r.Context(), conn, answer)
+		err = serveOne(r.Context(), conn, handle)
 	}
 }
 
-func serveOne(ctx context.Context, conn *websocket.Conn, answer func(context.Context, []byte) (any, error)) error {
+func serveOne(ctx context.Context, conn *websocket.Conn, handle func(context.Context, []byte) (any, error)) error {
 	rctx, cancel := context.WithTimeout(ctx, idleTimeout)
 	defer cancel()
 	_, data, err := conn.Read(rctx)
 	if err != nil {
 		return eris.Wrap(err, "read")
 	}
-	message, err := answer(ctx, data)
+	message, err := handle(ctx, data)
 	if err != nil {
 		return err
 	}
@@ -92,7 +92,8 @@
 	return write(wctx, conn, message)
 }
 
-// Client calls one gateway. Its exported fields are set before use; it is not safe for concurrent use.
+// Client calls one gateway. Its exported fields are set before use; it is not safe for concurrent
+// use.
 type Client struct {
 	// Address is the gateway's address.
 	Address string
@@ -111,15 +112,15 @@
 	return up, err
 }
 
-// Exchange sends a load report and returns the answer. After an error the next call opens a new
+// Exchange sends a load report and returns the reply. After an error the next call opens a new
 // connection. A client is used for either Fetch or Exchange.
 func (cl *Client) Exchange(ctx context.Context, re Report) (Report, error) {
-	var answer Report
-	err := cl.call(ctx, LoadPath, cl.Timeout, re, &answer)
-	return answer, err
+	var reply Report
+	err := cl.call(ctx, LoadPath, cl.Timeout, re, &reply)
+	return reply, err
 }
 
-// call sends a message and reads the answer to it.
+// call sends a message and reads the response to it.
 func (cl *Client) call(ctx context.Context, path string, timeout time.Duration, message, into any) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -144,7 +145,7 @@
 	if err != nil {
 		return eris.Wrap(err, "dial gateway")
 	}
-	conn.SetReadLimit(maxAnswerBytes)
+	conn.SetReadLimit(maxResponseBytes)
 	cl.conn = conn
 	return nil
 }
--- a/internal/relay/watchers.go
+++ b/internal/relay/watchers.go
@@ -6,7 +6,8 @@
 	"strings"
 )
 
-// rootsOf returns the watchers that the other watchers ask, or none if all watchers call the service.
+// rootsOf returns the watchers that the other watchers ask, or none if all watchers call the
+// service.
 func rootsOf(members []Member) []Member {
 	all := allWatchers(members)
 	if len(all) <= maxDirectWatchers {
