--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -1,5 +1,5 @@
-// Package replica decides how a configuration is propagated over the connections between entries and
-// agents, and ensures that its revision never decreases. It does no I/O and reads no clock.
+// Package replica decides how a configuration is propagated over the connections between entries
+// and agents, and ensures that its revision never decreases. It does no I/O and reads no clock.
 package replica
 
 import (
@@ -21,9 +21,9 @@
 	Adopt Kind = "adopt"
 	// Offer sends a peer the number of the revision in force here.
 	Offer Kind = "offer"
-	// Want requests from a peer what is newer than the revision in force here.
+	// Want requests from a peer any configuration newer than the revision in force here.
 	Want Kind = "want"
-	// Give sends a peer what is newer than the revision that it has.
+	// Give sends a peer the configuration that is newer than the revision that it has.
 	Give Kind = "give"
 )
 
@@ -40,13 +40,13 @@
 // Peer returns the peer that the action addresses, if any.
 func (ac Action) Peer() string { return ac.peer }
 
-// Revision returns the revision to adopt or to offer, the one after which changes are requested, or the
-// one that the peer has.
+// Revision returns the revision to adopt or to offer, the one after which changes are requested, or
+// the one that the peer has.
 func (ac Action) Revision() uint64 { return ac.revision }
 
-// The fan-outs of the two roles. An entry is connected to a few hundred agents, an agent to a few dozen
-// entries. With these fan-outs, a change reaches every process of a data centre of the target size in
-// a few hops (docs/CAPACITY.md).
+// The fan-outs of the two roles. An entry is connected to a few hundred agents, an agent to a few
+// dozen entries. With these fan-outs, a change reaches every process of a data centre of the target
+// size in a few hops (docs/CAPACITY.md).
 const (
 	EntryFanout = 40
 	AgentFanout = 6
@@ -59,14 +59,14 @@
 // wantTimeout is how long a peer may take to answer a request before another peer is asked.
 const wantTimeout = time.Second
 
-// Replica is one process's copy of the configuration. Its exported fields are set before use; it is not
-// safe for concurrent use.
+// Replica is one process's copy of the configuration. Its exported fields are set before use; it is
+// not safe for concurrent use.
 type Replica struct {
 	// Self is the box of this process.
 	Self string
-	// Fanout bounds the peers to which a new revision is offered in the first round; zero means all.
-	// Further rounds follow while at least half of the peers in the previous one did not have it. The
-	// remaining peers receive it from one another, or learn of it from heartbeats.
+	// Fanout bounds the peers to which a new revision is offered in the first round; zero means
+	// all. Further rounds follow while at least half of the peers in the previous one did not have
+	// it. The remaining peers receive it from one another, or detect it from heartbeats.
 	Fanout int
 
 	// snapshot is the configuration in force. Its revision never decreases.
@@ -77,12 +77,12 @@
 	offered map[string]uint64
 	// round is the latest round of offers.
 	round round
-	// requestedFrom is the peer whose answer to a request is pending, "" for none.
+	// requestedFrom is the peer whose response to a request is pending, "" for none.
 	requestedFrom string
 	requestedAt   time.Time
 }
 
-// round is a number of simultaneous offers of one revision.
+// round is a set of simultaneous offers of one revision.
 type round struct {
 	revision uint64
 	at       time.Time
@@ -106,7 +106,7 @@
 	return []Action{re.offer(peer)}
 }
 
-// PeerDown removes a peer. If its answer to a request was pending, another peer is asked.
+// PeerDown removes a peer. If its response to a request was pending, another peer is asked.
 func (re *Replica) PeerDown(peer string, now time.Time) []Action {
 	delete(re.peers, peer)
 	delete(re.offered, peer)
@@ -140,8 +140,8 @@
 	return []Action{{kind: Give, peer: peer, revision: revision}}
 }
 
-// Received adopts a snapshot from a peer or from the store and propagates it. A revision that is not
-// higher than the one in force is ignored, whatever its source.
+// Received adopts a snapshot from a peer or from the store and propagates it. A revision that is
+// not higher than the one in force is ignored, whatever its source.
 func (re *Replica) Received(sn *config.Snapshot, now time.Time) []Action {
 	if sn.Revision() <= re.Revision() {
 		return nil
@@ -152,8 +152,8 @@
 	return append(acs, re.request(now)...)
 }
 
-// Tick asks another peer if a request was not answered in time, and starts another round of offers if at
-// least half of the peers in the last one did not have the revision.
+// Tick asks another peer if a request was not answered in time, and starts another round of offers
+// if at least half of the peers in the last one did not have the revision.
 func (re *Replica) Tick(now time.Time) []Action {
 	acs := re.request(now)
 	ro := re.round
@@ -163,8 +163,8 @@
 	return append(acs, re.propagate(2*ro.sent, now)...)
 }
 
-// propagate offers the revision in force to peers to which it was not offered before, at most limit of
-// them unless that is zero.
+// propagate offers the revision in force to peers to which it was not offered before, at most limit
+// of them unless that is zero.
 func (re *Replica) propagate(limit int, now time.Time) []Action {
 	var acs []Action
 	for _, peer := range re.recipients(limit) {
@@ -199,8 +199,8 @@
 	return all
 }
 
-// request requests the configuration from the peer with the highest revision, unless the answer to an
-// earlier request is pending.
+// request requests the configuration from the peer with the highest revision, unless the response
+// to an earlier request is pending.
 func (re *Replica) request(now time.Time) []Action {
 	if re.requestedFrom != "" && now.Sub(re.requestedAt) < wantTimeout {
 		return nil
@@ -219,8 +219,8 @@
 	return []Action{{kind: Want, peer: best, revision: re.Revision()}}
 }
 
-// better reports whether a peer is a better source than another: it has a higher revision, or the same
-// one and was not the last to be asked.
+// better reports whether a peer is a better source than another: it has a higher revision, or the
+// same one and was not the last to be asked.
 func (re *Replica) better(peer, than string) bool {
 	have := re.peers[peer]
 	if have <= re.Revision() {
@@ -232,10 +232,10 @@
 	return have == re.peers[than] && than == re.requestedFrom
 }
 
-// recipients returns the peers to which the revision in force is to be offered next: those that are not
-// known to have it and were not offered it. If there are more than limit and limit is not zero, it
-// selects by rendezvous hashing other ones for each revision and process, so that all processes
-// together reach every peer.
+// recipients returns the peers to which the revision in force is to be offered next: those that are
+// not known to have it and were not offered it. If there are more than limit and limit is not zero,
+// it selects limit of them by rendezvous hashing of its own name and the revision: different
+// processes select different peers, so that together they reach every peer.
 func (re *Replica) recipients(limit int) []string {
 	var behind []string
 	for _, peer := range re.sortedPeers() {
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -54,7 +54,7 @@
 	revision uint64
 }
 
-func (ne *network) act(from string, acs []Action) {
+func (ne *network) send(from string, acs []Action) {
 	for _, ac := range acs {
 		if ac.Kind() != Adopt {
 			ne.inFlight = append(ne.inFlight, message{from: from, to: ac.Peer(), kind: ac.Kind(), revision: ac.Revision()})
@@ -67,19 +67,19 @@
 	before := re.Revision()
 	switch ms.kind {
 	case Offer:
-		ne.act(ms.to, re.Offered(ms.from, ms.revision, ne.now))
+		ne.send(ms.to, re.Offered(ms.from, ms.revision, ne.now))
 	case Want:
-		ne.act(ms.to, re.Wanted(ms.from, ms.revision))
+		ne.send(ms.to, re.Wanted(ms.from, ms.revision))
 	case Give:
-		ne.act(ms.to, re.Received(snapshot(ne.replicas[ms.from].Revision()), ne.now))
+		ne.send(ms.to, re.Received(snapshot(ne.replicas[ms.from].Revision()), ne.now))
 	}
 	if re.Revision() < before {
 		panic("a revision decreased")
 	}
 }
 
-// Revisions are written while messages are lost, duplicated and reordered and agents restart. After the
-// network has recovered, all replicas have the highest revision.
+// Revisions are written while messages are lost, duplicated and reordered and agents restart. After
+// the network has recovered, all replicas have the highest revision.
 func TestEveryReplicaGetsTheHighestRevision(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		ne := &network{replicas: map[string]*Replica{}, now: start}
@@ -90,8 +90,8 @@
 		}
 		connect := func(na string, peers []string) {
 			for _, peer := range peers {
-				ne.act(na, ne.replicas[na].PeerUp(peer))
-				ne.act(peer, ne.replicas[peer].PeerUp(na))
+				ne.send(na, ne.replicas[na].PeerUp(peer))
+				ne.send(peer, ne.replicas[peer].PeerUp(na))
 			}
 		}
 		for _, en := range entries {
@@ -104,11 +104,11 @@
 			case ev == "write":
 				highest++
 				en := rapid.SampledFrom(entries).Draw(rt, "entry")
-				ne.act(en, ne.replicas[en].Received(snapshot(highest), ne.now))
+				ne.send(en, ne.replicas[en].Received(snapshot(highest), ne.now))
 			case ev == "restart":
 				ag := rapid.SampledFrom(agents).Draw(rt, "agent")
 				for _, en := range entries {
-					ne.act(en, ne.replicas[en].PeerDown(ag, ne.now))
+					ne.send(en, ne.replicas[en].PeerDown(ag, ne.now))
 				}
 				ne.replicas[ag] = &Replica{}
 				connect(ag, entries)
@@ -142,7 +142,7 @@
 			}
 		}
 		for na, re := range ne.replicas {
-			ne.act(na, re.Tick(ne.now))
+			ne.send(na, re.Tick(ne.now))
 		}
 		for len(ne.inFlight) > 0 {
 			ms := ne.inFlight[0]
@@ -164,8 +164,8 @@
 	require.Equal(t, uint64(3), re.Revision())
 }
 
-// A change reaches every process of a data centre of the target size with the fan-outs of the two roles,
-// without heartbeats and with few messages.
+// A change reaches every process of a data centre of the target size with the fan-outs of the two
+// roles, without heartbeats and with few messages.
 func TestFanoutReachesEveryProcess(t *testing.T) {
 	const entries, agents = 46, 167
 	ne := &network{replicas: map[string]*Replica{}, now: start}
@@ -186,7 +186,7 @@
 			ne.replicas[ag].PeerUp(en)
 		}
 	}
-	ne.act("e0", ne.replicas["e0"].Received(snapshot(1), ne.now))
+	ne.send("e0", ne.replicas["e0"].Received(snapshot(1), ne.now))
 	sent := 0
 	for ; len(ne.inFlight) > 0; sent++ {
 		ms := ne.inFlight[0]
@@ -199,8 +199,8 @@
 	require.Less(t, sent, entries*agents/2, "fewer messages than half the number of connections")
 }
 
-// A change reaches all entries through the only agent, without heartbeats: its fan-out is smaller than the
-// number of entries, so further rounds of offers are needed.
+// A change reaches all entries through the only agent, without heartbeats: its fan-out is smaller
+// than the number of entries, so that further rounds of offers are needed.
 func TestSingleAgentReachesEveryEntry(t *testing.T) {
 	const entries = 60
 	ne := &network{replicas: map[string]*Replica{"a": {Self: "a", Fanout: AgentFanout}}, now: start}
@@ -210,7 +210,7 @@
 		ne.replicas[na].PeerUp("a")
 		ne.replicas["a"].PeerUp(na)
 	}
-	ne.act("e0", ne.replicas["e0"].Received(snapshot(1), ne.now))
+	ne.send("e0", ne.replicas["e0"].Received(snapshot(1), ne.now))
 	for range 6 {
 		for len(ne.inFlight) > 0 {
 			ms := ne.inFlight[0]
@@ -219,7 +219,7 @@
 		}
 		ne.now = ne.now.Add(roundInterval)
 		for na, re := range ne.replicas {
-			ne.act(na, re.Tick(ne.now))
+			ne.send(na, re.Tick(ne.now))
 		}
 	}
 	for na, re := range ne.replicas {
