--- a/internal/change/change.go
+++ b/internal/change/change.go
@@ -1,6 +1,6 @@
-// Package change writes the configuration to the key-value service. The complete document is validated
-// first and written by compare-and-swap; after a lost answer, the change is recognized by its operation
-// id.
+// Package change writes the configuration to the key-value service. The complete document is
+// validated first and written by compare-and-swap; after a lost response, the change is recognized
+// by its operation id.
 package change
 
 import (
@@ -14,7 +14,7 @@
 	"github.com/linnetrudder/linnetrudder/internal/result"
 )
 
-// Store is the part of the key-value service that is used.
+// Store is the subset of the key-value service that is used.
 type Store interface {
 	Get(ctx context.Context, key string) (kv.Pair, error)
 	Swap(ctx context.Context, key string, value []byte, index uint64) (bool, error)
@@ -25,8 +25,8 @@
 
 // Request is a change that an operator requests.
 type Request struct {
-	// Operation is the unique id of the change. A repeated request with the same id returns the outcome
-	// of the first.
+	// Operation is the unique id of the change. A repeated request with the same id returns the
+	// outcome of the first.
 	Operation string
 	// Operator and Summary are stored with the change.
 	Operator, Summary string
@@ -38,7 +38,7 @@
 const (
 	// historySlots is the number of earlier revisions that are stored.
 	historySlots = 128
-	// maxAttempts bounds the attempts in the case of concurrent changes and lost answers.
+	// maxAttempts bounds the attempts in the case of concurrent changes and lost responses.
 	maxAttempts = 6
 )
 
@@ -49,11 +49,11 @@
 	Backoff time.Duration
 }
 
-// DefaultBackoff suits a service that answers in milliseconds.
+// DefaultBackoff suits a service that responds in milliseconds.
 const DefaultBackoff = 20 * time.Millisecond
 
-// Apply makes a change and returns the envelope that is then stored. The error is a *result.Error; if
-// its code is result.StoreUnknown, the same request may be repeated.
+// Apply makes a change and returns the envelope that is then stored. The error is a *result.Error;
+// if its code is result.StoreUnknown, the same request may be repeated.
 func (wr *Writer) Apply(ctx context.Context, re Request, now time.Time) (*config.Envelope, error) {
 	lastErr := error(result.New(result.StoreDown, ""))
 	mayBeWritten := false
@@ -76,8 +76,8 @@
 	return nil, lastErr
 }
 
-// applyOnce makes one attempt; done is set if its outcome is final. It returns neither an envelope nor
-// an error if another change was written in the meantime.
+// applyOnce makes one attempt; done is set if its outcome is final. It returns neither an envelope
+// nor an error if another change was written in the meantime.
 func (wr *Writer) applyOnce(ctx context.Context, re Request, now time.Time) (en *config.Envelope, done bool, err error) {
 	pair, err := wr.Store.Get(ctx, config.StoreKey)
 	if err != nil {
@@ -138,8 +138,9 @@
 	return fmt.Sprintf("the revision in force is %d", current.Revision)
 }
 
-// storeHistory stores the revision that is about to be replaced in its history slot. It leaves the slot
-// as it is if that holds the same revision or, when this process was delayed for long, a later one.
+// storeHistory stores the revision that is about to be replaced in its history slot. It leaves the
+// slot as it is if that holds the same revision or, when this process was delayed for long, a later
+// one.
 func (wr *Writer) storeHistory(ctx context.Context, current *config.Envelope, value []byte) error {
 	if current.Revision == 0 {
 		return nil
--- a/internal/change/change_test.go
+++ b/internal/change/change_test.go
@@ -20,9 +20,9 @@
 
 var start = time.Unix(1_800_000_000, 0)
 
-// fakeStore is a key-value service in memory. The swaps of the configuration have the given outcomes, one
-// after the other: "ok", "lost" (made, but the answer is lost), "down" or "raced" (after a concurrent
-// change).
+// fakeStore is a key-value service in memory. The swaps of the configuration have the given
+// outcomes, one after the other: "ok", "lost" (made, but the response is lost), "down" or "raced"
+// (made after a concurrent change, so that it fails).
 type fakeStore struct {
 	pairs    map[string]kv.Pair
 	index    uint64
@@ -63,7 +63,7 @@
 	return true, nil
 }
 
-func adding(operation, model string) Request {
+func addModel(operation, model string) Request {
 	return Request{Operation: operation, Operator: "ana", Summary: "add " + model, Edit: func(doc *config.Document) (*config.Document, error) {
 		if doc == nil {
 			doc = &config.Document{}
@@ -81,10 +81,10 @@
 func TestLostAnswerIsResolvedByReading(t *testing.T) {
 	st := newFakeStore()
 	st.outcomes = []string{"lost"}
-	en, err := apply(st, adding("op-1", "a"))
+	en, err := apply(st, addModel("op-1", "a"))
 	require.NoError(t, err)
 	require.Equal(t, uint64(1), en.Revision)
-	en, err = apply(st, adding("op-1", "a"))
+	en, err = apply(st, addModel("op-1", "a"))
 	require.NoError(t, err, "the same operation again")
 	require.Equal(t, uint64(1), en.Revision, "it is not made twice")
 }
@@ -92,7 +92,7 @@
 func TestFailureReportsThatTheWriteMayHaveBeenMade(t *testing.T) {
 	st := newFakeStore()
 	st.outcomes = []string{"down", "down", "down", "down", "down", "down"}
-	_, err := apply(st, adding("op-1", "a"))
+	_, err := apply(st, addModel("op-1", "a"))
 	var er *result.Error
 	require.ErrorAs(t, err, &er)
 	require.Equal(t, result.StoreUnknown, er.Code())
@@ -101,15 +101,15 @@
 
 func TestConflictNamesTheOtherChange(t *testing.T) {
 	st := newFakeStore()
-	_, err := apply(st, adding("op-1", "a"))
+	_, err := apply(st, addModel("op-1", "a"))
 	require.NoError(t, err)
 	st.outcomes = []string{"raced"}
 	st.race = func() {
 		st.outcomes = nil
-		_, err := apply(st, adding("op-2", "b"))
+		_, err := apply(st, addModel("op-2", "b"))
 		require.NoError(t, err)
 	}
-	re := adding("op-3", "c")
+	re := addModel("op-3", "c")
 	base := uint64(1)
 	re.Base = &base
 	_, err = apply(st, re)
@@ -118,7 +118,7 @@
 
 func TestInvalidDocumentIsNotWritten(t *testing.T) {
 	st := newFakeStore()
-	_, err := apply(st, adding("op-1", ""))
+	_, err := apply(st, addModel("op-1", ""))
 	require.ErrorContains(t, err, "models[0].name")
 	require.Empty(t, st.pairs)
 }
@@ -126,7 +126,7 @@
 func TestReplacedRevisionsAreStored(t *testing.T) {
 	st := newFakeStore()
 	for i := range historySlots + 3 {
-		_, err := apply(st, adding(fmt.Sprintf("op-%d", i), fmt.Sprintf("m%d", i)))
+		_, err := apply(st, addModel(fmt.Sprintf("op-%d", i), fmt.Sprintf("m%d", i)))
 		require.NoError(t, err)
 	}
 	require.Len(t, st.pairs, historySlots+1)
@@ -135,8 +135,8 @@
 	require.Equal(t, uint64(historySlots+2), stored.Revision)
 }
 
-// register is the sequential specification: the revision that is returned for each accepted change is
-// higher than all earlier ones. Output zero is a change that was not accepted.
+// register is the sequential specification: the revision that is returned for each accepted change
+// is higher than all earlier ones. Output zero is a change that was not accepted.
 var register = porcupine.Model{
 	Init: func() any { return uint64(0) },
 	Step: func(state, _, output any) (bool, any) {
@@ -149,8 +149,9 @@
 	},
 }
 
-// Operators change the configuration concurrently under lost answers and outages. The final document
-// contains every accepted change exactly once; a naive writer without compare-and-swap loses some.
+// Operators change the configuration concurrently under lost responses and outages. The final
+// document contains every accepted change exactly once; a naive writer without compare-and-swap
+// loses some.
 func TestAcceptedChangesAreNeverLost(t *testing.T) {
 	naiveLost := 0
 	rapid.Check(t, func(rt *rapid.T) {
@@ -164,7 +165,7 @@
 			st.race = func() {
 				saved := st.outcomes
 				st.outcomes = nil
-				_, err := apply(st, adding("concurrent-"+name, "r"+name))
+				_, err := apply(st, addModel("concurrent-"+name, "r"+name))
 				require.NoError(rt, err)
 				accepted["r"+name] = 1
 				st.outcomes = saved
@@ -173,7 +174,7 @@
 				seen = append([]string{}, naive...)
 			}
 			naive = append(append([]string{}, seen...), name)
-			en, err := apply(st, adding("op-"+name, name))
+			en, err := apply(st, addModel("op-"+name, name))
 			returned := uint64(0)
 			if err == nil {
 				ch, ok := en.Find("op-" + name)
