--- a/internal/revision/revision.go
+++ b/internal/revision/revision.go
@@ -1,6 +1,6 @@
-// Package revision orders positions in the history of the key-value service. A service that is restored
-// from a backup assigns the same revision numbers again, so a position consists of an era and a number.
-// It does no I/O and reads no clock.
+// Package revision orders positions in the history of the key-value service. A service that is
+// restored from a backup assigns the same revision numbers again, so a position consists of an era
+// and a number. It does no I/O and reads no clock.
 package revision
 
 import (
--- a/internal/revision/revision_test.go
+++ b/internal/revision/revision_test.go
@@ -33,8 +33,8 @@
 	require.True(t, gu.Accept(9, now), "a gap between eras")
 	require.False(t, gu.Accept(4, now))
 	require.True(t, gu.Accept(9, now.Add(eraFallbackDelay)))
-	require.False(t, gu.Accept(4, now.Add(eraFallbackDelay)), "after an answer from the current era")
+	require.False(t, gu.Accept(4, now.Add(eraFallbackDelay)), "after a response from the current era")
 	require.False(t, gu.Accept(4, now.Add(2*eraFallbackDelay-1)))
-	require.True(t, gu.Accept(4, now.Add(2*eraFallbackDelay)), "only answers from an older era since")
+	require.True(t, gu.Accept(4, now.Add(2*eraFallbackDelay)), "only responses from an older era since")
 	require.Equal(t, uint64(4), gu.Era())
 }
