--- a/internal/kv/kv.go
+++ b/internal/kv/kv.go
@@ -21,8 +21,8 @@
 	"github.com/linnetrudder/linnetrudder/internal/result"
 )
 
-// Pair is a key with its value. Index is the service's modify index, which compare-and-swap refers to;
-// zero means that the key does not exist.
+// Pair is a key with its value. Index is the service's modify index, which compare-and-swap refers
+// to; zero means that the key does not exist.
 type Pair struct {
 	Key   string
 	Value []byte
@@ -32,8 +32,8 @@
 // maxResponseBytes bounds the response to one call; that of a recursive read may be long.
 const maxResponseBytes = 64 << 20
 
-// Client calls the service. Its exported fields are set before use; its methods are safe for concurrent
-// use.
+// Client calls the service. Its exported fields are set before use; its methods are safe for
+// concurrent use.
 type Client struct {
 	// Address is the IP number and port of the service.
 	Address string
@@ -41,7 +41,7 @@
 	Token string
 	// Timeout bounds each call, in addition to the wait of a watch.
 	Timeout time.Duration
-	// Limiter limits the calls to this process's share of the rate.
+	// Limiter limits the calls to this process's share of the service's rate limit.
 	Limiter *rate.Limiter
 	// HTTP sends the requests.
 	HTTP *http.Client
@@ -59,8 +59,8 @@
 	return firstPair(key, pairs), err
 }
 
-// Watch waits until the key's index is higher than the given one or the wait is over, and returns the
-// key's pair and the service's index.
+// Watch waits until the key's index is higher than the given one or the wait is over, and returns
+// the key's pair and the service's index.
 func (cl *Client) Watch(ctx context.Context, key string, after uint64, wait time.Duration) (Pair, uint64, error) {
 	query := url.Values{}
 	query.Set("index", strconv.FormatUint(after, 10))
@@ -77,9 +77,9 @@
 	return pairs, err
 }
 
-// Swap writes a value if the key's index is still the given one; zero means that the key must not exist.
-// It reports whether the value was written. An error with the code result.StoreUnknown means that it
-// may have been written.
+// Swap writes a value if the key's index is still the given one; zero means that the key must not
+// exist. It reports whether the value was written. An error with the code result.StoreUnknown means
+// that it may have been written.
 func (cl *Client) Swap(ctx context.Context, key string, value []byte, index uint64) (bool, error) {
 	query := url.Values{}
 	query.Set("cas", strconv.FormatUint(index, 10))
@@ -165,8 +165,8 @@
 	return req, nil
 }
 
-// CallError returns the error of a call without a usable response: a write may have been made nonetheless, a
-// read has no result.
+// CallError returns the error of a call without a usable response. A write may have been made
+// nonetheless; a read has no result.
 func CallError(write bool, detail string) error {
 	if write {
 		return result.New(result.StoreUnknown, detail)
