--- a/internal/backpressure/backpressure_test.go
+++ b/internal/backpressure/backpressure_test.go
@@ -171,13 +171,13 @@
 	now := time.Unix(1000, 0)
 	rate := 2.0
 	tr.Report("listed", &rate, now)
-	tr.Report("gone", &rate, now)
+	tr.Report("unlisted", &rate, now)
 	listed := func(key string) bool { return key == "listed" }
 	tr.Tick(listed, now.Add(unlistedRetention-1))
-	_, ok := tr.PerSecond("gone")
+	_, ok := tr.PerSecond("unlisted")
 	require.True(t, ok)
 	tr.Tick(listed, now.Add(unlistedRetention))
-	_, ok = tr.PerSecond("gone")
+	_, ok = tr.PerSecond("unlisted")
 	require.False(t, ok)
 	_, ok = tr.PerSecond("listed")
 	require.True(t, ok)
--- a/internal/budget/budget.go
+++ b/internal/budget/budget.go
@@ -5,8 +5,9 @@
 import "time"
 
 const (
-	// perSecond is the number of retries per second that are allowed without any first attempts.
-	perSecond = 2.0
+	// minRetriesPerSecond is the number of retries per second that are allowed without any first
+	// attempts.
+	minRetriesPerSecond = 2.0
 	// burst bounds the retries that accumulate while none are made.
 	burst = 20.0
 )
@@ -41,7 +42,7 @@
 
 func (bu *Budget) refill(now time.Time) {
 	if !bu.updated.IsZero() && now.After(bu.updated) {
-		bu.spent = max(0, bu.spent-perSecond*now.Sub(bu.updated).Seconds())
+		bu.spent = max(0, bu.spent-minRetriesPerSecond*now.Sub(bu.updated).Seconds())
 	}
 	bu.updated = now
 }
--- a/internal/poison/detector_test.go
+++ b/internal/poison/detector_test.go
@@ -35,13 +35,13 @@
 func TestImmediateCrashesInSuccession(t *testing.T) {
 	de := Detector{MinCrashes: 3}
 	fp := fingerprint("p")
-	at := func(ms int, server string) time.Duration {
+	crashAt := func(ms int, server string) time.Duration {
 		return de.Record(Suspicion{Fingerprint: fp, Server: server, RequestAge: 2 * time.Millisecond}, t0.Add(time.Duration(ms)*time.Millisecond))
 	}
-	require.Zero(t, at(10, "a"))
-	require.Zero(t, at(13, "b"))
-	require.Zero(t, at(16, "c"), "a failing rack may look like this")
-	require.Positive(t, at(5000, "d"))
+	require.Zero(t, crashAt(10, "a"))
+	require.Zero(t, crashAt(13, "b"))
+	require.Zero(t, crashAt(16, "c"), "a failing rack may look like this")
+	require.Positive(t, crashAt(5000, "d"))
 }
 
 // After the first block, one more crash is enough for a block, and that one lasts longer.
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -121,8 +121,8 @@
 	used float64
 }
 
-// simulate sends requests for cold servers at demand times their rate, a quarter of them at the
-// start, and counts the arrivals. Each request tries up to three servers, as pool.Pick does.
+// simulate sends requests to cold servers at a multiple of their rate, demand, a quarter of them at
+// the start, and counts the arrivals. Each request tries up to three servers, as pool.Pick does.
 func simulate(st strategy, gateways, servers int, demand float64, rn *rand.Rand) result {
 	const span = 3 * time.Second
 	arrived := make([][]time.Duration, servers)
--- a/internal/rollout/canary.go
+++ b/internal/rollout/canary.go
@@ -61,7 +61,7 @@
 	own Outcomes
 	// peers holds the outcomes that other gateways reported.
 	peers map[string]Outcomes
-	// badSince is since when the version counts as bad, zero if it does not.
+	// badSince is when the version began to count as bad, zero if it does not.
 	badSince time.Time
 	// phaseSince is when this process first evaluated trackedPhase, the present phase.
 	phaseSince   time.Time
