--- a/internal/choice/choice.go
+++ b/internal/choice/choice.go
@@ -14,7 +14,7 @@
 // Auto is the model name with which a caller leaves the selection of the model to the system.
 const Auto = "auto"
 
-// Estimates provides what has been learnt about versions and kinds of request.
+// Estimates provides estimates of the properties of versions and kinds of request.
 type Estimates interface {
 	// Quality returns the mean rating of a version's answers to requests of a kind, and a lower
 	// confidence bound of that mean.
@@ -77,7 +77,8 @@
 // not good enough.
 func (pl Plan) Steps() []string { return pl.steps }
 
-// Reason returns a short explanation of the selection.
+// Reason returns a short explanation of the selection. Callers and operators receive it in error
+// bodies and in the answers of the explain command, so its texts must not change.
 func (pl Plan) Reason() string { return pl.reason }
 
 // Candidates returns all versions that were considered.
@@ -88,9 +89,9 @@
 
 const (
 	// minExploration and maxExploration bound the fraction of requests on which a cheaper version
-	// is tried whose confidence interval includes the target. Between the bounds, the fraction is
-	// such that the quality above the target of the version in use pays for the exploration if the
-	// explored versions fall short of it by assumedShortfall.
+	// is tried whose confidence interval includes the target. Between the bounds, the fraction grows
+	// with the margin by which the version in use exceeds the target: that margin offsets the loss
+	// if the explored versions fall short of the target by assumedShortfall.
 	minExploration   = 0.05
 	maxExploration   = 0.25
 	assumedShortfall = 0.4
@@ -106,7 +107,7 @@
 	ki := sn.Kind(req.Kind)
 	versions := candidateVersions(sn, ki, req)
 	if len(versions) == 0 {
-		return Plan{code: result.UnknownModel, reason: "unknown model"}
+		return Plan{code: result.UnknownModel, reason: "no such model"}
 	}
 	var pl Plan
 	var eligible []*config.Version
@@ -119,7 +120,7 @@
 	}
 	if len(eligible) == 0 {
 		pl.code = mostSpecificCode(pl.candidates)
-		pl.reason = "no eligible version"
+		pl.reason = "no version is open"
 		return pl
 	}
 	pl.code = result.OK
@@ -129,7 +130,7 @@
 
 // pinned keeps a session on its version, regardless of cost and quality.
 func pinned(sn *config.Snapshot, req Request, av Availability) Plan {
-	pl := Plan{reason: "session is pinned to its version", code: sn.MayStart(req.Team, req.Pinned, true)}
+	pl := Plan{reason: "session keeps its version", code: sn.MayStart(req.Team, req.Pinned, true)}
 	if pl.code == result.OK && !av.Has(req.Pinned) {
 		pl.code = result.NoServer
 	}
@@ -247,7 +248,7 @@
 	}
 	if first := firstTry(list, best, ki, req, es); first != nil {
 		pl.steps = []string{first.ID(), best.ID()}
-		pl.reason = "cheaper version first, then " + reason
+		pl.reason = "cheaper first try, then " + reason
 	}
 }
 
@@ -256,13 +257,13 @@
 // quality; this ends by itself, since more ratings narrow the confidence interval. If no version
 // meets the target, it returns the one with the best mean rating.
 func targetVersion(list []*config.Version, ki *config.Kind, req Request, es Estimates) (*config.Version, string) {
-	best, reason := list[0], "best quality; no version meets the target with confidence"
+	best, reason := list[0], "best quality, none surely meets the target"
 	bestMean, slack := -1.0, 0.0
 	var uncertain []*config.Version
 	for _, ve := range list {
 		mean, lower := es.Quality(req.Team, req.Kind, ve)
 		if lower >= ki.Target-targetTolerance {
-			best, reason = ve, "cheapest version that meets the target"
+			best, reason = ve, "cheapest that meets the target"
 			slack = lower - ki.Target
 			break
 		}
@@ -275,16 +276,16 @@
 	}
 	fraction := min(maxExploration, minExploration+slack/assumedShortfall)
 	if len(uncertain) > 0 && req.Explore < fraction {
-		return uncertain[int(req.Explore/fraction*float64(len(uncertain)))], "explored to learn its quality"
+		return uncertain[int(req.Explore/fraction*float64(len(uncertain)))], "tried to learn its quality"
 	}
 	return best, reason
 }
 
-// firstTry returns a cheaper version that is worth trying first, or nil. The cost of the try, plus
-// that of the requests that need a second step, must be lower than the cost of calling the best
-// version directly, and the accepted answers must not pull the quality below the target even at
-// their lower bound. For a fraction of the requests their upper bound is used instead, to learn
-// their quality.
+// firstTry returns the cheaper version to try first, or nil if no first try pays off. The cost of the
+// try plus the cost of the second step, weighted with its probability, must be lower than the cost of
+// calling the best version directly. Even at the lower bound of their quality, the accepted answers
+// must not pull the quality below the target. For minExploration of the requests the upper bound is
+// used instead, to learn the quality of the accepted answers.
 func firstTry(list []*config.Version, best *config.Version, ki *config.Kind, req Request, es Estimates) *config.Version {
 	direct := Cost(best, req.Kind, es)
 	bestMean, _ := es.Quality(req.Team, req.Kind, best)
--- a/internal/choice/choice_test.go
+++ b/internal/choice/choice_test.go
@@ -56,7 +56,7 @@
 		code        result.Code
 		steps       []string
 	}{
-		{name: "the model versions for", req: Request{Team: "kitchen-a", Model: "menu", Draw: 0.5, Explore: 1}, code: result.OK, steps: []string{"menu@v1"}},
+		{name: "requested model", req: Request{Team: "kitchen-a", Model: "menu", Draw: 0.5, Explore: 1}, code: result.OK, steps: []string{"menu@v1"}},
 		{name: "new version not granted to the team", req: Request{Team: "kitchen-a", Model: "menu", Explore: 1}, code: result.OK, steps: []string{"menu@v1"}},
 		{name: "new version gets its share", req: Request{Team: "cooperative", Model: "menu", Draw: 0.05, Explore: 1}, code: result.OK, steps: []string{"menu@v2"}},
 		{name: "old version gets the rest", req: Request{Team: "cooperative", Model: "menu", Draw: 0.15, Explore: 1}, code: result.OK, steps: []string{"menu@v1"}},
