--- a/internal/cascade/cascade.go
+++ b/internal/cascade/cascade.go
@@ -2,9 +2,8 @@
 // the largest, is accepted or a larger model is called instead. It compares the value of each
 // alternative to the caller, less its price and the delay that it causes for other requests. The
 // smallest model is called first: which requests are hard is not known beforehand, and calling the
-// largest model first where a second call would be late had no benefit (a value of 0.516 without
-// and 0.506 with it where the largest model takes 20 times as long). It does no I/O and reads no
-// clock.
+// largest model first where a second call would be late had no benefit (a value of 0.506 compared
+// with 0.516 where the largest model takes 20 times as long). It does no I/O and reads no clock.
 package cascade
 
 import (
@@ -12,10 +11,10 @@
 	"time"
 )
 
-// Values of answers relative to a good answer in time, from the users' sheets.
+// Values of answers relative to a good answer in time, as stated by the users.
 const (
-	// lateValue is the value of a good answer after its target latency (0.23 to 0.5 on the
-	// sheets), poorValue that of an answer of a model too small for the request.
+	// lateValue is the value of a good answer after its target latency (the users state 0.23 to
+	// 0.5), poorValue that of an answer of a model too small for the request.
 	lateValue = 0.3
 	poorValue = 0.05
 )
@@ -34,14 +33,14 @@
 	// counts as an even chance of being in time: calls that are expected just in time delay other
 	// requests. 0.6 and 0.8 differ by 0.001 in value.
 	headMargin = 0.8
-	// backlogPrice is the fraction of an answer's value that a prompt of typical size costs all
-	// other requests, for each target latency of mean backlog per server. 0.5, 1 and 1.5 give
+	// backlogPrice is the total cost to other requests of a prompt of typical size, as a fraction of
+	// an answer's value, for each target latency of mean backlog per server. 0.5, 1 and 1.5 give
 	// values of 0.721, 0.717 and 0.711 at the load of the first customers with long prompts, and
 	// 0.566, 0.586 and 0.613 at twice that load.
 	backlogPrice = 0.5
 	// sustainedBacklogPrice is the relative increase of that cost for each target latency of
-	// smoothed backlog: a request that arrives during a long queue delays more requests than one
-	// during a short queue. 8 instead of 0: a value of 0.592 at twice the load.
+	// smoothed backlog: a request that arrives while the queue is long delays more requests than
+	// one that arrives while it is short. With 8 instead of 0, the value at twice the load is 0.592.
 	sustainedBacklogPrice = 8
 	// priorityPrice is the relative increase of that cost for each priority rank below the most
 	// urgent, so that the most urgent requests can use the largest model longest.
--- a/internal/cascade/cascade_test.go
+++ b/internal/cascade/cascade_test.go
@@ -88,7 +88,7 @@
 	require.False(t, ok)
 	st.Remaining = -time.Second
 	_, ok = st.Next(0, 55, ops)
-	require.False(t, ok, "a late answer has less value, so that escalating it does not pay")
+	require.False(t, ok, "a late answer has less value, so escalating it does not pay off")
 }
 
 func TestConfidenceGainIsEstimated(t *testing.T) {
--- a/internal/cascade/simulation_test.go
+++ b/internal/cascade/simulation_test.go
@@ -55,11 +55,11 @@
 	requests, value float64
 }
 
-// run generates requests for a duration, at a multiple of the rate that the servers can process if
+// run generates requests for a duration, at loadFactor times the rate that the servers can process if
 // the largest model answers all of them. It returns the mean value of a request and the backlogs.
-func (sim *simulation) run(times, seconds float64, decide policy) (meanValue float64, backlogs []float64) {
+func (sim *simulation) run(loadFactor, seconds float64, decide policy) (meanValue float64, backlogs []float64) {
 	sim.requests, sim.value = 0, 0
-	perStep := times * poolServers * stepSeconds / (prefillSeconds[0] + prefillSeconds[2])
+	perStep := loadFactor * poolServers * stepSeconds / (prefillSeconds[0] + prefillSeconds[2])
 	for at := 0.0; at < seconds; at += stepSeconds {
 		sim.observedBacklogs = append(sim.observedBacklogs, sim.work/poolServers)
 		backlog := sim.observedBacklogs[max(0, len(sim.observedBacklogs)-1-observationDelay)]
@@ -114,20 +114,20 @@
 
 // Covers loads from an idle pool to three times the capacity.
 func TestPolicyBeatsNaivePolicies(t *testing.T) {
-	for _, times := range []float64{0.2, 0.7, 1, 1.5, 2, 3} {
+	for _, loadFactor := range []float64{0.2, 0.7, 1, 1.5, 2, 3} {
 		meanValues := map[string]float64{}
 		for name, decide := range map[string]policy{"cascade": valuePolicy, "smallest": alwaysPolicy(0), "largest": alwaysPolicy(2), "below 60": thresholdPolicy(60)} {
-			meanValues[name], _ = newSimulation().run(times, 30, decide)
+			meanValues[name], _ = newSimulation().run(loadFactor, 30, decide)
 		}
-		t.Logf("%.1f times: %v", times, meanValues)
+		t.Logf("%.1f times: %v", loadFactor, meanValues)
 		for name := range meanValues {
-			require.GreaterOrEqual(t, meanValues["cascade"], meanValues[name]-0.02, "%s at %.1f times", name, times)
+			require.GreaterOrEqual(t, meanValues["cascade"], meanValues[name]-0.02, "%s at %.1f times", name, loadFactor)
 		}
 	}
 }
 
-// Although the load is observed with a delay, the backlog must not oscillate, and two seconds after a burst
-// of three times the load it must be back to normal.
+// Although the load is observed with a delay, the backlog must not oscillate, and two seconds after a
+// burst of three times the load it must be back to normal.
 func TestPoolRecoversFromABurstWithoutOscillating(t *testing.T) {
 	sim := newSimulation()
 	before, backlogsBefore := sim.run(0.7, 20, valuePolicy)
