--- a/internal/direct/direct.go
+++ b/internal/direct/direct.go
@@ -57,8 +57,8 @@
 	// attempts takes less than a millisecond.
 	maxSends = 16
 	// softDeadlineFraction is the fraction of the target latency after which an attempt of an
-	// idempotent request is abandoned for another: late enough for the abandoned attempt to count
-	// as an offer to the server (from a quarter of the target), early enough for the second
+	// idempotent request is abandoned for another. It is long enough for the abandoned attempt to
+	// count as offered to the server (a quarter of the target) and short enough for the second
 	// attempt to be in time.
 	softDeadlineFraction = 0.6
 	// softLatencyFactor extends that time to a multiple of the typical latency: abandoning
--- a/internal/direct/direct_test.go
+++ b/internal/direct/direct_test.go
@@ -228,8 +228,8 @@
 	require.Equal(t, Abort, re.Broken(t0).Op())
 }
 
-// Guards against requests that fail with most of their time left: when 20 to 29 servers crash at
-// once, a request may select four failed servers in a row.
+// Guards against requests that are refused after one run with seconds of their time left: when 20 to
+// 29 servers crash at once, a request may select four crashed servers in a row.
 func TestUnreachableServersDoNotCountAsAttempts(t *testing.T) {
 	re := request(func(re *Request) { re.Picker = unlimitedServers{}; tokens := retryTokens(1); re.RetryBudget = &tokens })
 	re.Begin(t0)
