--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -75,7 +75,7 @@
 
 // reregistrationGrace is how long a server whose entry disappeared during an outage of the
 // key-value service remains in use after the outage. Running servers write their entries again
-// within about two seconds (the users' letter).
+// within about two seconds, as stated by the users.
 const reregistrationGrace = 2 * time.Second
 
 // departureRetention is how long the announced shutdown of an unlisted server is remembered: its
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -80,8 +80,8 @@
 	}
 }
 
-// Processes that list the same servers must order them identically, whatever order they learnt of
-// them in.
+// Processes that list the same servers must order them identically, regardless of the order in which
+// the entries arrived.
 func TestServersAreOrderedByID(t *testing.T) {
 	var ascending, descending Directory
 	for i := range 20 {
