--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -51,7 +51,7 @@
 	SubsetKey  uint64
 	// PreferIdle prefers a server without attempts in progress.
 	PreferIdle bool
-	// Probe allows a server that may still reject all requests after its pause.
+	// Probe allows a server that may still reject all requests although its pause has ended.
 	Probe bool
 	// ColdLimit is the rate limit for cold servers.
 	ColdLimit quota.Limit
@@ -272,10 +272,10 @@
 
 // load returns the work in progress of all processes on a server, as time. It ignores differences
 // in speed between servers.
-func (po *Pool) load(id string) time.Duration {
-	own := po.pendingPrefill[id] + attemptWork*time.Duration(po.running[id])
+func (po *Pool) load(key string) time.Duration {
+	own := po.pendingPrefill[key] + attemptWork*time.Duration(po.running[key])
 	if po.Loads.HasReports() {
-		return own + attemptWork*time.Duration(po.Loads.OnServer(id))
+		return own + attemptWork*time.Duration(po.Loads.OnServer(key))
 	}
 	return time.Duration(float64(own) * max(1, loadedMemberShare*float64(po.Members)))
 }
@@ -303,14 +303,14 @@
 	return sum / time.Duration(len(list))
 }
 
-// attempts returns the known attempts in progress on a server.
-func (po *Pool) attempts(id string) int { return po.running[id] + int(po.Loads.OnServer(id)) }
+// attempts returns the number of known attempts in progress on a server.
+func (po *Pool) attempts(key string) int { return po.running[key] + int(po.Loads.OnServer(key)) }
 
 // Work returns this process's work in progress by server, for a report to other processes.
 func (po *Pool) Work() load.Work {
 	wo := make(load.Work, len(po.running))
-	for id, running := range po.running {
-		wo[load.KeyOf(id)] = uint32(running) + uint32((po.pendingPrefill[id]+attemptWork/2)/attemptWork)
+	for key, running := range po.running {
+		wo[load.KeyOf(key)] = uint32(running) + uint32((po.pendingPrefill[key]+attemptWork/2)/attemptWork)
 	}
 	return wo
 }
@@ -336,5 +336,5 @@
 
 // Tick removes the state of servers that no longer exist.
 func (po *Pool) Tick(now time.Time) {
-	po.Limits.Tick(func(id string) bool { return po.Directory.ByKey(id) != nil }, now)
+	po.Limits.Tick(func(key string) bool { return po.Directory.ByKey(key) != nil }, now)
 }
