--- a/internal/choice/choice.go
+++ b/internal/choice/choice.go
@@ -77,8 +77,8 @@
 // not good enough.
 func (pl Plan) Steps() []string { return pl.steps }
 
-// Reason returns a short explanation of the selection. Callers and operators receive it in error
-// bodies and in the answers of the explain command, so its texts must not change.
+// Reason returns a short explanation of the selection. It is also the message of the error that a
+// caller gets if there is no step, and part of the output of the explain command.
 func (pl Plan) Reason() string { return pl.reason }
 
 // Candidates returns all versions that were considered.
--- a/internal/direct/direct_test.go
+++ b/internal/direct/direct_test.go
@@ -33,10 +33,10 @@
 
 func (tokens *retryTokens) TakeSpare(now time.Time) bool { return tokens.Take(now) }
 
-// limitWait is the Retry-After value when rate limits exclude all remaining servers.
-var limitWait time.Duration
+// limitRetryAfter is the Retry-After value if rate limits exclude all remaining servers.
+var limitRetryAfter time.Duration
 
-func (serverList) Wait(string, []string, time.Time) time.Duration { return limitWait }
+func (serverList) Wait(string, []string, time.Time) time.Duration { return limitRetryAfter }
 
 func (unlimitedServers) Wait(string, []string, time.Time) time.Duration { return 0 }
 
@@ -75,21 +75,21 @@
 // Servers that are excluded by rate limits are not missing: the code is Overloaded rather than
 // NoServer, and callers get a Retry-After value.
 func TestRateLimitedServersYieldOverloaded(t *testing.T) {
-	limitWait = 300 * time.Millisecond
-	t.Cleanup(func() { limitWait = 0 })
+	limitRetryAfter = 300 * time.Millisecond
+	t.Cleanup(func() { limitRetryAfter = 0 })
 	re := request(func(re *Request) { re.Picker = serverList{} })
 	st := re.Begin(t0)
 	require.Equal(t, Refuse, st.Op())
 	require.Equal(t, result.Overloaded, st.Code())
 	require.Equal(t, 300*time.Millisecond, st.RetryAfter())
-	limitWait = 2 * time.Second
+	limitRetryAfter = 2 * time.Second
 	re = request(func(re *Request) { re.MaxRuns = 1 })
 	for st = re.Begin(t0); st.Op() == Send; {
 		st = re.Refused(t0)
 	}
 	require.Equal(t, result.Overloaded, st.Code())
 	require.Equal(t, 2*time.Second, st.RetryAfter(), "after the last allowed attempt as well")
-	limitWait = 0
+	limitRetryAfter = 0
 	re = request(func(re *Request) { re.Picker = serverList{} })
 	require.Equal(t, result.NoServer, re.Begin(t0).Code())
 }
--- a/internal/direct/step.go
+++ b/internal/direct/step.go
@@ -11,7 +11,7 @@
 
 // The operations.
 const (
-	// Send makes an attempt. An attempt that is still open is dropped first.
+	// Send makes an attempt. An attempt that is still in progress is dropped first.
 	Send Op = "send"
 	// Deliver delivers the current answer to the caller.
 	Deliver Op = "deliver"
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -74,8 +74,7 @@
 // concurrent use.
 type Table struct {
 	// members holds the reports of single gateways, groups those of collectors, by box. Each
-	// gateway's work is included in only one of them, except for a moment after it has changed its
-	// collector.
+	// gateway's work is included in only one of them, except briefly after a change of its collector.
 	members, groups map[string]report
 	// memberSum is the sum of members, totalSum that of members and groups.
 	memberSum, totalSum Work
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -73,7 +73,9 @@
 type Selection struct {
 	server *directory.Server
 	// home is set if the server ranks first for the prompt by rendezvous hashing.
-	home          bool
+	home bool
+	// wait is the time until the server has processed its backlog, prefill the prefill time of the
+	// prompt. Both are estimates.
 	wait, prefill time.Duration
 }
 
--- a/internal/route/route_test.go
+++ b/internal/route/route_test.go
@@ -108,15 +108,15 @@
 	codes []result.Code
 	sent  []string
 	after time.Duration
-	// by is the version to which the answer is attributed.
-	by string
+	// answeredBy is the version to which the answer is attributed.
+	answeredBy string
 }
 
 func (rec *recorder) add(acs []Action) {
 	for _, ac := range acs {
 		switch ac.Op() {
 		case DeliverHead:
-			rec.by = ac.Target()
+			rec.answeredBy = ac.Target()
 		case Deliver:
 			rec.body += string(ac.Body())
 		case Close:
@@ -254,7 +254,7 @@
 		rec.add(re.Verdict(n, result.Overloaded, 0, start))
 	}
 	require.Equal(t, "poor", rec.body)
-	require.Equal(t, "cheap@v1", rec.by, "the answer is attributed to the version that gave it")
+	require.Equal(t, "cheap@v1", rec.answeredBy, "the answer is attributed to the version that gave it")
 	require.Equal(t, []result.Code{result.OK}, rec.codes)
 }
 
@@ -282,9 +282,9 @@
 	runs int
 }
 
-// Delivers the frames of two attempts duplicated, reordered and truncated. The caller must get
-// exactly one complete answer or a code; the naive relay mixes answers and runs requests twice that
-// must not be repeated.
+// Delivers the frames of several attempts duplicated, reordered and truncated. The caller must get
+// exactly one complete answer or a code. The naive relay mixes answers, and it runs requests twice
+// that must run at most once.
 func TestAnswersAreNeverMixed(t *testing.T) {
 	mixedAnswers, repeatedRuns := 0, 0
 	rapid.Check(t, func(rt *rapid.T) {
@@ -329,8 +329,8 @@
 			repeatedRuns++
 		}
 	})
-	require.Positive(t, mixedAnswers, "the naive version must have mixed answers")
-	require.Positive(t, repeatedRuns, "the naive version must have run a request twice")
+	require.Positive(t, mixedAnswers, "the naive relay must have mixed answers")
+	require.Positive(t, repeatedRuns, "the naive relay must have run a request twice")
 }
 
 // Checks over random schedules that a request that is not repeatable is dispatched again only if
