--- a/internal/entry/callers.go
+++ b/internal/entry/callers.go
@@ -127,7 +127,7 @@
 		},
 	}
 	co := ex.serve(r)
-	if result.Of(co).Run() == result.DidNotRun {
+	if result.Lookup(co).Run() == result.DidNotRun {
 		en.releaseKey(cr)
 	}
 	if co != result.OK && ex.started {
@@ -138,9 +138,9 @@
 // refuse responds to a request that is not dispatched to any server.
 func (en *Entry) refuse(w http.ResponseWriter, cr *callerRequest, err error) {
 	er := asResult(err)
-	metrics.Requests.Add(result.Of(er.Code()).Name(), 1)
+	metrics.Requests.Add(result.Lookup(er.Code()).Name(), 1)
 	en.Node.Record(timeline.Entry{
-		Event: event.RequestRefused, Request: cr.id, Team: cr.team, Detail: result.Of(er.Code()).Name(),
+		Event: event.RequestRefused, Request: cr.id, Team: cr.team, Detail: result.Lookup(er.Code()).Name(),
 	})
 	w.Header().Set(headerRequest, cr.id)
 	node.WriteErrorBody(w, node.NewErrorBody(er, cr.id, en.blockRemaining(cr.fingerprint, clock.Now())))
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -165,7 +165,7 @@
 // serveCallers serves callers until stop ends, and then waits for the requests in progress.
 func (en *Entry) serveCallers(stop context.Context) func(context.Context) error {
 	return func(context.Context) error {
-		err := node.ServeHTTP(stop, en.Callers, en.callerRouter(), en.Node.Settings.Limits.Stop())
+		err := node.ServeHTTP(stop, en.Callers, en.callerRouter(), en.Node.Settings.Limits.StopTimeout())
 		if stop.Err() != nil {
 			return suture.ErrDoNotRestart
 		}
@@ -236,7 +236,7 @@
 func (en *Entry) tick(ctx context.Context) error {
 	return node.Every(ctx, tickInterval, func(now time.Time) {
 		en.Node.Tick(now)
-		if now.Sub(en.billsForwarded) >= en.Node.Settings.Limits.BillFlush() {
+		if now.Sub(en.billsForwarded) >= en.Node.Settings.Limits.BillFlushInterval() {
 			en.billsForwarded = now
 			en.forwardBills(now)
 		}
@@ -257,7 +257,7 @@
 // stop timeout of the settings.
 func (en *Entry) drain() {
 	en.Node.Stop()
-	deadline := time.Now().Add(en.Node.Settings.Limits.Stop())
+	deadline := time.Now().Add(en.Node.Settings.Limits.StopTimeout())
 	for !en.drained() && time.Now().Before(deadline) {
 		en.forwardBills(time.Now())
 		time.Sleep(drainPollInterval)
--- a/internal/entry/exchange.go
+++ b/internal/entry/exchange.go
@@ -247,15 +247,15 @@
 // partial answer for a complete one.
 func (ex *exchange) finish(ac route.Action) {
 	co := ac.Code()
-	metrics.Requests.Add(result.Of(co).Name(), 1)
+	metrics.Requests.Add(result.Lookup(co).Name(), 1)
 	switch {
 	case co == result.OK:
 		ex.logEvent(event.RequestAnswered, "")
 		return
-	case result.Of(co).Run() == result.DidNotRun:
-		ex.logEvent(event.RequestRefused, result.Of(co).Name())
+	case result.Lookup(co).Run() == result.DidNotRun:
+		ex.logEvent(event.RequestRefused, result.Lookup(co).Name())
 	default:
-		ex.logEvent(event.RequestFailed, result.Of(co).Name())
+		ex.logEvent(event.RequestFailed, result.Lookup(co).Name())
 	}
 	eb := node.NewErrorBody(result.New(co, ""), ex.request.id, ac.RetryAfter())
 	if !ex.started {
--- a/internal/entry/store.go
+++ b/internal/entry/store.go
@@ -57,7 +57,7 @@
 // watchOnce waits for a change and installs it. If the index decreased, as after a loss of the
 // service's data, the watch restarts from zero.
 func (en *Entry) watchOnce(ctx context.Context, after uint64) (uint64, error) {
-	pair, index, err := en.Store.Watch(ctx, config.StoreKey, after, en.Node.Settings.Platform.Watch())
+	pair, index, err := en.Store.Watch(ctx, config.StoreKey, after, en.Node.Settings.Platform.WatchTimeout())
 	if err != nil {
 		return 0, err
 	}
--- /dev/null
+++ b/internal/explain/crashes.go
@@ -0,0 +1,53 @@
+package explain
+
+import (
+	"fmt"
+	"slices"
+	"strings"
+
+	"github.com/linnetrudder/linnetrudder/internal/event"
+)
+
+// crashes describes which servers terminated while they ran requests with the same fingerprint, up
+// to the end of the request, and how long that fingerprint had been blocked at the box.
+func (ex *Explainer) crashes(end *record) []string {
+	if end.Fingerprint == "" {
+		return nil
+	}
+	slices.SortStableFunc(ex.crashRecords, func(a, b record) int { return a.Time.Compare(b.Time) })
+	var sentences, servers, requests []string
+	for i := range ex.crashRecords {
+		rc := &ex.crashRecords[i]
+		switch {
+		case rc.Time.After(end.Time):
+		case rc.Event == event.RequestBlocked && rc.Fingerprint == end.Fingerprint && rc.Box == end.Box:
+			sentences = append(sentences, fmt.Sprintf("It had been blocked at %s for %s.", end.Box, since(rc, end)))
+		case rc.Event == event.ServerEnded:
+			servers, requests = rc.addSuspects(end.Fingerprint, servers, requests)
+		}
+	}
+	if len(servers) == 0 {
+		return sentences
+	}
+	crashed := fmt.Sprintf("Servers that terminated just after they started an identical request: %s (requests %s).",
+		strings.Join(servers, ", "), strings.Join(requests, ", "))
+	return append([]string{crashed}, sentences...)
+}
+
+// addSuspects adds the server of a crash record, and the IDs of the requests with the given
+// fingerprint that it was running, to the two lists. It adds no duplicates.
+func (rc *record) addSuspects(fingerprint string, servers, requests []string) (allServers, allRequests []string) {
+	for _, suspect := range rc.Fingerprints {
+		id, suspected, _ := strings.Cut(suspect, " ")
+		if suspected != fingerprint {
+			continue
+		}
+		if !slices.Contains(servers, rc.Server) {
+			servers = append(servers, rc.Server)
+		}
+		if !slices.Contains(requests, id) {
+			requests = append(requests, id)
+		}
+	}
+	return servers, requests
+}
