--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -90,15 +90,17 @@
 	Evaluator   Evaluator
 	Blocklist   Blocklist
 
+	// step is the index of the current step.
 	step int
 	// current is the attempt whose answer may be delivered, nil between attempts.
 	current *attempt
 	// fallback is a complete answer of an earlier step, delivered if the later steps fail.
 	fallback *attempt
-	tried    []string
-	// stepAttempts counts the attempts of the current step.
+	// tried lists the servers that were tried in the current step, stepAttempts counts its attempts.
+	tried        []string
 	stepAttempts int
-	number       int
+	// number is the number of the latest attempt.
+	number int
 	// mayHaveRunCode is the code of an attempt without an answer that may have run, zero if there
 	// was none. Once it is set, the request is not closed with a code that says that it did not
 	// run.
