--- a/internal/backpressure/strategies_test.go
+++ b/internal/backpressure/strategies_test.go
@@ -56,7 +56,8 @@
 
 func (ss *singleSelection) sent(gateway int, now time.Time) { ss.uses[gateway].Add(now) }
 
-// equalShares allows each gateway a number of requests within the window.
+// equalShares allows each gateway limit requests within the window: an equal share of the total, at
+// least one, or the total itself if each gateway uses the full limit.
 type equalShares struct {
 	limit int
 	log   map[int][]time.Time
