--- a/internal/budget/budget.go
+++ b/internal/budget/budget.go
@@ -1,12 +1,13 @@
-// Package budget limits retries to a fraction of the first attempts, so that retries can't multiply the
-// load during an outage.
+// Package budget limits retries to a fraction of the first attempts, so that retries can't multiply
+// the load during an outage.
 package budget
 
 import "time"
 
 const (
-	// perSecond is the number of retries per second that are allowed without any first attempts.
-	perSecond = 2.0
+	// minRetriesPerSecond is the number of retries per second that are allowed without any first
+	// attempts.
+	minRetriesPerSecond = 2.0
 	// burst bounds the retries that accumulate while none are made.
 	burst = 20.0
 )
@@ -41,13 +42,13 @@
 
 func (bu *Budget) refill(now time.Time) {
 	if !bu.updated.IsZero() && now.After(bu.updated) {
-		bu.spent = max(0, bu.spent-perSecond*now.Sub(bu.updated).Seconds())
+		bu.spent = max(0, bu.spent-minRetriesPerSecond*now.Sub(bu.updated).Seconds())
 	}
 	bu.updated = now
 }
 
-// Teams holds a budget for each team, so that a burst of one team that is refused does not use up the
-// retries of the others. It is not safe for concurrent use.
+// Teams holds a budget for each team, so that a burst of one team that is refused does not use up
+// the retries of the others. It is not safe for concurrent use.
 type Teams struct {
 	// Ratio is the number of retries that each first attempt allows.
 	Ratio float64
