--- a/internal/claim/log.go
+++ b/internal/claim/log.go
@@ -114,7 +114,7 @@
 type slot struct {
 	// index is the document's modify index in the store.
 	index uint64
-	// newestAt is the time of the document's last claim.
+	// newestAt is the time of the document's last claim or release.
 	newestAt time.Time
 }
 
@@ -164,7 +164,7 @@
 
 // Claim adds a peer's claim and returns the answer if it is known already. wait bounds the time for
 // which a claim that need not be durable waits. While calls to the store fail, a claim that must be
-// durable is refused at once, and any claim if the log has not been loaded.
+// durable is refused immediately, and any claim if the log has not been loaded.
 func (lo *Log) Claim(peer string, li wire.ClaimLine, wait time.Duration, now time.Time) []Reply {
 	lo.lastUsed = now
 	hash := xxhash.Sum64String(li.Key)
--- a/internal/claim/log_test.go
+++ b/internal/claim/log_test.go
@@ -196,11 +196,11 @@
 			key := op.Input.(operation).key
 			byKey[key] = append(byKey[key], op)
 		}
-		var parts [][]porcupine.Operation
-		for _, part := range byKey {
-			parts = append(parts, part)
+		var partitions [][]porcupine.Operation
+		for _, partition := range byKey {
+			partitions = append(partitions, partition)
 		}
-		return parts
+		return partitions
 	},
 	Init: func() any { return "" },
 	Step: func(state, input, output any) (bool, any) {
