--- a/internal/bill/bill_test.go
+++ b/internal/bill/bill_test.go
@@ -192,22 +192,22 @@
 	now      time.Time
 }
 
-func (bi *pipeline) send(h, w int) {
-	lines := bi.outboxes[h].TakeDue(100, bi.now)
-	bi.writers[w].Enqueue(fmt.Sprint(h), lines, bi.now)
+func (pi *pipeline) send(h, w int) {
+	lines := pi.outboxes[h].TakeDue(100, pi.now)
+	pi.writers[w].Enqueue(fmt.Sprint(h), lines, pi.now)
 }
 
-func (bi *pipeline) write(w int) {
-	due, ok := bi.writers[w].NextWrite(bi.now, true)
+func (pi *pipeline) write(w int) {
+	due, ok := pi.writers[w].NextWrite(pi.now, true)
 	if !ok {
 		return
 	}
-	err := Save(context.Background(), bi.store, due)
-	for _, ac := range bi.writers[w].HandleWrite(due.Key(), err == nil, bi.now) {
+	err := Save(context.Background(), pi.store, due)
+	for _, ac := range pi.writers[w].HandleWrite(due.Key(), err == nil, pi.now) {
 		var h int
 		_, _ = fmt.Sscan(ac.Peer(), &h)
 		if ac.Durable() {
-			bi.outboxes[h].RemoveDurable(ac.Lines())
+			pi.outboxes[h].RemoveDurable(ac.Lines())
 		}
 	}
 }
@@ -218,56 +218,56 @@
 func TestBilledExactlyOnce(t *testing.T) {
 	naiveDuplicates := 0
 	rapid.Check(t, func(rt *rapid.T) {
-		bi := &pipeline{t: rt, store: &fakeStore{pairs: map[string]kv.Pair{}}, now: start}
+		pi := &pipeline{t: rt, store: &fakeStore{pairs: map[string]kv.Pair{}}, now: start}
 		for range 2 {
-			bi.outboxes = append(bi.outboxes, &Outbox{Capacity: 1000, RetryInterval: time.Second})
-			bi.writers = append(bi.writers, &Writer{Capacity: 1000})
+			pi.outboxes = append(pi.outboxes, &Outbox{Capacity: 1000, RetryInterval: time.Second})
+			pi.writers = append(pi.writers, &Writer{Capacity: 1000})
 		}
 		naive := map[lineKey]int{}
 		created := map[lineKey]bool{}
 		lost := map[int]bool{}
 		for i := range rapid.IntRange(5, 60).Draw(rt, "events") {
-			bi.now = bi.now.Add(500 * time.Millisecond)
+			pi.now = pi.now.Add(500 * time.Millisecond)
 			h, w := rapid.IntRange(0, 1).Draw(rt, "outbox"), rapid.IntRange(0, 1).Draw(rt, "writer")
 			switch rapid.SampledFrom([]string{"request", "send", "send", "write", "write", "lose outbox", "lose writer"}).Draw(rt, "event") {
 			case "request":
 				li := line(fmt.Sprintf("dc.%08d-0000-7000-8000-000000000000", i), 0)
 				created[keyOf(&li)] = true
-				for _, ou := range bi.outboxes {
-					ou.Add(li, bi.now)
+				for _, ou := range pi.outboxes {
+					ou.Add(li, pi.now)
 				}
 			case "send":
-				for _, li := range bi.outboxes[h].TakeDue(0, bi.now) {
+				for _, li := range pi.outboxes[h].TakeDue(0, pi.now) {
 					naive[keyOf(&li)]++
 				}
-				for key := range bi.outboxes[h].lines {
+				for key := range pi.outboxes[h].lines {
 					naive[key]++
 				}
-				bi.send(h, w)
+				pi.send(h, w)
 			case "write":
 				outcome := rapid.SampledFrom([]string{"ok", "lost", "down", "raced"}).Draw(rt, "outcome")
-				bi.store.outcomes = []string{outcome}
-				bi.write(w)
+				pi.store.outcomes = []string{outcome}
+				pi.write(w)
 			case "lose outbox":
 				if len(lost) == 0 {
 					lost[h] = true
-					bi.outboxes[h] = &Outbox{Capacity: 1000, RetryInterval: time.Second}
+					pi.outboxes[h] = &Outbox{Capacity: 1000, RetryInterval: time.Second}
 				}
 			case "lose writer":
-				bi.writers[w] = &Writer{Capacity: 1000}
+				pi.writers[w] = &Writer{Capacity: 1000}
 			}
 		}
-		bi.store.outcomes = nil
+		pi.store.outcomes = nil
 		for range 4 {
-			bi.now = bi.now.Add(time.Minute)
-			bi.send(0, 0)
-			bi.send(1, 1)
+			pi.now = pi.now.Add(time.Minute)
+			pi.send(0, 0)
+			pi.send(1, 1)
 			for range 70 {
-				bi.write(0)
-				bi.write(1)
+				pi.write(0)
+				pi.write(1)
 			}
 		}
-		count := bi.store.count(rt)
+		count := pi.store.count(rt)
 		for key := range created {
 			require.Equal(rt, 1, count[key])
 			if naive[key] > 1 {
--- a/internal/bill/codec.go
+++ b/internal/bill/codec.go
@@ -104,14 +104,14 @@
 		Usage: wire.Usage{Prompt: sl.Prompt, Completion: sl.Completion},
 	}
 	dc := ""
-	for _, part := range []struct {
+	for _, field := range []struct {
 		into  *string
 		index int
 	}{{&dc, sl.DataCentre}, {&li.Team, sl.Team}, {&li.Version, sl.Version}, {&li.Kind, sl.Kind}, {&li.Box, sl.Box}} {
-		if part.index < 0 || part.index >= len(st.Names) {
+		if field.index < 0 || field.index >= len(st.Names) {
 			return wire.BillLine{}, eris.New("bill line: no such name")
 		}
-		*part.into = st.Names[part.index]
+		*field.into = st.Names[field.index]
 	}
 	li.Request = dc + "." + id.String()
 	return li, nil
--- a/internal/bill/document.go
+++ b/internal/bill/document.go
@@ -57,14 +57,14 @@
 // Merge adds lines to a document, except those whose request and step the document has already.
 // It reports whether a line was added.
 func Merge(doc, lines []wire.BillLine) ([]wire.BillLine, bool) {
-	have := make(map[lineKey]bool, len(doc)+len(lines))
+	present := make(map[lineKey]bool, len(doc)+len(lines))
 	for i := range doc {
-		have[keyOf(&doc[i])] = true
+		present[keyOf(&doc[i])] = true
 	}
 	added := false
 	for i := range lines {
-		if key := keyOf(&lines[i]); !have[key] {
-			have[key] = true
+		if key := keyOf(&lines[i]); !present[key] {
+			present[key] = true
 			doc = append(doc, lines[i])
 			added = true
 		}
--- a/internal/bill/outbox.go
+++ b/internal/bill/outbox.go
@@ -64,8 +64,8 @@
 // Len returns the number of lines.
 func (ou *Outbox) Len() int { return len(ou.lines) }
 
-// MakeAllDue makes every line due at once, as when the process stops or has lost the peer that
-// would have sent them.
+// MakeAllDue makes every line due immediately. It is called when the process stops, or loses the
+// link to the peer that would have sent the lines.
 func (ou *Outbox) MakeAllDue(now time.Time) {
 	for _, pe := range ou.lines {
 		pe.nextSend, pe.interval = now, ou.RetryInterval
