--- a/internal/order/order.go
+++ b/internal/order/order.go
@@ -84,7 +84,8 @@
 	// lease is the lease as last read or written, index its modify index in the store.
 	lease Lease
 	index uint64
-	// leaseRead is false until the lease has been read after the last write of it or failed order.
+	// leaseRead is false at first, and after each write of the lease and each failed order, until the
+	// lease has been read.
 	leaseRead bool
 	// busy is true while an action is in progress.
 	busy bool
@@ -113,14 +114,14 @@
 	if !re.listed {
 		return Action{kind: ListVersions}, true
 	}
-	do, version := re.nextOrder(running)
+	kind, version := re.nextOrder(running)
 	switch {
 	case version == "":
 		return Action{}, false
 	case !re.leaseRead:
 		return Action{kind: ReadLease}, true
 	case re.ownsLease(now):
-		return Action{kind: do, version: version, lease: re.lease}, true
+		return Action{kind: kind, version: version, lease: re.lease}, true
 	case now.Before(re.lease.Until.Add(clockMargin)) && re.lease.Holder != re.Holder:
 		re.notBefore = re.lease.Until.Add(clockMargin)
 		return Action{}, false
--- a/internal/order/order_test.go
+++ b/internal/order/order_test.go
@@ -141,8 +141,8 @@
 			now = now.Add(time.Duration(rapid.IntRange(100, 8000).Draw(rt, "ms")) * time.Millisecond)
 			k := rapid.IntRange(0, 1).Draw(rt, "reconciler")
 			re := reconcilers[k]
-			switch rapid.SampledFrom([]string{"act", "act", "act", "want", "restart"}).Draw(rt, "event") {
-			case "want":
+			switch rapid.SampledFrom([]string{"act", "act", "act", "configure", "restart"}).Draw(rt, "event") {
+			case "configure":
 				re.SetDesired(rapid.SampledFrom([][]string{{"m@v1"}, {"m@v2"}, {"m@v1", "m@v2"}}).Draw(rt, "versions"))
 			case "restart":
 				fresh := &Reconciler{Holder: re.Holder + "'"}
