--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -166,8 +166,8 @@
 func (do *Document) checkSelectors() error {
 	for i := range do.Grants {
 		gr := &do.Grants[i]
-		parts := map[string]*selector.Selector{"teams": &gr.Teams, "versions": gr.Versions, "services": gr.Services}
-		for na, se := range parts {
+		selectors := map[string]*selector.Selector{"teams": &gr.Teams, "versions": gr.Versions, "services": gr.Services}
+		for na, se := range selectors {
 			if err := checkSelector(fmt.Sprintf("grants[%d].%s", i, na), se); err != nil {
 				return err
 			}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -41,11 +41,11 @@
 		{"no such version", `{"servers": [{"name": "s", "data_centre": "d", "slots": 1, "versions": ["m@v"]}]}`, result.BadReference, `servers[0].versions: "m@v"`},
 		{"no such service", `{"servers": [{"name": "s", "data_centre": "d", "slots": 1, "services": ["x"]}]}`, result.BadReference, `servers[0].services: "x"`},
 		{"no slots", `{"servers": [{"name": "s", "data_centre": "d", "slots": 0}]}`, result.BadConfiguration, "servers[0].slots"},
-		{"twice", `{"models": [{"name": "m"}, {"name": "m"}]}`, result.BadConfiguration, "m stands twice"},
+		{"duplicate name", `{"models": [{"name": "m"}, {"name": "m"}]}`, result.BadConfiguration, "m stands twice"},
 		{"bad digest", `{"teams": [{"name": "t", "key_digests": ["abc"]}]}`, result.BadConfiguration, "teams[0].key_digests[0]"},
-		{"empty set", `{"grants": [{"teams": {"in": {"a": []}}}]}`, result.BadConfiguration, "grants[0].teams.in.a"},
+		{"empty value list", `{"grants": [{"teams": {"in": {"a": []}}}]}`, result.BadConfiguration, "grants[0].teams.in.a"},
 		{"too large", fmt.Sprintf("%*s", MaxBytes+1, ""), result.ConfigTooLarge, "bytes"},
-		{"steps that shrink", `{"models": [{"name": "m"}], "versions": [{"model": "m", "name": "v", "state": "serving"}],
+		{"decreasing steps", `{"models": [{"name": "m"}], "versions": [{"model": "m", "name": "v", "state": "serving"}],
 			"rollouts": [{"model": "m", "to": "v", "steps": [0.5, 0.1], "hold_seconds": 1, "max_failure_rate": 0.1}]}`, result.BadConfiguration, "rollouts[0].steps[1]"},
 	} {
 		_, err := Decode([]byte(tc.data))
--- a/internal/config/document.go
+++ b/internal/config/document.go
@@ -1,7 +1,7 @@
 // Package config defines the operators' configuration: models, versions, backend servers, services
 // and teams with labels, and the rules that select them by label. It decodes, checks, compares and
-// patches documents, and compiles a document into a Snapshot that answers the questions of request
-// handling.
+// patches documents, and compiles a document into a Snapshot with the indexes that request handling
+// uses.
 package config
 
 import (
@@ -116,7 +116,7 @@
 	Labels selector.Labels `json:"labels,omitempty"`
 	// KeyDigests are the SHA-256 digests of the team's bearer keys, in hexadecimal.
 	KeyDigests []string `json:"key_digests" validate:"dive,len=64,hexadecimal"`
-	// Weight is the team's weight against other teams in the sharing of a full server; zero means 1.
+	// Weight is the team's weight relative to other teams when they share a full server; zero means 1.
 	Weight int `json:"weight,omitempty" validate:"min=0,max=1000"`
 }
 
@@ -155,7 +155,7 @@
 	Steps []float64 `json:"steps" validate:"min=1,dive,gt=0,max=1"`
 	// HoldSeconds is the minimum time at each step, in seconds.
 	HoldSeconds int `json:"hold_seconds" validate:"min=1"`
-	// MaxFailureRate is the failure rate from which the version counts as bad.
+	// MaxFailureRate is the failure rate from which the version is considered bad.
 	MaxFailureRate float64 `json:"max_failure_rate" validate:"gt=0,lt=1"`
 }
 
--- a/internal/config/snapshot.go
+++ b/internal/config/snapshot.go
@@ -28,7 +28,7 @@
 	servers  map[string]*Server
 	services map[string]*Service
 	kinds    map[string]*Kind
-	// substitutes holds the versions that may substitute others, by kind.
+	// substitutes holds, by kind, the versions that may serve in place of the requested model.
 	substitutes map[string][]*Version
 	teams       map[string]*TeamView
 	// byDigest holds the teams by the digests of their keys. TeamByKey compares the digest again in
@@ -39,7 +39,7 @@
 // TeamView is a team with the versions and services that it may use.
 type TeamView struct {
 	team *Team
-	// versions and services hold what a grant allows.
+	// versions and services hold the ids and names that grants allow the team to use.
 	versions map[string]bool
 	services map[string]bool
 }
@@ -47,7 +47,7 @@
 // Name returns the team's name.
 func (te *TeamView) Name() string { return te.team.Name }
 
-// Weight returns the team's weight against other teams in the sharing of a full server, at least 1.
+// Weight returns the team's weight relative to other teams when they share a full server, at least 1.
 func (te *TeamView) Weight() int { return max(1, te.team.Weight) }
 
 // MayUse reports whether a grant allows the team to use the version.
