--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -62,7 +62,7 @@
 	require.Equal(t, 9*time.Second+time.Millisecond, ma.elapsed(cl))
 }
 
-func TestTimeOfDayChangeIsNotSuspension(t *testing.T) {
+func TestWallClockChangeIsNotSuspension(t *testing.T) {
 	ma := &fakeMachine{}
 	cl := ma.newClock()
 	for _, set := range []time.Duration{2 * time.Second, -3 * time.Second, time.Hour, 0} {
@@ -115,7 +115,7 @@
 }
 
 // TestGatewayAndPlatformUseThisClock guards against uses of Go's clock in the gateway and the
-// platform: it pauses while the machine is suspended.
+// platform: Go's clock stops while the machine is suspended.
 func TestGatewayAndPlatformUseThisClock(t *testing.T) {
 	forbidden := regexp.MustCompile(`time\.(Now|Since|Until)\(|context\.WithDeadline\(`)
 	for _, folder := range []string{"../gateway", "../../platform"} {
