--- a/internal/entry/blocks.go
+++ b/internal/entry/blocks.go
@@ -60,7 +60,7 @@
 		}
 		en.mu.Unlock()
 		if lifted {
-			en.Node.Record(timeline.Entry{Event: event.RequestUnblocked, Detail: fp.String() + ": a server answered it and lives on"})
+			en.Node.Record(timeline.Entry{Event: event.RequestUnblocked, Detail: fp.String() + ": a server answered it without crashing"})
 		}
 	}
 }
--- a/internal/entry/caller_request.go
+++ b/internal/entry/caller_request.go
@@ -113,7 +113,7 @@
 	{"team", (*Entry).findTeam},
 	{"headers", (*Entry).readHeaders},
 	{"body", (*Entry).readBody},
-	{"print", (*Entry).checkBlocklist},
+	{"fingerprint", (*Entry).checkBlocklist},
 	{"chat", (*Entry).readChat},
 	{"kind", (*Entry).applyKind},
 }
@@ -124,7 +124,7 @@
 	{"team", (*Entry).findTeam},
 	{"headers", (*Entry).readHeaders},
 	{"body", (*Entry).readBody},
-	{"print", (*Entry).checkBlocklist},
+	{"fingerprint", (*Entry).checkBlocklist},
 	{"service", (*Entry).findService},
 }
 
--- a/internal/entry/claims.go
+++ b/internal/entry/claims.go
@@ -99,8 +99,8 @@
 	return en.ownersByShard[claim.Shard(key)]
 }
 
-// rankClaimOwners ranks the agents for each claim log. The entry's lock must be held. All entries
-// compute the ranking from the same list of boxes; while their copies differ, the compare-and-swap
+// rankClaimOwners ranks the agents for each claim log. The caller holds en.mu. All entries compute
+// the ranking from the same list of boxes; while their copies differ, the compare-and-swap
 // on the log resolves conflicts.
 func (en *Entry) rankClaimOwners(agents []string) {
 	for shard := range en.ownersByShard {
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -37,11 +37,11 @@
 	// tickInterval is the time between two checks for due bills and unanswered configuration
 	// requests.
 	tickInterval = 500 * time.Millisecond
-	// billResendInterval is the time after which a bill line is first sent again if it is not known
-	// to be durable.
-	billResendInterval = 20 * time.Second
+	// billRetryInterval is the time after which a bill line is first sent again if it is not known
+	// to be durable. It doubles with each further send.
+	billRetryInterval = 20 * time.Second
 	// maxRedundantBills is the number of bill lines that an entry retains although their writers
-	// hold them in memory.
+	// have them in memory.
 	maxRedundantBills = 10_000
 	// drainPollInterval is the time between two checks during a planned stop whether all requests
 	// and bills are done.
@@ -149,7 +149,7 @@
 	en.balancer = balance.Balancer{DataCentre: se.DataCentre}
 	en.members = member.View{Self: se.Box}
 	en.budgets = budget.Teams{Ratio: se.Limits.RetryRatio}
-	en.outbox = bill.Outbox{Capacity: se.Limits.Bills, RetryInterval: billResendInterval, SoftLimit: maxRedundantBills}
+	en.outbox = bill.Outbox{Capacity: se.Limits.Bills, RetryInterval: billRetryInterval, SoftLimit: maxRedundantBills}
 	en.billAcks = map[string][]wire.BillLine{}
 	en.Node.Fanout = replica.EntryFanout
 	en.dialers = map[string]dialer{}
@@ -159,7 +159,7 @@
 	en.feedback = newFeedback()
 	en.claimWaiters = map[string][]chan wire.ClaimLine{}
 	en.detector = poison.Detector{MinCrashes: poison.MinCrashes}
-	en.Node.OnAdopt = en.configAdopted
+	en.Node.OnAdopt = en.applyConfig
 }
 
 // serveCallers serves callers until stop ends, and then waits for the requests in progress.
@@ -177,8 +177,9 @@
 	return node.ServeHTTP(ctx, en.Admin, en.adminRouter(), time.Second)
 }
 
-// configAdopted applies a new configuration revision. The node's lock is held by the caller.
-func (en *Entry) configAdopted(sn *config.Snapshot) {
+// applyConfig applies a new revision of the configuration to the balancer. The caller holds the node's
+// lock.
+func (en *Entry) applyConfig(sn *config.Snapshot) {
 	en.mu.Lock()
 	defer en.mu.Unlock()
 	en.balancer.Reconfigure(sn)
--- a/internal/entry/exchange.go
+++ b/internal/entry/exchange.go
@@ -242,7 +242,7 @@
 }
 
 // finish ends the response. A complete answer needs nothing more. A failure is described by a
-// problem body if nothing was sent yet. Otherwise it is described by an additional event if the
+// error body if nothing was sent yet. Otherwise it is described by an additional event if the
 // answer is an event stream, and the connection is aborted, so that the caller can't mistake a
 // partial answer for a complete one.
 func (ex *exchange) finish(ac route.Action) {
--- a/internal/entry/feedback.go
+++ b/internal/entry/feedback.go
@@ -82,7 +82,7 @@
 }
 
 // estimates implements choice.Estimates: quality and pass rate come from the ratings, token counts
-// from the prior. It must be used while the entry's lock is held.
+// from the prior. It must be used while en.mu is held.
 type estimates struct {
 	*quality.Table
 	choice.Prior
