--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -71,7 +71,7 @@
 	// holds it must not call anything that acquires the node's lock.
 	mu     sync.Mutex
 	gate   gate.Gate
-	ledger bill.Outbox
+	outbox bill.Outbox
 	writer bill.Writer
 	// streams holds the attempts that are queued or running.
 	streams map[gate.Key]*stream
@@ -79,7 +79,7 @@
 	leader string
 	// outcomes counts the finished attempts by version.
 	outcomes map[string]*wire.Outcome
-	// logs holds the claim logs that this agent currently manages, by shard.
+	// logs holds the claim logs that this agent currently owns, by shard.
 	logs map[int]*claim.Log
 	// reconciler decides which versions the backend server must load or unload.
 	reconciler order.Reconciler
@@ -125,7 +125,7 @@
 func (ag *Agent) prepare() {
 	se := ag.Node.Settings
 	ag.gate = gate.Gate{Server: se.Server.Name, MaxQueued: se.Limits.Queue}
-	ag.ledger = bill.Outbox{Capacity: se.Limits.Bills, InitialDelay: billGracePeriod, RetryInterval: billRetryInterval}
+	ag.outbox = bill.Outbox{Capacity: se.Limits.Bills, InitialDelay: billGracePeriod, RetryInterval: billRetryInterval}
 	ag.writer = bill.Writer{FlushInterval: se.Limits.BillFlushInterval(), Capacity: se.Limits.Bills}
 	ag.streams = map[gate.Key]*stream{}
 	ag.reconciler = order.Reconciler{Holder: se.Box + "/" + uuid.NewString()}
@@ -225,7 +225,7 @@
 	}
 	switch fr.Kind {
 	case wire.Heartbeat:
-		ag.billsStored(fr.Bills)
+		ag.confirmBills(fr.Bills)
 		ag.recordBlocked(fr.Fingerprints, clock.Now())
 	case wire.Open:
 		ag.openStream(li, fr)
@@ -238,14 +238,14 @@
 		ag.writer.Enqueue(li.Peer.Box(), fr.Bills, time.Now())
 		ag.mu.Unlock()
 	case wire.BillsStored:
-		ag.billsStored(fr.Bills)
+		ag.confirmBills(fr.Bills)
 	}
 }
 
-func (ag *Agent) billsStored(lines []wire.BillLine) {
+func (ag *Agent) confirmBills(lines []wire.BillLine) {
 	ag.mu.Lock()
 	defer ag.mu.Unlock()
-	ag.ledger.RemoveDurable(lines)
+	ag.outbox.RemoveDurable(lines)
 }
 
 // confirmConfig handles the answer to the latest revision request and ignores all others.
@@ -307,11 +307,11 @@
 }
 
 // drain refuses new work, waits for running attempts to finish and sends the remaining bill lines, for
-// at most the stop limit of the settings.
+// at most the stop timeout of the settings.
 func (ag *Agent) drain() {
 	ag.Node.Stop()
 	ag.mu.Lock()
-	ag.ledger.MakeAllDue(time.Now())
+	ag.outbox.MakeAllDue(time.Now())
 	ag.apply(ag.gate.Leave(clock.Now()))
 	ag.mu.Unlock()
 	for _, li := range ag.Node.Links() {
@@ -326,5 +326,5 @@
 func (ag *Agent) drained() bool {
 	ag.mu.Lock()
 	defer ag.mu.Unlock()
-	return ag.gate.Idle() && len(ag.streams) == 0 && ag.ledger.Len() == 0 && ag.writer.Idle()
+	return ag.gate.Idle() && len(ag.streams) == 0 && ag.outbox.Len() == 0 && ag.writer.Idle()
 }
--- a/internal/agent/bills.go
+++ b/internal/agent/bills.go
@@ -28,7 +28,7 @@
 		return
 	}
 	ag.mu.Lock()
-	lines := ag.ledger.TakeDue(maxBillsPerFrame, now)
+	lines := ag.outbox.TakeDue(maxBillsPerFrame, now)
 	ag.mu.Unlock()
 	if len(lines) > 0 {
 		li := links[rand.IntN(len(links))]
--- a/internal/agent/blocked.go
+++ b/internal/agent/blocked.go
@@ -14,16 +14,16 @@
 const blockedTTL = 5 * time.Second
 
 // recordBlocked records the requests that an entry blocks. Only the agent can observe whether its
-// server stays up after an answer. Without its report, entries refused a harmless request that all
-// callers sent alike for five minutes.
-func (ag *Agent) recordBlocked(prints []poison.Fingerprint, now time.Time) {
+// server stays up after an answer. Without its report, entries refused for five minutes a harmless
+// request of which all callers sent identical copies.
+func (ag *Agent) recordBlocked(fingerprints []poison.Fingerprint, now time.Time) {
 	ag.mu.Lock()
 	defer ag.mu.Unlock()
 	if ag.blocked == nil {
 		ag.blocked = map[poison.Fingerprint]time.Time{}
 	}
-	for _, pr := range prints {
-		ag.blocked[pr] = now
+	for _, fp := range fingerprints {
+		ag.blocked[fp] = now
 	}
 }
 
@@ -31,9 +31,9 @@
 // caller holds ag.mu.
 func (ag *Agent) harmlessBlocked() []poison.Fingerprint {
 	var harmless []poison.Fingerprint
-	for pr := range ag.blocked {
-		if ag.detector.IsHarmless(pr) {
-			harmless = append(harmless, pr)
+	for fp := range ag.blocked {
+		if ag.detector.IsHarmless(fp) {
+			harmless = append(harmless, fp)
 		}
 	}
 	return harmless
@@ -44,7 +44,7 @@
 func (ag *Agent) updateRuns(ctx context.Context, now time.Time) {
 	maps.DeleteFunc(ag.blocked, func(_ poison.Fingerprint, reported time.Time) bool { return now.Sub(reported) >= blockedTTL })
 	ag.detector.Update(&ag.dispatched, now)
-	isBlocked := func(pr poison.Fingerprint) bool { return !ag.blocked[pr].IsZero() }
+	isBlocked := func(fp poison.Fingerprint) bool { return !ag.blocked[fp].IsZero() }
 	if len(ag.dispatched.Unconfirmed(isBlocked, now)) > 0 {
 		go ag.checkServerAlive(ctx)
 	}
--- a/internal/agent/claims.go
+++ b/internal/agent/claims.go
@@ -19,7 +19,7 @@
 	// claimTimeout is how long a claim may take to become durable.
 	claimTimeout = 2 * time.Second
 	// sessionClaimTimeout is how long the start of a session waits for its claim to become durable.
-	// After that, the claim held in the memory of the log's home agent is used.
+	// After that, it is answered from the memory of the agent that owns the log.
 	sessionClaimTimeout = 150 * time.Millisecond
 	// logIdleTimeout is how long an unused log stays in memory.
 	logIdleTimeout = 10 * time.Minute
--- a/internal/agent/run.go
+++ b/internal/agent/run.go
@@ -161,7 +161,7 @@
 	return result.ServerFailed
 }
 
-// addBillLine creates the bill line of a complete response and adds it to the ledger. If the entry of
+// addBillLine creates the bill line of a complete response and adds it to the outbox. If the entry of
 // the request is disconnected, the line is sent to another entry immediately.
 func (ru *run) addBillLine(us *wire.Usage) wire.BillLine {
 	ag, at := ru.ag, ru.at
@@ -175,10 +175,10 @@
 	}
 	ag.mu.Lock()
 	defer ag.mu.Unlock()
-	ag.ledger.Add(li, time.Now())
+	ag.outbox.Add(li, time.Now())
 	select {
 	case <-ru.li.Done():
-		ag.ledger.MakeAllDue(time.Now())
+		ag.outbox.MakeAllDue(time.Now())
 	default:
 	}
 	return li
--- a/internal/agent/selfreports_test.go
+++ b/internal/agent/selfreports_test.go
@@ -161,8 +161,8 @@
 	require.EqualValues(t, 2, requests.Load())
 }
 
-// The pause that a server requests in a rejection must be enforced for all attempts. The agent, like
-// gateways, did not remember the pause, so the server continued to receive whatever entries sent.
+// The pause that a server requests in a rejection must be enforced for all attempts. An agent that did
+// not remember the pause, as gateways did not either, sent the server whatever entries sent.
 func TestAttemptsAreRefusedDuringRequestedPause(t *testing.T) {
 	var rejecting atomic.Bool
 	rejecting.Store(true)
--- a/internal/agent/streams.go
+++ b/internal/agent/streams.go
@@ -28,7 +28,7 @@
 	ag.mu.Lock()
 	defer ag.mu.Unlock()
 	ag.streams[key] = &stream{li: li, at: fr.Open}
-	if ag.ledger.Full() {
+	if ag.outbox.Full() {
 		ag.refuse(key, fr.Open, result.BillsFull, 0)
 		return
 	}
@@ -103,7 +103,7 @@
 // once.
 func (ag *Agent) cancelLinkStreams(li *link.Link) {
 	ag.mu.Lock()
-	ag.ledger.MakeAllDue(time.Now())
+	ag.outbox.MakeAllDue(time.Now())
 	var keys []gate.Key
 	for key, st := range ag.streams {
 		if st.li == li && (st.cancel == nil || !st.at.AtMostOnce) {
