--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -98,8 +98,8 @@
 }
 
 // ServeHTTP serves a handler on a listener until the context is cancelled. It then shuts down gracefully
-// and waits at most the time stop for requests in progress.
-func ServeHTTP(ctx context.Context, ln net.Listener, ha http.Handler, stop time.Duration) error {
+// and waits for requests in progress, for at most stopTimeout.
+func ServeHTTP(ctx context.Context, ln net.Listener, ha http.Handler, stopTimeout time.Duration) error {
 	srv := &http.Server{Handler: ha, ReadHeaderTimeout: readHeaderTimeout}
 	serveErr := make(chan error, 1)
 	go func() { serveErr <- srv.Serve(ln) }()
@@ -108,7 +108,7 @@
 		return eris.Wrap(err, "serve")
 	case <-ctx.Done():
 	}
-	shutdownCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), stop)
+	shutdownCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), stopTimeout)
 	defer cancel()
 	if err := srv.Shutdown(shutdownCtx); err != nil && !errors.Is(err, http.ErrServerClosed) {
 		return eris.Wrap(err, "shut down")
--- a/internal/node/configsync.go
+++ b/internal/node/configsync.go
@@ -87,14 +87,14 @@
 
 // receiveConfig handles a configuration from a peer. If a diff can't be applied, the complete document is
 // requested. The caller holds no.mu.
-func (no *Node) receiveConfig(li *link.Link, se *wire.ConfigUpdate) []replica.Action {
-	if se.Revision <= no.replica.Revision() {
+func (no *Node) receiveConfig(li *link.Link, cu *wire.ConfigUpdate) []replica.Action {
+	if cu.Revision <= no.replica.Revision() {
 		return nil
 	}
-	sn, err := no.decode(se)
+	sn, err := no.decode(cu)
 	if err != nil {
 		no.Record(timeline.Entry{Event: event.ConfigRefused, Detail: li.Peer.Box() + ": " + err.Error()})
-		if se.Base != 0 {
+		if cu.Base != 0 {
 			li.Send(&wire.Frame{Kind: wire.Want, Revision: 0})
 		}
 		return nil
@@ -107,26 +107,26 @@
 	errDigestMismatch = eris.New("configuration diff results in a document with a different digest")
 )
 
-func (no *Node) decode(se *wire.ConfigUpdate) (*config.Snapshot, error) {
-	if se.Base != 0 {
-		return no.decodeDiff(se)
+func (no *Node) decode(cu *wire.ConfigUpdate) (*config.Snapshot, error) {
+	if cu.Base != 0 {
+		return no.decodeDiff(cu)
 	}
 	var doc config.Document
-	if err := json.Unmarshal(se.Document, &doc); err != nil {
+	if err := json.Unmarshal(cu.Document, &doc); err != nil {
 		return nil, eris.Wrap(err, "decode configuration")
 	}
 	if err := doc.Check(); err != nil {
 		return nil, err
 	}
-	return config.Compile(se.Revision, &doc), nil
+	return config.Compile(cu.Revision, &doc), nil
 }
 
-func (no *Node) decodeDiff(se *wire.ConfigUpdate) (*config.Snapshot, error) {
-	if se.Base != no.replica.Revision() {
+func (no *Node) decodeDiff(cu *wire.ConfigUpdate) (*config.Snapshot, error) {
+	if cu.Base != no.replica.Revision() {
 		return nil, errBaseMismatch
 	}
 	var diff []config.Difference
-	if err := json.Unmarshal(se.Document, &diff); err != nil {
+	if err := json.Unmarshal(cu.Document, &diff); err != nil {
 		return nil, eris.Wrap(err, "decode configuration diff")
 	}
 	doc, err := config.Patch(no.replica.Snapshot().Document(), diff)
@@ -136,8 +136,8 @@
 	if err := doc.Check(); err != nil {
 		return nil, err
 	}
-	sn := config.Compile(se.Revision, doc)
-	if sn.Digest() != se.Digest {
+	sn := config.Compile(cu.Revision, doc)
+	if sn.Digest() != cu.Digest {
 		return nil, errDigestMismatch
 	}
 	return sn, nil
--- a/internal/node/errors.go
+++ b/internal/node/errors.go
@@ -51,8 +51,8 @@
 }
 
 // Encode returns the JSON encoding of the body.
-func (pr ErrorBody) Encode() ([]byte, error) {
-	body, err := json.Marshal(pr)
+func (eb ErrorBody) Encode() ([]byte, error) {
+	body, err := json.Marshal(eb)
 	return body, eris.Wrap(err, "encode error body")
 }
 
@@ -66,15 +66,15 @@
 }
 
 // WriteErrorBody writes an error response with the status and Retry-After that match the body.
-func WriteErrorBody(w http.ResponseWriter, pr ErrorBody) {
-	if pr.Error.RetryAfterMS > 0 {
-		sec := math.Ceil(float64(pr.Error.RetryAfterMS) / 1000)
+func WriteErrorBody(w http.ResponseWriter, eb ErrorBody) {
+	if eb.Error.RetryAfterMS > 0 {
+		sec := math.Ceil(float64(eb.Error.RetryAfterMS) / 1000)
 		w.Header().Set("Retry-After", strconv.Itoa(int(sec)))
 	}
-	status := result.Lookup(pr.Error.Code).Status()
+	status := result.Lookup(eb.Error.Code).Status()
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(pr)
+	_ = json.NewEncoder(w).Encode(eb)
 }
 
 // BearerKey returns the bearer token of the Authorization header, or "" if there is none.
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -146,7 +146,7 @@
 	return no.replica.PeerRevisions()
 }
 
-// Tick drives the time-outs of the configuration's propagation, for example the one after which an
+// Tick checks the timeouts of the configuration's propagation, for example the one after which an
 // unanswered request is sent to another peer.
 func (no *Node) Tick(now time.Time) {
 	no.mu.Lock()
