--- a/internal/link/link.go
+++ b/internal/link/link.go
@@ -51,7 +51,7 @@
 )
 
 var (
-	errPeerTimeout = eris.New("no message from peer within the heartbeat time-out")
+	errPeerTimeout = eris.New("no message from peer within the heartbeat timeout")
 	errPeerTooSlow = eris.New("peer reads too slowly: queue of control frames is full")
 )
 
