--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -172,9 +172,9 @@
 	// Key is the claimed key; Value is the value that the claimant proposes, or the winning one.
 	Key   string `cbor:"1,keyasint"`
 	Value string `cbor:"2,keyasint"`
-	// Durable rules out a reply before the claim is stored in the key-value service.
+	// Durable requires that the claim is stored in the key-value service before it is granted.
 	Durable bool `cbor:"3,keyasint,omitempty"`
-	// Release gives up the claim if Value is still its owner.
+	// Release releases the key if Value still holds it.
 	Release bool `cbor:"5,keyasint,omitempty"`
 	// Code is set in a reply and reports whether the proposed value won.
 	Code result.Code `cbor:"4,keyasint,omitempty"`
