--- a/internal/httpfront/httpfront.go
+++ b/internal/httpfront/httpfront.go
@@ -69,8 +69,7 @@
 // Addr returns the address of the listener that accepted the connections.
 func (cs *connServer) Addr() net.Addr { return cs.addr }
 
-// Serve accepts connections until Shutdown, after which it returns
-// http.ErrServerClosed.
+// Serve accepts connections until Shutdown is called, and then returns http.ErrServerClosed.
 func (se *Server) Serve(li net.Listener) error {
 	se.mu.Lock()
 	se.listener = li
--- a/internal/httpfront/httpfront_test.go
+++ b/internal/httpfront/httpfront_test.go
@@ -25,7 +25,7 @@
 	return se, li
 }
 
-func ok(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ok") }
+func respondOK(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ok") }
 
 // sendRequest sends a request with a header of the given value and returns the status of the response.
 func sendRequest(t *testing.T, co net.Conn, value string) int {
@@ -51,7 +51,7 @@
 func TestChangedLimitsApplyOnlyToNewConnections(t *testing.T) {
 	var headerBytes atomic.Int64
 	headerBytes.Store(1 << 16)
-	_, li := startServer(t, func() Limits { return Limits{HeaderBytes: int(headerBytes.Load())} }, ok)
+	_, li := startServer(t, func() Limits { return Limits{HeaderBytes: int(headerBytes.Load())} }, respondOK)
 	long := strings.Repeat("x", 30_000)
 	open := dial(t, li)
 	require.Equal(t, http.StatusOK, sendRequest(t, open, long))
@@ -66,7 +66,7 @@
 	se, li := startServer(t, func() Limits { return Limits{HeaderBytes: 4096} }, func(w http.ResponseWriter, r *http.Request) {
 		close(started)
 		<-release
-		ok(w, r)
+		respondOK(w, r)
 	})
 	co := dial(t, li)
 	status := make(chan int, 1)
