--- a/internal/poison/detector_test.go
+++ b/internal/poison/detector_test.go
@@ -35,13 +35,13 @@
 func TestImmediateCrashesInSuccession(t *testing.T) {
 	de := Detector{MinCrashes: 3}
 	fp := fingerprint("p")
-	at := func(ms int, server string) time.Duration {
+	crashAt := func(ms int, server string) time.Duration {
 		return de.Record(Suspicion{Fingerprint: fp, Server: server, RequestAge: 2 * time.Millisecond}, t0.Add(time.Duration(ms)*time.Millisecond))
 	}
-	require.Zero(t, at(10, "a"))
-	require.Zero(t, at(13, "b"))
-	require.Zero(t, at(16, "c"), "a failing rack may look like this")
-	require.Positive(t, at(5000, "d"))
+	require.Zero(t, crashAt(10, "a"))
+	require.Zero(t, crashAt(13, "b"))
+	require.Zero(t, crashAt(16, "c"), "a failing rack may look like this")
+	require.Positive(t, crashAt(5000, "d"))
 }
 
 // After the first block, one more crash is enough for a block, and that one lasts longer.
@@ -153,7 +153,7 @@
 	require.False(t, bs.Add(bl, RepeatBlockDuration, true, t0))
 	require.Empty(t, bs.Unstored())
 	require.Equal(t, []Block{bl}, bs.Stored())
-	require.Empty(t, bs.Recent(t0.Add(recentFor)))
+	require.Empty(t, bs.Recent(t0.Add(blockReportDuration)))
 	require.Equal(t, []Fingerprint{bl.Fingerprint}, bs.Expire(t0.Add(RepeatBlockDuration)))
 	require.False(t, bs.Lift(bl.Fingerprint))
 }
@@ -195,9 +195,9 @@
 	}
 }
 
-// A suspicion that arrives some tens of milliseconds late moves the crash that it reports towards the
-// next one. The two may then be attributed to a rack, so that one more server crashes before the
-// block.
+// A suspicion that arrives some tens of milliseconds late moves the crash that it reports towards
+// the next one. Both may then be attributed to a failing rack, so that one more server crashes
+// before the request is blocked.
 func TestDelayedSuspicionCostsOneMoreServer(t *testing.T) {
 	de := Detector{MinCrashes: MinCrashes}
 	fp := fingerprint("x")
--- a/internal/poison/runs_test.go
+++ b/internal/poison/runs_test.go
@@ -63,15 +63,15 @@
 	require.True(t, rs.HasServer("other"))
 }
 
-// A gateway may cancel a run at its first token. If the server crashes a moment later, no request is
-// open there any more.
+// A gateway may cancel a run at its first token. If the server crashes a moment later, no request
+// is open there any more.
 func TestRunCancelledShortlyBeforeTheCrashIsSuspected(t *testing.T) {
 	var rs Runs
 	cancelled := rs.Sent("s", fingerprint("cancelled"), "cancelled", after(0))
 	rs.Answered(cancelled, after(200))
 	cancelled.Finish(false, after(201))
-	gone := rs.Sent("s", fingerprint("gone"), "gone", after(0))
-	gone.Finish(false, after(10))
+	early := rs.Sent("s", fingerprint("early"), "early", after(0))
+	early.Finish(false, after(10))
 	unsent := rs.Sent("s", fingerprint("unsent"), "unsent", after(590))
 	unsent.MarkUnsent()
 	unsent.Finish(false, after(595))
