--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -306,8 +306,8 @@
 	}
 }
 
-// drain refuses new work, waits for running attempts to finish and sends the remaining bill lines, for
-// at most the stop timeout of the settings.
+// drain refuses new work, waits for running attempts to finish and sends the remaining bill lines,
+// for at most the stop timeout of the settings.
 func (ag *Agent) drain() {
 	ag.Node.Stop()
 	ag.mu.Lock()
--- a/internal/agent/orders.go
+++ b/internal/agent/orders.go
@@ -34,8 +34,8 @@
 	Versions []string `json:"versions"`
 }
 
-// reconcileVersions keeps the loaded versions of the backend server in line with the configuration, if
-// the configuration enables orders for the server.
+// reconcileVersions keeps the loaded versions of the backend server in line with the configuration,
+// if the configuration enables orders for the server.
 func (ag *Agent) reconcileVersions(ctx context.Context) error {
 	return node.Every(ctx, reconcileInterval, func(time.Time) {
 		for ag.reconcileOnce(ctx) {
@@ -60,8 +60,8 @@
 	return ok
 }
 
-// nextAction returns the next action for the server, if any. A server that announced its shutdown gets
-// no orders.
+// nextAction returns the next action for the server, if any. A server that announced its shutdown
+// gets no orders.
 func (ag *Agent) nextAction(se *config.Server) (order.Action, bool) {
 	ag.mu.Lock()
 	defer ag.mu.Unlock()
--- a/internal/agent/run.go
+++ b/internal/agent/run.go
@@ -122,8 +122,8 @@
 	}
 }
 
-// sendData forwards a chunk of the response. It reports whether the attempt should continue. An attempt
-// that must run at most once continues even if its entry is disconnected.
+// sendData forwards a chunk of the response. It reports whether the attempt should continue. An
+// attempt that must run at most once continues even if its entry is disconnected.
 func (ru *run) sendData(ctx context.Context, chunk []byte) bool {
 	if len(chunk) == 0 {
 		return true
--- a/internal/agent/selfreports_test.go
+++ b/internal/agent/selfreports_test.go
@@ -41,10 +41,10 @@
 	return ga
 }
 
-// The rate limit that a server reports must be enforced. An agent that took the server's capacity only
-// from the configuration and ignored the headers of its responses, as gateways did as well, started
-// 200 attempts in 20 s on a server that reported a limit of 2 requests per second, instead of 40. The
-// agent can enforce the limit alone because all requests to its server go through it.
+// The rate limit that a server reports must be enforced. An agent that took the server's capacity
+// only from the configuration and ignored the headers of its responses, as gateways did as well,
+// started 200 attempts in 20 s on a server that reported a limit of 2 requests per second, instead
+// of 40. The agent can enforce the limit alone because all requests to its server go through it.
 func TestReportedRateLimitIsEnforced(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("X-Rate-Limit", "2")
@@ -129,9 +129,10 @@
 	return acs[0]
 }
 
-// From the first response in which its server announces a shutdown, the agent must refuse new attempts
-// and report it to entries, until the restarted server responds. An agent that took the shutdown only
-// from the configuration, as gateways did as well, sent the server attempts until it exited.
+// From the first response in which its server announces a shutdown, the agent must refuse new
+// attempts and report it to entries, until the restarted server responds. An agent that took the
+// shutdown only from the configuration, as gateways did as well, sent the server attempts until it
+// exited.
 func TestAttemptsAreRefusedWhileServerIsLeaving(t *testing.T) {
 	var leaving atomic.Bool
 	leaving.Store(true)
@@ -161,8 +162,8 @@
 	require.EqualValues(t, 2, requests.Load())
 }
 
-// The pause that a server requests in a rejection must be enforced for all attempts. An agent that did
-// not remember the pause, as gateways did not either, sent the server whatever entries sent.
+// The pause that a server requests in a rejection must be enforced for all attempts. An agent that
+// did not remember the pause, as gateways did not either, sent the server whatever entries sent.
 func TestAttemptsAreRefusedDuringRequestedPause(t *testing.T) {
 	var rejecting atomic.Bool
 	rejecting.Store(true)
--- a/internal/agent/streams.go
+++ b/internal/agent/streams.go
@@ -99,8 +99,8 @@
 	ag.Node.Record(timeline.Entry{Event: event.AttemptCancelled, Request: st.at.Request, Version: st.at.Version})
 }
 
-// cancelLinkStreams cancels the attempts of a lost link, except for running ones that must run at most
-// once.
+// cancelLinkStreams cancels the attempts of a lost link, except for running ones that must run at
+// most once.
 func (ag *Agent) cancelLinkStreams(li *link.Link) {
 	ag.mu.Lock()
 	ag.outbox.MakeAllDue(time.Now())
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -18,8 +18,8 @@
 // instead.
 type fakeMachine struct {
 	startedAt time.Time
-	// running is the time counted by the monotonic clock, suspended the time for which it was stopped,
-	// and clockSet the amount by which the wall clock was set.
+	// running is the time counted by the monotonic clock, suspended the time for which it was
+	// stopped, and clockSet the amount by which the wall clock was set.
 	running, suspended, clockSet time.Duration
 	// bootReads is the number of readings of the boot-time clock.
 	bootReads int
--- a/internal/config/document.go
+++ b/internal/config/document.go
@@ -116,7 +116,8 @@
 	Labels selector.Labels `json:"labels,omitempty"`
 	// KeyDigests are the SHA-256 digests of the team's bearer keys, in hexadecimal.
 	KeyDigests []string `json:"key_digests" validate:"dive,len=64,hexadecimal"`
-	// Weight is the team's weight relative to other teams when they share a full server; zero means 1.
+	// Weight is the team's weight relative to other teams when they share a full server; zero means
+	// 1.
 	Weight int `json:"weight,omitempty" validate:"min=0,max=1000"`
 }
 
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -177,8 +177,8 @@
 	return node.ServeHTTP(ctx, en.Admin, en.adminRouter(), time.Second)
 }
 
-// applyConfig applies a new revision of the configuration to the balancer. The caller holds the node's
-// lock.
+// applyConfig applies a new revision of the configuration to the balancer. The caller holds the
+// node's lock.
 func (en *Entry) applyConfig(sn *config.Snapshot) {
 	en.mu.Lock()
 	defer en.mu.Unlock()
--- a/internal/entry/exchange.go
+++ b/internal/entry/exchange.go
@@ -116,6 +116,7 @@
 }
 
 // updateTicker runs the ticker only while the request has timeouts; receiving an answer has none.
+// wasWaiting is the previous result. It reports whether the ticker runs.
 func (ex *exchange) updateTicker(ti *time.Ticker, wasWaiting bool) bool {
 	waiting := ex.route.Pending()
 	switch {
--- a/internal/httpfront/httpfront.go
+++ b/internal/httpfront/httpfront.go
@@ -1,5 +1,5 @@
-// Package httpfront implements an HTTP server whose limits can be changed while it runs. A connection is
-// served with the limits that were in force when it was accepted.
+// Package httpfront implements an HTTP server whose limits can be changed while it runs. A
+// connection is served with the limits that were in force when it was accepted.
 package httpfront
 
 import (
@@ -37,8 +37,8 @@
 	closed   bool
 }
 
-// connServer is an HTTP server together with its listener, which returns the connections that are sent to
-// conns.
+// connServer is an HTTP server together with its listener, which returns the connections that are
+// sent to conns.
 type connServer struct {
 	http  *http.Server
 	conns chan net.Conn
@@ -95,8 +95,8 @@
 	}
 }
 
-// current returns the server for the limits in force, which is created if needed. It returns nil after
-// Shutdown.
+// current returns the server for the limits in force, which is created if needed. It returns nil
+// after Shutdown.
 func (se *Server) current(addr net.Addr) *connServer {
 	se.mu.Lock()
 	defer se.mu.Unlock()
--- a/internal/httpfront/httpfront_test.go
+++ b/internal/httpfront/httpfront_test.go
@@ -27,7 +27,8 @@
 
 func respondOK(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "ok") }
 
-// sendRequest sends a request with a header of the given value and returns the status of the response.
+// sendRequest sends a request with a header of the given value and returns the status of the
+// response.
 func sendRequest(t *testing.T, co net.Conn, value string) int {
 	t.Helper()
 	_, err := io.WriteString(co, "GET / HTTP/1.1\r\nHost: h\r\nX: "+value+"\r\n\r\n")
--- a/internal/link/handshake.go
+++ b/internal/link/handshake.go
@@ -17,8 +17,8 @@
 // Path is the URL path at which agents accept links.
 const Path = "/link"
 
-// maxHandshakeAge is the maximum difference between the time of a handshake according to the entry and
-// the agent's clock. It allows for clock skew.
+// maxHandshakeAge is the maximum difference between the time of a handshake according to the entry
+// and the agent's clock. It allows for clock skew.
 const maxHandshakeAge = 2 * time.Minute
 
 const (
@@ -40,8 +40,8 @@
 	SharedKey string
 }
 
-// handshakeMAC returns a message authentication code for a process's role and identity, the time and the
-// nonce of a handshake. It is not valid for any other handshake.
+// handshakeMAC returns a message authentication code for a process's role and identity, the time
+// and the nonce of a handshake. It is not valid for any other handshake.
 func (id Identity) handshakeMAC(role, box, dataCentre, at, nonce string) string {
 	mac := hmac.New(sha256.New, []byte(id.SharedKey))
 	for _, field := range []string{role, box, dataCentre, at, nonce} {
--- a/internal/link/link.go
+++ b/internal/link/link.go
@@ -1,5 +1,5 @@
-// Package link implements the WebSocket connection between an entry and an agent. It authenticates the
-// peer, sends frames in batches and detects an unresponsive peer.
+// Package link implements the WebSocket connection between an entry and an agent. It authenticates
+// the peer, sends frames in batches and detects an unresponsive peer.
 package link
 
 import (
@@ -162,8 +162,8 @@
 	return li.done
 }
 
-// read passes received frames to the handler. Each message resets the watchdog, which closes the link of
-// an unresponsive peer.
+// read passes received frames to the handler. Each message resets the watchdog, which closes the
+// link of an unresponsive peer.
 func (li *Link) read(ctx context.Context, watchdog *time.Timer) error {
 	for {
 		_, msg, err := li.Conn.Read(ctx)
@@ -257,9 +257,9 @@
 	}
 }
 
-// dataBytes returns the number of bytes in a message that carry callers' data, so that the budget for
-// control traffic can be monitored. The overhead of a data frame counts as data too, since it would not
-// exist without the data.
+// dataBytes returns the number of bytes in a message that carry callers' data, so that the budget
+// for control traffic can be monitored. The overhead of a data frame counts as data too, since it
+// would not exist without the data.
 func dataBytes(frames []*wire.Frame) int {
 	data := 0
 	for _, fr := range frames {
--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -28,8 +28,8 @@
 	Peers map[string]uint64 `json:"peers"`
 }
 
-// AdminRouter returns a router for the paths of the admin port that all processes serve. The health and
-// readiness checks for load balancers need no key; all other paths need an operator key.
+// AdminRouter returns a router for the paths of the admin port that all processes serve. The health
+// and readiness checks for load balancers need no key; all other paths need an operator key.
 func (no *Node) AdminRouter() *mux.Router {
 	ro := mux.NewRouter()
 	ro.HandleFunc("/health", func(w http.ResponseWriter, _ *http.Request) {
@@ -97,8 +97,8 @@
 	return matched == 1
 }
 
-// ServeHTTP serves a handler on a listener until the context is cancelled. It then shuts down gracefully
-// and waits for requests in progress, for at most stopTimeout.
+// ServeHTTP serves a handler on a listener until the context is cancelled. It then shuts down
+// gracefully and waits for requests in progress, for at most stopTimeout.
 func ServeHTTP(ctx context.Context, ln net.Listener, ha http.Handler, stopTimeout time.Duration) error {
 	srv := &http.Server{Handler: ha, ReadHeaderTimeout: readHeaderTimeout}
 	serveErr := make(chan error, 1)
--- a/internal/node/configsync.go
+++ b/internal/node/configsync.go
@@ -18,7 +18,8 @@
 // gets the complete document.
 const maxDiffs = 32
 
-// revisionDiff is the difference between two revisions that were in force in this process in succession.
+// revisionDiff is the difference between two revisions that were in force in this process in
+// succession.
 type revisionDiff struct {
 	from, to uint64
 	// diff is the JSON encoding of the differences.
@@ -39,8 +40,8 @@
 	no.OnAdopt(sn)
 }
 
-// recordDiff appends the diff between two revisions and drops the oldest one beyond maxDiffs. If the diff
-// can't be encoded, all diffs are dropped, since the list must have no gap.
+// recordDiff appends the diff between two revisions and drops the oldest one beyond maxDiffs. If
+// the diff can't be encoded, all diffs are dropped, since the list must have no gap.
 func (no *Node) recordDiff(old, sn *config.Snapshot) {
 	diff, err := json.Marshal(config.Diff(old.Document(), sn.Document()))
 	if err != nil {
@@ -53,8 +54,8 @@
 	}
 }
 
-// sendConfig sends a peer the changes since the revision that it has: as diffs if there are diffs from
-// that revision on, otherwise as the complete document. The caller holds no.mu.
+// sendConfig sends a peer the changes since the revision that it has: as diffs if there are diffs
+// from that revision on, otherwise as the complete document. The caller holds no.mu.
 func (no *Node) sendConfig(peer string, peerRevision uint64) {
 	for i := range no.diffs {
 		if no.diffs[i].from == peerRevision {
@@ -85,8 +86,8 @@
 	}
 }
 
-// receiveConfig handles a configuration from a peer. If a diff can't be applied, the complete document is
-// requested. The caller holds no.mu.
+// receiveConfig handles a configuration from a peer. If a diff can't be applied, the complete
+// document is requested. The caller holds no.mu.
 func (no *Node) receiveConfig(li *link.Link, cu *wire.ConfigUpdate) []replica.Action {
 	if cu.Revision <= no.replica.Revision() {
 		return nil
--- a/internal/node/errors.go
+++ b/internal/node/errors.go
@@ -15,8 +15,8 @@
 	"github.com/linnetrudder/linnetrudder/internal/result"
 )
 
-// ErrorBody is the body of every error response. Its structure is that of the chat completions protocol,
-// so that clients of the protocol can parse it.
+// ErrorBody is the body of every error response. Its structure is that of the chat completions
+// protocol, so that clients of the protocol can parse it.
 type ErrorBody struct {
 	Error ErrorDetail `json:"error"`
 }
@@ -33,8 +33,8 @@
 	Request string `json:"request,omitempty"`
 }
 
-// NewErrorBody returns the body for an error. If after is zero, the default Retry-After of the error's
-// code is used.
+// NewErrorBody returns the body for an error. If after is zero, the default Retry-After of the
+// error's code is used.
 func NewErrorBody(er *result.Error, request string, after time.Duration) ErrorBody {
 	ro := result.Lookup(er.Code())
 	if after == 0 {
@@ -83,8 +83,8 @@
 	return key
 }
 
-// equalDigests compares two digests in constant time, ignoring case. It returns 1 if they are equal, and
-// 0 otherwise.
+// equalDigests compares two digests in constant time, ignoring case. It returns 1 if they are
+// equal, and 0 otherwise.
 func equalDigests(a, b string) int {
 	return subtle.ConstantTimeCompare([]byte(strings.ToLower(a)), []byte(strings.ToLower(b)))
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -18,8 +18,8 @@
 	"github.com/linnetrudder/linnetrudder/internal/wire"
 )
 
-// Node holds the state that every process has. Its exported fields must be set before use; its methods
-// are safe for concurrent use.
+// Node holds the state that every process has. Its exported fields must be set before use; its
+// methods are safe for concurrent use.
 type Node struct {
 	Settings settings.Settings
 	Log      zerolog.Logger
@@ -33,8 +33,8 @@
 	// mu guards replica, diffs and links.
 	mu      sync.Mutex
 	replica replica.Replica
-	// diffs holds the latest revision diffs. Each one starts at the revision at which the previous one
-	// ends.
+	// diffs holds the latest revision diffs. Each one starts at the revision at which the previous
+	// one ends.
 	diffs []revisionDiff
 	// links holds the open link to each peer.
 	links map[string]*link.Link
--- a/internal/sse/sse.go
+++ b/internal/sse/sse.go
@@ -1,5 +1,5 @@
-// Package sse splits a stream of server-sent events into complete events, so that a stream that breaks off
-// within an event can be resumed after the last complete one.
+// Package sse splits a stream of server-sent events into complete events, so that a stream that
+// breaks off within an event can be resumed after the last complete one.
 package sse
 
 import (
@@ -21,8 +21,8 @@
 	id  string
 }
 
-// Raw returns the bytes of the event, including the terminating blank line. They are valid until the next
-// event is read.
+// Raw returns the bytes of the event, including the terminating blank line. They are valid until
+// the next event is read.
 func (ev Event) Raw() []byte { return ev.raw }
 
 // ID returns the event's id, or "" if it has none.
@@ -73,8 +73,8 @@
 	}
 }
 
-// endsWithEmptyLine reports whether an event ends with an empty line, and not with the last bytes of a line
-// that is longer than the buffer.
+// endsWithEmptyLine reports whether an event ends with an empty line, and not with the last bytes
+// of a line that is longer than the buffer.
 func endsWithEmptyLine(raw []byte) bool {
 	rest := bytes.TrimSuffix(bytes.TrimSuffix(raw, []byte("\n")), []byte("\r"))
 	return len(rest) == 0 || rest[len(rest)-1] == '\n'
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,5 +1,5 @@
-// Package wire defines the frames that entries and agents exchange, and their encoding. Each WebSocket
-// message is a sequence of CBOR items, one per frame.
+// Package wire defines the frames that entries and agents exchange, and their encoding. Each
+// WebSocket message is a sequence of CBOR items, one per frame.
 package wire
 
 import (
@@ -56,8 +56,8 @@
 	BillsStored Kind = "billed"
 )
 
-// Frame is the unit of communication between an entry and an agent. Only the fields that its kind requires
-// are set. The fields are exported because the codec needs them.
+// Frame is the unit of communication between an entry and an agent. Only the fields that its kind
+// requires are set. The fields are exported because the codec needs them.
 type Frame struct {
 	Kind Kind `cbor:"1,keyasint"`
 	// Stream identifies an attempt. The entry numbers the attempts of each link.
@@ -230,8 +230,8 @@
 	return eris.Wrap(encMode.NewEncoder(wr).Encode(fr), "encode frame")
 }
 
-// Decode decodes the frames of one message. At the first malformed or incomplete frame it returns an error
-// with the frames before it.
+// Decode decodes the frames of one message. At the first malformed or incomplete frame it returns
+// an error with the frames before it.
 func Decode(msg []byte) ([]*Frame, error) {
 	var frames []*Frame
 	for len(msg) > 0 {
