--- a/standin/cmd/demo/steps.go
+++ b/standin/cmd/demo/steps.go
@@ -60,7 +60,7 @@
 }
 
 func (de *demo) start() error {
-	if err := de.fleet.Platform(); err != nil {
+	if err := de.fleet.StartPlatform(); err != nil {
 		return err
 	}
 	backends := []struct {
@@ -72,7 +72,7 @@
 		{"a-track-1", "dc-a", "plain", nil},
 	}
 	for _, ba := range backends {
-		address, _, err := de.fleet.StandIn(ba.server, ba.kind, ba.args...)
+		address, _, err := de.fleet.StartStandIn(ba.server, ba.kind, ba.args...)
 		if err != nil {
 			return err
 		}
@@ -106,7 +106,7 @@
 	if _, err := de.ctl("apply", de.config, "--operator", "demo"); err != nil {
 		return err
 	}
-	return fleet.Until(bound, "revision 1 in force everywhere", func() bool {
+	return fleet.WaitUntil(bound, "revision 1 in force everywhere", func() bool {
 		for _, me := range de.fleet.Members() {
 			if !ready(me) {
 				return false
@@ -266,7 +266,7 @@
 		return err
 	}
 	defer resp.Body.Close()
-	var an plain.Answer
+	var an plain.Response
 	if err := json.NewDecoder(resp.Body).Decode(&an); err != nil {
 		return err
 	}
@@ -282,7 +282,7 @@
 	if _, err := de.ctl("withdraw", "notes@v2"); err != nil {
 		return err
 	}
-	if err := fleet.Until(bound, "the change in force", func() bool { return de.inForce("2") }); err != nil {
+	if err := fleet.WaitUntil(bound, "the change in force", func() bool { return de.inForce("2") }); err != nil {
 		return err
 	}
 	for n := range 10 {
@@ -314,7 +314,7 @@
 
 func (de *demo) bill() error {
 	lines := 0
-	err := fleet.Until(bound, "the bill", func() bool {
+	err := fleet.WaitUntil(bound, "the bill", func() bool {
 		out, err := exec.Command(filepath.Join(de.bin, "linnetrudderctl"),
 			"bill", "--lines", "--admin", de.entries[0].Admin).Output()
 		lines = strings.Count(string(out), "\n")
--- a/standin/cmd/experiment/main.go
+++ b/standin/cmd/experiment/main.go
@@ -95,8 +95,8 @@
 	var ta table
 	for seed := range fl.Seeds {
 		for _, cascade := range []bool{false, true} {
-			ma := trial.Market{Requests: 60_000, Rated: 0.3, Wrong: 0.02, Delay: 500, Seed: uint64(seed), Cascade: cascade}
-			for _, ou := range trial.Versions(ma) {
+			ma := trial.VersionScenario{Requests: 60_000, RatedFraction: 0.3, WrongFraction: 0.02, RatingDelay: 500, Seed: uint64(seed), CascadeDrafts: cascade}
+			for _, ou := range trial.CompareVersions(ma) {
 				name := ou.Strategy
 				if cascade {
 					if name != "linnetrudder" {
@@ -105,8 +105,8 @@
 					name += " with cascades"
 				}
 				ta.add(name, "cost of a request", ou.Cost)
-				ta.add(name, "requests at the target, %", 100*ou.Met)
-				ta.add(name, "worst shortfall", ou.Worst)
+				ta.add(name, "requests at the target, %", 100*ou.TargetMet)
+				ta.add(name, "worst shortfall", ou.WorstShortfall)
 			}
 		}
 	}
@@ -120,17 +120,17 @@
 // cases are what can be wrong with a new version.
 var cases = []struct {
 	name   string
-	change func(re *trial.Release)
+	change func(re *trial.RolloutScenario)
 }{
-	{"good", func(*trial.Release) {}},
-	{"20% fail from the start", func(re *trial.Release) { re.Failures = 0.2 }},
-	{"8% fail from the start", func(re *trial.Release) { re.Failures = 0.08 }},
-	{"40% low ratings", func(re *trial.Release) { re.Low = 0.4 }},
-	{"30% fail after 20 min", func(re *trial.Release) { re.Failures, re.TurnsBad = 0.3, 20*time.Minute }},
-	{"30% fail after 90 min", func(re *trial.Release) { re.Failures, re.TurnsBad = 0.3, 90*time.Minute }},
-	{"20% fail, nobody decides for 10 min", func(re *trial.Release) {
-		re.Failures = 0.2
-		re.Interrupted = [2]time.Duration{2 * time.Second, 10 * time.Minute}
+	{"good", func(*trial.RolloutScenario) {}},
+	{"20% fail from the start", func(re *trial.RolloutScenario) { re.FailureRate = 0.2 }},
+	{"8% fail from the start", func(re *trial.RolloutScenario) { re.FailureRate = 0.08 }},
+	{"40% low ratings", func(re *trial.RolloutScenario) { re.LowRatingRate = 0.4 }},
+	{"30% fail after 20 min", func(re *trial.RolloutScenario) { re.FailureRate, re.DegradesAt = 0.3, 20*time.Minute }},
+	{"30% fail after 90 min", func(re *trial.RolloutScenario) { re.FailureRate, re.DegradesAt = 0.3, 90*time.Minute }},
+	{"20% fail, nobody decides for 10 min", func(re *trial.RolloutScenario) {
+		re.FailureRate = 0.2
+		re.DecisionOutage = [2]time.Duration{2 * time.Second, 10 * time.Minute}
 	}},
 }
 
@@ -138,15 +138,15 @@
 	var exposure, reversed table
 	for seed := range 5 * fl.Seeds {
 		for _, ca := range cases {
-			re := trial.Release{
-				Rate: 50, GoodFailures: 0.01, GoodLow: 0.08, Failures: 0.01, Low: 0.08, Rated: 0.3,
-				Lag: 5 * time.Second, RatingLag: time.Minute, For: 2 * time.Hour, Seed: uint64(seed),
+			re := trial.RolloutScenario{
+				RequestsPerSecond: 50, BaselineFailureRate: 0.01, BaselineLowRatingRate: 0.08, FailureRate: 0.01, LowRatingRate: 0.08, RatedFraction: 0.3,
+				TallyLag: 5 * time.Second, RatingLag: time.Minute, Duration: 2 * time.Hour, Seed: uint64(seed),
 			}
 			ca.change(&re)
-			for _, ou := range trial.Rollouts(re) {
+			for _, ou := range trial.CompareRollouts(re) {
 				exposure.add(ca.name, ou.Strategy, float64(ou.Exposure))
 				back := 0.0
-				if ou.Reversed {
+				if ou.RolledBack {
 					back = 100
 				}
 				reversed.add(ca.name, ou.Strategy, back)
@@ -167,7 +167,7 @@
 	for _, load := range []float64{0.5, 1, 1.5, 3, 10} {
 		row := fmt.Sprintf("%.1f times", load)
 		for seed := range fl.Seeds {
-			for _, ou := range trial.Loads(trial.Rush{Load: load, Burst: 1, For: 2 * time.Minute, Seed: uint64(seed)}) {
+			for _, ou := range trial.CompareLoads(trial.LoadScenario{Load: load, FirstTeamWeight: 1, Duration: 2 * time.Minute, Seed: uint64(seed)}) {
 				goodput.add(row, ou.Strategy, ou.Goodput)
 			}
 		}
@@ -176,11 +176,11 @@
 		}
 	}
 	for seed := range fl.Seeds {
-		for _, ou := range trial.Loads(trial.Rush{Load: 3.6, Burst: 20, For: 2 * time.Minute, Seed: uint64(seed)}) {
-			others.add("one team asks for three times everything", ou.Strategy, ou.Others)
+		for _, ou := range trial.CompareLoads(trial.LoadScenario{Load: 3.6, FirstTeamWeight: 20, Duration: 2 * time.Minute, Seed: uint64(seed)}) {
+			others.add("one team asks for three times everything", ou.Strategy, ou.OtherTeamsServed)
 		}
-		for _, ou := range trial.Loads(trial.Rush{Load: 0.8, Burst: 1, LostAt: 30 * time.Second, For: 2 * time.Minute, Seed: uint64(seed)}) {
-			others.add("half the pool lost for a third of the time, at 0.8 times", ou.Strategy, ou.Others)
+		for _, ou := range trial.CompareLoads(trial.LoadScenario{Load: 0.8, FirstTeamWeight: 1, HalfLostAt: 30 * time.Second, Duration: 2 * time.Minute, Seed: uint64(seed)}) {
+			others.add("half the pool lost for a third of the time, at 0.8 times", ou.Strategy, ou.OtherTeamsServed)
 		}
 	}
 	sb.WriteString("\n## Overload\n\nRequests that started in time, over what 12 servers of 4 slots can do. Callers\n" +
--- a/standin/cmd/measure/bills.go
+++ b/standin/cmd/measure/bills.go
@@ -24,7 +24,7 @@
 	}
 	warm := loadCmd{Rate: cm.Rate, Tokens: 1, For: 5 * time.Second}
 	warm.drive(paths[1])
-	if err := fe.Fault(store.Faults{Down: true}); err != nil {
+	if err := fe.SetStoreFaults(store.Faults{Down: true}); err != nil {
 		return err
 	}
 	before, err := takeBoth(entry, agent)
@@ -39,7 +39,7 @@
 	n := float64(ru.first.TotalCount())
 	fmt.Printf("store down, %.0f requests answered, %d failed: entry %+.0f B, agent %+.0f B a request held\n",
 		n, ru.failed, float64(after.entry.rss-before.entry.rss)/n, float64(after.agent.rss-before.agent.rss)/n)
-	if err := fe.Fault(store.Faults{}); err != nil {
+	if err := fe.SetStoreFaults(store.Faults{}); err != nil {
 		return err
 	}
 	time.Sleep(25 * time.Second)
--- a/standin/cmd/measure/links.go
+++ b/standin/cmd/measure/links.go
@@ -25,7 +25,7 @@
 
 // Run starts the process and its peers and prints what it used.
 func (cm *linksCmd) Run(fe *fleet.Fleet) error {
-	if err := fe.Platform(); err != nil {
+	if err := fe.StartPlatform(); err != nil {
 		return err
 	}
 	fe.Tune = func(se map[string]any) {
@@ -33,12 +33,12 @@
 		se["platform"] = map[string]any{"store": fe.Store, "boxes": fe.Boxes, "boxes_ms": 5000}
 		se["log_level"] = "warn"
 	}
-	sw := &swarm.Swarm{Store: fe.Store, Boxes: fe.Boxes, Key: "demo-key"}
+	sw := &swarm.Swarm{Store: fe.Store, Boxes: fe.Boxes, SharedKey: "demo-key"}
 	measured, list, err := cm.members(fe, sw)
 	if err != nil {
 		return err
 	}
-	if err := fe.List(list); err != nil {
+	if err := fe.PublishBoxes(list); err != nil {
 		return err
 	}
 	ch := changer{admin: entryAdmin(list)}
@@ -77,9 +77,9 @@
 	for i := range cm.Peers {
 		var peer *swarm.Member
 		if role == boxes.Entry {
-			peer, err = sw.Agent(fmt.Sprintf("agent-%d", i), "dc", fmt.Sprintf("s-%d", i), "127.0.0.1:1")
+			peer, err = sw.StartAgent(fmt.Sprintf("agent-%d", i), "dc", fmt.Sprintf("s-%d", i), "127.0.0.1:1")
 		} else {
-			peer, err = sw.Entry(fmt.Sprintf("entry-%d", i), "dc")
+			peer, err = sw.StartEntry(fmt.Sprintf("entry-%d", i), "dc")
 		}
 		if err != nil {
 			return nil, nil, err
--- a/standin/cmd/measure/load.go
+++ b/standin/cmd/measure/load.go
@@ -58,11 +58,11 @@
 
 // start starts one engine, one agent and one entry.
 func (cm *loadCmd) start(fe *fleet.Fleet) ([]path, *fleet.Member, *fleet.Member, error) {
-	if err := fe.Platform(); err != nil {
+	if err := fe.StartPlatform(); err != nil {
 		return nil, nil, nil, err
 	}
 	fe.Tune = func(se map[string]any) { se["log_level"] = "warn" }
-	engine, _, err := fe.StandIn("engine", "engine", "--tokens", fmt.Sprint(cm.Tokens), "--pace", cm.Pace.String())
+	engine, _, err := fe.StartStandIn("engine", "engine", "--tokens", fmt.Sprint(cm.Tokens), "--pace", cm.Pace.String())
 	if err != nil {
 		return nil, nil, nil, err
 	}
--- a/standin/cmd/measure/proc.go
+++ b/standin/cmd/measure/proc.go
@@ -31,7 +31,7 @@
 
 func take(me *fleet.Member) (sample, error) {
 	sa := sample{at: time.Now()}
-	pid := me.Process.ID()
+	pid := me.Process.PID()
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return sa, err
--- a/standin/cmd/soak/main.go
+++ b/standin/cmd/soak/main.go
@@ -56,7 +56,7 @@
 		if err := os.MkdirAll(dir, 0o700); err != nil {
 			return broken, fmt.Errorf("folder: %w", err)
 		}
-		pl := soak.Draw(seed, ar.Gateways, ar.Servers, ar.Trouble)
+		pl := soak.GeneratePlan(seed, ar.Gateways, ar.Servers, ar.Trouble)
 		if ar.Poison {
 			pl = pl.WithPoison()
 		}
@@ -66,7 +66,7 @@
 		if ar.Restores {
 			pl = pl.WithRestores()
 		}
-		so := &soak.Soak{Bin: ar.Bin, Dir: dir, Callers: ar.Callers}
+		so := &soak.Runner{Bin: ar.Bin, Dir: dir, Callers: ar.Callers}
 		violations, err := so.Run(context.Background(), pl)
 		if err != nil {
 			return broken, fmt.Errorf("seed %d: %w", seed, err)
--- a/standin/cmd/standin/main.go
+++ b/standin/cmd/standin/main.go
@@ -39,8 +39,8 @@
 	handlers := map[string]http.Handler{
 		"store":  &store.Store{},
 		"boxes":  &boxlist.List{},
-		"engine": &engine.Engine{Tokens: fl.Tokens, Pace: fl.Pace, Confidence: fl.Confidence, Fenced: fl.Fenced},
-		"plain":  &plain.Service{Takes: fl.Takes},
+		"engine": &engine.Engine{Tokens: fl.Tokens, TokenInterval: fl.Pace, Confidence: fl.Confidence, CheckFencing: fl.Fenced},
+		"plain":  &plain.Service{Latency: fl.Takes},
 	}
 	lo := zerolog.New(os.Stderr)
 	for {
--- a/standin/e2e/caller_test.go
+++ b/standin/e2e/caller_test.go
@@ -111,7 +111,7 @@
 	defer resp.Body.Close()
 	require.Equal(t, 1, si.running())
 	cancel()
-	require.NoError(t, fleet.Until(bound, "the slot to be free", func() bool { return si.running() == 0 }))
+	require.NoError(t, fleet.WaitUntil(bound, "the slot to be free", func() bool { return si.running() == 0 }))
 }
 
 // running returns how many requests run on the first engine.
@@ -133,11 +133,11 @@
 				si.apply(doc)
 				si.waitRevision(2, si.fleet.Members()...)
 			} else {
-				require.NoError(t, si.fleet.PublishLeaving(si.agents[0]))
+				require.NoError(t, si.fleet.PublishWithLeaving(si.agents[0]))
 			}
 			// It has left once a while goes by in which others serve and it
 			// does not.
-			require.NoError(t, fleet.Until(bound, "nothing new", func() bool {
+			require.NoError(t, fleet.WaitUntil(bound, "nothing new", func() bool {
 				before := si.total(si.agents[0])
 				si.served(5)
 				return si.total(si.agents[0]) == before
--- a/standin/e2e/failure_test.go
+++ b/standin/e2e/failure_test.go
@@ -31,7 +31,7 @@
 // served waits until more calls were answered than before.
 func (si *site) served(calls int) {
 	for range calls {
-		require.NoError(si.t, fleet.Until(bound, "an answer", func() bool {
+		require.NoError(si.t, fleet.WaitUntil(bound, "an answer", func() bool {
 			return si.ask(si.entries[0], call{kind: "patient"}).whole
 		}))
 	}
@@ -78,12 +78,12 @@
 	si := newSite(t, 2, time.Millisecond)
 	stop := si.load(4, mixed)
 	si.served(2)
-	require.NoError(t, si.fleet.Fault(store.Faults{Down: true}))
+	require.NoError(t, si.fleet.SetStoreFaults(store.Faults{Down: true}))
 	si.served(10)
-	require.NoError(t, si.fleet.Fault(store.Faults{DropAnswers: 5}))
+	require.NoError(t, si.fleet.SetStoreFaults(store.Faults{DropWriteResponses: 5}))
 	si.served(2)
 	calls := stop()
-	require.NoError(t, si.fleet.Fault(store.Faults{}))
+	require.NoError(t, si.fleet.SetStoreFaults(store.Faults{}))
 	for _, ca := range calls {
 		require.True(t, ca.whole, "an outage of the store fails no request without a key: %+v", ca)
 	}
@@ -94,13 +94,13 @@
 	si := newSite(t, 3, time.Millisecond)
 	stop := si.load(4, mixed)
 	si.served(2)
-	require.NoError(t, si.fleet.Fault(store.Faults{Down: true}))
+	require.NoError(t, si.fleet.SetStoreFaults(store.Faults{Down: true}))
 	si.served(2)
 	require.NoError(t, si.agents[1].Process.Signal(syscall.SIGKILL))
 	require.True(t, si.agents[1].Process.Wait(bound))
 	si.served(4)
 	calls := stop()
-	require.NoError(t, si.fleet.Fault(store.Faults{}))
+	require.NoError(t, si.fleet.SetStoreFaults(store.Faults{}))
 	si.checkCalls(calls)
 }
 
@@ -110,7 +110,7 @@
 	si.served(2)
 	require.NoError(t, si.agents[0].Process.Signal(syscall.SIGTERM))
 	require.True(t, si.agents[0].Process.Wait(bound))
-	require.Zero(t, si.agents[0].Process.Code())
+	require.Zero(t, si.agents[0].Process.ExitCode())
 	si.served(2)
 	calls := stop()
 	for _, ca := range calls {
@@ -126,10 +126,10 @@
 	for i := range calls {
 		wg.Go(func() { calls[i] = si.ask(si.entries[1], call{stream: i%2 == 0}) })
 	}
-	require.NoError(t, fleet.Until(bound, "all under way", func() bool { return len(si.runs()) >= len(calls) }))
+	require.NoError(t, fleet.WaitUntil(bound, "all under way", func() bool { return len(si.runs()) >= len(calls) }))
 	require.NoError(t, si.entries[1].Process.Signal(syscall.SIGTERM))
 	require.True(t, si.entries[1].Process.Wait(bound))
-	require.Zero(t, si.entries[1].Process.Code())
+	require.Zero(t, si.entries[1].Process.ExitCode())
 	wg.Wait()
 	for _, ca := range calls {
 		require.True(t, ca.whole, "%+v", ca)
@@ -167,7 +167,7 @@
 	si := newSite(t, 2, time.Millisecond)
 	revision := si.setV2(config.RollingOut)
 	si.waitRevision(revision, si.fleet.Members()...)
-	require.NoError(t, si.fleet.Fault(store.Faults{Down: true}))
+	require.NoError(t, si.fleet.SetStoreFaults(store.Faults{Down: true}))
 	en := si.addEntry("entry-new", "dc-0")
 	si.waitRevision(revision, en)
 	require.True(t, si.ask(en, call{kind: "patient"}).whole)
@@ -196,7 +196,7 @@
 	withdrawn := si.setV2(config.Withdrawn)
 	si.waitRevision(withdrawn, si.fleet.Members()...)
 	require.NoError(t, si.putStore(config.StoreKey, copied))
-	require.NoError(t, fleet.Until(bound, "the newest configuration is written again", func() bool {
+	require.NoError(t, fleet.WaitUntil(bound, "the newest configuration is written again", func() bool {
 		held, err := si.stored()
 		return err == nil && held.Revision == withdrawn
 	}))
@@ -237,7 +237,7 @@
 	check := func(en *fleet.Member) {
 		for i := range sessions {
 			var ca call
-			require.NoError(t, fleet.Until(bound, "the session's answer", func() bool {
+			require.NoError(t, fleet.WaitUntil(bound, "the session's answer", func() bool {
 				ca = si.ask(en, call{session: fmt.Sprint("s", i), kind: "patient"})
 				return ca.whole
 			}))
@@ -283,7 +283,7 @@
 	}
 	si.waitRevision(1, si.agents...)
 	var again call
-	require.NoError(t, fleet.Until(bound, "a verdict on the key", func() bool {
+	require.NoError(t, fleet.WaitUntil(bound, "a verdict on the key", func() bool {
 		again = si.ask(si.entries[0], call{idempotency: "k0", kind: "once"})
 		return again.code != result.ClaimsUnavailable
 	}))
@@ -292,20 +292,20 @@
 
 func TestAKeyIsRefusedAtOnceWhileTheStoreIsDown(t *testing.T) {
 	si := newSite(t, 2, time.Millisecond)
-	require.NoError(t, si.fleet.Fault(store.Faults{Down: true}))
+	require.NoError(t, si.fleet.SetStoreFaults(store.Faults{Down: true}))
 	ca := si.ask(si.entries[0], call{idempotency: "k", kind: "once"})
 	require.Equal(t, result.ClaimsUnavailable, ca.code)
 	require.Equal(t, result.DidNotRun, ca.run)
 	require.Zero(t, si.runs()[ca.id])
-	require.NoError(t, si.fleet.Fault(store.Faults{}))
-	require.NoError(t, fleet.Until(bound, "the key runs after the outage", func() bool {
+	require.NoError(t, si.fleet.SetStoreFaults(store.Faults{}))
+	require.NoError(t, fleet.WaitUntil(bound, "the key runs after the outage", func() bool {
 		return si.ask(si.entries[0], call{idempotency: "k", kind: "once"}).whole
 	}))
 }
 
 func TestOperatorsRaceUnderLostAnswers(t *testing.T) {
 	si := newSite(t, 2, time.Millisecond)
-	require.NoError(t, si.fleet.Fault(store.Faults{DropAnswers: 4, DelayMS: 5}))
+	require.NoError(t, si.fleet.SetStoreFaults(store.Faults{DropWriteResponses: 4, DelayMS: 5}))
 	var wg sync.WaitGroup
 	told := make([]uint64, 8)
 	for i := range told {
@@ -368,7 +368,7 @@
 	si.apply(doc)
 	si.waitRevision(2, si.fleet.Members()...)
 	go si.ask(si.entries[1], call{kind: "once"})
-	require.NoError(t, fleet.Until(bound, "the call to run", func() bool { return len(si.runs()) == 1 }))
+	require.NoError(t, fleet.WaitUntil(bound, "the call to run", func() bool { return len(si.runs()) == 1 }))
 	require.NoError(t, si.entries[1].Process.Signal(syscall.SIGKILL))
 	require.True(t, si.entries[1].Process.Wait(bound))
 	require.NoError(t, si.fleet.Restart(si.entries[1]))
@@ -377,7 +377,7 @@
 	require.True(t, ca.whole, "%+v", ca)
 	require.Equal(t, 1, si.most(), "one slot, one at a time")
 	require.False(t, si.agents[0].Process.Wait(0), "the agent lives")
-	require.NoError(t, fleet.Until(bound, "both calls on the bill", func() bool { return len(si.bills()) == 2 }))
+	require.NoError(t, fleet.WaitUntil(bound, "both calls on the bill", func() bool { return len(si.bills()) == 2 }))
 	si.checkCalls([]call{ca})
 }
 
--- a/standin/e2e/order_test.go
+++ b/standin/e2e/order_test.go
@@ -19,12 +19,12 @@
 		doc.Servers[i].Orders = true
 	}
 	si.apply(doc)
-	held := func() engine.Held {
-		var he engine.Held
+	held := func() engine.Status {
+		var he engine.Status
 		require.NoError(t, si.getJSON("http://"+si.agents[0].Backend+"/orders", &he))
 		return he
 	}
-	require.NoError(t, fleet.Until(bound, "both versions loaded", func() bool { return len(held().Versions) == 2 }))
+	require.NoError(t, fleet.WaitUntil(bound, "both versions loaded", func() bool { return len(held().Versions) == 2 }))
 	si.served(2)
 
 	// The agent is frozen and replaced on the same backend server. The new one
@@ -38,12 +38,12 @@
 	doc.Servers[0].Versions = []string{"m@v1"}
 	si.apply(doc)
 	si.waitRevision(3, young)
-	require.NoError(t, fleet.Until(bound, "one version dropped", func() bool {
+	require.NoError(t, fleet.WaitUntil(bound, "one version dropped", func() bool {
 		return slices.Equal(held().Versions, []string{"m@v1"})
 	}))
 	require.NoError(t, old.Process.Signal(syscall.SIGCONT))
 	si.waitRevision(3, old)
 	si.served(5)
 	require.Equal(t, []string{"m@v1"}, held().Versions)
-	require.True(t, slices.IsSorted(held().Fences), "fencing numbers only grow: %v", held().Fences)
+	require.True(t, slices.IsSorted(held().FencingNumbers), "fencing numbers only grow: %v", held().FencingNumbers)
 }
--- a/standin/e2e/partition_test.go
+++ b/standin/e2e/partition_test.go
@@ -16,14 +16,14 @@
 // second one's way to the store, run over cables.
 type parting struct {
 	*site
-	cables []*fleet.Cable
+	cables []*fleet.Proxy
 	// lists holds the address of each data centre's list of boxes, which names
 	// the other one's agents at the cables' ends.
 	lists [2]string
 }
 
 func (pa *parting) cable(to string) string {
-	ca, err := fleet.NewCable(to)
+	ca, err := fleet.NewProxy(to)
 	require.NoError(pa.t, err)
 	pa.t.Cleanup(ca.Close)
 	pa.cables = append(pa.cables, ca)
@@ -32,7 +32,7 @@
 
 func (pa *parting) cut(cut bool) {
 	for _, ca := range pa.cables {
-		ca.Cut(cut)
+		ca.SetPartitioned(cut)
 	}
 }
 
@@ -42,9 +42,9 @@
 		pa.cut(false)
 		_ = pa.fleet.Stop()
 	})
-	require.NoError(t, pa.fleet.Platform())
+	require.NoError(t, pa.fleet.StartPlatform())
 	pa.lists[0] = pa.fleet.Boxes
-	other, _, err := pa.fleet.StandIn("boxes-1", "boxes")
+	other, _, err := pa.fleet.StartStandIn("boxes-1", "boxes")
 	require.NoError(t, err)
 	pa.lists[1] = other
 	farStore := pa.cable(pa.fleet.Store)
@@ -57,7 +57,7 @@
 	}
 	for i := range 2 {
 		name := []string{"s-0", "s-1"}[i]
-		address, _, err := pa.fleet.StandIn(name, "engine", "--tokens", "12", "--pace", "1ms")
+		address, _, err := pa.fleet.StartStandIn(name, "engine", "--tokens", "12", "--pace", "1ms")
 		require.NoError(t, err)
 		me := fleet.Member{Box: "agent-" + name, Role: "agent", DataCentre: dataCentre(i), Server: name, Backend: address}
 		added, err := pa.fleet.Add(me)
@@ -88,7 +88,7 @@
 		}
 		saved := pa.fleet.Boxes
 		pa.fleet.Boxes = pa.lists[here]
-		require.NoError(pa.t, pa.fleet.List(list))
+		require.NoError(pa.t, pa.fleet.PublishBoxes(list))
 		pa.fleet.Boxes = saved
 	}
 }
@@ -98,7 +98,7 @@
 	stop := pa.load(6, func(n int) call { return call{kind: "patient", stream: n%2 == 0} })
 	pa.served(2)
 	pa.cut(true)
-	require.NoError(t, fleet.Until(bound, "the parting to be noticed", func() bool {
+	require.NoError(t, fleet.WaitUntil(bound, "the parting to be noticed", func() bool {
 		var st struct {
 			Peers map[string]uint64 `json:"peers"`
 		}
@@ -110,7 +110,7 @@
 	revision := pa.setV2(config.Withdrawn)
 	pa.waitRevision(revision, pa.entries[0], pa.agents[0])
 	pa.served(3)
-	require.NoError(t, fleet.Until(bound, "an answer on the cut-off side", func() bool {
+	require.NoError(t, fleet.WaitUntil(bound, "an answer on the cut-off side", func() bool {
 		return pa.ask(pa.entries[1], call{kind: "patient"}).whole
 	}))
 	require.Equal(t, uint64(1), pa.revision(pa.entries[1]))
@@ -124,7 +124,7 @@
 	pa.waitRevision(revision, pa.fleet.Members()...)
 	before := pa.began(pa.agents[1], "m@v2")
 	pa.served(3)
-	require.NoError(t, fleet.Until(bound, "the key runs after the parting", func() bool {
+	require.NoError(t, fleet.WaitUntil(bound, "the key runs after the parting", func() bool {
 		return pa.ask(pa.entries[1], call{idempotency: "k", kind: "once"}).whole
 	}))
 	require.Equal(t, before, pa.began(pa.agents[1], "m@v2"), "the withdrawal holds on both sides now")
--- a/standin/e2e/poison_test.go
+++ b/standin/e2e/poison_test.go
@@ -27,7 +27,7 @@
 // poisonRuns returns how often a request under which engines end began.
 func (si *site) poisonRuns(ids map[string]bool) int {
 	si.t.Helper()
-	require.NoError(si.t, fleet.Until(bound, "all engines are back", func() bool {
+	require.NoError(si.t, fleet.WaitUntil(bound, "all engines are back", func() bool {
 		for _, ag := range si.agents {
 			resp, err := http.Get("http://" + ag.Backend + "/runs")
 			if err != nil {
@@ -58,11 +58,11 @@
 	time.Sleep(2 * time.Second) // what the callers of the load ask is known to do no harm by then
 	ids := map[string]bool{}
 	ask := func(n int) call {
-		ca := si.ask(si.entries[n%len(si.entries)], call{content: engine.Poison, stream: true})
+		ca := si.ask(si.entries[n%len(si.entries)], call{content: engine.PoisonContent, stream: true})
 		ids[ca.id] = true
 		return ca
 	}
-	require.NoError(t, fleet.Until(bound, "both entries block it", func() bool {
+	require.NoError(t, fleet.WaitUntil(bound, "both entries block it", func() bool {
 		return ask(0).code == result.RequestBlocked && ask(1).code == result.RequestBlocked
 	}))
 	runs := si.poisonRuns(ids)
@@ -77,7 +77,7 @@
 	require.Equal(t, runs, si.poisonRuns(ids))
 
 	// Both entries are lost at once; what they knew is kept.
-	require.NoError(t, fleet.Until(bound, "kept", func() bool { return si.kept(blocksKey) }))
+	require.NoError(t, fleet.WaitUntil(bound, "kept", func() bool { return si.kept(blocksKey) }))
 	for _, en := range si.entries {
 		require.NoError(t, en.Process.Signal(syscall.SIGKILL))
 		require.True(t, en.Process.Wait(bound))
@@ -101,10 +101,10 @@
 	si := newSite(t, 6, 3*time.Millisecond)
 	stop := si.load(4, func(int) call { return call{stream: true, kind: "patient"} })
 	defer stop()
-	require.NoError(t, fleet.Until(bound, "both entries block it", func() bool {
+	require.NoError(t, fleet.WaitUntil(bound, "both entries block it", func() bool {
 		blocked := 0
 		for _, en := range si.entries {
-			if si.ask(en, call{content: engine.Poison, stream: true}).code == result.RequestBlocked {
+			if si.ask(en, call{content: engine.PoisonContent, stream: true}).code == result.RequestBlocked {
 				blocked++
 			}
 		}
--- a/standin/e2e/rollout_test.go
+++ b/standin/e2e/rollout_test.go
@@ -37,7 +37,7 @@
 }
 
 func (si *site) waitState(version string, state config.State) {
-	require.NoError(si.t, fleet.Until(bound, version+" "+string(state), func() bool {
+	require.NoError(si.t, fleet.WaitUntil(bound, version+" "+string(state), func() bool {
 		return si.state(version) == state
 	}))
 }
--- a/standin/e2e/site_test.go
+++ b/standin/e2e/site_test.go
@@ -45,13 +45,13 @@
 func newSite(t *testing.T, servers int, pace time.Duration) *site {
 	si := &site{t: t, fleet: &fleet.Fleet{Bin: bin, Dir: t.TempDir()}}
 	t.Cleanup(func() {
-		_ = si.fleet.Fault(store.Faults{})
+		_ = si.fleet.SetStoreFaults(store.Faults{})
 		_ = si.fleet.Stop()
 	})
-	require.NoError(t, si.fleet.Platform())
+	require.NoError(t, si.fleet.StartPlatform())
 	for i := range servers {
 		name := fmt.Sprintf("s-%d", i)
-		address, _, err := si.fleet.StandIn(name, "engine", "--tokens", fmt.Sprint(tokens), "--pace", pace.String())
+		address, _, err := si.fleet.StartStandIn(name, "engine", "--tokens", fmt.Sprint(tokens), "--pace", pace.String())
 		require.NoError(t, err)
 		me := fleet.Member{Box: "agent-" + name, Role: "agent", DataCentre: dataCentre(i), Server: name, Backend: address}
 		added, err := si.fleet.Add(me)
@@ -117,7 +117,7 @@
 
 func (si *site) apply(doc *config.Document) {
 	var ch config.Change
-	require.NoError(si.t, fleet.Until(bound, "apply", func() bool {
+	require.NoError(si.t, fleet.WaitUntil(bound, "apply", func() bool {
 		return si.admin(si.entries[0], http.MethodPut, "/v1/config", doc, &ch) == nil
 	}))
 }
@@ -139,7 +139,7 @@
 }
 
 func (si *site) waitRevision(revision uint64, members ...*fleet.Member) {
-	require.NoError(si.t, fleet.Until(bound, fmt.Sprint("revision ", revision), func() bool {
+	require.NoError(si.t, fleet.WaitUntil(bound, fmt.Sprint("revision ", revision), func() bool {
 		for _, me := range members {
 			if si.revision(me) < revision {
 				return false
@@ -324,7 +324,7 @@
 		}
 	}
 	require.NotEmpty(si.t, answered)
-	require.NoError(si.t, fleet.Until(bound, "every answered request on the bill", func() bool {
+	require.NoError(si.t, fleet.WaitUntil(bound, "every answered request on the bill", func() bool {
 		count := si.bills()
 		for id := range answered {
 			if count[id] == 0 {
--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -17,9 +17,9 @@
 	// Tokens is the length of each answer.
 	Tokens int
 	// Pace is the time between two tokens.
-	Pace time.Duration
+	TokenInterval time.Duration
 	// Fenced makes the engine refuse orders with a lower fencing number.
-	Fenced bool
+	CheckFencing bool
 	// Confidence is reported with each answer if it is not zero.
 	Confidence float64
 	// Crash ends the engine's process, as a request for Poison does once it runs.
@@ -43,7 +43,7 @@
 }
 
 // Poison is the content of a message under which engines end.
-const Poison = "poison"
+const PoisonContent = "poison"
 
 // crashTime is how long after its first token an engine ends.
 const crashTime = 120 * time.Millisecond
@@ -64,7 +64,7 @@
 }
 
 // AllRuns returns how often the request of each id began.
-func (en *Engine) AllRuns() map[string]int {
+func (en *Engine) RunCounts() map[string]int {
 	en.mu.Lock()
 	defer en.mu.Unlock()
 	all := make(map[string]int, len(en.runs))
@@ -75,7 +75,7 @@
 }
 
 // Began returns how many requests of a version began.
-func (en *Engine) Began(version string) int {
+func (en *Engine) Started(version string) int {
 	en.mu.Lock()
 	defer en.mu.Unlock()
 	return en.versions[version]
@@ -89,7 +89,7 @@
 }
 
 // SetBad makes a version fail, or heals it.
-func (en *Engine) SetBad(version string, bad bool) {
+func (en *Engine) SetFailing(version string, bad bool) {
 	en.mu.Lock()
 	defer en.mu.Unlock()
 	if en.bad == nil {
@@ -100,23 +100,23 @@
 
 // Order is an order as engines take it.
 type Order struct {
-	Do      string `json:"do"`
-	Version string `json:"version"`
-	Fence   uint64 `json:"fence"`
+	Action        string `json:"do"`
+	Version       string `json:"version"`
+	FencingNumber uint64 `json:"fence"`
 }
 
 // Held is what an engine says of itself.
-type Held struct {
+type Status struct {
 	Versions []string `json:"versions"`
 	// Fences lists the numbers of the orders taken so far.
-	Fences []uint64 `json:"fences"`
+	FencingNumbers []uint64 `json:"fences"`
 }
 
 func (en *Engine) serveOrders(w http.ResponseWriter, r *http.Request) {
 	en.mu.Lock()
 	defer en.mu.Unlock()
 	if r.Method == http.MethodGet {
-		_ = json.NewEncoder(w).Encode(Held{Versions: en.held, Fences: en.orders})
+		_ = json.NewEncoder(w).Encode(Status{Versions: en.held, FencingNumbers: en.orders})
 		return
 	}
 	var or Order
@@ -124,14 +124,14 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	if en.Fenced && or.Fence < en.fence {
+	if en.CheckFencing && or.FencingNumber < en.fence {
 		http.Error(w, "lower fencing number", http.StatusConflict)
 		return
 	}
-	en.fence = max(en.fence, or.Fence)
-	en.orders = append(en.orders, or.Fence)
+	en.fence = max(en.fence, or.FencingNumber)
+	en.orders = append(en.orders, or.FencingNumber)
 	en.held = slices.DeleteFunc(en.held, func(ve string) bool { return ve == or.Version })
-	if or.Do == "load" {
+	if or.Action == "load" {
 		en.held = append(en.held, or.Version)
 	}
 }
@@ -164,11 +164,11 @@
 		return
 	}
 	if r.Method == http.MethodPut {
-		en.SetBad(r.URL.Query().Get("version"), r.URL.Query().Get("bad") == "true")
+		en.SetFailing(r.URL.Query().Get("version"), r.URL.Query().Get("bad") == "true")
 		return
 	}
 	if r.Method == http.MethodGet {
-		_ = json.NewEncoder(w).Encode(en.AllRuns())
+		_ = json.NewEncoder(w).Encode(en.RunCounts())
 		return
 	}
 	var ch chat
@@ -178,7 +178,7 @@
 	}
 	bad := en.begin(r.Header.Get("X-Request-Id"), ch.Model)
 	defer en.end()
-	if en.Crash != nil && len(ch.Messages) > 0 && ch.Messages[0].Content == Poison {
+	if en.Crash != nil && len(ch.Messages) > 0 && ch.Messages[0].Content == PoisonContent {
 		en.pause(r, crashTime)
 		en.Crash()
 		return
@@ -191,7 +191,7 @@
 		en.stream(w, r, ch)
 		return
 	}
-	if !en.pause(r, en.Pace*time.Duration(en.Tokens)) {
+	if !en.pause(r, en.TokenInterval*time.Duration(en.Tokens)) {
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
@@ -269,7 +269,7 @@
 		_ = rc.Flush()
 	}
 	for i, word := range strings.SplitAfter(Answer(ch.Model, en.Tokens), " ") {
-		if i > 0 && !en.pause(r, en.Pace) {
+		if i > 0 && !en.pause(r, en.TokenInterval) {
 			return
 		}
 		send(map[string]any{"content": word}, nil)
--- a/standin/fleet/fleet.go
+++ b/standin/fleet/fleet.go
@@ -72,7 +72,7 @@
 }
 
 // StandIn starts a stand-in and returns its address.
-func (fl *Fleet) StandIn(name, kind string, args ...string) (string, *Process, error) {
+func (fl *Fleet) StartStandIn(name, kind string, args ...string) (string, *Process, error) {
 	address, err := FreeAddress()
 	if err != nil {
 		return "", nil, err
@@ -81,16 +81,16 @@
 	if err != nil {
 		return "", nil, err
 	}
-	return address, pr, pr.WaitPort(address)
+	return address, pr, pr.WaitListening(address)
 }
 
 // Platform starts the stand-ins of the platform.
-func (fl *Fleet) Platform() error {
+func (fl *Fleet) StartPlatform() error {
 	var err error
-	if fl.Store, _, err = fl.StandIn("store", "store"); err != nil {
+	if fl.Store, _, err = fl.StartStandIn("store", "store"); err != nil {
 		return err
 	}
-	fl.Boxes, _, err = fl.StandIn("boxes", "boxes")
+	fl.Boxes, _, err = fl.StartStandIn("boxes", "boxes")
 	return err
 }
 
@@ -128,7 +128,7 @@
 	if err != nil {
 		return err
 	}
-	return me.Process.WaitPort(me.Admin)
+	return me.Process.WaitListening(me.Admin)
 }
 
 func (fl *Fleet) writeSettings(me *Member) (string, error) {
@@ -159,7 +159,7 @@
 func (fl *Fleet) Publish() error { return fl.publish(nil) }
 
 // PublishLeaving puts the members on the list with one that leaves.
-func (fl *Fleet) PublishLeaving(leaver *Member) error { return fl.publish(leaver) }
+func (fl *Fleet) PublishWithLeaving(leaver *Member) error { return fl.publish(leaver) }
 
 func (fl *Fleet) publish(leaver *Member) error {
 	list := make([]boxes.Box, 0, len(fl.members))
@@ -173,16 +173,16 @@
 			Address: me.Address, Admin: me.Admin, Server: me.Server, State: state,
 		})
 	}
-	return fl.List(list)
+	return fl.PublishBoxes(list)
 }
 
 // List replaces the list of boxes.
-func (fl *Fleet) List(list []boxes.Box) error {
+func (fl *Fleet) PublishBoxes(list []boxes.Box) error {
 	return fl.put("http://"+fl.Boxes+"/v1/boxes", list)
 }
 
 // Fault switches faults of the key-value service.
-func (fl *Fleet) Fault(faults any) error {
+func (fl *Fleet) SetStoreFaults(faults any) error {
 	return fl.put("http://"+fl.Store+"/fault", faults)
 }
 
@@ -222,8 +222,8 @@
 		_ = pr.Signal(syscall.SIGTERM)
 		if !pr.Wait(stopTimeout) {
 			failed = eris.Errorf("%s did not stop", pr.Name)
-		} else if pr.Code() != 0 {
-			failed = eris.Errorf("%s ended with %d", pr.Name, pr.Code())
+		} else if pr.ExitCode() != 0 {
+			failed = eris.Errorf("%s ended with %d", pr.Name, pr.ExitCode())
 		}
 	}
 	for _, pr := range fl.processes {
--- a/standin/fleet/fleet_test.go
+++ b/standin/fleet/fleet_test.go
@@ -27,7 +27,7 @@
 	require.NoError(t, err)
 	address, err := FreeAddress()
 	require.NoError(t, err)
-	err = pr.WaitPort(address)
+	err = pr.WaitListening(address)
 	require.ErrorContains(t, err, "p, ended true")
 	require.ErrorContains(t, err, "no address")
 }
--- a/standin/fleet/process.go
+++ b/standin/fleet/process.go
@@ -26,7 +26,7 @@
 }
 
 // ID returns the program's process id.
-func (pr *Process) ID() int { return pr.cmd.Process.Pid }
+func (pr *Process) PID() int { return pr.cmd.Process.Pid }
 
 // Wait waits until the program has ended, at most for a time. It reports
 // whether it has.
@@ -51,13 +51,13 @@
 }
 
 // Code returns the exit code of an ended program.
-func (pr *Process) Code() int { return pr.cmd.ProcessState.ExitCode() }
+func (pr *Process) ExitCode() int { return pr.cmd.ProcessState.ExitCode() }
 
 // WaitPort waits until the program listens. A program that does not is shown with
 // the end of its log, since the log goes with the test's folder.
-func (pr *Process) WaitPort(address string) error {
+func (pr *Process) WaitListening(address string) error {
 	listens := false
-	err := Until(startTimeout, "port "+address, func() bool {
+	err := WaitUntil(startTimeout, "port "+address, func() bool {
 		co, err := net.Dial("tcp", address)
 		if err == nil {
 			_ = co.Close()
@@ -83,7 +83,7 @@
 
 // Until waits for a condition; it fails after a bound that only a broken
 // system reaches.
-func Until(most time.Duration, what string, holds func() bool) error {
+func WaitUntil(most time.Duration, what string, holds func() bool) error {
 	for end := time.Now().Add(most); time.Now().Before(end); time.Sleep(pollEvery) {
 		if holds() {
 			return nil
--- a/standin/fleet/cut.go
+++ b/standin/fleet/proxy.go
@@ -9,51 +9,51 @@
 )
 
 // Trouble is what ails a cable that is not cut.
-type Trouble struct {
+type Impairment struct {
 	// Delay puts off what is sent either way.
 	Delay time.Duration
 	// Silent passes nothing on, and Mute nothing that comes back; what was sent
 	// meanwhile comes through once the trouble is over.
-	Silent, Mute bool
+	Stall, StallResponses bool
 }
 
 // Cable is a way to an address that can be cut and healed, for tests of
 // partitions between processes that live on.
-type Cable struct {
+type Proxy struct {
 	listener net.Listener
 	to       string
 
 	mu      sync.Mutex
 	cut     bool
-	trouble Trouble
+	trouble Impairment
 	// eased is closed when the trouble changes.
 	eased chan struct{}
 	conns map[net.Conn]bool
 }
 
 // NewCable listens on loopback and forwards to an address.
-func NewCable(to string) (*Cable, error) {
+func NewProxy(to string) (*Proxy, error) {
 	li, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, eris.Wrap(err, "cable")
 	}
-	ca := &Cable{listener: li, to: to, conns: map[net.Conn]bool{}, eased: make(chan struct{})}
+	ca := &Proxy{listener: li, to: to, conns: map[net.Conn]bool{}, eased: make(chan struct{})}
 	go ca.serve()
 	return ca, nil
 }
 
 // Address returns where the cable begins.
-func (ca *Cable) Address() string { return ca.listener.Addr().String() }
+func (ca *Proxy) Address() string { return ca.listener.Addr().String() }
 
 // Close ends the cable.
-func (ca *Cable) Close() {
+func (ca *Proxy) Close() {
 	_ = ca.listener.Close()
-	ca.Cut(true)
-	ca.SetTrouble(Trouble{})
+	ca.SetPartitioned(true)
+	ca.SetImpairment(Impairment{})
 }
 
 // SetTrouble replaces the trouble.
-func (ca *Cable) SetTrouble(tr Trouble) {
+func (ca *Proxy) SetImpairment(tr Impairment) {
 	ca.mu.Lock()
 	defer ca.mu.Unlock()
 	ca.trouble = tr
@@ -62,7 +62,7 @@
 }
 
 // Reset breaks the connections that are open now, by a reset.
-func (ca *Cable) Reset() {
+func (ca *Proxy) ResetConnections() {
 	ca.mu.Lock()
 	defer ca.mu.Unlock()
 	for co := range ca.conns {
@@ -75,12 +75,12 @@
 
 // hinder waits until a part may pass, in the direction from the far end if back is
 // set.
-func (ca *Cable) hinder(back bool) {
+func (ca *Proxy) hinder(back bool) {
 	for {
 		ca.mu.Lock()
 		tr, eased := ca.trouble, ca.eased
 		ca.mu.Unlock()
-		if tr.Silent || tr.Mute && back {
+		if tr.Stall || tr.StallResponses && back {
 			<-eased
 			continue
 		}
@@ -90,7 +90,7 @@
 }
 
 // Cut breaks all connections and lets none through, or heals the cable.
-func (ca *Cable) Cut(cut bool) {
+func (ca *Proxy) SetPartitioned(cut bool) {
 	ca.mu.Lock()
 	defer ca.mu.Unlock()
 	ca.cut = cut
@@ -101,7 +101,7 @@
 	}
 }
 
-func (ca *Cable) serve() {
+func (ca *Proxy) serve() {
 	for {
 		near, err := ca.listener.Accept()
 		if err != nil {
@@ -119,7 +119,7 @@
 
 // hold keeps a pair of connections, so that a cut finds them. It reports
 // whether the cable is whole.
-func (ca *Cable) hold(near, far net.Conn) bool {
+func (ca *Proxy) hold(near, far net.Conn) bool {
 	ca.mu.Lock()
 	defer ca.mu.Unlock()
 	if ca.cut {
@@ -130,7 +130,7 @@
 	return true
 }
 
-func (ca *Cable) pipe(to, from net.Conn, back bool) {
+func (ca *Proxy) pipe(to, from net.Conn, back bool) {
 	buf := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buf)
--- a/standin/keyvalue/keyvalue.go
+++ b/standin/keyvalue/keyvalue.go
@@ -52,14 +52,14 @@
 // Faults are the ways in which the service fails now.
 type Faults struct {
 	// Refuse answers every call with this status, if it is not zero.
-	Refuse int
+	RefuseStatus int
 	// Silent answers no call.
-	Silent bool
+	Hang bool
 	// LoseWrites makes writes and does not answer them.
-	LoseWrites bool
+	DropWriteResponses bool
 	// Withhold tells watches and reads of nothing new: a broken service, by which
 	// tests show that stale configurations are noticed.
-	Withhold bool
+	WithholdEvents bool
 	// Delay puts every answer off.
 	Delay time.Duration
 	// Era is what answers name in place of their era, if it is not empty; "none" for nothing.
@@ -155,7 +155,7 @@
 func (st *Store) SetFaults(fa Faults) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	if fa.Withhold && !st.faults.Withhold {
+	if fa.WithholdEvents && !st.faults.WithholdEvents {
 		st.withheld = st.revision
 	}
 	st.faults = fa
@@ -163,7 +163,7 @@
 }
 
 // EndLeases ends all leases, and with them their keys.
-func (st *Store) EndLeases() {
+func (st *Store) ExpireLeases() {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	for le := range st.leases {
@@ -231,12 +231,12 @@
 // service does.
 func (st *Store) fail(fa Faults, w http.ResponseWriter, r *http.Request) bool {
 	switch {
-	case fa.Silent:
+	case fa.Hang:
 		st.hang(r)
-	case fa.Refuse != 0:
-		w.WriteHeader(fa.Refuse)
+	case fa.RefuseStatus != 0:
+		w.WriteHeader(fa.RefuseStatus)
 	}
-	return fa.Silent || fa.Refuse != 0
+	return fa.Hang || fa.RefuseStatus != 0
 }
 
 // hang holds a call until its client has gone or the service answers others again,
@@ -244,7 +244,7 @@
 func (st *Store) hang(r *http.Request) {
 	for {
 		st.mu.Lock()
-		silent, changed := st.faults.Silent, st.changed
+		silent, changed := st.faults.Hang, st.changed
 		st.mu.Unlock()
 		if !silent {
 			panic(http.ErrAbortHandler)
@@ -315,7 +315,7 @@
 		return li, st.faults, true, st.changed
 	}
 	li.At = st.revision
-	if st.faults.Withhold {
+	if st.faults.WithholdEvents {
 		li.At = st.withheld
 	}
 	for _, it := range st.events {
@@ -386,7 +386,7 @@
 			st.put(Item{Key: key, Deleted: true})
 		}
 	}
-	if st.faults.LoseWrites {
+	if st.faults.DropWriteResponses {
 		panic(http.ErrAbortHandler)
 	}
 	_, _ = fmt.Fprintf(w, `{"revision":%d}`, st.revision)
--- a/standin/keyvalue/keyvalue_test.go
+++ b/standin/keyvalue/keyvalue_test.go
@@ -14,7 +14,7 @@
 // gone, since a server notices that only once the body is read.
 func TestACallThatIsHeldEndsWithTheFault(t *testing.T) {
 	st := New()
-	st.SetFaults(Faults{Silent: true})
+	st.SetFaults(Faults{Hang: true})
 	hs := httptest.NewServer(st)
 	client := &http.Client{Timeout: 100 * time.Millisecond}
 	_, err := client.Post(hs.URL+"/api/kv-txn", "application/json", strings.NewReader("{}"))
@@ -47,7 +47,7 @@
 	require.Equal(t, http.StatusOK, post("/api/kv-txn", write))
 	require.Equal(t, "v", st.Value("k"))
 	require.Equal(t, http.StatusOK, post("/api/kv-keep/1", ""))
-	st.EndLeases()
+	st.ExpireLeases()
 	require.Empty(t, st.Value("k"))
 	require.Equal(t, http.StatusNotFound, post("/api/kv-keep/1", ""))
 	require.Equal(t, http.StatusNotFound, post("/api/kv-txn", write))
@@ -64,7 +64,7 @@
 		return resp
 	}
 	st.Set("kept", 1)
-	co := st.Copy()
+	co := st.Snapshot()
 	st.Set("lost", 2)
 	require.Equal(t, "1", get("/api/kv-range").Header.Get("Store-Era"))
 	st.Restore(co)
--- a/standin/keyvalue/copy.go
+++ b/standin/keyvalue/snapshot.go
@@ -8,7 +8,7 @@
 )
 
 // Copy is what the service held at some moment.
-type Copy struct {
+type Snapshot struct {
 	items    map[string]Item
 	events   []Item
 	revision uint64
@@ -17,21 +17,21 @@
 }
 
 // Copy returns a copy of what the service holds.
-func (st *Store) Copy() Copy {
+func (st *Store) Snapshot() Snapshot {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	leases := map[int64]bool{}
 	for le := range st.leases {
 		leases[le] = true
 	}
-	return Copy{
+	return Snapshot{
 		items: maps.Clone(st.items), events: slices.Clone(st.events), revision: st.revision, dropped: st.dropped, leases: leases,
 	}
 }
 
 // Restore goes back to a copy: what was written since is gone, leases too, and revisions are
 // given out again. Watches are broken off.
-func (st *Store) Restore(co Copy) {
+func (st *Store) Restore(co Snapshot) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	st.items, st.events, st.revision, st.dropped = maps.Clone(co.items), slices.Clone(co.events), co.revision, co.dropped
--- a/standin/plain/plain.go
+++ b/standin/plain/plain.go
@@ -12,14 +12,14 @@
 // before use.
 type Service struct {
 	// Takes is how long a call runs.
-	Takes time.Duration
+	Latency time.Duration
 
 	mu   sync.Mutex
 	runs map[string]int
 }
 
 // Answer is what a call gets.
-type Answer struct {
+type Response struct {
 	Method  string `json:"method"`
 	Path    string `json:"path"`
 	Request string `json:"request"`
@@ -33,7 +33,7 @@
 }
 
 // All returns how often the call of each id ran.
-func (se *Service) All() map[string]int {
+func (se *Service) RunCounts() map[string]int {
 	se.mu.Lock()
 	defer se.mu.Unlock()
 	all := make(map[string]int, len(se.runs))
@@ -47,7 +47,7 @@
 func (se *Service) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set("Content-Type", "application/json")
 	if r.URL.Path == "/runs" {
-		_ = json.NewEncoder(w).Encode(se.All())
+		_ = json.NewEncoder(w).Encode(se.RunCounts())
 		return
 	}
 	id := r.Header.Get("X-Request-Id")
@@ -57,6 +57,6 @@
 	}
 	se.runs[id]++
 	se.mu.Unlock()
-	time.Sleep(se.Takes)
-	_ = json.NewEncoder(w).Encode(Answer{Method: r.Method, Path: r.URL.Path, Request: id})
+	time.Sleep(se.Latency)
+	_ = json.NewEncoder(w).Encode(Response{Method: r.Method, Path: r.URL.Path, Request: id})
 }
--- a/standin/soak/check.go
+++ b/standin/soak/check.go
@@ -9,42 +9,42 @@
 )
 
 // Promise names what is checked.
-type Promise string
+type Guarantee string
 
 // The promises.
 const (
 	// AtMostOnce: a request that may not be repeated runs at most once.
-	AtMostOnce Promise = "at-most-once"
+	AtMostOnce Guarantee = "at-most-once"
 	// TrueRefusal: what is refused as not run did not run and never does.
-	TrueRefusal Promise = "true-refusal"
+	RefusedNotExecuted Guarantee = "true-refusal"
 	// OwnAnswer: a good answer is the whole answer to its own request.
-	OwnAnswer Promise = "own-answer"
+	ResponseIntegrity Guarantee = "own-answer"
 	// RevokedKey: a key that was taken away is not accepted after the bound.
-	RevokedKey Promise = "revoked-key"
+	RevokedKey Guarantee = "revoked-key"
 	// LeavingServer: a server that leaves gets nothing new after the bound.
-	LeavingServer Promise = "leaving-server"
+	DrainingServer Guarantee = "leaving-server"
 	// KeptPause: a server that asked a gateway for a pause gets next to nothing from it meanwhile.
-	KeptPause Promise = "kept-pause"
+	RetryAfterHonoured Guarantee = "kept-pause"
 	// PlannedStop: a planned stop cuts no request in progress.
-	PlannedStop Promise = "planned-stop"
+	GracefulShutdown Guarantee = "planned-stop"
 	// InTime: a request has its final answer by its deadline.
-	InTime Promise = "in-time"
+	DeadlineMet Guarantee = "in-time"
 	// FewEnds: a request under which three servers have ended reaches few more.
-	FewEnds Promise = "few-ends"
+	PoisonContained Guarantee = "few-ends"
 	// Recovery: requests are served soon after the last fault.
-	Recovery Promise = "recovery"
+	Recovery Guarantee = "recovery"
 )
 
 // Violation is a promise that was broken.
 type Violation struct {
-	Promise Promise
-	Request string
-	Detail  string
+	Guarantee Guarantee
+	Request   string
+	Detail    string
 }
 
 // String describes the violation.
 func (vi Violation) String() string {
-	return fmt.Sprintf("%s: request %s: %s", vi.Promise, vi.Request, vi.Detail)
+	return fmt.Sprintf("%s: request %s: %s", vi.Guarantee, vi.Request, vi.Detail)
 }
 
 // outcome is one request as its caller saw it.
@@ -96,7 +96,7 @@
 // check returns the promises that were broken.
 func (re *record) check() []Violation {
 	var list []Violation
-	add := func(pr Promise, ou outcome, detail string, args ...any) {
+	add := func(pr Guarantee, ou outcome, detail string, args ...any) {
 		list = append(list, Violation{pr, ou.id, fmt.Sprintf(detail, args...)})
 	}
 	for _, ou := range re.outcomes {
@@ -106,20 +106,20 @@
 		}
 		refused := ou.status == http.StatusServiceUnavailable || ou.status == http.StatusTooManyRequests
 		if refused && len(runs) > 0 {
-			add(TrueRefusal, ou, "answered %d, ran on %s", ou.status, runs[0].server)
+			add(RefusedNotExecuted, ou, "answered %d, ran on %s", ou.status, runs[0].server)
 		}
 		if ou.status == http.StatusOK && !ou.broken && ou.body != ou.wanted() {
-			add(OwnAnswer, ou, "got %q", ou.body)
+			add(ResponseIntegrity, ou, "got %q", ou.body)
 		}
 		if at, ok := re.revoked[ou.key]; ok && ou.sent.Sub(at) > revokeBound && len(runs) > 0 {
 			add(RevokedKey, ou, "ran %s after its key was taken away", runs[0].at.Sub(at))
 		}
 		if re.calm(ou.gateway, ou.sent, ou.sent.Add(deadline)) && ou.done.Sub(ou.sent) > deadline+slack {
-			add(InTime, ou, "answered after %s", ou.done.Sub(ou.sent))
+			add(DeadlineMet, ou, "answered after %s", ou.done.Sub(ou.sent))
 		}
 		list = append(list, re.checkServers(ou, runs)...)
 		if detail, cut := re.cutByStop(ou, runs); cut {
-			add(PlannedStop, ou, "%s", detail)
+			add(GracefulShutdown, ou, "%s", detail)
 		}
 	}
 	list = append(list, re.checkEnds()...)
@@ -146,7 +146,7 @@
 	if late <= mostEnds {
 		return nil
 	}
-	return []Violation{{FewEnds, last.id, fmt.Sprintf("%d servers ended, %d of them late", len(ends), late)}}
+	return []Violation{{PoisonContained, last.id, fmt.Sprintf("%d servers ended, %d of them late", len(ends), late)}}
 }
 
 // wanted returns the whole answer.
@@ -181,7 +181,7 @@
 }
 
 func (re *record) overlaps(fa Fault, from, until time.Time) bool {
-	return re.began.Add(fa.From).Before(until) && re.began.Add(fa.Until).Add(restartTime).After(from)
+	return re.began.Add(fa.Start).Before(until) && re.began.Add(fa.End).Add(restartTime).After(from)
 }
 
 func (re *record) checkServers(ou outcome, runs []run) []Violation {
@@ -189,7 +189,7 @@
 	for _, ru := range runs {
 		at, leaving := re.drained[ru.server]
 		if leaving && ou.sent.Sub(at) > drainBound && re.calm(ou.gateway, at, ru.at) {
-			list = append(list, Violation{LeavingServer, ou.id, fmt.Sprintf("reached %s %s after it began to leave", ru.server, ru.at.Sub(at))})
+			list = append(list, Violation{DrainingServer, ou.id, fmt.Sprintf("reached %s %s after it began to leave", ru.server, ru.at.Sub(at))})
 		}
 	}
 	return list
@@ -216,7 +216,7 @@
 
 // checkRecovery looks at the end of the run, when nothing fails any more.
 func (re *record) checkRecovery() []Violation {
-	from := re.began.Add(re.plan.Calm + recoverWithin)
+	from := re.began.Add(re.plan.FaultsEnd + recoverWithin)
 	asked, served := 0, 0
 	var last outcome
 	for _, ou := range re.outcomes {
--- a/standin/soak/faults.go
+++ b/standin/soak/faults.go
@@ -58,22 +58,22 @@
 	case Reload:
 		py.reload(fa)
 	case CallersReset:
-		py.members[fa.Target].callers.Reset()
-	case StoreCut, StoreSilent, StoreMute, StoreDelay:
+		py.members[fa.Target].callers.ResetConnections()
+	case StorePartition, StoreStall, StoreStallResponses, StoreDelay:
 		py.strikeWay(fa)
-	case StoreDown, StoreHang, StoreLoses:
+	case StoreDown, StoreHang, StoreDropsResponses:
 		py.outage(fa.Kind, 1)
 		py.last(fa)
 		py.outage(fa.Kind, -1)
-	case StoreForgets:
+	case StoreCompaction:
 		py.store.Compact()
-	case StoreLapse:
-		py.store.EndLeases()
-	case StoreRestored:
+	case StoreLeaseExpiry:
+		py.store.ExpireLeases()
+	case StoreRestore:
 		py.restore(fa)
-	case Configure:
+	case ConfigChange:
 		py.configure()
-	case Revoke:
+	case KeyRevocation:
 		py.revoke()
 	case Poison:
 		py.poison(fa)
@@ -84,7 +84,7 @@
 
 // last waits for the end of a fault, which may have come while it waited for
 // another one of the same gateway.
-func (py *play) last(fa Fault) { time.Sleep(time.Until(py.rec.began.Add(fa.Until))) }
+func (py *play) last(fa Fault) { time.Sleep(time.Until(py.rec.began.Add(fa.End))) }
 
 // replace ends a gateway's process and starts it again.
 func (py *play) replace(fa Fault) {
@@ -92,7 +92,7 @@
 	me.restarting.Lock()
 	defer me.restarting.Unlock()
 	si := syscall.SIGTERM
-	if fa.Kind == Kill || py.so.Sabotage == KillsForStop {
+	if fa.Kind == Kill || py.so.Defect == KillsOnStop {
 		si = syscall.SIGKILL
 	}
 	_ = me.process.Signal(si)
@@ -123,37 +123,37 @@
 func (py *play) strikeWay(fa Fault) {
 	way := py.members[fa.Target].toStore
 	switch fa.Kind {
-	case StoreCut:
-		way.Cut(true)
-		defer way.Cut(false)
-	case StoreSilent:
-		way.SetTrouble(fleet.Trouble{Silent: true})
-	case StoreMute:
-		way.SetTrouble(fleet.Trouble{Mute: true})
+	case StorePartition:
+		way.SetPartitioned(true)
+		defer way.SetPartitioned(false)
+	case StoreStall:
+		way.SetImpairment(fleet.Impairment{Stall: true})
+	case StoreStallResponses:
+		way.SetImpairment(fleet.Impairment{StallResponses: true})
 	default:
-		way.SetTrouble(fleet.Trouble{Delay: wayDelay})
+		way.SetImpairment(fleet.Impairment{Delay: wayDelay})
 	}
 	py.last(fa)
-	way.SetTrouble(fleet.Trouble{})
+	way.SetImpairment(fleet.Impairment{})
 }
 
 // wayDelay is what a delayed way adds.
 const wayDelay = 150 * time.Millisecond
 
 // outage begins or ends one of the service's own faults; several may overlap.
-func (py *play) outage(ki Kind, by int) {
+func (py *play) outage(ki FaultKind, by int) {
 	py.mu.Lock()
 	defer py.mu.Unlock()
 	py.outages[ki] += by
 	fa := keyvalue.Faults{
-		Silent: py.outages[StoreHang] > 0, LoseWrites: py.outages[StoreLoses] > 0,
-		Withhold: py.so.Sabotage == WithholdsNews,
+		Hang: py.outages[StoreHang] > 0, DropWriteResponses: py.outages[StoreDropsResponses] > 0,
+		WithholdEvents: py.so.Defect == WithholdsEvents,
 	}
 	if py.outages[StoreDown] > 0 {
-		fa.Refuse = http.StatusServiceUnavailable
+		fa.RefuseStatus = http.StatusServiceUnavailable
 	}
-	if py.so.Sabotage == StaysDown {
-		fa.Silent = true
+	if py.so.Defect == OutageNeverEnds {
+		fa.Hang = true
 	}
 	py.store.SetFaults(fa)
 }
@@ -169,17 +169,17 @@
 	case ServerDrain:
 		py.substitute(fa.Target, se)
 		py.drain(se)
-	case ServerAnnounces:
+	case ServerAnnouncesShutdown:
 		se.strike(fa.Kind, 1)
 		time.Sleep(unlistedShutdown)
 		py.substitute(fa.Target, se)
 		py.drain(se)
 	case ServerReset:
-		se.cable.Reset()
-	case ServerSilent:
-		se.cable.SetTrouble(fleet.Trouble{Silent: true})
+		se.cable.ResetConnections()
+	case ServerStall:
+		se.cable.SetImpairment(fleet.Impairment{Stall: true})
 		py.last(fa)
-		se.cable.SetTrouble(fleet.Trouble{})
+		se.cable.SetImpairment(fleet.Impairment{})
 	default:
 		se.strike(fa.Kind, 1)
 		py.last(fa)
@@ -209,11 +209,11 @@
 // poison sends copies of one request, each to another gateway.
 func (py *play) poison(fa Fault) {
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: 4 * deadline}
-	for n := 0; time.Until(py.rec.began.Add(fa.Until)) > 0; n++ {
+	for n := 0; time.Until(py.rec.began.Add(fa.End)) > 0; n++ {
 		ou := outcome{
 			id: fmt.Sprint(poisonID, n), gateway: n % len(py.members), path: "/safe/poison", key: py.key(n + 1), poison: true,
 		}
-		if py.so.Sabotage == VariesPoison {
+		if py.so.Defect == VariesPoison {
 			ou.path += fmt.Sprint(n)
 		}
 		py.ask(client, &ou)
--- a/standin/soak/reports.go
+++ b/standin/soak/reports.go
@@ -50,7 +50,7 @@
 		for _, ru := range re.ran.of(ou.id) {
 			at, ok := told[way{ou.gateway, ru.server}]
 			if ok && ou.sent.Sub(at) > drainBound && re.steady(ou.gateway, at, ru.at) {
-				list = append(list, Violation{LeavingServer, ou.id, fmt.Sprintf("reached %s %s after its announcement", ru.server, ou.sent.Sub(at))})
+				list = append(list, Violation{DrainingServer, ou.id, fmt.Sprintf("reached %s %s after its announcement", ru.server, ou.sent.Sub(at))})
 			}
 		}
 	}
@@ -80,7 +80,7 @@
 				}
 			}
 			if n > mostInPause && re.calm(ou.gateway, ru.at, until) {
-				list = append(list, Violation{KeptPause, ou.id, fmt.Sprintf("%s got %d requests in its pause", ru.server, n)})
+				list = append(list, Violation{RetryAfterHonoured, ou.id, fmt.Sprintf("%s got %d requests in its pause", ru.server, n)})
 			}
 		}
 	}
--- a/standin/soak/restore.go
+++ b/standin/soak/restore.go
@@ -17,7 +17,7 @@
 // restore lets the key-value service go back to what it holds at the start of a fault, and lets
 // operators and servers write again what they had written since.
 func (py *play) restore(fa Fault) {
-	co, copied := py.store.Copy(), time.Now()
+	co, copied := py.store.Snapshot(), time.Now()
 	for i := range lostWrites {
 		py.store.Set(fmt.Sprint("other/", i), i)
 	}
--- a/standin/soak/schedule.go
+++ b/standin/soak/schedule.go
@@ -12,80 +12,80 @@
 )
 
 // Kind is a kind of fault.
-type Kind string
+type FaultKind string
 
 // The kinds of fault.
 const (
 	// Kill ends a gateway's process at once, Stop as planned, Pause stops it for a
 	// while. Reload changes its settings file, half of the time to one that is not
 	// valid.
-	Kill   Kind = "kill"
-	Stop   Kind = "stop"
-	Pause  Kind = "pause"
-	Reload Kind = "reload"
+	Kill   FaultKind = "kill"
+	Stop   FaultKind = "stop"
+	Pause  FaultKind = "pause"
+	Reload FaultKind = "reload"
 	// CallersReset resets the connections of a gateway's callers.
-	CallersReset Kind = "callers-reset"
+	CallersReset FaultKind = "callers-reset"
 	// StoreCut breaks a gateway's way to the key-value service, StoreSilent holds up
 	// what passes on it, StoreMute only what comes back, StoreDelay puts it off.
-	StoreCut    Kind = "store-cut"
-	StoreSilent Kind = "store-silent"
-	StoreMute   Kind = "store-mute"
-	StoreDelay  Kind = "store-delay"
+	StorePartition      FaultKind = "store-cut"
+	StoreStall          FaultKind = "store-silent"
+	StoreStallResponses FaultKind = "store-mute"
+	StoreDelay          FaultKind = "store-delay"
 	// StoreDown lets the service refuse everybody, StoreHang answer nobody,
 	// StoreLoses make writes that it does not answer, StoreForgets drop its history
 	// and StoreLapse end all leases.
-	StoreDown    Kind = "store-down"
-	StoreHang    Kind = "store-hang"
-	StoreLoses   Kind = "store-loses"
-	StoreForgets Kind = "store-forgets"
-	StoreLapse   Kind = "store-lapse"
+	StoreDown           FaultKind = "store-down"
+	StoreHang           FaultKind = "store-hang"
+	StoreDropsResponses FaultKind = "store-loses"
+	StoreCompaction     FaultKind = "store-forgets"
+	StoreLeaseExpiry    FaultKind = "store-lapse"
 	// StoreRestored lets the service go back to a copy that was made when the fault began; soon
 	// after its end what was lost is written again.
-	StoreRestored Kind = "store-restored"
+	StoreRestore FaultKind = "store-restored"
 	// ServerCrash ends a backend server without a word, ServerDrain as planned.
-	ServerCrash Kind = "server-crash"
-	ServerDrain Kind = "server-drain"
+	ServerCrash FaultKind = "server-crash"
+	ServerDrain FaultKind = "server-drain"
 	// ServerGrey lets it fail part of its requests, ServerLoses run some and answer
 	// them not, ServerGarbles give some another request's answer, ServerSlow take long.
-	ServerGrey    Kind = "server-grey"
-	ServerLoses   Kind = "server-loses"
-	ServerGarbles Kind = "server-garbles"
-	ServerSlow    Kind = "server-slow"
+	ServerErrors         FaultKind = "server-grey"
+	ServerDropsResponses FaultKind = "server-loses"
+	ServerWrongRequestID FaultKind = "server-garbles"
+	ServerSlow           FaultKind = "server-slow"
 	// ServerReset resets the connections to it, ServerSilent holds up what passes.
-	ServerReset  Kind = "server-reset"
-	ServerSilent Kind = "server-silent"
+	ServerReset FaultKind = "server-reset"
+	ServerStall FaultKind = "server-silent"
 	// ServerAnnounces lets a server announce its shutdown in its answers some time before its
 	// entry says so, ServerSheds reject everything and ask for a pause.
-	ServerAnnounces Kind = "server-announces"
-	ServerSheds     Kind = "server-sheds"
+	ServerAnnouncesShutdown FaultKind = "server-announces"
+	ServerShedsLoad         FaultKind = "server-sheds"
 	// Poison lets a caller send one request again and again under which servers end.
-	Poison Kind = "poison"
+	Poison FaultKind = "poison"
 	// Configure changes the configuration, Revoke takes a key away.
-	Configure Kind = "configure"
-	Revoke    Kind = "revoke"
+	ConfigChange  FaultKind = "configure"
+	KeyRevocation FaultKind = "revoke"
 )
 
 // gatewayKinds strike one gateway, storeKinds the key-value service, serverKinds
 // one backend server, operatorKinds are an operator's changes.
 var (
-	gatewayKinds  = []Kind{Kill, Stop, Stop, Pause, Reload, CallersReset, StoreCut, StoreSilent, StoreMute, StoreDelay}
-	storeKinds    = []Kind{StoreDown, StoreHang, StoreLoses, StoreForgets, StoreLapse}
-	serverKinds   = []Kind{ServerCrash, ServerDrain, ServerGrey, ServerLoses, ServerGarbles, ServerSlow, ServerReset, ServerSilent}
-	operatorKinds = []Kind{Configure, Revoke}
+	gatewayKinds  = []FaultKind{Kill, Stop, Stop, Pause, Reload, CallersReset, StorePartition, StoreStall, StoreStallResponses, StoreDelay}
+	storeKinds    = []FaultKind{StoreDown, StoreHang, StoreDropsResponses, StoreCompaction, StoreLeaseExpiry}
+	serverKinds   = []FaultKind{ServerCrash, ServerDrain, ServerErrors, ServerDropsResponses, ServerWrongRequestID, ServerSlow, ServerReset, ServerStall}
+	operatorKinds = []FaultKind{ConfigChange, KeyRevocation}
 )
 
 // Fault is one fault of a run.
 type Fault struct {
-	Kind Kind
+	Kind FaultKind
 	// Target is the number of the gateway or the backend server that is struck.
 	Target int
 	// From and Until are counted from the start of the run.
-	From, Until time.Duration
+	Start, End time.Duration
 }
 
 // String describes the fault.
 func (fa Fault) String() string {
-	return fmt.Sprintf("%s %d %s to %s", fa.Kind, fa.Target, fa.From, fa.Until)
+	return fmt.Sprintf("%s %d %s to %s", fa.Kind, fa.Target, fa.Start, fa.End)
 }
 
 // Plan is what a seed draws.
@@ -93,8 +93,8 @@
 	Seed              uint64
 	Gateways, Servers int
 	// Faults are ordered by their start. All are over by Calm, and the run ends at End.
-	Faults    []Fault
-	Calm, End time.Duration
+	Faults         []Fault
+	FaultsEnd, End time.Duration
 }
 
 const (
@@ -111,9 +111,9 @@
 // a seed stay.
 func (pl Plan) WithPoison() Plan {
 	rn := rand.New(rand.NewPCG(pl.Seed, pl.Seed+1))
-	from := warmUp + time.Duration(rn.Int64N(int64(pl.Calm-warmUp)/2))
-	pl.Faults = append(slices.Clone(pl.Faults), Fault{Kind: Poison, From: from, Until: pl.End})
-	slices.SortFunc(pl.Faults, func(a, b Fault) int { return int(a.From - b.From) })
+	from := warmUp + time.Duration(rn.Int64N(int64(pl.FaultsEnd-warmUp)/2))
+	pl.Faults = append(slices.Clone(pl.Faults), Fault{Kind: Poison, Start: from, End: pl.End})
+	slices.SortFunc(pl.Faults, func(a, b Fault) int { return int(a.Start - b.Start) })
 	return pl
 }
 
@@ -125,13 +125,13 @@
 	rn := rand.New(rand.NewPCG(pl.Seed, pl.Seed+2))
 	pl.Faults = slices.Clone(pl.Faults)
 	for range reportFaults {
-		for _, ki := range []Kind{ServerAnnounces, ServerSheds} {
-			from := warmUp + time.Duration(rn.Int64N(int64(pl.Calm-warmUp)))
-			until := min(pl.Calm, from+time.Duration(rn.Int64N(int64(longestFault))))
-			pl.Faults = append(pl.Faults, Fault{Kind: ki, Target: rn.IntN(pl.Servers), From: from, Until: until})
+		for _, ki := range []FaultKind{ServerAnnouncesShutdown, ServerShedsLoad} {
+			from := warmUp + time.Duration(rn.Int64N(int64(pl.FaultsEnd-warmUp)))
+			until := min(pl.FaultsEnd, from+time.Duration(rn.Int64N(int64(longestFault))))
+			pl.Faults = append(pl.Faults, Fault{Kind: ki, Target: rn.IntN(pl.Servers), Start: from, End: until})
 		}
 	}
-	slices.SortFunc(pl.Faults, func(a, b Fault) int { return int(a.From - b.From) })
+	slices.SortFunc(pl.Faults, func(a, b Fault) int { return int(a.Start - b.Start) })
 	return pl
 }
 
@@ -144,25 +144,25 @@
 	rn := rand.New(rand.NewPCG(pl.Seed, pl.Seed+3))
 	pl.Faults = slices.Clone(pl.Faults)
 	for range restores {
-		from := warmUp + time.Duration(rn.Int64N(int64(pl.Calm-warmUp)))
-		until := min(pl.Calm, from+time.Duration(rn.Int64N(int64(longestFault))))
-		pl.Faults = append(pl.Faults, Fault{Kind: StoreRestored, From: from, Until: until})
-		for _, ki := range []Kind{ServerDrain, Revoke} {
+		from := warmUp + time.Duration(rn.Int64N(int64(pl.FaultsEnd-warmUp)))
+		until := min(pl.FaultsEnd, from+time.Duration(rn.Int64N(int64(longestFault))))
+		pl.Faults = append(pl.Faults, Fault{Kind: StoreRestore, Start: from, End: until})
+		for _, ki := range []FaultKind{ServerDrain, KeyRevocation} {
 			at := until + time.Duration(rn.Int64N(int64(longestRewrite)))
-			pl.Faults = append(pl.Faults, Fault{Kind: ki, Target: rn.IntN(pl.Servers), From: at, Until: at})
+			pl.Faults = append(pl.Faults, Fault{Kind: ki, Target: rn.IntN(pl.Servers), Start: at, End: at})
 		}
 	}
-	slices.SortFunc(pl.Faults, func(a, b Fault) int { return int(a.From - b.From) })
+	slices.SortFunc(pl.Faults, func(a, b Fault) int { return int(a.Start - b.Start) })
 	return pl
 }
 
 // Draw draws a plan for so many gateways and servers, with faults for a time.
-func Draw(seed uint64, gateways, servers int, trouble time.Duration) Plan {
+func GeneratePlan(seed uint64, gateways, servers int, trouble time.Duration) Plan {
 	rn := rand.New(rand.NewPCG(seed, seed))
-	pl := Plan{Seed: seed, Gateways: gateways, Servers: servers, Calm: warmUp + trouble}
-	pl.End = pl.Calm + calmFor
-	for at := warmUp; at < pl.Calm; at += time.Duration(rn.ExpFloat64() * float64(gap)) {
-		fa := Fault{From: at, Until: min(pl.Calm, at+time.Duration(rn.Int64N(int64(longestFault))))}
+	pl := Plan{Seed: seed, Gateways: gateways, Servers: servers, FaultsEnd: warmUp + trouble}
+	pl.End = pl.FaultsEnd + calmFor
+	for at := warmUp; at < pl.FaultsEnd; at += time.Duration(rn.ExpFloat64() * float64(gap)) {
+		fa := Fault{Start: at, End: min(pl.FaultsEnd, at+time.Duration(rn.Int64N(int64(longestFault))))}
 		switch part := rn.IntN(10); {
 		case part < 4:
 			fa.Kind, fa.Target = gatewayKinds[rn.IntN(len(gatewayKinds))], rn.IntN(gateways)
@@ -176,13 +176,13 @@
 		pl.Faults = append(pl.Faults, fa)
 		if rn.IntN(4) == 0 {
 			// Series: the same again soon.
-			fa.From += 300 * time.Millisecond
-			fa.Until = min(pl.Calm, fa.Until+300*time.Millisecond)
-			if fa.From < pl.Calm {
+			fa.Start += 300 * time.Millisecond
+			fa.End = min(pl.FaultsEnd, fa.End+300*time.Millisecond)
+			if fa.Start < pl.FaultsEnd {
 				pl.Faults = append(pl.Faults, fa)
 			}
 		}
 	}
-	slices.SortFunc(pl.Faults, func(a, b Fault) int { return int(a.From - b.From) })
+	slices.SortFunc(pl.Faults, func(a, b Fault) int { return int(a.Start - b.Start) })
 	return pl
 }
--- a/standin/soak/server.go
+++ b/standin/soak/server.go
@@ -83,9 +83,9 @@
 type server struct {
 	id       string
 	ran      *ledger
-	cable    *fleet.Cable
+	cable    *fleet.Proxy
 	http     *http.Server
-	sabotage Sabotage
+	sabotage Defect
 	// ends ends the server as a crash does.
 	ends func()
 
@@ -93,23 +93,23 @@
 	unlisted atomic.Bool
 
 	mu      sync.Mutex
-	faults  map[Kind]int
+	faults  map[FaultKind]int
 	busy    int
 	drained bool
 	// entries counts the entries that it has written.
 	entries int
 }
 
-func startServer(id string, le *ledger, sabotage Sabotage) (*server, error) {
+func startServer(id string, le *ledger, sabotage Defect) (*server, error) {
 	li, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, fmt.Errorf("server: %w", err)
 	}
-	ca, err := fleet.NewCable(li.Addr().String())
+	ca, err := fleet.NewProxy(li.Addr().String())
 	if err != nil {
 		return nil, err
 	}
-	se := &server{id: id, ran: le, cable: ca, sabotage: sabotage, faults: map[Kind]int{}}
+	se := &server{id: id, ran: le, cable: ca, sabotage: sabotage, faults: map[FaultKind]int{}}
 	se.http = &http.Server{Handler: se, ReadHeaderTimeout: time.Minute}
 	go func() { _ = se.http.Serve(li) }()
 	return se, nil
@@ -121,13 +121,13 @@
 }
 
 // strike adds a fault, or takes it away again.
-func (se *server) strike(ki Kind, by int) {
+func (se *server) strike(ki FaultKind, by int) {
 	se.mu.Lock()
 	defer se.mu.Unlock()
 	se.faults[ki] += by
 }
 
-func (se *server) odd(ki Kind, part float64) bool {
+func (se *server) odd(ki FaultKind, part float64) bool {
 	se.mu.Lock()
 	defer se.mu.Unlock()
 	return se.faults[ki] > 0 && rand.Float64() < part
@@ -181,14 +181,14 @@
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
-	announced := se.odd(ServerAnnounces, 1)
-	if announced && se.sabotage != HidesReports {
+	announced := se.odd(ServerAnnouncesShutdown, 1)
+	if announced && se.sabotage != OmitsReports {
 		w.Header().Set("Server-Leaving", "1")
 	}
-	if se.odd(ServerSheds, 1) {
+	if se.odd(ServerShedsLoad, 1) {
 		se.ran.addShed(id, run{server: se.id, at: time.Now()})
 		w.Header().Set("X-Not-Executed", "shed")
-		if se.sabotage != HidesReports {
+		if se.sabotage != OmitsReports {
 			w.Header().Set("Retry-After", strconv.FormatFloat(askedPause.Seconds(), 'f', -1, 64))
 		}
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -220,23 +220,23 @@
 		return
 	}
 	switch {
-	case se.sabotage == LiesNotRun && rand.Float64() < liePart:
+	case se.sabotage == FalseNotExecuted && rand.Float64() < liePart:
 		w.Header().Set("X-Not-Executed", "full")
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
-	case se.odd(ServerLoses, oddPart):
+	case se.odd(ServerDropsResponses, oddPart):
 		panic(http.ErrAbortHandler)
-	case se.odd(ServerGarbles, oddPart):
+	case se.odd(ServerWrongRequestID, oddPart):
 		w.Header().Set("X-Request-Id", "another")
 	}
 	w.Header().Set("X-Server-Signature", "signed by "+se.id)
 	switch {
-	case se.odd(ServerGrey, greyPart):
+	case se.odd(ServerErrors, greyPart):
 		w.WriteHeader(http.StatusInternalServerError)
 		_, _ = io.WriteString(w, plainBody(id))
 	case strings.HasPrefix(r.URL.Path, "/stream/"):
 		se.stream(w, r, id)
-	case se.sabotage == MixesAnswers:
+	case se.sabotage == SwapsResponses:
 		_, _ = io.WriteString(w, plainBody("another"))
 	default:
 		_, _ = io.WriteString(w, plainBody(id))
@@ -254,7 +254,7 @@
 		if se.sabotage == SkipsEvents && n == streamEvents/2 {
 			continue
 		}
-		if n > streamEvents/2 && se.odd(ServerLoses, oddPart) {
+		if n > streamEvents/2 && se.odd(ServerDropsResponses, oddPart) {
 			panic(http.ErrAbortHandler)
 		}
 		_, _ = io.WriteString(w, eventBody(id, n))
--- a/standin/soak/soak.go
+++ b/standin/soak/soak.go
@@ -18,35 +18,35 @@
 
 // Sabotage is a deliberately broken part, by which tests show that the checks see
 // what they are there for.
-type Sabotage string
+type Defect string
 
 // The sabotages, each of which breaks one promise.
 const (
 	// RunsTwice lets servers run each request twice, LiesNotRun deny some that ran,
 	// MixesAnswers answer with another request's body, SkipsEvents leave one out.
-	RunsTwice    Sabotage = "runs-twice"
-	LiesNotRun   Sabotage = "lies-not-run"
-	MixesAnswers Sabotage = "mixes-answers"
-	SkipsEvents  Sabotage = "skips-events"
+	RunsTwice        Defect = "runs-twice"
+	FalseNotExecuted Defect = "lies-not-run"
+	SwapsResponses   Defect = "mixes-answers"
+	SkipsEvents      Defect = "skips-events"
 	// WithholdsNews lets the key-value service answer without telling of changes.
-	WithholdsNews Sabotage = "withholds-news"
+	WithholdsEvents Defect = "withholds-news"
 	// KillsForStop ends processes at once where a planned stop is asked for.
-	KillsForStop Sabotage = "kills-for-stop"
+	KillsOnStop Defect = "kills-for-stop"
 	// VariesPoison makes each copy of a request differ under which servers end.
-	VariesPoison Sabotage = "varies-poison"
+	VariesPoison Defect = "varies-poison"
 	// HidesReports lets servers keep their shutdown and pauses to themselves.
-	HidesReports Sabotage = "hides-reports"
+	OmitsReports Defect = "hides-reports"
 	// StaysDown never ends an outage of the key-value service.
-	StaysDown Sabotage = "stays-down"
+	OutageNeverEnds Defect = "stays-down"
 )
 
 // Soak plays plans. Its exported fields are set before Run.
-type Soak struct {
+type Runner struct {
 	// Bin is the folder of the built programs, Dir takes settings and logs.
 	Bin, Dir string
 	// Callers is how many callers there are.
-	Callers  int
-	Sabotage Sabotage
+	Callers int
+	Defect  Defect
 }
 
 const (
@@ -62,7 +62,7 @@
 type member struct {
 	settings         string
 	address          string
-	callers, toStore *fleet.Cable
+	callers, toStore *fleet.Proxy
 	process          *fleet.Process
 	// restarting is held while the process is being replaced.
 	restarting sync.Mutex
@@ -70,7 +70,7 @@
 
 // play is one run.
 type play struct {
-	so    *Soak
+	so    *Runner
 	plan  Plan
 	fleet *fleet.Fleet
 	store *keyvalue.Store
@@ -85,16 +85,16 @@
 	started int
 	version int
 	keys    []string
-	outages map[Kind]int
+	outages map[FaultKind]int
 	faults  sync.WaitGroup
 }
 
 // Run plays a plan and returns the promises that were broken. Settings and logs
 // stay in the folder.
-func (so *Soak) Run(ctx context.Context, pl Plan) ([]Violation, error) {
+func (so *Runner) Run(ctx context.Context, pl Plan) ([]Violation, error) {
 	py := &play{
 		so: so, plan: pl, store: keyvalue.New(), fleet: &fleet.Fleet{Bin: so.Bin, Dir: so.Dir},
-		keys: []string{"key-1", "key-2"}, outages: map[Kind]int{},
+		keys: []string{"key-1", "key-2"}, outages: map[FaultKind]int{},
 		rec: &record{plan: pl, ran: &ledger{runs: map[string][]run{}, shed: map[string][]run{}}, revoked: map[string]time.Time{}, drained: map[string]time.Time{}},
 	}
 	err := py.start()
@@ -110,7 +110,7 @@
 		callers.Go(func() { py.call(ctx, i) })
 	}
 	for _, fa := range pl.Faults {
-		time.Sleep(time.Until(py.rec.began.Add(fa.From)))
+		time.Sleep(time.Until(py.rec.began.Add(fa.Start)))
 		py.faults.Go(func() { py.strike(fa) })
 	}
 	time.Sleep(time.Until(py.rec.began.Add(pl.End)))
@@ -151,10 +151,10 @@
 	if err != nil {
 		return err
 	}
-	if me.callers, err = fleet.NewCable(me.address); err != nil {
+	if me.callers, err = fleet.NewProxy(me.address); err != nil {
 		return err
 	}
-	if me.toStore, err = fleet.NewCable(store); err != nil {
+	if me.toStore, err = fleet.NewProxy(store); err != nil {
 		return err
 	}
 	host, port, _ := strings.Cut(relay, ":")
@@ -197,7 +197,7 @@
 		return err
 	}
 	me.process = pr
-	return pr.WaitPort(me.address)
+	return pr.WaitListening(me.address)
 }
 
 // close ends everything that the run has started.
@@ -227,7 +227,7 @@
 	py.mu.Lock()
 	defer py.mu.Unlock()
 	py.started++
-	se, err := startServer(fmt.Sprintf("s-%d", py.started), py.rec.ran, py.so.Sabotage)
+	se, err := startServer(fmt.Sprintf("s-%d", py.started), py.rec.ran, py.so.Defect)
 	if err != nil {
 		return err
 	}
--- a/standin/soak/soak_test.go
+++ b/standin/soak/soak_test.go
@@ -35,19 +35,19 @@
 }
 
 func TestAPlanIsTheSameForASeed(t *testing.T) {
-	one, two := Draw(7, 3, 5, 8*time.Second), Draw(7, 3, 5, 8*time.Second)
+	one, two := GeneratePlan(7, 3, 5, 8*time.Second), GeneratePlan(7, 3, 5, 8*time.Second)
 	require.Equal(t, one, two)
-	require.NotEqual(t, one.Faults, Draw(8, 3, 5, 8*time.Second).Faults)
+	require.NotEqual(t, one.Faults, GeneratePlan(8, 3, 5, 8*time.Second).Faults)
 	for _, fa := range one.Faults {
-		require.GreaterOrEqual(t, fa.From, warmUp)
-		require.LessOrEqual(t, fa.Until, one.Calm)
+		require.GreaterOrEqual(t, fa.Start, warmUp)
+		require.LessOrEqual(t, fa.End, one.FaultsEnd)
 	}
 }
 
 // playPlan plays a plan and returns the promises that were broken.
-func playPlan(t *testing.T, pl Plan, sabotage Sabotage) []Violation {
+func playPlan(t *testing.T, pl Plan, sabotage Defect) []Violation {
 	t.Helper()
-	so := &Soak{Bin: bin, Dir: t.TempDir(), Callers: 8, Sabotage: sabotage}
+	so := &Runner{Bin: bin, Dir: t.TempDir(), Callers: 8, Defect: sabotage}
 	violations, err := so.Run(t.Context(), pl)
 	require.NoError(t, err)
 	return violations
@@ -66,7 +66,7 @@
 		}
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			pl := Draw(seed, 3, 5, 6*time.Second)
+			pl := GeneratePlan(seed, 3, 5, 6*time.Second)
 			require.Empty(t, playPlan(t, pl, ""), "%v", pl.Faults)
 		})
 	}
@@ -77,7 +77,7 @@
 	for _, seed := range []uint64{1, 2} {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			pl := Draw(seed, 3, 5, 6*time.Second).WithReports()
+			pl := GeneratePlan(seed, 3, 5, 6*time.Second).WithReports()
 			require.Empty(t, playPlan(t, pl, ""), "%v", pl.Faults)
 		})
 	}
@@ -87,7 +87,7 @@
 	for _, seed := range []uint64{1, 2, 3} {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			pl := Draw(seed, 3, 5, 6*time.Second).WithRestores()
+			pl := GeneratePlan(seed, 3, 5, 6*time.Second).WithRestores()
 			require.Empty(t, playPlan(t, pl, ""), "%v", pl.Faults)
 		})
 	}
@@ -98,29 +98,29 @@
 func TestEachPromiseIsSeenToBreak(t *testing.T) {
 	second := func(n float64) time.Duration { return time.Duration(n * float64(time.Second)) }
 	for _, ca := range []struct {
-		sabotage Sabotage
-		promise  Promise
+		sabotage Defect
+		promise  Guarantee
 		faults   []Fault
 		calm     time.Duration
 	}{
 		{RunsTwice, AtMostOnce, nil, second(1)},
-		{LiesNotRun, TrueRefusal, nil, second(1)},
-		{MixesAnswers, OwnAnswer, nil, second(1)},
-		{SkipsEvents, OwnAnswer, nil, second(1)},
-		{WithholdsNews, RevokedKey, []Fault{{StoreLapse, 0, second(0.2), second(0.2)}, {StoreLoses, 0, second(0.4), second(0.5)}, {Revoke, 0, second(0.8), second(0.8)}}, second(5)},
-		{WithholdsNews, LeavingServer, []Fault{{StoreLoses, 0, second(0.2), second(0.3)}, {ServerDrain, 0, second(4.7), second(4.7)}}, second(5)},
-		{KillsForStop, PlannedStop, []Fault{{Stop, 0, second(1), second(1)}, {Stop, 1, second(2), second(2)}}, second(3)},
-		{VariesPoison, FewEnds, []Fault{{Poison, 0, second(0.5), second(8)}}, second(8)},
-		{HidesReports, LeavingServer, []Fault{{StoreDown, 0, second(0.9), second(5.5)}, {ServerAnnounces, 0, second(1), second(1)}}, second(7)},
-		{HidesReports, KeptPause, []Fault{{ServerSheds, 0, second(1), second(4)}, {ServerSheds, 1, second(1), second(4)}, {ServerSheds, 2, second(1), second(4)}}, second(4)},
-		{StaysDown, Recovery, []Fault{{StoreDown, 0, second(0.5), second(1)}}, second(1)},
+		{FalseNotExecuted, RefusedNotExecuted, nil, second(1)},
+		{SwapsResponses, ResponseIntegrity, nil, second(1)},
+		{SkipsEvents, ResponseIntegrity, nil, second(1)},
+		{WithholdsEvents, RevokedKey, []Fault{{StoreLeaseExpiry, 0, second(0.2), second(0.2)}, {StoreDropsResponses, 0, second(0.4), second(0.5)}, {KeyRevocation, 0, second(0.8), second(0.8)}}, second(5)},
+		{WithholdsEvents, DrainingServer, []Fault{{StoreDropsResponses, 0, second(0.2), second(0.3)}, {ServerDrain, 0, second(4.7), second(4.7)}}, second(5)},
+		{KillsOnStop, GracefulShutdown, []Fault{{Stop, 0, second(1), second(1)}, {Stop, 1, second(2), second(2)}}, second(3)},
+		{VariesPoison, PoisonContained, []Fault{{Poison, 0, second(0.5), second(8)}}, second(8)},
+		{OmitsReports, DrainingServer, []Fault{{StoreDown, 0, second(0.9), second(5.5)}, {ServerAnnouncesShutdown, 0, second(1), second(1)}}, second(7)},
+		{OmitsReports, RetryAfterHonoured, []Fault{{ServerShedsLoad, 0, second(1), second(4)}, {ServerShedsLoad, 1, second(1), second(4)}, {ServerShedsLoad, 2, second(1), second(4)}}, second(4)},
+		{OutageNeverEnds, Recovery, []Fault{{StoreDown, 0, second(0.5), second(1)}}, second(1)},
 	} {
 		t.Run(string(ca.sabotage)+" "+string(ca.promise), func(t *testing.T) {
 			t.Parallel()
-			pl := Plan{Gateways: 2, Servers: 3, Faults: ca.faults, Calm: ca.calm, End: ca.calm + calmFor}
-			seen := map[Promise]bool{}
+			pl := Plan{Gateways: 2, Servers: 3, Faults: ca.faults, FaultsEnd: ca.calm, End: ca.calm + calmFor}
+			seen := map[Guarantee]bool{}
 			for _, vi := range playPlan(t, pl, ca.sabotage) {
-				seen[vi.Promise] = true
+				seen[vi.Guarantee] = true
 			}
 			require.True(t, seen[ca.promise], "%v", seen)
 		})
@@ -131,21 +131,21 @@
 func TestALateAnswerIsSeen(t *testing.T) {
 	began := time.Unix(1000, 0)
 	ou := outcome{id: "r", path: "/safe/x", sent: began.Add(5 * time.Second), done: began.Add(5*time.Second + deadline + slack + 1), status: 504}
-	re := &record{plan: Plan{Calm: time.Second}, began: began, ran: &ledger{runs: map[string][]run{}}, outcomes: []outcome{ou}}
-	require.Equal(t, InTime, re.check()[0].Promise)
+	re := &record{plan: Plan{FaultsEnd: time.Second}, began: began, ran: &ledger{runs: map[string][]run{}}, outcomes: []outcome{ou}}
+	require.Equal(t, DeadlineMet, re.check()[0].Guarantee)
 	re.plan.Faults = []Fault{{StoreHang, 0, 4 * time.Second, 5 * time.Second}}
-	require.NotEqual(t, InTime, re.check()[0].Promise, "not beside an outage")
+	require.NotEqual(t, DeadlineMet, re.check()[0].Guarantee, "not beside an outage")
 }
 
 // One request ends server after server while gateways are killed, paused and cut off from the
 // key-value service, and servers crash by themselves.
 func TestARequestUnderWhichServersEndIsNotSentToMore(t *testing.T) {
 	for _, pl := range []Plan{
-		Draw(1, 3, 5, 6*time.Second),
-		Draw(2, 3, 5, 6*time.Second),
+		GeneratePlan(1, 3, 5, 6*time.Second),
+		GeneratePlan(2, 3, 5, 6*time.Second),
 		// Recovery: a gateway that had just started blocked what all callers ask alike, and
 		// nobody could tell it better while the key-value service was away.
-		Draw(900, 4, 6, 8*time.Second),
+		GeneratePlan(900, 4, 6, 8*time.Second),
 	} {
 		t.Run(fmt.Sprint(pl.Seed), func(t *testing.T) {
 			t.Parallel()
--- a/standin/store/store.go
+++ b/standin/store/store.go
@@ -19,7 +19,7 @@
 	// Down answers every call with 500 and changes nothing.
 	Down bool `json:"down"`
 	// DropAnswers is how many of the next writes are made but not answered.
-	DropAnswers int `json:"drop_answers"`
+	DropWriteResponses int `json:"drop_answers"`
 	// DelayMS is waited before each call.
 	DelayMS int `json:"delay_ms"`
 }
@@ -186,9 +186,9 @@
 	if made {
 		st.put(key, data)
 	}
-	drop := st.faults.DropAnswers > 0
+	drop := st.faults.DropWriteResponses > 0
 	if drop {
-		st.faults.DropAnswers--
+		st.faults.DropWriteResponses--
 	}
 	st.mu.Unlock()
 	if drop {
--- a/standin/store/store_test.go
+++ b/standin/store/store_test.go
@@ -89,7 +89,7 @@
 func TestALostAnswerIsToldFromAnOutage(t *testing.T) {
 	st := &Store{}
 	cl := newClient(t, st)
-	st.SetFaults(Faults{DropAnswers: 1})
+	st.SetFaults(Faults{DropWriteResponses: 1})
 	_, err := cl.Swap(t.Context(), "k", []byte("made"), 0)
 	require.Equal(t, result.StoreUnknown, code(t, err))
 	require.Equal(t, "made", string(st.Value("k")), "it was made all the same")
--- a/standin/swarm/swarm.go
+++ b/standin/swarm/swarm.go
@@ -28,9 +28,9 @@
 	// Store and Boxes are the addresses of the platform's stand-ins.
 	Store, Boxes string
 	// Key is the shared key.
-	Key string
+	SharedKey string
 	// Tune changes the settings of each member.
-	Tune func(se *settings.Settings)
+	AdjustSettings func(se *settings.Settings)
 	// Log gets the members' logs; nil drops them.
 	Log io.Writer
 
@@ -50,7 +50,7 @@
 }
 
 // Agent starts an agent before a backend server.
-func (sw *Swarm) Agent(box, dataCentre, server, backend string) (*Member, error) {
+func (sw *Swarm) StartAgent(box, dataCentre, server, backend string) (*Member, error) {
 	me, listener, admin, err := sw.member(box, dataCentre, boxes.Agent)
 	if err != nil {
 		return nil, err
@@ -63,7 +63,7 @@
 }
 
 // Entry starts an entry.
-func (sw *Swarm) Entry(box, dataCentre string) (*Member, error) {
+func (sw *Swarm) StartEntry(box, dataCentre string) (*Member, error) {
 	me, listener, admin, err := sw.member(box, dataCentre, boxes.Entry)
 	if err != nil {
 		return nil, err
@@ -87,11 +87,11 @@
 		return nil, nil, nil, err
 	}
 	se := settings.Default()
-	se.Box, se.DataCentre, se.SharedKey = box, dataCentre, sw.Key
+	se.Box, se.DataCentre, se.SharedKey = box, dataCentre, sw.SharedKey
 	se.Listen, se.Admin = listener.Addr().String(), admin.Addr().String()
 	se.Platform.Store, se.Platform.Boxes = sw.Store, sw.Boxes
-	if sw.Tune != nil {
-		sw.Tune(&se)
+	if sw.AdjustSettings != nil {
+		sw.AdjustSettings(&se)
 	}
 	lo := zerolog.Nop()
 	if sw.Log != nil {
--- a/standin/trial/load.go
+++ b/standin/trial/load.go
@@ -17,16 +17,16 @@
 
 // Rush is the input of the load experiment: requests for one version on a few
 // servers.
-type Rush struct {
+type LoadScenario struct {
 	// Load is the requests over what the servers can do.
 	Load float64
 	// Burst is how many times its share the first team sends.
-	Burst float64
+	FirstTeamWeight float64
 	// LostAt is when half the servers are lost; zero for never. They come back
 	// after a third of the time.
-	LostAt time.Duration
-	For    time.Duration
-	Seed   uint64
+	HalfLostAt time.Duration
+	Duration   time.Duration
+	Seed       uint64
 }
 
 // The shape of the pool.
@@ -46,26 +46,26 @@
 )
 
 // RushOutcome is what came of it.
-type RushOutcome struct {
+type LoadOutcome struct {
 	Strategy string
 	// Goodput is the requests that started in time, over what the servers can
 	// do.
 	Goodput float64
 	// Wasted is the slot time spent on requests whose callers had gone.
-	Wasted float64
+	WastedSlotTime float64
 	// Others is the part of the other teams' requests that started in time.
-	Others float64
+	OtherTeamsServed float64
 	// Refused is the mean time until a refused caller knows, in seconds.
-	Refused float64
+	RefusalLatency float64
 }
 
-func (ru RushOutcome) String() string {
-	return fmt.Sprintf("| %s | %.3f | %.3f | %.3f | %.3f |", ru.Strategy, ru.Goodput, ru.Wasted, ru.Others, ru.Refused)
+func (ru LoadOutcome) String() string {
+	return fmt.Sprintf("| %s | %.3f | %.3f | %.3f | %.3f |", ru.Strategy, ru.Goodput, ru.WastedSlotTime, ru.OtherTeamsServed, ru.RefusalLatency)
 }
 
 // Loads runs both strategies on the same rush.
-func Loads(ru Rush) []RushOutcome {
-	return []RushOutcome{ru.run("round robin, endless queues", &turns{}), ru.run("linnetrudder", newPool())}
+func CompareLoads(ru LoadScenario) []LoadOutcome {
+	return []LoadOutcome{ru.run("round robin, endless queues", &turns{}), ru.run("linnetrudder", newPool())}
 }
 
 // job is one request in the experiment.
@@ -152,7 +152,7 @@
 	regain(st *stage, server int, now time.Time)
 }
 
-func (ru Rush) run(name string, sy system) RushOutcome {
+func (ru LoadScenario) run(name string, sy system) LoadOutcome {
 	begin := time.Unix(1_800_000_000, 0)
 	st := &stage{ra: rand.New(rand.NewPCG(ru.Seed, 13))}
 	for i := range st.up {
@@ -161,7 +161,7 @@
 	rate := ru.Load * rushServers * rushSlots / rushService.Seconds()
 	var arrive func(now time.Time)
 	arrive = func(now time.Time) {
-		if now.Sub(begin) > ru.For {
+		if now.Sub(begin) > ru.Duration {
 			return
 		}
 		jo := ru.job(st, now)
@@ -172,31 +172,31 @@
 		st.at(now.Add(time.Duration(st.ra.ExpFloat64()/rate*float64(time.Second))), arrive)
 	}
 	st.at(begin, arrive)
-	if ru.LostAt > 0 {
+	if ru.HalfLostAt > 0 {
 		for i := range rushServers / 2 {
-			st.at(begin.Add(ru.LostAt), func(now time.Time) { st.up[i] = false; sy.lose(st, i, now) })
-			st.at(begin.Add(ru.LostAt+ru.For/3), func(now time.Time) { st.up[i] = true; sy.regain(st, i, now) })
+			st.at(begin.Add(ru.HalfLostAt), func(now time.Time) { st.up[i] = false; sy.lose(st, i, now) })
+			st.at(begin.Add(ru.HalfLostAt+ru.Duration/3), func(now time.Time) { st.up[i] = true; sy.regain(st, i, now) })
 		}
 	}
 	for st.agenda.Len() > 0 {
 		oc := heap.Pop(&st.agenda).(occurrence)
 		oc.do(oc.at)
 	}
-	capacity := rushServers * rushSlots * ru.For.Seconds()
-	if ru.LostAt > 0 {
+	capacity := rushServers * rushSlots * ru.Duration.Seconds()
+	if ru.HalfLostAt > 0 {
 		capacity *= 1 - 1.0/6
 	}
-	return RushOutcome{
-		Strategy: name, Goodput: st.good / capacity, Wasted: st.wasted / capacity,
-		Others: st.othersGood / st.others, Refused: st.refusedFor / math.Max(1, st.refused),
+	return LoadOutcome{
+		Strategy: name, Goodput: st.good / capacity, WastedSlotTime: st.wasted / capacity,
+		OtherTeamsServed: st.othersGood / st.others, RefusalLatency: st.refusedFor / math.Max(1, st.refused),
 	}
 }
 
-func (ru Rush) job(st *stage, now time.Time) *job {
+func (ru LoadScenario) job(st *stage, now time.Time) *job {
 	// The first team sends Burst times what each of the others does.
 	team := 0
-	if draw := st.ra.Float64() * (ru.Burst + rushTeams - 1); draw >= ru.Burst {
-		team = 1 + int(draw-ru.Burst)
+	if draw := st.ra.Float64() * (ru.FirstTeamWeight + rushTeams - 1); draw >= ru.FirstTeamWeight {
+		team = 1 + int(draw-ru.FirstTeamWeight)
 	}
 	// Service times are log-normal with the mean rushService.
 	const sigma = 0.5
--- a/standin/trial/load_test.go
+++ b/standin/trial/load_test.go
@@ -7,23 +7,23 @@
 	"github.com/stretchr/testify/require"
 )
 
-func rush(load, burst float64) Rush {
-	return Rush{Load: load, Burst: burst, For: 2 * time.Minute, Seed: 1}
+func rush(load, burst float64) LoadScenario {
+	return LoadScenario{Load: load, FirstTeamWeight: burst, Duration: 2 * time.Minute, Seed: 1}
 }
 
 func TestGoodputHoldsAsLoadGrows(t *testing.T) {
 	t.Parallel()
 	best := 0.0
 	for _, load := range []float64{0.5, 1, 1.5, 3, 10} {
-		all := Loads(rush(load, 1))
+		all := CompareLoads(rush(load, 1))
 		naive, ours := all[0], all[1]
 		t.Log(load, naive, ours)
 		best = max(best, ours.Goodput)
 		if load > 1 {
 			require.Greater(t, ours.Goodput, 0.95*best, "load %.1f", load)
 			require.Greater(t, ours.Goodput, 1.5*naive.Goodput, "load %.1f", load)
-			require.Zero(t, ours.Wasted)
-			require.Less(t, ours.Refused, naive.Refused)
+			require.Zero(t, ours.WastedSlotTime)
+			require.Less(t, ours.RefusalLatency, naive.RefusalLatency)
 		}
 	}
 }
@@ -32,18 +32,18 @@
 	t.Parallel()
 	// Four teams ask for 15% of what there is each, which is less than their
 	// fifth; the first asks for three times everything.
-	all := Loads(rush(3.6, 20))
+	all := CompareLoads(rush(3.6, 20))
 	naive, ours := all[0], all[1]
 	t.Log(naive, ours)
-	require.Greater(t, ours.Others, 0.95)
-	require.Less(t, naive.Others, 0.5)
+	require.Greater(t, ours.OtherTeamsServed, 0.95)
+	require.Less(t, naive.OtherTeamsServed, 0.5)
 }
 
 func TestALostHalfOfThePool(t *testing.T) {
 	t.Parallel()
 	ru := rush(0.8, 1)
-	ru.LostAt = 30 * time.Second
-	all := Loads(ru)
+	ru.HalfLostAt = 30 * time.Second
+	all := CompareLoads(ru)
 	naive, ours := all[0], all[1]
 	t.Log(naive, ours)
 	// 0.8 of the load is asked for all the time, and a half of the pool is there
@@ -51,5 +51,5 @@
 	ideal := (0.8*2 + 0.5) / 3 / (5.0 / 6)
 	require.Greater(t, ours.Goodput, 0.95*ideal)
 	require.Less(t, naive.Goodput, 0.5*ideal)
-	require.Zero(t, ours.Wasted)
+	require.Zero(t, ours.WastedSlotTime)
 }
--- a/standin/trial/rollouts.go
+++ b/standin/trial/rollouts.go
@@ -11,35 +11,35 @@
 
 // Release is the input of the roll-out experiment: a new version takes over
 // from one that serves.
-type Release struct {
+type RolloutScenario struct {
 	// Rate is the model's requests in a second.
-	Rate int
+	RequestsPerSecond int
 	// GoodFailures and GoodLow are the rates of failures and of low ratings of
 	// the version that serves.
-	GoodFailures, GoodLow float64
+	BaselineFailureRate, BaselineLowRatingRate float64
 	// Failures and Low are those of the new version, from TurnsBad on; before,
 	// it is as good as the old.
-	Failures, Low float64
-	TurnsBad      time.Duration
+	FailureRate, LowRatingRate float64
+	DegradesAt                 time.Duration
 	// Rated is the part of answers that is rated, after RatingLag. Tallies are
 	// seen after Lag.
-	Rated          float64
-	Lag, RatingLag time.Duration
+	RatedFraction       float64
+	TallyLag, RatingLag time.Duration
 	// Interrupted is when nobody decides for a while.
-	Interrupted [2]time.Duration
+	DecisionOutage [2]time.Duration
 	// For is how long to watch.
-	For  time.Duration
-	Seed uint64
+	Duration time.Duration
+	Seed     uint64
 }
 
 // ReleaseOutcome is what one strategy did.
-type ReleaseOutcome struct {
+type RolloutOutcome struct {
 	Strategy string
 	// Exposure is how many requests went to the version after it was bad.
-	Exposure int
-	Reversed bool
+	Exposure   int
+	RolledBack bool
 	// Full is when the version had all new work; zero if never.
-	Full time.Duration
+	FullShareAt time.Duration
 }
 
 // releaser decides the new version's share once a second.
@@ -107,8 +107,8 @@
 }
 
 // Rollouts runs every strategy on the same release.
-func Rollouts(re Release) []ReleaseOutcome {
-	return []ReleaseOutcome{
+func CompareRollouts(re RolloutScenario) []RolloutOutcome {
+	return []RolloutOutcome{
 		re.run(&ladder{title: "all at once, looked at every 10 min", steps: []float64{1}, every: 10 * time.Minute}),
 		re.run(&ladder{title: "fixed ladder, a step every 10 min", steps: plan().Steps, every: 10 * time.Minute}),
 		re.run(&ours{}),
@@ -126,39 +126,39 @@
 	return la.past[max(0, len(la.past)-1-la.lag)]
 }
 
-func (re Release) run(st releaser) ReleaseOutcome {
+func (re RolloutScenario) run(st releaser) RolloutOutcome {
 	ra := rand.New(rand.NewPCG(re.Seed, 11))
-	out := ReleaseOutcome{Strategy: st.name()}
+	out := RolloutOutcome{Strategy: st.name()}
 	begin := time.Unix(1_800_000_000, 0)
 	var young, old rollout.Tally
-	seen := [2]lagged{{lag: int(re.Lag.Seconds())}, {lag: int(re.Lag.Seconds())}}
+	seen := [2]lagged{{lag: int(re.TallyLag.Seconds())}, {lag: int(re.TallyLag.Seconds())}}
 	rated := [2]lagged{{lag: int(re.RatingLag.Seconds())}, {lag: int(re.RatingLag.Seconds())}}
 	share := 0.0
-	for sec := range int(re.For.Seconds()) {
+	for sec := range int(re.Duration.Seconds()) {
 		at := time.Duration(sec) * time.Second
-		if at < re.Interrupted[0] || at >= re.Interrupted[1] {
+		if at < re.DecisionOutage[0] || at >= re.DecisionOutage[1] {
 			share = st.share(begin.Add(at), view(&seen[0], &rated[0], young), view(&seen[1], &rated[1], old))
 		} else {
 			view(&seen[0], &rated[0], young)
 			view(&seen[1], &rated[1], old)
 		}
-		bad := at >= re.TurnsBad && (re.Failures > re.GoodFailures || re.Low > re.GoodLow)
-		for range re.Rate {
+		bad := at >= re.DegradesAt && (re.FailureRate > re.BaselineFailureRate || re.LowRatingRate > re.BaselineLowRatingRate)
+		for range re.RequestsPerSecond {
 			if ra.Float64() >= share {
-				re.request(ra, &old, re.GoodFailures, re.GoodLow)
+				re.request(ra, &old, re.BaselineFailureRate, re.BaselineLowRatingRate)
 				continue
 			}
 			if bad {
 				out.Exposure++
-				re.request(ra, &young, re.Failures, re.Low)
+				re.request(ra, &young, re.FailureRate, re.LowRatingRate)
 			} else {
-				re.request(ra, &young, re.GoodFailures, re.GoodLow)
+				re.request(ra, &young, re.BaselineFailureRate, re.BaselineLowRatingRate)
 			}
 		}
-		if share >= 1 && out.Full == 0 {
-			out.Full = at
+		if share >= 1 && out.FullShareAt == 0 {
+			out.FullShareAt = at
 		}
-		out.Reversed = share == 0
+		out.RolledBack = share == 0
 	}
 	return out
 }
@@ -172,13 +172,13 @@
 	return seen
 }
 
-func (re Release) request(ra *rand.Rand, ta *rollout.Tally, failures, low float64) {
+func (re RolloutScenario) request(ra *rand.Rand, ta *rollout.Tally, failures, low float64) {
 	ta.Started++
 	if ra.Float64() < failures {
 		ta.Failed++
 		return
 	}
-	if ra.Float64() < re.Rated {
+	if ra.Float64() < re.RatedFraction {
 		ta.Rated++
 		if ra.Float64() < low {
 			ta.Low++
@@ -186,6 +186,6 @@
 	}
 }
 
-func (ro ReleaseOutcome) String() string {
-	return fmt.Sprintf("%s: exposed %d, reversed %t, full after %s", ro.Strategy, ro.Exposure, ro.Reversed, ro.Full)
+func (ro RolloutOutcome) String() string {
+	return fmt.Sprintf("%s: exposed %d, reversed %t, full after %s", ro.Strategy, ro.Exposure, ro.RolledBack, ro.FullShareAt)
 }
--- a/standin/trial/rollouts_test.go
+++ b/standin/trial/rollouts_test.go
@@ -8,10 +8,10 @@
 )
 
 // release is a good version; tests change what is wrong with it.
-func release(seed uint64) Release {
-	return Release{
-		Rate: 50, GoodFailures: 0.01, GoodLow: 0.08, Failures: 0.01, Low: 0.08, Rated: 0.3,
-		Lag: 5 * time.Second, RatingLag: time.Minute, For: 2 * time.Hour, Seed: seed,
+func release(seed uint64) RolloutScenario {
+	return RolloutScenario{
+		RequestsPerSecond: 50, BaselineFailureRate: 0.01, BaselineLowRatingRate: 0.08, FailureRate: 0.01, LowRatingRate: 0.08, RatedFraction: 0.3,
+		TallyLag: 5 * time.Second, RatingLag: time.Minute, Duration: 2 * time.Hour, Seed: seed,
 	}
 }
 
@@ -20,18 +20,18 @@
 	exposure, reversed, full int
 }
 
-func over(n int, change func(re *Release)) map[string]sums {
+func over(n int, change func(re *RolloutScenario)) map[string]sums {
 	by := map[string]sums{}
 	for seed := range n {
 		re := release(uint64(seed))
 		change(&re)
-		for _, ou := range Rollouts(re) {
+		for _, ou := range CompareRollouts(re) {
 			su := by[ou.Strategy]
 			su.exposure += ou.Exposure
-			if ou.Reversed {
+			if ou.RolledBack {
 				su.reversed++
 			}
-			if ou.Full > 0 {
+			if ou.FullShareAt > 0 {
 				su.full++
 			}
 			by[ou.Strategy] = su
@@ -48,7 +48,7 @@
 
 func TestGoodVersionsGetThrough(t *testing.T) {
 	t.Parallel()
-	by := over(runs, func(*Release) {})
+	by := over(runs, func(*RolloutScenario) {})
 	t.Log(by)
 	require.Zero(t, by[oursName].reversed)
 	require.Equal(t, runs, by[oursName].full)
@@ -59,16 +59,16 @@
 	t.Parallel()
 	for _, tc := range []struct {
 		name   string
-		change func(re *Release)
+		change func(re *RolloutScenario)
 	}{
-		{"fails from the start", func(re *Release) { re.Failures = 0.2 }},
-		{"fails a little", func(re *Release) { re.Failures = 0.08 }},
-		{"low ratings", func(re *Release) { re.Low = 0.4 }},
-		{"turns bad half-way", func(re *Release) { re.Failures, re.TurnsBad = 0.3, 20*time.Minute }},
-		{"turns bad after all", func(re *Release) { re.Failures, re.TurnsBad = 0.3, 90*time.Minute }},
-		{"interrupted", func(re *Release) {
-			re.Failures = 0.2
-			re.Interrupted = [2]time.Duration{2 * time.Second, 10 * time.Minute}
+		{"fails from the start", func(re *RolloutScenario) { re.FailureRate = 0.2 }},
+		{"fails a little", func(re *RolloutScenario) { re.FailureRate = 0.08 }},
+		{"low ratings", func(re *RolloutScenario) { re.LowRatingRate = 0.4 }},
+		{"turns bad half-way", func(re *RolloutScenario) { re.FailureRate, re.DegradesAt = 0.3, 20*time.Minute }},
+		{"turns bad after all", func(re *RolloutScenario) { re.FailureRate, re.DegradesAt = 0.3, 90*time.Minute }},
+		{"interrupted", func(re *RolloutScenario) {
+			re.FailureRate = 0.2
+			re.DecisionOutage = [2]time.Duration{2 * time.Second, 10 * time.Minute}
 		}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
--- a/standin/trial/versions.go
+++ b/standin/trial/versions.go
@@ -14,16 +14,16 @@
 )
 
 // Market is the input of the version experiment.
-type Market struct {
+type VersionScenario struct {
 	// Requests is how many requests come.
 	Requests int
 	// Rated is the part of answers that is rated, Wrong the part of ratings
 	// that say the opposite, Delay how many requests later a rating comes.
-	Rated, Wrong float64
-	Delay        int
+	RatedFraction, WrongFraction float64
+	RatingDelay                  int
 	// Cascade lets drafts try a cheaper version first.
-	Cascade bool
-	Seed    uint64
+	CascadeDrafts bool
+	Seed          uint64
 }
 
 // kindSpec is a kind of request with each version's true quality.
@@ -60,21 +60,21 @@
 }
 
 // Outcome is what one strategy cost and reached.
-type Outcome struct {
+type VersionOutcome struct {
 	Strategy string
 	// Cost is the mean price of a request.
 	Cost float64
 	// Met is the part of (team, kind) pairs, by their requests, whose mean
 	// true quality met the target within a hundredth.
-	Met float64
+	TargetMet float64
 	// Worst is the largest shortfall of a pair with at least 100 requests.
-	Worst float64
+	WorstShortfall float64
 	// Calls is the mean number of calls for a request.
 	Calls float64
 }
 
-func (ou Outcome) String() string {
-	return fmt.Sprintf("| %s | %.2f | %.1f%% | %.3f | %.2f |", ou.Strategy, ou.Cost, 100*ou.Met, ou.Worst, ou.Calls)
+func (ou VersionOutcome) String() string {
+	return fmt.Sprintf("| %s | %.2f | %.1f%% | %.3f | %.2f |", ou.Strategy, ou.Cost, 100*ou.TargetMet, ou.WorstShortfall, ou.Calls)
 }
 
 // request is one request of the market.
@@ -87,7 +87,7 @@
 	confidence                   float64
 }
 
-func (ma Market) requests() []request {
+func (ma VersionScenario) requests() []request {
 	ra := rand.New(rand.NewPCG(ma.Seed, 7))
 	list := make([]request, ma.Requests)
 	for i := range list {
@@ -129,16 +129,16 @@
 )
 
 // Versions runs every strategy on the same market.
-func Versions(ma Market) []Outcome {
+func CompareVersions(ma VersionScenario) []VersionOutcome {
 	list := ma.requests()
 	fixed := func(v int) strategy { return &fixedStrategy{func(int, int) int { return v }} }
 	turn := 0
-	return []Outcome{
+	return []VersionOutcome{
 		ma.run("always the large one", fixed(2), list),
 		ma.run("always the small one", fixed(0), list),
 		ma.run("round robin", &fixedStrategy{func(int, int) int { turn++; return turn % 3 }}, list),
 		ma.run("best fixed in hindsight", &fixedStrategy{hindsight}, list),
-		ma.run("linnetrudder", newLearner(ma.Cascade), list),
+		ma.run("linnetrudder", newLearner(ma.CascadeDrafts), list),
 	}
 }
 
@@ -264,17 +264,17 @@
 }
 
 // rating is what the rating service will say of an answer.
-func (ma Market) rating(i int, re *request, an answer) rating {
+func (ma VersionScenario) rating(i int, re *request, an answer) rating {
 	good := re.good[an.version] < trueQuality(re.team, re.kind, an.version)
 	score := 0.0
-	if good != (re.wrong < ma.Wrong) {
+	if good != (re.wrong < ma.WrongFraction) {
 		score = 1
 	}
-	return rating{due: i + ma.Delay, team: re.team, kind: re.kind, version: an.version, score: score, kept: an.kept}
+	return rating{due: i + ma.RatingDelay, team: re.team, kind: re.kind, version: an.version, score: score, kept: an.kept}
 }
 
-func (ma Market) run(name string, st strategy, list []request) Outcome {
-	ou := Outcome{Strategy: name}
+func (ma VersionScenario) run(name string, st strategy, list []request) VersionOutcome {
+	ou := VersionOutcome{Strategy: name}
 	var under []rating
 	type pair struct{ n, quality float64 }
 	pairs := map[[2]int]*pair{}
@@ -293,7 +293,7 @@
 		}
 		pairs[key].n++
 		pairs[key].quality += an.quality
-		if re.rated < ma.Rated {
+		if re.rated < ma.RatedFraction {
 			under = append(under, ma.rating(i, re, an))
 		}
 	}
@@ -303,10 +303,10 @@
 	for key, pa := range pairs {
 		short := kindSpecs[key[1]].target - pa.quality/pa.n
 		if short <= 0.01 {
-			ou.Met += pa.n / n
+			ou.TargetMet += pa.n / n
 		}
 		if pa.n >= 100 {
-			ou.Worst = max(ou.Worst, short)
+			ou.WorstShortfall = max(ou.WorstShortfall, short)
 		}
 	}
 	return ou
--- a/standin/trial/versions_test.go
+++ b/standin/trial/versions_test.go
@@ -9,12 +9,12 @@
 // seeds is how many markets a test looks at.
 const seeds = 8
 
-func market(seed uint64, cascade bool) Market {
-	return Market{Requests: 60_000, Rated: 0.3, Wrong: 0.02, Delay: 500, Seed: seed, Cascade: cascade}
+func market(seed uint64, cascade bool) VersionScenario {
+	return VersionScenario{Requests: 60_000, RatedFraction: 0.3, WrongFraction: 0.02, RatingDelay: 500, Seed: seed, CascadeDrafts: cascade}
 }
 
-func byStrategy(all []Outcome) map[string]Outcome {
-	by := map[string]Outcome{}
+func byStrategy(all []VersionOutcome) map[string]VersionOutcome {
+	by := map[string]VersionOutcome{}
 	for _, ou := range all {
 		by[ou.Strategy] = ou
 	}
@@ -25,11 +25,11 @@
 	t.Parallel()
 	ratio := 0.0
 	for seed := range uint64(seeds) {
-		by := byStrategy(Versions(market(seed, false)))
+		by := byStrategy(CompareVersions(market(seed, false)))
 		ours := by["linnetrudder"]
-		require.GreaterOrEqual(t, ours.Met, 0.99, "seed %d: the target is met", seed)
-		require.Less(t, by["always the small one"].Met, 0.5)
-		require.Less(t, by["round robin"].Met, 0.7)
+		require.GreaterOrEqual(t, ours.TargetMet, 0.99, "seed %d: the target is met", seed)
+		require.Less(t, by["always the small one"].TargetMet, 0.5)
+		require.Less(t, by["round robin"].TargetMet, 0.7)
 		require.Less(t, ours.Cost, 0.6*by["always the large one"].Cost)
 		ratio += ours.Cost / by["best fixed in hindsight"].Cost / seeds
 	}
@@ -39,10 +39,10 @@
 func TestACascadeCostsLessAtTheSameTarget(t *testing.T) {
 	t.Parallel()
 	for seed := range uint64(seeds) {
-		without := byStrategy(Versions(market(seed, false)))["linnetrudder"]
-		with := byStrategy(Versions(market(seed, true)))["linnetrudder"]
+		without := byStrategy(CompareVersions(market(seed, false)))["linnetrudder"]
+		with := byStrategy(CompareVersions(market(seed, true)))["linnetrudder"]
 		t.Log(with)
-		require.GreaterOrEqual(t, with.Met, 0.99)
+		require.GreaterOrEqual(t, with.TargetMet, 0.99)
 		require.Less(t, with.Cost, without.Cost)
 	}
 }
