--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -32,23 +32,23 @@
 	versions map[string]int
 	running  int
 	// most is how many ran at once at the most.
-	most int
+	peak int
 	// bad makes requests of a version fail.
-	bad map[string]bool
+	failing map[string]bool
 	// held is what orders made the engine load; fence is the highest number.
-	held  []string
-	fence uint64
+	loaded       []string
+	highestFence uint64
 	// orders lists the fencing numbers of the orders taken.
-	orders []uint64
+	acceptedFences []uint64
 }
 
 // Poison is the content of a message under which engines end.
 const PoisonContent = "poison"
 
 // crashTime is how long after its first token an engine ends.
-const crashTime = 120 * time.Millisecond
+const crashDelay = 120 * time.Millisecond
 
-type chat struct {
+type chatRequest struct {
 	Model    string `json:"model"`
 	Stream   bool   `json:"stream"`
 	Messages []struct {
@@ -85,17 +85,17 @@
 func (en *Engine) Running() (now, most int) {
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	return en.running, en.most
+	return en.running, en.peak
 }
 
 // SetBad makes a version fail, or heals it.
 func (en *Engine) SetFailing(version string, bad bool) {
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	if en.bad == nil {
-		en.bad = map[string]bool{}
+	if en.failing == nil {
+		en.failing = map[string]bool{}
 	}
-	en.bad[version] = bad
+	en.failing[version] = bad
 }
 
 // Order is an order as engines take it.
@@ -116,7 +116,7 @@
 	en.mu.Lock()
 	defer en.mu.Unlock()
 	if r.Method == http.MethodGet {
-		_ = json.NewEncoder(w).Encode(Status{Versions: en.held, FencingNumbers: en.orders})
+		_ = json.NewEncoder(w).Encode(Status{Versions: en.loaded, FencingNumbers: en.acceptedFences})
 		return
 	}
 	var or Order
@@ -124,19 +124,19 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	if en.CheckFencing && or.FencingNumber < en.fence {
+	if en.CheckFencing && or.FencingNumber < en.highestFence {
 		http.Error(w, "lower fencing number", http.StatusConflict)
 		return
 	}
-	en.fence = max(en.fence, or.FencingNumber)
-	en.orders = append(en.orders, or.FencingNumber)
-	en.held = slices.DeleteFunc(en.held, func(ve string) bool { return ve == or.Version })
+	en.highestFence = max(en.highestFence, or.FencingNumber)
+	en.acceptedFences = append(en.acceptedFences, or.FencingNumber)
+	en.loaded = slices.DeleteFunc(en.loaded, func(ve string) bool { return ve == or.Version })
 	if or.Action == "load" {
-		en.held = append(en.held, or.Version)
+		en.loaded = append(en.loaded, or.Version)
 	}
 }
 
-func (en *Engine) allVersions() map[string]int {
+func (en *Engine) versionCounts() map[string]int {
 	en.mu.Lock()
 	defer en.mu.Unlock()
 	all := make(map[string]int, len(en.versions))
@@ -155,7 +155,7 @@
 		return
 	}
 	if r.URL.Path == "/versions" {
-		_ = json.NewEncoder(w).Encode(en.allVersions())
+		_ = json.NewEncoder(w).Encode(en.versionCounts())
 		return
 	}
 	if r.URL.Path == "/running" || r.URL.Path == "/most" {
@@ -171,7 +171,7 @@
 		_ = json.NewEncoder(w).Encode(en.RunCounts())
 		return
 	}
-	var ch chat
+	var ch chatRequest
 	if err := json.NewDecoder(r.Body).Decode(&ch); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
@@ -179,7 +179,7 @@
 	bad := en.begin(r.Header.Get("X-Request-Id"), ch.Model)
 	defer en.end()
 	if en.Crash != nil && len(ch.Messages) > 0 && ch.Messages[0].Content == PoisonContent {
-		en.pause(r, crashTime)
+		en.wait(r, crashDelay)
 		en.Crash()
 		return
 	}
@@ -188,14 +188,14 @@
 		return
 	}
 	if ch.Stream {
-		en.stream(w, r, ch)
+		en.writeStream(w, r, ch)
 		return
 	}
-	if !en.pause(r, en.TokenInterval*time.Duration(en.Tokens)) {
+	if !en.wait(r, en.TokenInterval*time.Duration(en.Tokens)) {
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(en.whole(ch))
+	_ = json.NewEncoder(w).Encode(en.completion(ch))
 }
 
 func (en *Engine) begin(id, version string) bool {
@@ -208,8 +208,8 @@
 	en.runs[id]++
 	en.versions[version]++
 	en.running++
-	en.most = max(en.most, en.running)
-	return en.bad[version]
+	en.peak = max(en.peak, en.running)
+	return en.failing[version]
 }
 
 func (en *Engine) end() {
@@ -218,7 +218,7 @@
 	en.running--
 }
 
-func (en *Engine) pause(r *http.Request, du time.Duration) bool {
+func (en *Engine) wait(r *http.Request, du time.Duration) bool {
 	if du == 0 {
 		return true
 	}
@@ -239,7 +239,7 @@
 	return strings.Join(words, " ")
 }
 
-func (en *Engine) whole(ch chat) map[string]any {
+func (en *Engine) completion(ch chatRequest) map[string]any {
 	return map[string]any{
 		"id": "chatcmpl-1", "object": "chat.completion", "created": 1, "model": ch.Model,
 		"choices": []any{map[string]any{
@@ -250,14 +250,14 @@
 	}
 }
 
-func (en *Engine) usage(ch chat) map[string]any {
+func (en *Engine) usage(ch chatRequest) map[string]any {
 	return map[string]any{
 		"prompt_tokens": len(ch.Messages), "completion_tokens": en.Tokens,
 		"total_tokens": len(ch.Messages) + en.Tokens,
 	}
 }
 
-func (en *Engine) stream(w http.ResponseWriter, r *http.Request, ch chat) {
+func (en *Engine) writeStream(w http.ResponseWriter, r *http.Request, ch chatRequest) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	rc := http.NewResponseController(w)
 	send := func(delta map[string]any, finish any) {
@@ -269,7 +269,7 @@
 		_ = rc.Flush()
 	}
 	for i, word := range strings.SplitAfter(Answer(ch.Model, en.Tokens), " ") {
-		if i > 0 && !en.pause(r, en.TokenInterval) {
+		if i > 0 && !en.wait(r, en.TokenInterval) {
 			return
 		}
 		send(map[string]any{"content": word}, nil)
--- a/standin/fleet/address.go
+++ b/standin/fleet/address.go
@@ -12,7 +12,7 @@
 // process id. Outgoing connections leave from 127.0.0.1, so that none of them
 // can take a port here between the moment it is found free and the moment a
 // started process listens on it, or while that process is restarted.
-func ownIP() net.IP {
+func processLoopbackIP() net.IP {
 	id := os.Getpid()
 	const first = 16 // 127.0.0.0/12 is left to everything else
 	return net.IPv4(127, byte(first+id>>16), byte(id>>8), byte(id))
@@ -21,7 +21,7 @@
 // given holds the addresses that were handed out: a port that is free again
 // because its process has not bound it yet, or is being restarted, is not handed
 // out a second time.
-var given = struct {
+var issued = struct {
 	sync.Mutex
 	addresses map[string]bool
 }{addresses: map[string]bool{}}
@@ -29,22 +29,22 @@
 // FreeAddress returns a loopback address that is free now, that no outgoing
 // connection takes and that was not returned before.
 func FreeAddress() (string, error) {
-	given.Lock()
-	defer given.Unlock()
+	issued.Lock()
+	defer issued.Unlock()
 	for {
-		address, err := freeNow()
+		address, err := probeFreeAddress()
 		if err != nil {
 			return "", err
 		}
-		if !given.addresses[address] {
-			given.addresses[address] = true
+		if !issued.addresses[address] {
+			issued.addresses[address] = true
 			return address, nil
 		}
 	}
 }
 
-func freeNow() (string, error) {
-	li, err := net.Listen("tcp", net.JoinHostPort(ownIP().String(), "0"))
+func probeFreeAddress() (string, error) {
+	li, err := net.Listen("tcp", net.JoinHostPort(processLoopbackIP().String(), "0"))
 	if err != nil {
 		return "", eris.Wrap(err, "free port")
 	}
--- a/standin/fleet/fleet.go
+++ b/standin/fleet/fleet.go
@@ -46,7 +46,7 @@
 const (
 	startTimeout = 20 * time.Second
 	stopTimeout  = 15 * time.Second
-	pollEvery    = 20 * time.Millisecond
+	pollInterval = 20 * time.Millisecond
 )
 
 // Start starts a program of the folder.
@@ -61,11 +61,11 @@
 	if err := cmd.Start(); err != nil {
 		return nil, eris.Wrap(err, "start "+name)
 	}
-	pr := &Process{Name: name, cmd: cmd, log: lo, ended: make(chan struct{})}
+	pr := &Process{Name: name, cmd: cmd, log: lo, done: make(chan struct{})}
 	go func() {
 		_ = cmd.Wait()
 		_ = lo.Close()
-		close(pr.ended)
+		close(pr.done)
 	}()
 	fl.processes = append(fl.processes, pr)
 	return pr, nil
@@ -106,7 +106,7 @@
 		}
 	}
 	added := &me
-	if err := fl.launch(added); err != nil {
+	if err := fl.startMember(added); err != nil {
 		return nil, err
 	}
 	fl.members = append(fl.members, added)
@@ -117,9 +117,9 @@
 }
 
 // Restart starts a member's process again with the same settings.
-func (fl *Fleet) Restart(me *Member) error { return fl.launch(me) }
+func (fl *Fleet) Restart(me *Member) error { return fl.startMember(me) }
 
-func (fl *Fleet) launch(me *Member) error {
+func (fl *Fleet) startMember(me *Member) error {
 	path, err := fl.writeSettings(me)
 	if err != nil {
 		return err
@@ -156,12 +156,12 @@
 }
 
 // Publish puts the members on the list of boxes.
-func (fl *Fleet) Publish() error { return fl.publish(nil) }
+func (fl *Fleet) Publish() error { return fl.publishStates(nil) }
 
 // PublishLeaving puts the members on the list with one that leaves.
-func (fl *Fleet) PublishWithLeaving(leaver *Member) error { return fl.publish(leaver) }
+func (fl *Fleet) PublishWithLeaving(leaver *Member) error { return fl.publishStates(leaver) }
 
-func (fl *Fleet) publish(leaver *Member) error {
+func (fl *Fleet) publishStates(leaver *Member) error {
 	list := make([]boxes.Box, 0, len(fl.members))
 	for _, me := range fl.members {
 		state := boxes.Live
@@ -215,7 +215,7 @@
 	var failed error
 	for i := len(fl.members) - 1; i >= 0; i-- {
 		pr := fl.members[i].Process
-		if pr == nil || pr.hasEnded() {
+		if pr == nil || pr.exited() {
 			continue
 		}
 		_ = pr.Signal(syscall.SIGCONT)
@@ -227,7 +227,7 @@
 		}
 	}
 	for _, pr := range fl.processes {
-		if !pr.hasEnded() {
+		if !pr.exited() {
 			_ = pr.Signal(syscall.SIGKILL)
 			pr.Wait(stopTimeout)
 		}
--- a/standin/fleet/fleet_test.go
+++ b/standin/fleet/fleet_test.go
@@ -9,7 +9,7 @@
 )
 
 // Seen as a process that never listened: its two addresses were one.
-func TestNoAddressIsGivenTwice(t *testing.T) {
+func TestFreeAddressesAreUnique(t *testing.T) {
 	given := map[string]bool{}
 	for range 2000 {
 		address, err := FreeAddress()
@@ -19,7 +19,7 @@
 	}
 }
 
-func TestAProgramThatDoesNotListenIsShownWithItsLog(t *testing.T) {
+func TestWaitListeningReportsLogOfFailedProgram(t *testing.T) {
 	folder := t.TempDir()
 	require.NoError(t, os.WriteFile(filepath.Join(folder, "failing"), []byte("#!/bin/sh\necho no address\nexit 1\n"), 0o700))
 	fl := &Fleet{Bin: folder, Dir: folder}
@@ -34,10 +34,10 @@
 
 // Seen as a program that had ended and was reported as running: two channels that
 // are both ready are chosen between at random.
-func TestAProgramThatHasEndedIsNeverTakenForRunning(t *testing.T) {
-	pr := &Process{ended: make(chan struct{})}
+func TestWaitReportsExitWithExpiredTimer(t *testing.T) {
+	pr := &Process{done: make(chan struct{})}
 	require.False(t, pr.Wait(0))
-	close(pr.ended)
+	close(pr.done)
 	for range 10_000 {
 		require.True(t, pr.Wait(0))
 	}
--- a/standin/fleet/process.go
+++ b/standin/fleet/process.go
@@ -17,7 +17,7 @@
 	cmd  *exec.Cmd
 	log  *os.File
 	// ended is closed when the program has ended.
-	ended chan struct{}
+	done chan struct{}
 }
 
 // Signal sends a signal to the program.
@@ -34,16 +34,16 @@
 	ti := time.NewTimer(most)
 	defer ti.Stop()
 	select {
-	case <-pr.ended:
+	case <-pr.done:
 	case <-ti.C:
 	}
-	return pr.hasEnded()
+	return pr.exited()
 }
 
 // hasEnded reports whether the program has ended by now.
-func (pr *Process) hasEnded() bool {
+func (pr *Process) exited() bool {
 	select {
-	case <-pr.ended:
+	case <-pr.done:
 		return true
 	default:
 		return false
@@ -63,7 +63,7 @@
 			_ = co.Close()
 			listens = true
 		}
-		return listens || pr.hasEnded()
+		return listens || pr.exited()
 	})
 	if listens {
 		return nil
@@ -75,16 +75,16 @@
 	if readErr != nil {
 		return errors.Join(err, readErr)
 	}
-	return fmt.Errorf("%s, ended %t: %w: %s", pr.Name, pr.hasEnded(), err, body[max(0, len(body)-logTail):])
+	return fmt.Errorf("%s, ended %t: %w: %s", pr.Name, pr.exited(), err, body[max(0, len(body)-logTailBytes):])
 }
 
 // logTail is how many bytes of a log are shown.
-const logTail = 2000
+const logTailBytes = 2000
 
 // Until waits for a condition; it fails after a bound that only a broken
 // system reaches.
 func WaitUntil(most time.Duration, what string, holds func() bool) error {
-	for end := time.Now().Add(most); time.Now().Before(end); time.Sleep(pollEvery) {
+	for end := time.Now().Add(most); time.Now().Before(end); time.Sleep(pollInterval) {
 		if holds() {
 			return nil
 		}
--- a/standin/fleet/proxy.go
+++ b/standin/fleet/proxy.go
@@ -21,14 +21,14 @@
 // partitions between processes that live on.
 type Proxy struct {
 	listener net.Listener
-	to       string
+	target   string
 
-	mu      sync.Mutex
-	cut     bool
-	trouble Impairment
+	mu          sync.Mutex
+	partitioned bool
+	impairment  Impairment
 	// eased is closed when the trouble changes.
-	eased chan struct{}
-	conns map[net.Conn]bool
+	changed chan struct{}
+	conns   map[net.Conn]bool
 }
 
 // NewCable listens on loopback and forwards to an address.
@@ -37,7 +37,7 @@
 	if err != nil {
 		return nil, eris.Wrap(err, "cable")
 	}
-	ca := &Proxy{listener: li, to: to, conns: map[net.Conn]bool{}, eased: make(chan struct{})}
+	ca := &Proxy{listener: li, target: to, conns: map[net.Conn]bool{}, changed: make(chan struct{})}
 	go ca.serve()
 	return ca, nil
 }
@@ -56,9 +56,9 @@
 func (ca *Proxy) SetImpairment(tr Impairment) {
 	ca.mu.Lock()
 	defer ca.mu.Unlock()
-	ca.trouble = tr
-	close(ca.eased)
-	ca.eased = make(chan struct{})
+	ca.impairment = tr
+	close(ca.changed)
+	ca.changed = make(chan struct{})
 }
 
 // Reset breaks the connections that are open now, by a reset.
@@ -75,10 +75,10 @@
 
 // hinder waits until a part may pass, in the direction from the far end if back is
 // set.
-func (ca *Proxy) hinder(back bool) {
+func (ca *Proxy) waitToForward(back bool) {
 	for {
 		ca.mu.Lock()
-		tr, eased := ca.trouble, ca.eased
+		tr, eased := ca.impairment, ca.changed
 		ca.mu.Unlock()
 		if tr.Stall || tr.StallResponses && back {
 			<-eased
@@ -93,7 +93,7 @@
 func (ca *Proxy) SetPartitioned(cut bool) {
 	ca.mu.Lock()
 	defer ca.mu.Unlock()
-	ca.cut = cut
+	ca.partitioned = cut
 	for co := range ca.conns {
 		if cut {
 			_ = co.Close()
@@ -107,22 +107,22 @@
 		if err != nil {
 			return
 		}
-		far, err := net.Dial("tcp", ca.to)
-		if err != nil || !ca.hold(near, far) {
+		far, err := net.Dial("tcp", ca.target)
+		if err != nil || !ca.track(near, far) {
 			_ = near.Close()
 			continue
 		}
-		go ca.pipe(near, far, true)
-		go ca.pipe(far, near, false)
+		go ca.forward(near, far, true)
+		go ca.forward(far, near, false)
 	}
 }
 
 // hold keeps a pair of connections, so that a cut finds them. It reports
 // whether the cable is whole.
-func (ca *Proxy) hold(near, far net.Conn) bool {
+func (ca *Proxy) track(near, far net.Conn) bool {
 	ca.mu.Lock()
 	defer ca.mu.Unlock()
-	if ca.cut {
+	if ca.partitioned {
 		_ = far.Close()
 		return false
 	}
@@ -130,11 +130,11 @@
 	return true
 }
 
-func (ca *Proxy) pipe(to, from net.Conn, back bool) {
+func (ca *Proxy) forward(to, from net.Conn, back bool) {
 	buf := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buf)
-		ca.hinder(back)
+		ca.waitToForward(back)
 		if _, werr := to.Write(buf[:n]); err != nil || werr != nil {
 			break
 		}
--- a/standin/keyvalue/keyvalue.go
+++ b/standin/keyvalue/keyvalue.go
@@ -27,7 +27,7 @@
 }
 
 // list is the answer to a range or a watch.
-type list struct {
+type rangeResponse struct {
 	Items  []Item `json:"items"`
 	Events []Item `json:"events"`
 	At     uint64 `json:"timestamp"`
@@ -77,11 +77,11 @@
 	// calls counts the calls.
 	calls int
 	// dropped is the newest revision whose history is gone.
-	dropped uint64
+	compactedAt uint64
 	// withheld is the revision up to which is told while Withhold holds.
-	withheld uint64
-	changed  chan struct{}
-	faults   Faults
+	withheldAfter uint64
+	changed       chan struct{}
+	faults        Faults
 	// leases holds the timers of the leases in force.
 	leases    map[int64]*time.Timer
 	lastLease int64
@@ -148,7 +148,7 @@
 func (st *Store) Compact() {
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	st.dropped, st.events = st.revision, nil
+	st.compactedAt, st.events = st.revision, nil
 }
 
 // SetFaults replaces the faults.
@@ -156,10 +156,10 @@
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	if fa.WithholdEvents && !st.faults.WithholdEvents {
-		st.withheld = st.revision
+		st.withheldAfter = st.revision
 	}
 	st.faults = fa
-	st.wake()
+	st.notify()
 }
 
 // EndLeases ends all leases, and with them their keys.
@@ -167,7 +167,7 @@
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	for le := range st.leases {
-		st.endLease(le)
+		st.revokeLease(le)
 	}
 }
 
@@ -181,15 +181,15 @@
 		st.items[it.Key] = it
 	}
 	st.events = append(st.events, it)
-	st.wake()
+	st.notify()
 }
 
-func (st *Store) wake() {
+func (st *Store) notify() {
 	close(st.changed)
 	st.changed = make(chan struct{})
 }
 
-func (st *Store) endLease(le int64) {
+func (st *Store) revokeLease(le int64) {
 	delete(st.leases, le)
 	for key, it := range st.items {
 		if it.Lease == le {
@@ -203,25 +203,25 @@
 	st.mu.Lock()
 	fa := st.faults
 	st.calls++
-	nameEra(w, fa.Era, st.era)
+	setEraHeader(w, fa.Era, st.era)
 	st.mu.Unlock()
 	time.Sleep(fa.Delay)
-	if st.fail(fa, w, r) {
+	if st.serveFault(fa, w, r) {
 		return
 	}
 	if id, ok := strings.CutPrefix(r.URL.Path, "/api/kv-keep/"); ok {
-		st.renew(w, id)
+		st.renewLease(w, id)
 		return
 	}
 	switch r.URL.Path {
 	case "/api/kv-lease":
-		st.lease(w, r)
+		st.grantLease(w, r)
 	case "/api/kv-range":
-		st.scan(w, r)
+		st.serveRange(w, r)
 	case "/api/kv-watch":
-		st.watch(w, r)
+		st.serveWatch(w, r)
 	case "/api/kv-txn":
-		st.commit(w, r)
+		st.serveTransaction(w, r)
 	default:
 		w.WriteHeader(http.StatusNotFound)
 	}
@@ -229,7 +229,7 @@
 
 // fail answers a call while the service fails, or not at all. It reports whether the
 // service does.
-func (st *Store) fail(fa Faults, w http.ResponseWriter, r *http.Request) bool {
+func (st *Store) serveFault(fa Faults, w http.ResponseWriter, r *http.Request) bool {
 	switch {
 	case fa.Hang:
 		st.hang(r)
@@ -257,7 +257,7 @@
 	}
 }
 
-func (st *Store) lease(w http.ResponseWriter, r *http.Request) {
+func (st *Store) grantLease(w http.ResponseWriter, r *http.Request) {
 	var term struct {
 		TTLMS int64 `json:"ttl_ms"`
 	}
@@ -272,15 +272,15 @@
 	st.leases[le] = time.AfterFunc(time.Duration(term.TTLMS)*time.Millisecond, func() {
 		st.mu.Lock()
 		defer st.mu.Unlock()
-		st.endLease(le)
+		st.revokeLease(le)
 	})
 	_, _ = fmt.Fprintf(w, `{"lease":%d,"ttl_ms":%d}`, le, term.TTLMS)
 }
 
 // renewal is how long a renewed lease goes on.
-const renewal = 30 * time.Second
+const renewedTTL = 30 * time.Second
 
-func (st *Store) renew(w http.ResponseWriter, id string) {
+func (st *Store) renewLease(w http.ResponseWriter, id string) {
 	le, _ := strconv.ParseInt(id, 10, 64)
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -289,15 +289,15 @@
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
-	ti.Reset(renewal)
+	ti.Reset(renewedTTL)
 	_, _ = io.WriteString(w, `{"ttl_ms":30000}`)
 }
 
-func (st *Store) scan(w http.ResponseWriter, r *http.Request) {
+func (st *Store) serveRange(w http.ResponseWriter, r *http.Request) {
 	prefix := r.URL.Query().Get("path_prefix")
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	li := list{At: st.revision}
+	li := rangeResponse{At: st.revision}
 	for _, it := range st.items {
 		if strings.HasPrefix(it.Key, prefix) {
 			li.Items = append(li.Items, it)
@@ -307,7 +307,7 @@
 }
 
 // since returns what a watch has to tell, and when there may be more.
-func (st *Store) since(after uint64) (li list, fa Faults, gone bool, changed chan struct{}) {
+func (st *Store) eventsSince(after uint64) (li rangeResponse, fa Faults, gone bool, changed chan struct{}) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	li.era = st.era
@@ -316,17 +316,17 @@
 	}
 	li.At = st.revision
 	if st.faults.WithholdEvents {
-		li.At = st.withheld
+		li.At = st.withheldAfter
 	}
 	for _, it := range st.events {
 		if it.Revision > after && it.Revision <= li.At {
 			li.Events = append(li.Events, it)
 		}
 	}
-	return li, st.faults, after < st.dropped, st.changed
+	return li, st.faults, after < st.compactedAt, st.changed
 }
 
-func (st *Store) watch(w http.ResponseWriter, r *http.Request) {
+func (st *Store) serveWatch(w http.ResponseWriter, r *http.Request) {
 	after, _ := strconv.ParseUint(r.URL.Query().Get("since_revision"), 10, 64)
 	wait, _ := strconv.Atoi(r.URL.Query().Get("wait_ms"))
 	st.mu.Lock()
@@ -335,11 +335,11 @@
 	over := time.NewTimer(time.Duration(wait) * time.Millisecond)
 	defer over.Stop()
 	for waiting := true; ; {
-		li, fa, gone, changed := st.since(after)
+		li, fa, gone, changed := st.eventsSince(after)
 		switch {
 		case li.era != era:
 			panic(http.ErrAbortHandler) // the service was restored meanwhile
-		case st.fail(fa, w, r):
+		case st.serveFault(fa, w, r):
 			return
 		case gone:
 			w.WriteHeader(http.StatusGone)
@@ -358,7 +358,7 @@
 	}
 }
 
-func (st *Store) commit(w http.ResponseWriter, r *http.Request) {
+func (st *Store) serveTransaction(w http.ResponseWriter, r *http.Request) {
 	var tx transaction
 	if err := json.NewDecoder(r.Body).Decode(&tx); err != nil {
 		w.WriteHeader(http.StatusBadRequest)
--- a/standin/keyvalue/keyvalue_test.go
+++ b/standin/keyvalue/keyvalue_test.go
@@ -12,7 +12,7 @@
 
 // Seen as a soak that never ended: a call with a body was held after its client had
 // gone, since a server notices that only once the body is read.
-func TestACallThatIsHeldEndsWithTheFault(t *testing.T) {
+func TestHungCallEndsWithFault(t *testing.T) {
 	st := New()
 	st.SetFaults(Faults{Hang: true})
 	hs := httptest.NewServer(st)
@@ -32,7 +32,7 @@
 	}
 }
 
-func TestALeaseThatEndsTakesItsKeysWithIt(t *testing.T) {
+func TestExpiredLeaseDeletesItsKeys(t *testing.T) {
 	st := New()
 	hs := httptest.NewServer(st)
 	defer hs.Close()
@@ -53,7 +53,7 @@
 	require.Equal(t, http.StatusNotFound, post("/api/kv-txn", write))
 }
 
-func TestRestoreGoesBackToTheCopy(t *testing.T) {
+func TestRestoreRevertsToSnapshot(t *testing.T) {
 	st := New()
 	hs := httptest.NewServer(st)
 	defer hs.Close()
--- a/standin/keyvalue/snapshot.go
+++ b/standin/keyvalue/snapshot.go
@@ -9,11 +9,11 @@
 
 // Copy is what the service held at some moment.
 type Snapshot struct {
-	items    map[string]Item
-	events   []Item
-	revision uint64
-	dropped  uint64
-	leases   map[int64]bool
+	items       map[string]Item
+	events      []Item
+	revision    uint64
+	compactedAt uint64
+	leases      map[int64]bool
 }
 
 // Copy returns a copy of what the service holds.
@@ -25,7 +25,7 @@
 		leases[le] = true
 	}
 	return Snapshot{
-		items: maps.Clone(st.items), events: slices.Clone(st.events), revision: st.revision, dropped: st.dropped, leases: leases,
+		items: maps.Clone(st.items), events: slices.Clone(st.events), revision: st.revision, compactedAt: st.compactedAt, leases: leases,
 	}
 }
 
@@ -34,7 +34,7 @@
 func (st *Store) Restore(co Snapshot) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	st.items, st.events, st.revision, st.dropped = maps.Clone(co.items), slices.Clone(co.events), co.revision, co.dropped
+	st.items, st.events, st.revision, st.compactedAt = maps.Clone(co.items), slices.Clone(co.events), co.revision, co.compactedAt
 	for le, ti := range st.leases {
 		if !co.leases[le] {
 			ti.Stop()
@@ -47,11 +47,11 @@
 		}
 	}
 	st.era++
-	st.wake()
+	st.notify()
 }
 
 // nameEra sets the header that names the era.
-func nameEra(w http.ResponseWriter, text string, era uint64) {
+func setEraHeader(w http.ResponseWriter, text string, era uint64) {
 	switch text {
 	case "":
 		w.Header().Set("Store-Era", strconv.FormatUint(era, 10))
--- a/standin/soak/check.go
+++ b/standin/soak/check.go
@@ -55,7 +55,7 @@
 	status        int
 	body          string
 	// broken is set if the answer did not end well or none came.
-	broken bool
+	incomplete bool
 	// poison is set for copies of a request under which servers end.
 	poison bool
 }
@@ -65,42 +65,42 @@
 	revokeBound = 5 * time.Second
 	drainBound  = 2 * time.Second
 	// deadline is how long callers wait.
-	deadline = 1500 * time.Millisecond
+	requestDeadline = 1500 * time.Millisecond
 	// slack is added to each bound: processes share a machine with their callers.
-	slack = 500 * time.Millisecond
+	timingSlack = 500 * time.Millisecond
 	// touch is how long nothing must have struck a gateway for it to be bound by what
 	// has a time.
-	touch = 3 * time.Second
+	settleTime = 3 * time.Second
 	// recoverWithin is the time after the last fault from which requests are served,
 	// recoverPart the part of them that must be.
-	recoverWithin = 3 * time.Second
-	recoverPart   = 0.9
+	recoverWithin   = 3 * time.Second
+	recoverFraction = 0.9
 	// mostEnds is how many servers may end under a request, and tellWithin how long after the
 	// third of them more may.
-	mostEnds   = 3
-	tellWithin = 3 * time.Second
+	maxServerEnds = 3
+	blockWithin   = 3 * time.Second
 )
 
 // record is everything that a run has seen.
-type record struct {
-	plan     Plan
-	began    time.Time
-	outcomes []outcome
-	ran      *ledger
+type history struct {
+	plan       Plan
+	start      time.Time
+	outcomes   []outcome
+	executions *executionLog
 	// poisoned holds the copies of a request under which servers end.
 	poisoned []outcome
 	// revoked and drained hold when keys were taken away and servers began to leave.
-	revoked, drained map[string]time.Time
+	revokedAt, drainedAt map[string]time.Time
 }
 
 // check returns the promises that were broken.
-func (re *record) check() []Violation {
+func (re *history) check() []Violation {
 	var list []Violation
 	add := func(pr Guarantee, ou outcome, detail string, args ...any) {
 		list = append(list, Violation{pr, ou.id, fmt.Sprintf(detail, args...)})
 	}
 	for _, ou := range re.outcomes {
-		runs := re.ran.of(ou.id)
+		runs := re.executions.executionsOf(ou.id)
 		if strings.HasPrefix(ou.path, "/unsafe/") && len(runs) > 1 {
 			add(AtMostOnce, ou, "ran %d times", len(runs))
 		}
@@ -108,49 +108,49 @@
 		if refused && len(runs) > 0 {
 			add(RefusedNotExecuted, ou, "answered %d, ran on %s", ou.status, runs[0].server)
 		}
-		if ou.status == http.StatusOK && !ou.broken && ou.body != ou.wanted() {
+		if ou.status == http.StatusOK && !ou.incomplete && ou.body != ou.expectedBody() {
 			add(ResponseIntegrity, ou, "got %q", ou.body)
 		}
-		if at, ok := re.revoked[ou.key]; ok && ou.sent.Sub(at) > revokeBound && len(runs) > 0 {
+		if at, ok := re.revokedAt[ou.key]; ok && ou.sent.Sub(at) > revokeBound && len(runs) > 0 {
 			add(RevokedKey, ou, "ran %s after its key was taken away", runs[0].at.Sub(at))
 		}
-		if re.calm(ou.gateway, ou.sent, ou.sent.Add(deadline)) && ou.done.Sub(ou.sent) > deadline+slack {
+		if re.undisturbed(ou.gateway, ou.sent, ou.sent.Add(requestDeadline)) && ou.done.Sub(ou.sent) > requestDeadline+timingSlack {
 			add(DeadlineMet, ou, "answered after %s", ou.done.Sub(ou.sent))
 		}
-		list = append(list, re.checkServers(ou, runs)...)
-		if detail, cut := re.cutByStop(ou, runs); cut {
+		list = append(list, re.checkDraining(ou, runs)...)
+		if detail, cut := re.truncatedByShutdown(ou, runs); cut {
 			add(GracefulShutdown, ou, "%s", detail)
 		}
 	}
-	list = append(list, re.checkEnds()...)
-	list = append(list, re.checkAnnounced()...)
+	list = append(list, re.checkPoison()...)
+	list = append(list, re.checkAnnouncedShutdowns()...)
 	list = append(list, re.checkPauses()...)
 	return append(list, re.checkRecovery()...)
 }
 
 // checkEnds looks at the copies of a request under which servers end, of those at gateways that
 // nothing had struck for a while.
-func (re *record) checkEnds() []Violation {
-	var ends []run
+func (re *history) checkPoison() []Violation {
+	var ends []execution
 	late := 0
 	var last outcome
 	for _, ou := range re.poisoned {
-		for _, ru := range re.ran.of(ou.id) {
+		for _, ru := range re.executions.executionsOf(ou.id) {
 			ends = append(ends, ru)
-			if len(ends) > mostEnds && ru.at.Sub(ends[mostEnds-1].at) > tellWithin && re.calm(ou.gateway, ou.sent, ru.at) {
+			if len(ends) > maxServerEnds && ru.at.Sub(ends[maxServerEnds-1].at) > blockWithin && re.undisturbed(ou.gateway, ou.sent, ru.at) {
 				late++
 				last = ou
 			}
 		}
 	}
-	if late <= mostEnds {
+	if late <= maxServerEnds {
 		return nil
 	}
 	return []Violation{{PoisonContained, last.id, fmt.Sprintf("%d servers ended, %d of them late", len(ends), late)}}
 }
 
 // wanted returns the whole answer.
-func (ou outcome) wanted() string {
+func (ou outcome) expectedBody() string {
 	if !strings.HasPrefix(ou.path, "/stream/") {
 		return plainBody(ou.id)
 	}
@@ -162,7 +162,7 @@
 }
 
 // strikes reports whether a fault concerns a gateway's view of the world.
-func (fa Fault) strikes(gateway int) bool {
+func (fa Fault) affectsGateway(gateway int) bool {
 	switch {
 	case slices.Contains(gatewayKinds, fa.Kind):
 		return fa.Target == gateway
@@ -174,21 +174,21 @@
 
 // calm reports whether nothing struck a gateway from a while before a span to its
 // end.
-func (re *record) calm(gateway int, from, until time.Time) bool {
+func (re *history) undisturbed(gateway int, from, until time.Time) bool {
 	return !slices.ContainsFunc(re.plan.Faults, func(fa Fault) bool {
-		return fa.strikes(gateway) && re.overlaps(fa, from.Add(-touch), until)
+		return fa.affectsGateway(gateway) && re.overlaps(fa, from.Add(-settleTime), until)
 	})
 }
 
-func (re *record) overlaps(fa Fault, from, until time.Time) bool {
-	return re.began.Add(fa.Start).Before(until) && re.began.Add(fa.End).Add(restartTime).After(from)
+func (re *history) overlaps(fa Fault, from, until time.Time) bool {
+	return re.start.Add(fa.Start).Before(until) && re.start.Add(fa.End).Add(restartTime).After(from)
 }
 
-func (re *record) checkServers(ou outcome, runs []run) []Violation {
+func (re *history) checkDraining(ou outcome, runs []execution) []Violation {
 	var list []Violation
 	for _, ru := range runs {
-		at, leaving := re.drained[ru.server]
-		if leaving && ou.sent.Sub(at) > drainBound && re.calm(ou.gateway, at, ru.at) {
+		at, leaving := re.drainedAt[ru.server]
+		if leaving && ou.sent.Sub(at) > drainBound && re.undisturbed(ou.gateway, at, ru.at) {
 			list = append(list, Violation{DrainingServer, ou.id, fmt.Sprintf("reached %s %s after it began to leave", ru.server, ru.at.Sub(at))})
 		}
 	}
@@ -197,8 +197,8 @@
 
 // cutByStop reports whether a request that a server was at work on was cut beside a
 // planned stop and nothing else.
-func (re *record) cutByStop(ou outcome, runs []run) (detail string, cut bool) {
-	if !ou.broken || len(runs) == 0 {
+func (re *history) truncatedByShutdown(ou outcome, runs []execution) (detail string, cut bool) {
+	if !ou.incomplete || len(runs) == 0 {
 		return "", false
 	}
 	stopped := false
@@ -206,7 +206,7 @@
 		if !re.overlaps(fa, ou.sent, ou.done) {
 			continue
 		}
-		if fa.Kind != Stop && (fa.strikes(ou.gateway) || slices.Contains(serverKinds, fa.Kind)) {
+		if fa.Kind != Stop && (fa.affectsGateway(ou.gateway) || slices.Contains(serverKinds, fa.Kind)) {
 			return "", false
 		}
 		stopped = stopped || fa.Kind == Stop && fa.Target == ou.gateway
@@ -215,22 +215,22 @@
 }
 
 // checkRecovery looks at the end of the run, when nothing fails any more.
-func (re *record) checkRecovery() []Violation {
-	from := re.began.Add(re.plan.FaultsEnd + recoverWithin)
+func (re *history) checkRecovery() []Violation {
+	from := re.start.Add(re.plan.FaultsEnd + recoverWithin)
 	asked, served := 0, 0
 	var last outcome
 	for _, ou := range re.outcomes {
-		if ou.sent.Before(from) || !re.revoked[ou.key].IsZero() {
+		if ou.sent.Before(from) || !re.revokedAt[ou.key].IsZero() {
 			continue
 		}
 		asked++
-		if ou.status == http.StatusOK && !ou.broken {
+		if ou.status == http.StatusOK && !ou.incomplete {
 			served++
 		} else {
 			last = ou
 		}
 	}
-	if asked > 0 && float64(served) >= recoverPart*float64(asked) {
+	if asked > 0 && float64(served) >= recoverFraction*float64(asked) {
 		return nil
 	}
 	return []Violation{{Recovery, last.id, fmt.Sprintf("%d of %d served at the end", served, asked)}}
--- a/standin/soak/reports.go
+++ b/standin/soak/reports.go
@@ -9,19 +9,19 @@
 const (
 	// pauseSlack is how long after a server asked for a pause requests may still reach it,
 	// mostInPause how many may later.
-	pauseSlack  = 500 * time.Millisecond
-	mostInPause = 2
+	pauseSlack     = 500 * time.Millisecond
+	maxDuringPause = 2
 )
 
 // way is one gateway's way to one server.
-type way struct {
+type gatewayServer struct {
 	gateway int
 	server  string
 }
 
 // steady reports whether a gateway's process kept running for a span: one that was replaced or stopped
 // for a while is excused.
-func (re *record) steady(gateway int, from, until time.Time) bool {
+func (re *history) uninterrupted(gateway int, from, until time.Time) bool {
 	for _, fa := range re.plan.Faults {
 		switch fa.Kind {
 		case Kill, Stop, Pause:
@@ -35,11 +35,11 @@
 
 // checkAnnounced looks for requests that reached a server through a gateway which had delivered its
 // announcement.
-func (re *record) checkAnnounced() []Violation {
-	told := map[way]time.Time{}
+func (re *history) checkAnnouncedShutdowns() []Violation {
+	told := map[gatewayServer]time.Time{}
 	for _, ou := range re.outcomes {
-		for _, ru := range re.ran.of(ou.id) {
-			wa := way{ou.gateway, ru.server}
+		for _, ru := range re.executions.executionsOf(ou.id) {
+			wa := gatewayServer{ou.gateway, ru.server}
 			if at := told[wa]; ru.announced && ou.status == http.StatusOK && (at.IsZero() || ou.done.Before(at)) {
 				told[wa] = ou.done
 			}
@@ -47,9 +47,9 @@
 	}
 	var list []Violation
 	for _, ou := range re.outcomes {
-		for _, ru := range re.ran.of(ou.id) {
-			at, ok := told[way{ou.gateway, ru.server}]
-			if ok && ou.sent.Sub(at) > drainBound && re.steady(ou.gateway, at, ru.at) {
+		for _, ru := range re.executions.executionsOf(ou.id) {
+			at, ok := told[gatewayServer{ou.gateway, ru.server}]
+			if ok && ou.sent.Sub(at) > drainBound && re.uninterrupted(ou.gateway, at, ru.at) {
 				list = append(list, Violation{DrainingServer, ou.id, fmt.Sprintf("reached %s %s after its announcement", ru.server, ou.sent.Sub(at))})
 			}
 		}
@@ -58,28 +58,28 @@
 }
 
 // checkPauses looks for requests that reached a server in a pause that it had asked their gateway for.
-func (re *record) checkPauses() []Violation {
-	arrivals := map[way][]time.Time{}
+func (re *history) checkPauses() []Violation {
+	arrivals := map[gatewayServer][]time.Time{}
 	for _, ou := range re.outcomes {
-		for _, ru := range re.ran.shedOf(ou.id) {
-			wa := way{ou.gateway, ru.server}
+		for _, ru := range re.executions.rejectionsOf(ou.id) {
+			wa := gatewayServer{ou.gateway, ru.server}
 			arrivals[wa] = append(arrivals[wa], ru.at)
 		}
-		for _, ru := range re.ran.of(ou.id) {
-			wa := way{ou.gateway, ru.server}
+		for _, ru := range re.executions.executionsOf(ou.id) {
+			wa := gatewayServer{ou.gateway, ru.server}
 			arrivals[wa] = append(arrivals[wa], ru.at)
 		}
 	}
 	var list []Violation
 	for _, ou := range re.outcomes {
-		for _, ru := range re.ran.shedOf(ou.id) {
-			n, from, until := 0, ru.at.Add(pauseSlack), ru.at.Add(askedPause)
-			for _, at := range arrivals[way{ou.gateway, ru.server}] {
+		for _, ru := range re.executions.rejectionsOf(ou.id) {
+			n, from, until := 0, ru.at.Add(pauseSlack), ru.at.Add(retryAfter)
+			for _, at := range arrivals[gatewayServer{ou.gateway, ru.server}] {
 				if at.After(from) && at.Before(until) {
 					n++
 				}
 			}
-			if n > mostInPause && re.calm(ou.gateway, ru.at, until) {
+			if n > maxDuringPause && re.undisturbed(ou.gateway, ru.at, until) {
 				list = append(list, Violation{RetryAfterHonoured, ou.id, fmt.Sprintf("%s got %d requests in its pause", ru.server, n)})
 			}
 		}
--- a/standin/soak/restore.go
+++ b/standin/soak/restore.go
@@ -12,28 +12,28 @@
 const lostWrites = 40
 
 // longestRewrite bounds the time after which what a restored service has lost is written again.
-const longestRewrite = time.Second
+const maxRewriteDelay = time.Second
 
 // restore lets the key-value service go back to what it holds at the start of a fault, and lets
 // operators and servers write again what they had written since.
-func (py *play) restore(fa Fault) {
+func (py *soakRun) restoreStore(fa Fault) {
 	co, copied := py.store.Snapshot(), time.Now()
 	for i := range lostWrites {
 		py.store.Set(fmt.Sprint("other/", i), i)
 	}
-	py.last(fa)
+	py.waitForEnd(fa)
 	py.store.Restore(co)
-	time.Sleep(rand.N(longestRewrite))
+	time.Sleep(rand.N(maxRewriteDelay))
 	py.mu.Lock()
 	defer py.mu.Unlock()
-	py.writeConfiguration()
-	py.rewriteServers()
-	renew(py.rec.revoked, copied)
-	renew(py.rec.drained, copied)
+	py.writeConfig()
+	py.rewriteServerEntries()
+	resetTimes(py.history.revokedAt, copied)
+	resetTimes(py.history.drainedAt, copied)
 }
 
 // rewriteServers writes the entries of all servers as they are; the lock is held.
-func (py *play) rewriteServers() {
+func (py *soakRun) rewriteServerEntries() {
 	listed := map[string]bool{}
 	for _, se := range py.servers {
 		if !se.unlisted.Load() {
@@ -49,7 +49,7 @@
 }
 
 // renew takes what was written since a copy as written now.
-func renew(written map[string]time.Time, copied time.Time) {
+func resetTimes(written map[string]time.Time, copied time.Time) {
 	for name, at := range written {
 		if at.After(copied) {
 			written[name] = time.Now()
--- a/standin/soak/schedule.go
+++ b/standin/soak/schedule.go
@@ -99,12 +99,12 @@
 
 const (
 	// warmUp is the time before the first fault, calmFor that after the last.
-	warmUp  = time.Second
-	calmFor = 5 * time.Second
+	warmUp        = time.Second
+	faultFreeTail = 5 * time.Second
 	// longestFault bounds a fault.
-	longestFault = 4 * time.Second
+	maxFaultDuration = 4 * time.Second
 	// gap is the usual time between the starts of two faults: they overlap.
-	gap = 450 * time.Millisecond
+	meanFaultInterval = 450 * time.Millisecond
 )
 
 // WithPoison adds a request under which servers end, drawn apart, so that all other faults of
@@ -118,16 +118,16 @@
 }
 
 // reportFaults is how many faults WithReports adds of each kind.
-const reportFaults = 2
+const reportFaultsPerKind = 2
 
 // WithReports adds servers that report their shutdown or a pause in their answers, drawn apart.
 func (pl Plan) WithReports() Plan {
 	rn := rand.New(rand.NewPCG(pl.Seed, pl.Seed+2))
 	pl.Faults = slices.Clone(pl.Faults)
-	for range reportFaults {
+	for range reportFaultsPerKind {
 		for _, ki := range []FaultKind{ServerAnnouncesShutdown, ServerShedsLoad} {
 			from := warmUp + time.Duration(rn.Int64N(int64(pl.FaultsEnd-warmUp)))
-			until := min(pl.FaultsEnd, from+time.Duration(rn.Int64N(int64(longestFault))))
+			until := min(pl.FaultsEnd, from+time.Duration(rn.Int64N(int64(maxFaultDuration))))
 			pl.Faults = append(pl.Faults, Fault{Kind: ki, Target: rn.IntN(pl.Servers), Start: from, End: until})
 		}
 	}
@@ -136,19 +136,19 @@
 }
 
 // restores is how often WithRestores lets the service go back.
-const restores = 3
+const restoreCount = 3
 
 // WithRestores lets the key-value service go back to a copy some seconds old, drawn apart. Soon
 // after each of them a server leaves and a key is revoked.
 func (pl Plan) WithRestores() Plan {
 	rn := rand.New(rand.NewPCG(pl.Seed, pl.Seed+3))
 	pl.Faults = slices.Clone(pl.Faults)
-	for range restores {
+	for range restoreCount {
 		from := warmUp + time.Duration(rn.Int64N(int64(pl.FaultsEnd-warmUp)))
-		until := min(pl.FaultsEnd, from+time.Duration(rn.Int64N(int64(longestFault))))
+		until := min(pl.FaultsEnd, from+time.Duration(rn.Int64N(int64(maxFaultDuration))))
 		pl.Faults = append(pl.Faults, Fault{Kind: StoreRestore, Start: from, End: until})
 		for _, ki := range []FaultKind{ServerDrain, KeyRevocation} {
-			at := until + time.Duration(rn.Int64N(int64(longestRewrite)))
+			at := until + time.Duration(rn.Int64N(int64(maxRewriteDelay)))
 			pl.Faults = append(pl.Faults, Fault{Kind: ki, Target: rn.IntN(pl.Servers), Start: at, End: at})
 		}
 	}
@@ -160,9 +160,9 @@
 func GeneratePlan(seed uint64, gateways, servers int, trouble time.Duration) Plan {
 	rn := rand.New(rand.NewPCG(seed, seed))
 	pl := Plan{Seed: seed, Gateways: gateways, Servers: servers, FaultsEnd: warmUp + trouble}
-	pl.End = pl.FaultsEnd + calmFor
-	for at := warmUp; at < pl.FaultsEnd; at += time.Duration(rn.ExpFloat64() * float64(gap)) {
-		fa := Fault{Start: at, End: min(pl.FaultsEnd, at+time.Duration(rn.Int64N(int64(longestFault))))}
+	pl.End = pl.FaultsEnd + faultFreeTail
+	for at := warmUp; at < pl.FaultsEnd; at += time.Duration(rn.ExpFloat64() * float64(meanFaultInterval)) {
+		fa := Fault{Start: at, End: min(pl.FaultsEnd, at+time.Duration(rn.Int64N(int64(maxFaultDuration))))}
 		switch part := rn.IntN(10); {
 		case part < 4:
 			fa.Kind, fa.Target = gatewayKinds[rn.IntN(len(gatewayKinds))], rn.IntN(gateways)
--- a/standin/soak/soak.go
+++ b/standin/soak/soak.go
@@ -53,49 +53,49 @@
 	// restartTime is how long a process may take to be back after its end.
 	restartTime = time.Second
 	// lapse is how long the entry of a crashed server stays.
-	lapse = 1500 * time.Millisecond
+	crashedEntryTTL = 1500 * time.Millisecond
 	// stopGrace is the time that the settings give a planned stop.
-	stopGrace = 3 * time.Second
+	gracePeriod = 3 * time.Second
 )
 
 // member is one gateway's process and the ways to it and from it.
-type member struct {
-	settings         string
-	address          string
-	callers, toStore *fleet.Proxy
-	process          *fleet.Process
+type gateway struct {
+	settingsPath            string
+	address                 string
+	clientProxy, storeProxy *fleet.Proxy
+	process                 *fleet.Process
 	// restarting is held while the process is being replaced.
-	restarting sync.Mutex
+	restartMu sync.Mutex
 }
 
 // play is one run.
-type play struct {
-	so    *Runner
-	plan  Plan
-	fleet *fleet.Fleet
-	store *keyvalue.Store
+type soakRun struct {
+	runner *Runner
+	plan   Plan
+	fleet  *fleet.Fleet
+	store  *keyvalue.Store
 	// serving answers the calls to the store.
-	serving *httptest.Server
-	rec     *record
+	storeServer *httptest.Server
+	history     *history
 
-	members []*member
+	gateways []*gateway
 	// mu guards what follows.
-	mu      sync.Mutex
-	servers []*server
-	started int
-	version int
-	keys    []string
-	outages map[FaultKind]int
-	faults  sync.WaitGroup
+	mu             sync.Mutex
+	servers        []*server
+	serversStarted int
+	configVersion  int
+	keys           []string
+	storeFaults    map[FaultKind]int
+	injections     sync.WaitGroup
 }
 
 // Run plays a plan and returns the promises that were broken. Settings and logs
 // stay in the folder.
 func (so *Runner) Run(ctx context.Context, pl Plan) ([]Violation, error) {
-	py := &play{
-		so: so, plan: pl, store: keyvalue.New(), fleet: &fleet.Fleet{Bin: so.Bin, Dir: so.Dir},
-		keys: []string{"key-1", "key-2"}, outages: map[FaultKind]int{},
-		rec: &record{plan: pl, ran: &ledger{runs: map[string][]run{}, shed: map[string][]run{}}, revoked: map[string]time.Time{}, drained: map[string]time.Time{}},
+	py := &soakRun{
+		runner: so, plan: pl, store: keyvalue.New(), fleet: &fleet.Fleet{Bin: so.Bin, Dir: so.Dir},
+		keys: []string{"key-1", "key-2"}, storeFaults: map[FaultKind]int{},
+		history: &history{plan: pl, executions: &executionLog{executed: map[string][]execution{}, rejected: map[string][]execution{}}, revokedAt: map[string]time.Time{}, drainedAt: map[string]time.Time{}},
 	}
 	err := py.start()
 	defer py.close()
@@ -104,26 +104,26 @@
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	py.rec.began = time.Now()
+	py.history.start = time.Now()
 	var callers sync.WaitGroup
 	for i := range so.Callers {
-		callers.Go(func() { py.call(ctx, i) })
+		callers.Go(func() { py.runCaller(ctx, i) })
 	}
 	for _, fa := range pl.Faults {
-		time.Sleep(time.Until(py.rec.began.Add(fa.Start)))
-		py.faults.Go(func() { py.strike(fa) })
+		time.Sleep(time.Until(py.history.start.Add(fa.Start)))
+		py.injections.Go(func() { py.inject(fa) })
 	}
-	time.Sleep(time.Until(py.rec.began.Add(pl.End)))
+	time.Sleep(time.Until(py.history.start.Add(pl.End)))
 	cancel()
 	callers.Wait()
-	py.faults.Wait()
-	return py.rec.check(), nil
+	py.injections.Wait()
+	return py.history.check(), nil
 }
 
-func (py *play) start() error {
-	py.serving = httptest.NewServer(py.store)
-	address := strings.TrimPrefix(py.serving.URL, "http://")
-	py.configure()
+func (py *soakRun) start() error {
+	py.storeServer = httptest.NewServer(py.store)
+	address := strings.TrimPrefix(py.storeServer.URL, "http://")
+	py.publishConfig()
 	for range py.plan.Servers {
 		if err := py.addServer(); err != nil {
 			return err
@@ -137,8 +137,8 @@
 	return nil
 }
 
-func (py *play) addGateway(i int, store string) error {
-	me := &member{}
+func (py *soakRun) addGateway(i int, store string) error {
+	me := &gateway{}
 	var err error
 	if me.address, err = fleet.FreeAddress(); err != nil {
 		return err
@@ -151,24 +151,24 @@
 	if err != nil {
 		return err
 	}
-	if me.callers, err = fleet.NewProxy(me.address); err != nil {
+	if me.clientProxy, err = fleet.NewProxy(me.address); err != nil {
 		return err
 	}
-	if me.toStore, err = fleet.NewProxy(store); err != nil {
+	if me.storeProxy, err = fleet.NewProxy(store); err != nil {
 		return err
 	}
 	host, port, _ := strings.Cut(relay, ":")
-	me.settings = filepath.Join(py.so.Dir, fmt.Sprintf("gateway-%d.toml", i))
-	text := fmt.Sprintf(settingsText, i, host, port, port, me.address, ready, stopGrace.Seconds(), revokeBound.Milliseconds(), me.toStore.Address())
-	if err := os.WriteFile(me.settings, []byte(text), 0o600); err != nil {
+	me.settingsPath = filepath.Join(py.runner.Dir, fmt.Sprintf("gateway-%d.toml", i))
+	text := fmt.Sprintf(settingsTemplate, i, host, port, port, me.address, ready, gracePeriod.Seconds(), revokeBound.Milliseconds(), me.storeProxy.Address())
+	if err := os.WriteFile(me.settingsPath, []byte(text), 0o600); err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
-	py.members = append(py.members, me)
-	return py.launch(i)
+	py.gateways = append(py.gateways, me)
+	return py.startGateway(i)
 }
 
 // settingsText is a gateway's settings file.
-const settingsText = `
+const settingsTemplate = `
 node_name = "front-%d"
 zone = "z1"
 ip = "%s"
@@ -190,9 +190,9 @@
 
 // launch starts a gateway's process and waits until it serves. One that is being
 // stopped leaves its port in use for a moment.
-func (py *play) launch(i int) error {
-	me := py.members[i]
-	pr, err := py.fleet.Start(fmt.Sprintf("gateway-%d", i), "linnetrudder", "gateway", "--settings", me.settings)
+func (py *soakRun) startGateway(i int) error {
+	me := py.gateways[i]
+	pr, err := py.fleet.Start(fmt.Sprintf("gateway-%d", i), "linnetrudder", "gateway", "--settings", me.settingsPath)
 	if err != nil {
 		return err
 	}
@@ -201,20 +201,20 @@
 }
 
 // close ends everything that the run has started.
-func (py *play) close() {
-	for _, me := range py.members {
+func (py *soakRun) close() {
+	for _, me := range py.gateways {
 		if me.process == nil {
 			continue // it did not start
 		}
 		_ = me.process.Signal(syscall.SIGCONT)
 		_ = me.process.Signal(syscall.SIGKILL)
 		me.process.Wait(restartTime)
-		me.callers.Close()
-		me.toStore.Close()
+		me.clientProxy.Close()
+		me.storeProxy.Close()
 	}
 	py.store.SetFaults(keyvalue.Faults{})
-	py.serving.CloseClientConnections()
-	py.serving.Close()
+	py.storeServer.CloseClientConnections()
+	py.storeServer.Close()
 	py.mu.Lock()
 	defer py.mu.Unlock()
 	for _, se := range py.servers {
@@ -223,39 +223,39 @@
 }
 
 // addServer starts a backend server and lists it; the lock is not held.
-func (py *play) addServer() error {
+func (py *soakRun) addServer() error {
 	py.mu.Lock()
 	defer py.mu.Unlock()
-	py.started++
-	se, err := startServer(fmt.Sprintf("s-%d", py.started), py.rec.ran, py.so.Defect)
+	py.serversStarted++
+	se, err := startServer(fmt.Sprintf("s-%d", py.serversStarted), py.history.executions, py.runner.Defect)
 	if err != nil {
 		return err
 	}
-	se.ends = sync.OnceFunc(func() { py.faults.Go(func() { py.crash(se) }) })
+	se.crash = sync.OnceFunc(func() { py.injections.Go(func() { py.crashServer(se) }) })
 	py.servers = append(py.servers, se)
 	py.store.Set("servers/"+se.id, se.entry())
 	return nil
 }
 
 // configure puts a newer configuration into force.
-func (py *play) configure() {
+func (py *soakRun) publishConfig() {
 	py.mu.Lock()
 	defer py.mu.Unlock()
-	py.version++
-	py.writeConfiguration()
+	py.configVersion++
+	py.writeConfig()
 }
 
 // writeConfiguration writes the configuration in force; the lock is held.
-func (py *play) writeConfiguration() {
+func (py *soakRun) writeConfig() {
 	route := func(name, kind string, attempts int) map[string]any {
 		return map[string]any{
-			"name": name, "host": "h.example", "path_prefix": "/" + name + "/", "route_type": kind, "timeout_ms": 1200 + py.version,
+			"name": name, "host": "h.example", "path_prefix": "/" + name + "/", "route_type": kind, "timeout_ms": 1200 + py.configVersion,
 			"target_latency_ms": 200, "target_gap_ms": 300, "priority": 1, "service": "svc", "max_attempts": attempts,
 			"resumable": kind == "streaming",
 		}
 	}
 	py.store.Set("op/config", map[string]any{
-		"version":  py.version,
+		"version":  py.configVersion,
 		"routes":   []any{route("safe", "safe", 3), route("unsafe", "unsafe", 1), route("stream", "streaming", 3)},
 		"services": []any{map[string]any{"name": "svc", "max_connections": 100}},
 		"limits":   map[string]any{"max_header_bytes": 16384, "max_body_bytes": 1000, "header_timeout_ms": 3000, "idle_timeout_ms": 15000},
@@ -264,20 +264,20 @@
 }
 
 // revoke takes the oldest key away and adds a new one.
-func (py *play) revoke() {
+func (py *soakRun) revokeKey() {
 	py.mu.Lock()
 	gone := py.keys[0]
-	py.keys = append(py.keys[1:], fmt.Sprintf("key-%d", py.version+2))
+	py.keys = append(py.keys[1:], fmt.Sprintf("key-%d", py.configVersion+2))
 	py.mu.Unlock()
-	py.configure()
+	py.publishConfig()
 	py.mu.Lock()
 	defer py.mu.Unlock()
-	py.rec.revoked[gone] = time.Now()
+	py.history.revokedAt[gone] = time.Now()
 }
 
 // key returns one of the keys that callers know: one that was taken away is used
 // for a while longer.
-func (py *play) key(n int) string {
+func (py *soakRun) pickKey(n int) string {
 	py.mu.Lock()
 	defer py.mu.Unlock()
 	if n%8 == 0 {
@@ -288,18 +288,18 @@
 
 // call sends requests one after the other, as one caller, until the context ends.
 // It keeps its connections until they are gone.
-func (py *play) call(ctx context.Context, caller int) {
-	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 4, DisableCompression: true}, Timeout: 4 * deadline}
+func (py *soakRun) runCaller(ctx context.Context, caller int) {
+	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 4, DisableCompression: true}, Timeout: 4 * requestDeadline}
 	defer client.CloseIdleConnections()
 	for n := 0; ctx.Err() == nil; n++ {
 		ou := outcome{
-			id: fmt.Sprintf("r-%d-%d", caller, n), gateway: (caller + n/5) % len(py.members),
-			path: []string{"/safe/x", "/unsafe/x", "/stream/x"}[n%3], key: py.key(caller + n),
+			id: fmt.Sprintf("r-%d-%d", caller, n), gateway: (caller + n/5) % len(py.gateways),
+			path: []string{"/safe/x", "/unsafe/x", "/stream/x"}[n%3], key: py.pickKey(caller + n),
 		}
-		py.ask(client, &ou)
+		py.sendRequest(client, &ou)
 		py.mu.Lock()
-		py.rec.outcomes = append(py.rec.outcomes, ou)
+		py.history.outcomes = append(py.history.outcomes, ou)
 		py.mu.Unlock()
-		time.Sleep(pauseBetween)
+		time.Sleep(requestInterval)
 	}
 }
--- a/standin/soak/soak_test.go
+++ b/standin/soak/soak_test.go
@@ -34,7 +34,7 @@
 	return m.Run()
 }
 
-func TestAPlanIsTheSameForASeed(t *testing.T) {
+func TestPlanIsDeterministicForSeed(t *testing.T) {
 	one, two := GeneratePlan(7, 3, 5, 8*time.Second), GeneratePlan(7, 3, 5, 8*time.Second)
 	require.Equal(t, one, two)
 	require.NotEqual(t, one.Faults, GeneratePlan(8, 3, 5, 8*time.Second).Faults)
@@ -45,7 +45,7 @@
 }
 
 // playPlan plays a plan and returns the promises that were broken.
-func playPlan(t *testing.T, pl Plan, sabotage Defect) []Violation {
+func runPlan(t *testing.T, pl Plan, sabotage Defect) []Violation {
 	t.Helper()
 	so := &Runner{Bin: bin, Dir: t.TempDir(), Callers: 8, Defect: sabotage}
 	violations, err := so.Run(t.Context(), pl)
@@ -54,7 +54,7 @@
 }
 
 // Seeds that once broke a promise, and one more.
-func TestSeededFaultsBreakNoPromise(t *testing.T) {
+func TestSeededFaultsViolateNoGuarantee(t *testing.T) {
 	file, err := os.Open("testdata/seeds.txt")
 	require.NoError(t, err)
 	defer file.Close()
@@ -67,35 +67,35 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			pl := GeneratePlan(seed, 3, 5, 6*time.Second)
-			require.Empty(t, playPlan(t, pl, ""), "%v", pl.Faults)
+			require.Empty(t, runPlan(t, pl, ""), "%v", pl.Faults)
 		})
 	}
 }
 
 // Servers that report their shutdown or a pause in their answers, beside all other faults.
-func TestReportingServersAreSpared(t *testing.T) {
+func TestSelfReportingServersReceiveNoRequests(t *testing.T) {
 	for _, seed := range []uint64{1, 2} {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			pl := GeneratePlan(seed, 3, 5, 6*time.Second).WithReports()
-			require.Empty(t, playPlan(t, pl, ""), "%v", pl.Faults)
+			require.Empty(t, runPlan(t, pl, ""), "%v", pl.Faults)
 		})
 	}
 }
 
-func TestLeavingServersAreSparedAfterTheStoreIsRestored(t *testing.T) {
+func TestDrainingServersReceiveNoRequestsAfterStoreRestore(t *testing.T) {
 	for _, seed := range []uint64{1, 2, 3} {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			pl := GeneratePlan(seed, 3, 5, 6*time.Second).WithRestores()
-			require.Empty(t, playPlan(t, pl, ""), "%v", pl.Faults)
+			require.Empty(t, runPlan(t, pl, ""), "%v", pl.Faults)
 		})
 	}
 }
 
 // The checks see what they are there for: each promise fails on a part that is
 // broken on purpose.
-func TestEachPromiseIsSeenToBreak(t *testing.T) {
+func TestChecksDetectEachDefect(t *testing.T) {
 	second := func(n float64) time.Duration { return time.Duration(n * float64(time.Second)) }
 	for _, ca := range []struct {
 		sabotage Defect
@@ -117,9 +117,9 @@
 	} {
 		t.Run(string(ca.sabotage)+" "+string(ca.promise), func(t *testing.T) {
 			t.Parallel()
-			pl := Plan{Gateways: 2, Servers: 3, Faults: ca.faults, FaultsEnd: ca.calm, End: ca.calm + calmFor}
+			pl := Plan{Gateways: 2, Servers: 3, Faults: ca.faults, FaultsEnd: ca.calm, End: ca.calm + faultFreeTail}
 			seen := map[Guarantee]bool{}
-			for _, vi := range playPlan(t, pl, ca.sabotage) {
+			for _, vi := range runPlan(t, pl, ca.sabotage) {
 				seen[vi.Guarantee] = true
 			}
 			require.True(t, seen[ca.promise], "%v", seen)
@@ -128,10 +128,10 @@
 }
 
 // An answer that comes late is seen; no build of the gateway is that slow.
-func TestALateAnswerIsSeen(t *testing.T) {
+func TestCheckDetectsLateAnswer(t *testing.T) {
 	began := time.Unix(1000, 0)
-	ou := outcome{id: "r", path: "/safe/x", sent: began.Add(5 * time.Second), done: began.Add(5*time.Second + deadline + slack + 1), status: 504}
-	re := &record{plan: Plan{FaultsEnd: time.Second}, began: began, ran: &ledger{runs: map[string][]run{}}, outcomes: []outcome{ou}}
+	ou := outcome{id: "r", path: "/safe/x", sent: began.Add(5 * time.Second), done: began.Add(5*time.Second + requestDeadline + timingSlack + 1), status: 504}
+	re := &history{plan: Plan{FaultsEnd: time.Second}, start: began, executions: &executionLog{executed: map[string][]execution{}}, outcomes: []outcome{ou}}
 	require.Equal(t, DeadlineMet, re.check()[0].Guarantee)
 	re.plan.Faults = []Fault{{StoreHang, 0, 4 * time.Second, 5 * time.Second}}
 	require.NotEqual(t, DeadlineMet, re.check()[0].Guarantee, "not beside an outage")
@@ -139,7 +139,7 @@
 
 // One request ends server after server while gateways are killed, paused and cut off from the
 // key-value service, and servers crash by themselves.
-func TestARequestUnderWhichServersEndIsNotSentToMore(t *testing.T) {
+func TestPoisonRequestIsContained(t *testing.T) {
 	for _, pl := range []Plan{
 		GeneratePlan(1, 3, 5, 6*time.Second),
 		GeneratePlan(2, 3, 5, 6*time.Second),
@@ -150,7 +150,7 @@
 		t.Run(fmt.Sprint(pl.Seed), func(t *testing.T) {
 			t.Parallel()
 			pl := pl.WithPoison()
-			require.Empty(t, playPlan(t, pl, ""), "%v", pl.Faults)
+			require.Empty(t, runPlan(t, pl, ""), "%v", pl.Faults)
 		})
 	}
 }
--- a/standin/store/store.go
+++ b/standin/store/store.go
@@ -56,7 +56,7 @@
 		st.serveFault(w, r)
 		return
 	}
-	fa := st.begin(r.Method)
+	fa := st.countCall(r.Method)
 	time.Sleep(time.Duration(fa.DelayMS) * time.Millisecond)
 	if fa.Down {
 		http.Error(w, "no leader", http.StatusInternalServerError)
@@ -111,7 +111,7 @@
 	st.put(key, data)
 }
 
-func (st *Store) begin(method string) Faults {
+func (st *Store) countCall(method string) Faults {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	if st.calls == nil {
@@ -125,9 +125,9 @@
 	query := r.URL.Query()
 	after, _ := strconv.ParseUint(query.Get("index"), 10, 64)
 	if wait, err := time.ParseDuration(query.Get("wait")); err == nil && after > 0 {
-		st.wait(r, key, after, wait)
+		st.waitForChange(r, key, after, wait)
 	}
-	pairs, index := st.read(key, query.Has("recurse"))
+	pairs, index := st.lookup(key, query.Has("recurse"))
 	w.Header().Set("X-Consul-Index", strconv.FormatUint(index, 10))
 	if len(pairs) == 0 {
 		http.Error(w, "", http.StatusNotFound)
@@ -137,7 +137,7 @@
 }
 
 // wait returns when the key changed after an index, or the time is over.
-func (st *Store) wait(r *http.Request, key string, after uint64, wait time.Duration) {
+func (st *Store) waitForChange(r *http.Request, key string, after uint64, wait time.Duration) {
 	ti := time.NewTimer(wait)
 	defer ti.Stop()
 	for {
@@ -161,7 +161,7 @@
 	}
 }
 
-func (st *Store) read(key string, below bool) ([]pair, uint64) {
+func (st *Store) lookup(key string, below bool) ([]pair, uint64) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	var pairs []pair
--- a/standin/store/store_test.go
+++ b/standin/store/store_test.go
@@ -16,13 +16,13 @@
 )
 
 // never is a bound that only a broken client or stand-in reaches.
-const never = time.Minute
+const testTimeout = time.Minute
 
 func newClient(t *testing.T, ha http.Handler) *kv.Client {
 	srv := httptest.NewServer(ha)
 	t.Cleanup(srv.Close)
 	return &kv.Client{
-		Address: srv.Listener.Addr().String(), Timeout: never,
+		Address: srv.Listener.Addr().String(), Timeout: testTimeout,
 		Limiter: rate.NewLimiter(rate.Inf, 1), HTTP: srv.Client(),
 	}
 }
@@ -55,7 +55,7 @@
 	require.False(t, made)
 }
 
-func TestListReadsBelowAPrefix(t *testing.T) {
+func TestListReadsPrefix(t *testing.T) {
 	st := &Store{}
 	st.Put("a/1", []byte("x"))
 	st.Put("a/2", []byte("y"))
@@ -66,11 +66,11 @@
 	require.Equal(t, "y", string(pairs[1].Value))
 }
 
-func TestAWatchWaitsForAChange(t *testing.T) {
+func TestWatchWaitsForChange(t *testing.T) {
 	st := &Store{}
 	st.Put("k", []byte("one"))
 	cl := newClient(t, st)
-	pair, index, err := cl.Watch(t.Context(), "k", 0, never)
+	pair, index, err := cl.Watch(t.Context(), "k", 0, testTimeout)
 	require.NoError(t, err)
 	require.Equal(t, "one", string(pair.Value))
 	changed := make(chan struct{})
@@ -79,14 +79,14 @@
 		st.Put("other", nil)
 		st.Put("k", []byte("two"))
 	}()
-	pair, next, err := cl.Watch(t.Context(), "k", index, never)
+	pair, next, err := cl.Watch(t.Context(), "k", index, testTimeout)
 	require.NoError(t, err)
 	require.Equal(t, "two", string(pair.Value))
 	require.Greater(t, next, index)
 	<-changed
 }
 
-func TestALostAnswerIsToldFromAnOutage(t *testing.T) {
+func TestLostResponseDiffersFromOutage(t *testing.T) {
 	st := &Store{}
 	cl := newClient(t, st)
 	st.SetFaults(Faults{DropWriteResponses: 1})
@@ -100,7 +100,7 @@
 	require.Equal(t, result.StoreUnknown, code(t, err), "a failed write says nothing of whether it was made")
 }
 
-func TestARateLimitIsAnOutage(t *testing.T) {
+func TestRateLimitCountsAsOutage(t *testing.T) {
 	cl := newClient(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(http.StatusTooManyRequests)
 	}))
@@ -108,7 +108,7 @@
 	require.Equal(t, result.StoreDown, code(t, err), "a refused write was not made")
 }
 
-func TestNonsenseIsAnOutage(t *testing.T) {
+func TestMalformedResponseCountsAsOutage(t *testing.T) {
 	for _, body := range []string{"", "{", `[{"Value": "%%%"}]`} {
 		cl := newClient(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			_, _ = w.Write([]byte(body))
@@ -118,14 +118,14 @@
 	}
 }
 
-func TestTheOwnRateIsHeld(t *testing.T) {
+func TestClientRateLimit(t *testing.T) {
 	st := &Store{}
 	cl := newClient(t, st)
 	cl.Limiter = rate.NewLimiter(rate.Every(time.Hour), 1)
 	_, err := cl.Get(t.Context(), "k")
 	require.NoError(t, err)
 	// The limiter refuses at once what its context cannot wait for.
-	ctx, cancel := context.WithTimeout(t.Context(), never)
+	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
 	_, err = cl.Get(ctx, "k")
 	require.Equal(t, result.StoreBudget, code(t, err))
--- a/standin/swarm/swarm.go
+++ b/standin/swarm/swarm.go
@@ -51,33 +51,33 @@
 
 // Agent starts an agent before a backend server.
 func (sw *Swarm) StartAgent(box, dataCentre, server, backend string) (*Member, error) {
-	me, listener, admin, err := sw.member(box, dataCentre, boxes.Agent)
+	me, listener, admin, err := sw.newMember(box, dataCentre, boxes.Agent)
 	if err != nil {
 		return nil, err
 	}
 	me.Box.Server = server
 	me.Node.Settings.Server = settings.Server{Name: server, Address: backend}
-	ag := &agent.Agent{Node: me.Node, Links: listener, Admin: admin, HTTP: &http.Client{}, Store: sw.store()}
-	sw.run(me, ag.Run)
+	ag := &agent.Agent{Node: me.Node, Links: listener, Admin: admin, HTTP: &http.Client{}, Store: sw.newStoreClient()}
+	sw.runMember(me, ag.Run)
 	return me, nil
 }
 
 // Entry starts an entry.
 func (sw *Swarm) StartEntry(box, dataCentre string) (*Member, error) {
-	me, listener, admin, err := sw.member(box, dataCentre, boxes.Entry)
+	me, listener, admin, err := sw.newMember(box, dataCentre, boxes.Entry)
 	if err != nil {
 		return nil, err
 	}
 	list := &boxes.Client{Address: sw.Boxes, Timeout: me.Node.Settings.Platform.Timeout(), HTTP: &http.Client{}}
-	en := &entry.Entry{Node: me.Node, Callers: listener, Admin: admin, Store: sw.store(), Boxes: list}
-	sw.run(me, en.Run)
+	en := &entry.Entry{Node: me.Node, Callers: listener, Admin: admin, Store: sw.newStoreClient(), Boxes: list}
+	sw.runMember(me, en.Run)
 	return me, nil
 }
 
 // Wait waits until every member has ended.
 func (sw *Swarm) Wait() { sw.wg.Wait() }
 
-func (sw *Swarm) member(box, dataCentre string, role boxes.Role) (*Member, net.Listener, net.Listener, error) {
+func (sw *Swarm) newMember(box, dataCentre string, role boxes.Role) (*Member, net.Listener, net.Listener, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, nil, nil, err
@@ -107,7 +107,7 @@
 	return me, listener, admin, nil
 }
 
-func (sw *Swarm) run(me *Member, serve func(context.Context) error) {
+func (sw *Swarm) runMember(me *Member, serve func(context.Context) error) {
 	ctx, stop := context.WithCancel(context.Background())
 	me.Stop = stop
 	sw.wg.Go(func() {
@@ -116,7 +116,7 @@
 	})
 }
 
-func (sw *Swarm) store() *kv.Client {
+func (sw *Swarm) newStoreClient() *kv.Client {
 	return &kv.Client{
 		Address: sw.Store, Timeout: settings.Default().Platform.Timeout(),
 		Limiter: rate.NewLimiter(rate.Inf, 1), HTTP: &http.Client{},
--- a/standin/trial/load.go
+++ b/standin/trial/load.go
@@ -31,18 +31,18 @@
 
 // The shape of the pool.
 const (
-	rushServers = 12
-	rushSlots   = 4
-	rushEntries = 3
-	rushTeams   = 5
+	poolServers    = 12
+	slotsPerServer = 4
+	poolEntries    = 3
+	poolTeams      = 5
 	// rushService is the mean time that a request holds its slot.
-	rushService = time.Second
+	meanServiceTime = time.Second
 	// rushDeadline is how long a caller waits for the start.
-	rushDeadline = 2 * time.Second
+	startDeadline = 2 * time.Second
 	// rushQueue bounds the queue of a server.
-	rushQueue = 64
+	maxServerQueue = 64
 	// rushRetries is how often a caller of the naive system tries again.
-	rushRetries = 3
+	naiveRetries = 3
 )
 
 // RushOutcome is what came of it.
@@ -65,40 +65,40 @@
 
 // Loads runs both strategies on the same rush.
 func CompareLoads(ru LoadScenario) []LoadOutcome {
-	return []LoadOutcome{ru.run("round robin, endless queues", &turns{}), ru.run("linnetrudder", newPool())}
+	return []LoadOutcome{ru.run("round robin, endless queues", &roundRobin{}), ru.run("linnetrudder", newPool())}
 }
 
 // job is one request in the experiment.
 type job struct {
-	team     int
-	arrived  time.Time
-	deadline time.Time
-	service  time.Duration
-	entry    int
-	tries    int
-	tried    []string
-	started  bool
+	team         int
+	arrived      time.Time
+	deadline     time.Time
+	service      time.Duration
+	entry        int
+	attempts     int
+	triedServers []string
+	started      bool
 }
 
 // occurrence is something that happens at a time.
-type occurrence struct {
+type event struct {
 	at  time.Time
 	seq int
-	do  func(now time.Time)
+	run func(now time.Time)
 }
 
-type agenda []occurrence
+type eventQueue []event
 
-func (ag agenda) Len() int { return len(ag) }
-func (ag agenda) Less(i, j int) bool {
+func (ag eventQueue) Len() int { return len(ag) }
+func (ag eventQueue) Less(i, j int) bool {
 	if !ag[i].at.Equal(ag[j].at) {
 		return ag[i].at.Before(ag[j].at)
 	}
 	return ag[i].seq < ag[j].seq
 }
-func (ag agenda) Swap(i, j int) { ag[i], ag[j] = ag[j], ag[i] }
-func (ag *agenda) Push(x any)   { *ag = append(*ag, x.(occurrence)) }
-func (ag *agenda) Pop() any {
+func (ag eventQueue) Swap(i, j int) { ag[i], ag[j] = ag[j], ag[i] }
+func (ag *eventQueue) Push(x any)   { *ag = append(*ag, x.(event)) }
+func (ag *eventQueue) Pop() any {
 	last := len(*ag) - 1
 	oc := (*ag)[last]
 	*ag = (*ag)[:last]
@@ -106,59 +106,59 @@
 }
 
 // stage is the experiment's clock and books.
-type stage struct {
-	agenda agenda
+type simulator struct {
+	events eventQueue
 	seq    int
 	ra     *rand.Rand
-	up     [rushServers]bool
+	up     [poolServers]bool
 	// good, wasted and the rest are the sums of the outcome.
-	good, wasted, refused, refusedFor float64
-	others, othersGood                float64
+	usefulSeconds, wastedSeconds, refusals, refusalSeconds float64
+	otherTeamRequests, otherTeamStarts                     float64
 }
 
-func (st *stage) at(when time.Time, do func(now time.Time)) {
+func (st *simulator) schedule(when time.Time, do func(now time.Time)) {
 	st.seq++
-	heap.Push(&st.agenda, occurrence{when, st.seq, do})
+	heap.Push(&st.events, event{when, st.seq, do})
 }
 
 // began books a job that got a slot.
-func (st *stage) began(jo *job, now time.Time) {
+func (st *simulator) recordStart(jo *job, now time.Time) {
 	if now.After(jo.deadline) {
-		st.wasted += jo.service.Seconds()
+		st.wastedSeconds += jo.service.Seconds()
 		return
 	}
 	if jo.started {
-		st.wasted += jo.service.Seconds()
+		st.wastedSeconds += jo.service.Seconds()
 		return
 	}
 	jo.started = true
-	st.good += jo.service.Seconds()
+	st.usefulSeconds += jo.service.Seconds()
 	if jo.team != 0 {
-		st.othersGood++
+		st.otherTeamStarts++
 	}
 }
 
 // gaveUp books a refusal.
-func (st *stage) gaveUp(jo *job, now time.Time) {
-	st.refused++
-	st.refusedFor += now.Sub(jo.arrived).Seconds()
+func (st *simulator) recordRefusal(jo *job, now time.Time) {
+	st.refusals++
+	st.refusalSeconds += now.Sub(jo.arrived).Seconds()
 }
 
 // system is what jobs are given to.
-type system interface {
-	arrive(st *stage, jo *job, now time.Time)
+type dispatcher interface {
+	dispatch(st *simulator, jo *job, now time.Time)
 	// lose and regain switch a server.
-	lose(st *stage, server int, now time.Time)
-	regain(st *stage, server int, now time.Time)
+	serverDown(st *simulator, server int, now time.Time)
+	serverUp(st *simulator, server int, now time.Time)
 }
 
-func (ru LoadScenario) run(name string, sy system) LoadOutcome {
+func (ru LoadScenario) run(name string, sy dispatcher) LoadOutcome {
 	begin := time.Unix(1_800_000_000, 0)
-	st := &stage{ra: rand.New(rand.NewPCG(ru.Seed, 13))}
+	st := &simulator{ra: rand.New(rand.NewPCG(ru.Seed, 13))}
 	for i := range st.up {
 		st.up[i] = true
 	}
-	rate := ru.Load * rushServers * rushSlots / rushService.Seconds()
+	rate := ru.Load * poolServers * slotsPerServer / meanServiceTime.Seconds()
 	var arrive func(now time.Time)
 	arrive = func(now time.Time) {
 		if now.Sub(begin) > ru.Duration {
@@ -166,131 +166,131 @@
 		}
 		jo := ru.job(st, now)
 		if jo.team != 0 {
-			st.others++
+			st.otherTeamRequests++
 		}
-		sy.arrive(st, jo, now)
-		st.at(now.Add(time.Duration(st.ra.ExpFloat64()/rate*float64(time.Second))), arrive)
+		sy.dispatch(st, jo, now)
+		st.schedule(now.Add(time.Duration(st.ra.ExpFloat64()/rate*float64(time.Second))), arrive)
 	}
-	st.at(begin, arrive)
+	st.schedule(begin, arrive)
 	if ru.HalfLostAt > 0 {
-		for i := range rushServers / 2 {
-			st.at(begin.Add(ru.HalfLostAt), func(now time.Time) { st.up[i] = false; sy.lose(st, i, now) })
-			st.at(begin.Add(ru.HalfLostAt+ru.Duration/3), func(now time.Time) { st.up[i] = true; sy.regain(st, i, now) })
+		for i := range poolServers / 2 {
+			st.schedule(begin.Add(ru.HalfLostAt), func(now time.Time) { st.up[i] = false; sy.serverDown(st, i, now) })
+			st.schedule(begin.Add(ru.HalfLostAt+ru.Duration/3), func(now time.Time) { st.up[i] = true; sy.serverUp(st, i, now) })
 		}
 	}
-	for st.agenda.Len() > 0 {
-		oc := heap.Pop(&st.agenda).(occurrence)
-		oc.do(oc.at)
+	for st.events.Len() > 0 {
+		oc := heap.Pop(&st.events).(event)
+		oc.run(oc.at)
 	}
-	capacity := rushServers * rushSlots * ru.Duration.Seconds()
+	capacity := poolServers * slotsPerServer * ru.Duration.Seconds()
 	if ru.HalfLostAt > 0 {
 		capacity *= 1 - 1.0/6
 	}
 	return LoadOutcome{
-		Strategy: name, Goodput: st.good / capacity, WastedSlotTime: st.wasted / capacity,
-		OtherTeamsServed: st.othersGood / st.others, RefusalLatency: st.refusedFor / math.Max(1, st.refused),
+		Strategy: name, Goodput: st.usefulSeconds / capacity, WastedSlotTime: st.wastedSeconds / capacity,
+		OtherTeamsServed: st.otherTeamStarts / st.otherTeamRequests, RefusalLatency: st.refusalSeconds / math.Max(1, st.refusals),
 	}
 }
 
-func (ru LoadScenario) job(st *stage, now time.Time) *job {
+func (ru LoadScenario) job(st *simulator, now time.Time) *job {
 	// The first team sends Burst times what each of the others does.
 	team := 0
-	if draw := st.ra.Float64() * (ru.FirstTeamWeight + rushTeams - 1); draw >= ru.FirstTeamWeight {
+	if draw := st.ra.Float64() * (ru.FirstTeamWeight + poolTeams - 1); draw >= ru.FirstTeamWeight {
 		team = 1 + int(draw-ru.FirstTeamWeight)
 	}
 	// Service times are log-normal with the mean rushService.
 	const sigma = 0.5
 	service := math.Exp(st.ra.NormFloat64()*sigma - sigma*sigma/2)
 	return &job{
-		team: min(team, rushTeams-1), arrived: now, deadline: now.Add(rushDeadline),
-		service: time.Duration(service * float64(rushService)), entry: st.ra.IntN(rushEntries),
+		team: min(team, poolTeams-1), arrived: now, deadline: now.Add(startDeadline),
+		service: time.Duration(service * float64(meanServiceTime)), entry: st.ra.IntN(poolEntries),
 	}
 }
 
 // turns is the naive system: servers in turn, queues without an end, callers
 // that give up at their deadline and try again.
-type turns struct {
+type roundRobin struct {
 	next    int
-	queues  [rushServers][]*job
-	running [rushServers]int
+	queues  [poolServers][]*job
+	running [poolServers]int
 }
 
-func (tu *turns) arrive(st *stage, jo *job, now time.Time) {
-	server := tu.next % rushServers
+func (tu *roundRobin) dispatch(st *simulator, jo *job, now time.Time) {
+	server := tu.next % poolServers
 	tu.next++
 	tu.queues[server] = append(tu.queues[server], jo)
-	tu.fill(st, server, now)
-	st.at(jo.deadline, func(now time.Time) {
+	tu.startQueued(st, server, now)
+	st.schedule(jo.deadline, func(now time.Time) {
 		if jo.started {
 			return
 		}
-		st.gaveUp(jo, now)
-		if jo.tries < rushRetries {
-			again := &job{team: jo.team, arrived: now, deadline: now.Add(rushDeadline), service: jo.service, tries: jo.tries + 1}
-			tu.arrive(st, again, now)
+		st.recordRefusal(jo, now)
+		if jo.attempts < naiveRetries {
+			again := &job{team: jo.team, arrived: now, deadline: now.Add(startDeadline), service: jo.service, attempts: jo.attempts + 1}
+			tu.dispatch(st, again, now)
 		}
 	})
 }
 
-func (tu *turns) fill(st *stage, server int, now time.Time) {
-	for st.up[server] && tu.running[server] < rushSlots && len(tu.queues[server]) > 0 {
+func (tu *roundRobin) startQueued(st *simulator, server int, now time.Time) {
+	for st.up[server] && tu.running[server] < slotsPerServer && len(tu.queues[server]) > 0 {
 		jo := tu.queues[server][0]
 		tu.queues[server] = tu.queues[server][1:]
 		tu.running[server]++
-		st.began(jo, now)
-		st.at(now.Add(jo.service), func(now time.Time) {
+		st.recordStart(jo, now)
+		st.schedule(now.Add(jo.service), func(now time.Time) {
 			tu.running[server]--
-			tu.fill(st, server, now)
+			tu.startQueued(st, server, now)
 		})
 	}
 }
 
-func (*turns) lose(*stage, int, time.Time) {}
-func (tu *turns) regain(st *stage, server int, now time.Time) {
-	tu.fill(st, server, now)
+func (*roundRobin) serverDown(*simulator, int, time.Time) {}
+func (tu *roundRobin) serverUp(st *simulator, server int, now time.Time) {
+	tu.startQueued(st, server, now)
 }
 
 // pool is the system: a board and a retry budget at each entry, a gate at each
 // server.
-type pool struct {
-	boards  [rushEntries]balance.Balancer
-	budgets [rushEntries]budget.Teams
-	gates   [rushServers]gate.Gate
-	jobs    map[gate.Key]*job
-	stream  uint64
+type systemPool struct {
+	balancers [poolEntries]balance.Balancer
+	budgets   [poolEntries]budget.Teams
+	gates     [poolServers]gate.Gate
+	jobs      map[gate.Key]*job
+	stream    uint64
 }
 
 // wireDelay is the way from an entry to an agent.
-const wireDelay = 500 * time.Microsecond
+const networkDelay = 500 * time.Microsecond
 
-func newPool() *pool {
-	po := &pool{jobs: map[gate.Key]*job{}}
+func newPool() *systemPool {
+	po := &systemPool{jobs: map[gate.Key]*job{}}
 	doc := &config.Document{
 		Models:   []config.Model{{Name: "m"}},
 		Versions: []config.Version{{Model: "m", Name: "v1", State: config.Serving}},
 		Grants:   []config.Grant{{Versions: &selector.Selector{}}},
 	}
-	for t := range rushTeams {
+	for t := range poolTeams {
 		doc.Teams = append(doc.Teams, config.Team{Name: teamName(t)})
 	}
-	for i := range rushServers {
+	for i := range poolServers {
 		doc.Servers = append(doc.Servers, config.Server{
-			Name: serverName(i), DataCentre: "dc", Slots: rushSlots, Versions: []string{"m@v1"},
+			Name: serverName(i), DataCentre: "dc", Slots: slotsPerServer, Versions: []string{"m@v1"},
 		})
 	}
 	sn := config.Compile(1, doc)
 	begin := time.Unix(1_800_000_000, 0)
 	for i := range po.gates {
-		po.gates[i] = gate.Gate{Server: serverName(i), MaxQueued: rushQueue}
+		po.gates[i] = gate.Gate{Server: serverName(i), MaxQueued: maxServerQueue}
 		po.gates[i].Reconfigure(sn, begin)
 		po.gates[i].Confirm(1, begin)
 	}
-	for e := range po.boards {
-		po.boards[e] = balance.Balancer{DataCentre: "dc"}
-		for i := range rushServers {
-			po.boards[e].LinkUp(serverName(i), "dc")
+	for e := range po.balancers {
+		po.balancers[e] = balance.Balancer{DataCentre: "dc"}
+		for i := range poolServers {
+			po.balancers[e].LinkUp(serverName(i), "dc")
 		}
-		po.boards[e].Reconfigure(sn)
+		po.balancers[e].Reconfigure(sn)
 		po.budgets[e] = budget.Teams{Ratio: 0.1}
 	}
 	return po
@@ -298,98 +298,98 @@
 
 func serverName(i int) string { return fmt.Sprintf("s%d", i) }
 
-func serverNumber(name string) int {
+func serverIndex(name string) int {
 	n := 0
 	_, _ = fmt.Sscanf(name, "s%d", &n)
 	return n
 }
 
-func (po *pool) arrive(st *stage, jo *job, now time.Time) {
+func (po *systemPool) dispatch(st *simulator, jo *job, now time.Time) {
 	po.budgets[jo.entry].For(teamName(jo.team)).Deposit(now)
 	po.send(st, jo, now)
 }
 
-func (po *pool) send(st *stage, jo *job, now time.Time) {
-	server, ok := po.boards[jo.entry].Pick("m@v1", jo.tried, st.ra.Uint64())
+func (po *systemPool) send(st *simulator, jo *job, now time.Time) {
+	server, ok := po.balancers[jo.entry].Pick("m@v1", jo.triedServers, st.ra.Uint64())
 	if !ok {
-		st.gaveUp(jo, now)
+		st.recordRefusal(jo, now)
 		return
 	}
-	jo.tried = append(jo.tried, server)
-	jo.tries++
-	po.boards[jo.entry].AttemptSent(server)
+	jo.triedServers = append(jo.triedServers, server)
+	jo.attempts++
+	po.balancers[jo.entry].AttemptSent(server)
 	po.stream++
 	key := gate.Key{Link: fmt.Sprint(jo.entry), Stream: po.stream}
 	po.jobs[key] = jo
-	i := serverNumber(server)
-	st.at(now.Add(wireDelay), func(now time.Time) {
+	i := serverIndex(server)
+	st.schedule(now.Add(networkDelay), func(now time.Time) {
 		if !st.up[i] {
-			po.refused(st, jo, now)
+			po.retryOrRefuse(st, jo, now)
 			return
 		}
 		at := &wire.Attempt{Team: teamName(jo.team), Version: "m@v1", WaitMS: max(0, jo.deadline.Sub(now).Milliseconds())}
-		po.act(st, i, po.gates[i].Submit(key, at, now), now)
-		po.watch(st, i, jo)
+		po.applyActions(st, i, po.gates[i].Submit(key, at, now), now)
+		po.checkDeadline(st, i, jo)
 	})
 }
 
 // watch lets the gate see the deadline of a job that may wait.
-func (po *pool) watch(st *stage, i int, jo *job) {
-	st.at(jo.deadline.Add(time.Millisecond), func(now time.Time) {
+func (po *systemPool) checkDeadline(st *simulator, i int, jo *job) {
+	st.schedule(jo.deadline.Add(time.Millisecond), func(now time.Time) {
 		if st.up[i] && !jo.started {
-			po.act(st, i, po.gates[i].Tick(now), now)
+			po.applyActions(st, i, po.gates[i].Tick(now), now)
 		}
 	})
 }
 
-func (po *pool) act(st *stage, i int, acs []gate.Action, now time.Time) {
+func (po *systemPool) applyActions(st *simulator, i int, acs []gate.Action, now time.Time) {
 	for _, ac := range acs {
 		jo := po.jobs[ac.Key()]
 		lo := po.gates[i].Load()
 		if ac.Kind() == gate.Start {
-			st.began(jo, now)
-			st.at(now.Add(wireDelay), func(time.Time) { po.boards[jo.entry].SetLoad(serverName(i), lo) })
-			st.at(now.Add(jo.service), func(now time.Time) { po.ended(st, i, ac.Key(), now) })
+			st.recordStart(jo, now)
+			st.schedule(now.Add(networkDelay), func(time.Time) { po.balancers[jo.entry].SetLoad(serverName(i), lo) })
+			st.schedule(now.Add(jo.service), func(now time.Time) { po.finish(st, i, ac.Key(), now) })
 			continue
 		}
 		delete(po.jobs, ac.Key())
-		st.at(now.Add(wireDelay), func(now time.Time) {
-			po.boards[jo.entry].SetLoad(serverName(i), lo)
-			po.refused(st, jo, now)
+		st.schedule(now.Add(networkDelay), func(now time.Time) {
+			po.balancers[jo.entry].SetLoad(serverName(i), lo)
+			po.retryOrRefuse(st, jo, now)
 		})
 	}
 }
 
-func (po *pool) ended(st *stage, i int, key gate.Key, now time.Time) {
+func (po *systemPool) finish(st *simulator, i int, key gate.Key, now time.Time) {
 	jo := po.jobs[key]
 	delete(po.jobs, key)
-	po.act(st, i, po.gates[i].Ended(key, now), now)
+	po.applyActions(st, i, po.gates[i].Ended(key, now), now)
 	lo := po.gates[i].Load()
-	st.at(now.Add(wireDelay), func(time.Time) { po.boards[jo.entry].SetLoad(serverName(i), lo) })
+	st.schedule(now.Add(networkDelay), func(time.Time) { po.balancers[jo.entry].SetLoad(serverName(i), lo) })
 }
 
 // maxTries is how often the route tries servers.
-const maxTries = 4
+const maxAttempts = 4
 
-func (po *pool) refused(st *stage, jo *job, now time.Time) {
-	if jo.tries >= maxTries || !now.Before(jo.deadline) || !po.budgets[jo.entry].For(teamName(jo.team)).Take(now) {
-		st.gaveUp(jo, now)
+func (po *systemPool) retryOrRefuse(st *simulator, jo *job, now time.Time) {
+	if jo.attempts >= maxAttempts || !now.Before(jo.deadline) || !po.budgets[jo.entry].For(teamName(jo.team)).Take(now) {
+		st.recordRefusal(jo, now)
 		return
 	}
 	po.send(st, jo, now)
 }
 
-func (po *pool) lose(_ *stage, i int, _ time.Time) {
-	for e := range po.boards {
-		po.boards[e].LinkDown(serverName(i))
+func (po *systemPool) serverDown(_ *simulator, i int, _ time.Time) {
+	for e := range po.balancers {
+		po.balancers[e].LinkDown(serverName(i))
 	}
 }
 
-func (po *pool) regain(_ *stage, i int, now time.Time) {
+func (po *systemPool) serverUp(_ *simulator, i int, now time.Time) {
 	// An agent that comes back asks a peer whether its configuration is fresh.
 	po.gates[i].Tick(now)
 	po.gates[i].Confirm(1, now)
-	for e := range po.boards {
-		po.boards[e].LinkUp(serverName(i), "dc")
+	for e := range po.balancers {
+		po.balancers[e].LinkUp(serverName(i), "dc")
 	}
 }
--- a/standin/trial/load_test.go
+++ b/standin/trial/load_test.go
@@ -7,15 +7,15 @@
 	"github.com/stretchr/testify/require"
 )
 
-func rush(load, burst float64) LoadScenario {
+func newLoadScenario(load, burst float64) LoadScenario {
 	return LoadScenario{Load: load, FirstTeamWeight: burst, Duration: 2 * time.Minute, Seed: 1}
 }
 
-func TestGoodputHoldsAsLoadGrows(t *testing.T) {
+func TestGoodputUnderOverload(t *testing.T) {
 	t.Parallel()
 	best := 0.0
 	for _, load := range []float64{0.5, 1, 1.5, 3, 10} {
-		all := CompareLoads(rush(load, 1))
+		all := CompareLoads(newLoadScenario(load, 1))
 		naive, ours := all[0], all[1]
 		t.Log(load, naive, ours)
 		best = max(best, ours.Goodput)
@@ -28,20 +28,20 @@
 	}
 }
 
-func TestABurstOfOneTeamLeavesTheOthersServed(t *testing.T) {
+func TestBurstOfOneTeamDoesNotStarveOthers(t *testing.T) {
 	t.Parallel()
 	// Four teams ask for 15% of what there is each, which is less than their
 	// fifth; the first asks for three times everything.
-	all := CompareLoads(rush(3.6, 20))
+	all := CompareLoads(newLoadScenario(3.6, 20))
 	naive, ours := all[0], all[1]
 	t.Log(naive, ours)
 	require.Greater(t, ours.OtherTeamsServed, 0.95)
 	require.Less(t, naive.OtherTeamsServed, 0.5)
 }
 
-func TestALostHalfOfThePool(t *testing.T) {
+func TestGoodputWithHalfOfPoolLost(t *testing.T) {
 	t.Parallel()
-	ru := rush(0.8, 1)
+	ru := newLoadScenario(0.8, 1)
 	ru.HalfLostAt = 30 * time.Second
 	all := CompareLoads(ru)
 	naive, ours := all[0], all[1]
--- a/standin/trial/rollouts.go
+++ b/standin/trial/rollouts.go
@@ -43,63 +43,63 @@
 }
 
 // releaser decides the new version's share once a second.
-type releaser interface {
+type rolloutStrategy interface {
 	share(now time.Time, version, others rollout.Tally) float64
 	name() string
 }
 
 // plan is what operators of all strategies write.
-func plan() *config.Rollout {
+func rolloutConfig() *config.Rollout {
 	return &config.Rollout{
 		Model: "m", To: "v2", Steps: []float64{0.01, 0.05, 0.2, 0.5, 1}, HoldSeconds: 60, MaxFailureRate: 0.05,
 	}
 }
 
 // ours is the system.
-type ours struct{ pr rollout.Progress }
+type systemRollout struct{ progress rollout.Progress }
 
-func (*ours) name() string { return "linnetrudder" }
+func (*systemRollout) name() string { return "linnetrudder" }
 
-func (ou *ours) share(now time.Time, version, others rollout.Tally) float64 {
-	next, share := rollout.Decide(plan(), ou.pr, now, version, others)
-	ou.pr = next
+func (ou *systemRollout) share(now time.Time, version, others rollout.Tally) float64 {
+	next, share := rollout.Decide(rolloutConfig(), ou.progress, now, version, others)
+	ou.progress = next
 	return share
 }
 
 // ladder takes fixed steps and looks at the failure rate before each.
-type ladder struct {
-	title string
-	steps []float64
-	every time.Duration
-	begin time.Time
-	seen  rollout.Tally
-	step  int
-	bad   bool
-	begun bool
+type fixedSteps struct {
+	strategyName string
+	steps        []float64
+	interval     time.Duration
+	stepStart    time.Time
+	lastTally    rollout.Tally
+	step         int
+	rolledBack   bool
+	started      bool
 }
 
-func (la *ladder) name() string { return la.title }
+func (la *fixedSteps) name() string { return la.strategyName }
 
 // lowRate is the rate of low ratings at which a ladder goes back.
-const lowRate = 0.25
+const maxLowRatingRate = 0.25
 
-func (la *ladder) share(now time.Time, version, _ rollout.Tally) float64 {
-	if !la.begun {
-		la.begun, la.begin = true, now
+func (la *fixedSteps) share(now time.Time, version, _ rollout.Tally) float64 {
+	if !la.started {
+		la.started, la.stepStart = true, now
 	}
-	if la.bad {
+	if la.rolledBack {
 		return 0
 	}
-	if now.Sub(la.begin) >= la.every {
-		started := float64(version.Started - la.seen.Started)
-		failed := float64(version.Failed - la.seen.Failed)
-		rated, low := version.Rated-la.seen.Rated, version.Low-la.seen.Low
-		la.bad = started > 0 && failed/started > plan().MaxFailureRate || rated > 0 && low/rated > lowRate
-		la.seen, la.begin = version, now
+	if now.Sub(la.stepStart) >= la.interval {
+		started := float64(version.Started - la.lastTally.Started)
+		failed := float64(version.Failed - la.lastTally.Failed)
+		rated, low := version.Rated-la.lastTally.Rated, version.Low-la.lastTally.Low
+		la.rolledBack = started > 0 && failed/started > rolloutConfig().MaxFailureRate || rated > 0 && low/rated > maxLowRatingRate
+		la.lastTally, la.stepStart = version, now
 		if la.step < len(la.steps)-1 {
 			la.step++
 		}
-		if la.bad {
+		if la.rolledBack {
 			return 0
 		}
 	}
@@ -109,50 +109,50 @@
 // Rollouts runs every strategy on the same release.
 func CompareRollouts(re RolloutScenario) []RolloutOutcome {
 	return []RolloutOutcome{
-		re.run(&ladder{title: "all at once, looked at every 10 min", steps: []float64{1}, every: 10 * time.Minute}),
-		re.run(&ladder{title: "fixed ladder, a step every 10 min", steps: plan().Steps, every: 10 * time.Minute}),
-		re.run(&ours{}),
+		re.run(&fixedSteps{strategyName: "all at once, looked at every 10 min", steps: []float64{1}, interval: 10 * time.Minute}),
+		re.run(&fixedSteps{strategyName: "fixed ladder, a step every 10 min", steps: rolloutConfig().Steps, interval: 10 * time.Minute}),
+		re.run(&systemRollout{}),
 	}
 }
 
 // lagged holds tallies until they are seen.
-type lagged struct {
-	lag  int
-	past []rollout.Tally
+type delayedTally struct {
+	lag     int
+	history []rollout.Tally
 }
 
-func (la *lagged) push(ta rollout.Tally) rollout.Tally {
-	la.past = append(la.past, ta)
-	return la.past[max(0, len(la.past)-1-la.lag)]
+func (la *delayedTally) add(ta rollout.Tally) rollout.Tally {
+	la.history = append(la.history, ta)
+	return la.history[max(0, len(la.history)-1-la.lag)]
 }
 
-func (re RolloutScenario) run(st releaser) RolloutOutcome {
+func (re RolloutScenario) run(st rolloutStrategy) RolloutOutcome {
 	ra := rand.New(rand.NewPCG(re.Seed, 11))
 	out := RolloutOutcome{Strategy: st.name()}
 	begin := time.Unix(1_800_000_000, 0)
 	var young, old rollout.Tally
-	seen := [2]lagged{{lag: int(re.TallyLag.Seconds())}, {lag: int(re.TallyLag.Seconds())}}
-	rated := [2]lagged{{lag: int(re.RatingLag.Seconds())}, {lag: int(re.RatingLag.Seconds())}}
+	seen := [2]delayedTally{{lag: int(re.TallyLag.Seconds())}, {lag: int(re.TallyLag.Seconds())}}
+	rated := [2]delayedTally{{lag: int(re.RatingLag.Seconds())}, {lag: int(re.RatingLag.Seconds())}}
 	share := 0.0
 	for sec := range int(re.Duration.Seconds()) {
 		at := time.Duration(sec) * time.Second
 		if at < re.DecisionOutage[0] || at >= re.DecisionOutage[1] {
-			share = st.share(begin.Add(at), view(&seen[0], &rated[0], young), view(&seen[1], &rated[1], old))
+			share = st.share(begin.Add(at), visibleTally(&seen[0], &rated[0], young), visibleTally(&seen[1], &rated[1], old))
 		} else {
-			view(&seen[0], &rated[0], young)
-			view(&seen[1], &rated[1], old)
+			visibleTally(&seen[0], &rated[0], young)
+			visibleTally(&seen[1], &rated[1], old)
 		}
 		bad := at >= re.DegradesAt && (re.FailureRate > re.BaselineFailureRate || re.LowRatingRate > re.BaselineLowRatingRate)
 		for range re.RequestsPerSecond {
 			if ra.Float64() >= share {
-				re.request(ra, &old, re.BaselineFailureRate, re.BaselineLowRatingRate)
+				re.simulateRequest(ra, &old, re.BaselineFailureRate, re.BaselineLowRatingRate)
 				continue
 			}
 			if bad {
 				out.Exposure++
-				re.request(ra, &young, re.FailureRate, re.LowRatingRate)
+				re.simulateRequest(ra, &young, re.FailureRate, re.LowRatingRate)
 			} else {
-				re.request(ra, &young, re.BaselineFailureRate, re.BaselineLowRatingRate)
+				re.simulateRequest(ra, &young, re.BaselineFailureRate, re.BaselineLowRatingRate)
 			}
 		}
 		if share >= 1 && out.FullShareAt == 0 {
@@ -165,14 +165,14 @@
 
 // view returns what of a tally is seen by now: counts after their lag, ratings
 // after theirs.
-func view(counts, ratings *lagged, ta rollout.Tally) rollout.Tally {
-	seen := counts.push(ta)
-	late := ratings.push(ta)
+func visibleTally(counts, ratings *delayedTally, ta rollout.Tally) rollout.Tally {
+	seen := counts.add(ta)
+	late := ratings.add(ta)
 	seen.Rated, seen.Low = late.Rated, late.Low
 	return seen
 }
 
-func (re RolloutScenario) request(ra *rand.Rand, ta *rollout.Tally, failures, low float64) {
+func (re RolloutScenario) simulateRequest(ra *rand.Rand, ta *rollout.Tally, failures, low float64) {
 	ta.Started++
 	if ra.Float64() < failures {
 		ta.Failed++
--- a/standin/trial/rollouts_test.go
+++ b/standin/trial/rollouts_test.go
@@ -8,7 +8,7 @@
 )
 
 // release is a good version; tests change what is wrong with it.
-func release(seed uint64) RolloutScenario {
+func newRolloutScenario(seed uint64) RolloutScenario {
 	return RolloutScenario{
 		RequestsPerSecond: 50, BaselineFailureRate: 0.01, BaselineLowRatingRate: 0.08, FailureRate: 0.01, LowRatingRate: 0.08, RatedFraction: 0.3,
 		TallyLag: 5 * time.Second, RatingLag: time.Minute, Duration: 2 * time.Hour, Seed: seed,
@@ -16,14 +16,14 @@
 }
 
 // sums adds up what each strategy did over many seeds.
-type sums struct {
+type totals struct {
 	exposure, reversed, full int
 }
 
-func over(n int, change func(re *RolloutScenario)) map[string]sums {
-	by := map[string]sums{}
+func totalsByStrategy(n int, change func(re *RolloutScenario)) map[string]totals {
+	by := map[string]totals{}
 	for seed := range n {
-		re := release(uint64(seed))
+		re := newRolloutScenario(uint64(seed))
 		change(&re)
 		for _, ou := range CompareRollouts(re) {
 			su := by[ou.Strategy]
@@ -41,21 +41,21 @@
 }
 
 const (
-	ladderName = "fixed ladder, a step every 10 min"
-	oursName   = "linnetrudder"
-	runs       = 40
+	fixedStepsName = "fixed ladder, a step every 10 min"
+	systemName     = "linnetrudder"
+	seedCount      = 40
 )
 
-func TestGoodVersionsGetThrough(t *testing.T) {
+func TestGoodVersionsReachFullShare(t *testing.T) {
 	t.Parallel()
-	by := over(runs, func(*RolloutScenario) {})
+	by := totalsByStrategy(seedCount, func(*RolloutScenario) {})
 	t.Log(by)
-	require.Zero(t, by[oursName].reversed)
-	require.Equal(t, runs, by[oursName].full)
-	require.LessOrEqual(t, by[oursName].reversed, by[ladderName].reversed, "no more false alarms than the ladder")
+	require.Zero(t, by[systemName].reversed)
+	require.Equal(t, seedCount, by[systemName].full)
+	require.LessOrEqual(t, by[systemName].reversed, by[fixedStepsName].reversed, "no more false alarms than the ladder")
 }
 
-func TestBadVersionsAreReversed(t *testing.T) {
+func TestBadVersionsAreRolledBack(t *testing.T) {
 	t.Parallel()
 	for _, tc := range []struct {
 		name   string
@@ -73,15 +73,15 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
-			by := over(runs, tc.change)
+			by := totalsByStrategy(seedCount, tc.change)
 			t.Log(by)
-			require.Equal(t, runs, by[oursName].reversed)
+			require.Equal(t, seedCount, by[systemName].reversed)
 			if tc.name == "interrupted" {
 				// Nobody decides for ten minutes, so both keep the first share.
-				require.LessOrEqual(t, by[oursName].exposure, by[ladderName].exposure)
+				require.LessOrEqual(t, by[systemName].exposure, by[fixedStepsName].exposure)
 				return
 			}
-			require.Less(t, by[oursName].exposure, by[ladderName].exposure)
+			require.Less(t, by[systemName].exposure, by[fixedStepsName].exposure)
 		})
 	}
 }
--- a/standin/trial/versions.go
+++ b/standin/trial/versions.go
@@ -48,13 +48,13 @@
 
 // oddTeam's allergen questions are beyond the small version.
 const (
-	oddTeam    = 4
-	oddQuality = 0.6
+	outlierTeam    = 4
+	outlierQuality = 0.6
 )
 
 func trueQuality(team, kind, version int) float64 {
-	if team == oddTeam && kind == 0 && version == 0 {
-		return oddQuality
+	if team == outlierTeam && kind == 0 && version == 0 {
+		return outlierQuality
 	}
 	return kindSpecs[kind].quality[version]
 }
@@ -92,7 +92,7 @@
 	list := make([]request, ma.Requests)
 	for i := range list {
 		re := &list[i]
-		re.team = pickShare(ra.Float64())
+		re.team = drawTeam(ra.Float64())
 		re.kind = ra.IntN(len(kindSpecs))
 		for v := range re.good {
 			re.good[v] = ra.Float64()
@@ -103,7 +103,7 @@
 	return list
 }
 
-func pickShare(draw float64) int {
+func drawTeam(draw float64) int {
 	for i, sh := range teamShares {
 		if draw < sh {
 			return i
@@ -117,15 +117,15 @@
 // from whether a first try was kept.
 type strategy interface {
 	plan(re *request) []int
-	rate(ra rating)
-	tried(team, kind, version int, kept bool)
+	recordRating(ra rating)
+	recordFirstAttempt(team, kind, version int, kept bool)
 }
 
 // What the judge of first tries sees: how many bad answers it finds, and how
 // many good ones it takes for bad.
 const (
-	judgeFinds  = 0.85
-	judgeErrors = 0.1
+	judgeRecall            = 0.85
+	judgeFalsePositiveRate = 0.1
 )
 
 // Versions runs every strategy on the same market.
@@ -137,13 +137,13 @@
 		ma.run("always the large one", fixed(2), list),
 		ma.run("always the small one", fixed(0), list),
 		ma.run("round robin", &fixedStrategy{func(int, int) int { turn++; return turn % 3 }}, list),
-		ma.run("best fixed in hindsight", &fixedStrategy{hindsight}, list),
+		ma.run("best fixed in hindsight", &fixedStrategy{cheapestMeetingTarget}, list),
 		ma.run("linnetrudder", newLearner(ma.CascadeDrafts), list),
 	}
 }
 
 // hindsight is the cheapest version whose true quality meets the target.
-func hindsight(team, kind int) int {
+func cheapestMeetingTarget(team, kind int) int {
 	for v := range versionNames {
 		if trueQuality(team, kind, v) >= kindSpecs[kind].target {
 			return v
@@ -154,9 +154,9 @@
 
 type fixedStrategy struct{ choose func(team, kind int) int }
 
-func (fs *fixedStrategy) plan(re *request) []int { return []int{fs.choose(re.team, re.kind)} }
-func (*fixedStrategy) rate(rating)               {}
-func (*fixedStrategy) tried(int, int, int, bool) {}
+func (fs *fixedStrategy) plan(re *request) []int              { return []int{fs.choose(re.team, re.kind)} }
+func (*fixedStrategy) recordRating(rating)                    {}
+func (*fixedStrategy) recordFirstAttempt(int, int, int, bool) {}
 
 // learner is the system: choice over what quality has learnt.
 type learner struct {
@@ -185,9 +185,9 @@
 func teamName(t int) string { return fmt.Sprintf("team-%d", t) }
 
 // everywhere says that every version has a server.
-type everywhere struct{}
+type allAvailable struct{}
 
-func (everywhere) Has(string) bool { return true }
+func (allAvailable) Has(string) bool { return true }
 
 // oneToken makes the cost of a request the price of its version.
 type oneToken struct{ *quality.Table }
@@ -198,7 +198,7 @@
 	pl := choice.Choose(le.sn, choice.Request{
 		Team: teamName(re.team), Kind: kindSpecs[re.kind].name, Model: choice.Auto,
 		Draw: re.share, Explore: re.explore,
-	}, oneToken{&le.table}, everywhere{})
+	}, oneToken{&le.table}, allAvailable{})
 	steps := make([]int, 0, 2)
 	for _, id := range pl.Steps() {
 		for v, na := range versionNames {
@@ -210,15 +210,15 @@
 	return steps
 }
 
-func (le *learner) rate(ra rating) {
+func (le *learner) recordRating(ra rating) {
 	kind := kindSpecs[ra.kind].name
-	if ra.kept {
+	if ra.accepted {
 		kind = choice.AcceptedKind(kind)
 	}
 	le.table.Add(quality.Cell{Team: teamName(ra.team), Kind: kind, Version: versionNames[ra.version] + "@v1"}, ra.score)
 }
 
-func (le *learner) tried(team, kind, version int, kept bool) {
+func (le *learner) recordFirstAttempt(team, kind, version int, kept bool) {
 	le.table.AddFirstAttempt(teamName(team), kindSpecs[kind].name, versionNames[version]+"@v1", kept)
 }
 
@@ -227,15 +227,15 @@
 	due, team, kind, version int
 	score                    float64
 	// kept is set for a first try that was kept.
-	kept bool
+	accepted bool
 }
 
 // answer is what became of a request.
 type answer struct {
-	version int
-	kept    bool
-	cost    float64
-	calls   float64
+	version  int
+	accepted bool
+	cost     float64
+	calls    float64
 	// quality is the chance that the answer is good, over all draws of the
 	// judge.
 	quality float64
@@ -249,12 +249,12 @@
 		return an
 	}
 	good := re.good[v] < an.quality
-	flagged := !good && re.confidence < judgeFinds || good && re.confidence < judgeErrors
-	st.tried(re.team, re.kind, v, !flagged)
+	flagged := !good && re.confidence < judgeRecall || good && re.confidence < judgeFalsePositiveRate
+	st.recordFirstAttempt(re.team, re.kind, v, !flagged)
 	next := plan[1]
-	keep := an.quality*(1-judgeErrors) + (1-an.quality)*(1-judgeFinds)
-	an.quality = an.quality*(1-judgeErrors) + (1-keep)*trueQuality(re.team, re.kind, next)
-	an.kept = !flagged
+	keep := an.quality*(1-judgeFalsePositiveRate) + (1-an.quality)*(1-judgeRecall)
+	an.quality = an.quality*(1-judgeFalsePositiveRate) + (1-keep)*trueQuality(re.team, re.kind, next)
+	an.accepted = !flagged
 	if flagged {
 		an.version = next
 		an.cost += float64(prices[next])
@@ -270,7 +270,7 @@
 	if good != (re.wrong < ma.WrongFraction) {
 		score = 1
 	}
-	return rating{due: i + ma.RatingDelay, team: re.team, kind: re.kind, version: an.version, score: score, kept: an.kept}
+	return rating{due: i + ma.RatingDelay, team: re.team, kind: re.kind, version: an.version, score: score, accepted: an.accepted}
 }
 
 func (ma VersionScenario) run(name string, st strategy, list []request) VersionOutcome {
@@ -281,7 +281,7 @@
 	for i := range list {
 		re := &list[i]
 		for len(under) > 0 && under[0].due <= i {
-			st.rate(under[0])
+			st.recordRating(under[0])
 			under = under[1:]
 		}
 		an := re.serve(st, st.plan(re))
