--- a/standin/cmd/experiment/main.go
+++ b/standin/cmd/experiment/main.go
@@ -95,7 +95,7 @@
 	var ta table
 	for seed := range fl.Seeds {
 		for _, cascade := range []bool{false, true} {
-			ma := trial.VersionScenario{Requests: 60_000, RatedFraction: 0.3, WrongFraction: 0.02, RatingDelay: 500, Seed: uint64(seed), CascadeDrafts: cascade}
+			ma := trial.VersionScenario{Requests: 60_000, RatedFraction: 0.3, WrongFraction: 0.02, RatingDelay: 500, Seed: uint64(seed), Cascade: cascade}
 			for _, ou := range trial.CompareVersions(ma) {
 				name := ou.Strategy
 				if cascade {
--- a/standin/trial/load.go
+++ b/standin/trial/load.go
@@ -15,57 +15,59 @@
 	"github.com/linnetrudder/linnetrudder/internal/wire"
 )
 
-// Rush is the input of the load experiment: requests for one version on a few
+// LoadScenario is the input of the load experiment: requests for one version on a small pool of
 // servers.
 type LoadScenario struct {
-	// Load is the requests over what the servers can do.
+	// Load is the offered load divided by the capacity of the servers.
 	Load float64
-	// Burst is how many times its share the first team sends.
+	// FirstTeamWeight is how many times as many requests the first team sends as each other team.
 	FirstTeamWeight float64
-	// LostAt is when half the servers are lost; zero for never. They come back
-	// after a third of the time.
+	// HalfLostAt is when half of the servers become unreachable; zero for never. They return after
+	// a third of Duration.
 	HalfLostAt time.Duration
 	Duration   time.Duration
 	Seed       uint64
 }
 
-// The shape of the pool.
+// The size and the timing of the simulated pool.
 const (
 	poolServers    = 12
 	slotsPerServer = 4
 	poolEntries    = 3
 	poolTeams      = 5
-	// rushService is the mean time that a request holds its slot.
+	// meanServiceTime is the mean time that a request occupies a slot.
 	meanServiceTime = time.Second
-	// rushDeadline is how long a caller waits for the start.
+	// startDeadline is how long a client waits for its request to start.
 	startDeadline = 2 * time.Second
-	// rushQueue bounds the queue of a server.
+	// maxServerQueue bounds the queue of a server's gate.
 	maxServerQueue = 64
-	// rushRetries is how often a caller of the naive system tries again.
+	// naiveRetries is how often a client retries with the round-robin strategy.
 	naiveRetries = 3
 )
 
-// RushOutcome is what came of it.
+// LoadOutcome is the result of one strategy.
 type LoadOutcome struct {
 	Strategy string
-	// Goodput is the requests that started in time, over what the servers can
-	// do.
+	// Goodput is the slot time of the requests that started by their deadline, divided by the
+	// capacity.
 	Goodput float64
-	// Wasted is the slot time spent on requests whose callers had gone.
+	// WastedSlotTime is the slot time spent on requests whose clients had given up, divided by the
+	// capacity.
 	WastedSlotTime float64
-	// Others is the part of the other teams' requests that started in time.
+	// OtherTeamsServed is the fraction of the other teams' requests that started by their deadline.
 	OtherTeamsServed float64
-	// Refused is the mean time until a refused caller knows, in seconds.
+	// RefusalLatency is the mean time from the arrival of a request to its refusal, in seconds.
 	RefusalLatency float64
 }
 
-func (ru LoadOutcome) String() string {
-	return fmt.Sprintf("| %s | %.3f | %.3f | %.3f | %.3f |", ru.Strategy, ru.Goodput, ru.WastedSlotTime, ru.OtherTeamsServed, ru.RefusalLatency)
+// String returns the outcome as a row of a Markdown table.
+func (lo LoadOutcome) String() string {
+	return fmt.Sprintf("| %s | %.3f | %.3f | %.3f | %.3f |", lo.Strategy, lo.Goodput, lo.WastedSlotTime, lo.OtherTeamsServed, lo.RefusalLatency)
 }
 
-// Loads runs both strategies on the same rush.
-func CompareLoads(ru LoadScenario) []LoadOutcome {
-	return []LoadOutcome{ru.run("round robin, endless queues", &roundRobin{}), ru.run("linnetrudder", newPool())}
+// CompareLoads runs both strategies on the same scenario.
+func CompareLoads(ls LoadScenario) []LoadOutcome {
+	return []LoadOutcome{ls.run("round robin, endless queues", &roundRobin{}), ls.run("linnetrudder", newPool())}
 }
 
 // job is one request in the experiment.
@@ -80,177 +82,182 @@
 	started      bool
 }
 
-// occurrence is something that happens at a time.
+// event is a function that runs at a simulated time. Events at the same time run in the order of seq.
 type event struct {
 	at  time.Time
 	seq int
 	run func(now time.Time)
 }
 
+// eventQueue is a heap of events, ordered by time.
 type eventQueue []event
 
-func (ag eventQueue) Len() int { return len(ag) }
-func (ag eventQueue) Less(i, j int) bool {
-	if !ag[i].at.Equal(ag[j].at) {
-		return ag[i].at.Before(ag[j].at)
+func (eq eventQueue) Len() int { return len(eq) }
+func (eq eventQueue) Less(i, j int) bool {
+	if !eq[i].at.Equal(eq[j].at) {
+		return eq[i].at.Before(eq[j].at)
 	}
-	return ag[i].seq < ag[j].seq
+	return eq[i].seq < eq[j].seq
 }
-func (ag eventQueue) Swap(i, j int) { ag[i], ag[j] = ag[j], ag[i] }
-func (ag *eventQueue) Push(x any)   { *ag = append(*ag, x.(event)) }
-func (ag *eventQueue) Pop() any {
-	last := len(*ag) - 1
-	oc := (*ag)[last]
-	*ag = (*ag)[:last]
-	return oc
+func (eq eventQueue) Swap(i, j int) { eq[i], eq[j] = eq[j], eq[i] }
+func (eq *eventQueue) Push(x any)   { *eq = append(*eq, x.(event)) }
+func (eq *eventQueue) Pop() any {
+	last := len(*eq) - 1
+	ev := (*eq)[last]
+	*eq = (*eq)[:last]
+	return ev
 }
 
-// stage is the experiment's clock and books.
+// simulator runs events in the order of their simulated times and sums up their results.
 type simulator struct {
 	events eventQueue
 	seq    int
 	ra     *rand.Rand
 	up     [poolServers]bool
-	// good, wasted and the rest are the sums of the outcome.
+	// The sums from which the LoadOutcome is computed.
 	usefulSeconds, wastedSeconds, refusals, refusalSeconds float64
 	otherTeamRequests, otherTeamStarts                     float64
 }
 
-func (st *simulator) schedule(when time.Time, do func(now time.Time)) {
-	st.seq++
-	heap.Push(&st.events, event{when, st.seq, do})
+// schedule adds an event.
+func (si *simulator) schedule(when time.Time, run func(now time.Time)) {
+	si.seq++
+	heap.Push(&si.events, event{when, si.seq, run})
 }
 
-// began books a job that got a slot.
-func (st *simulator) recordStart(jo *job, now time.Time) {
+// recordStart counts the slot time of a job that got a slot.
+func (si *simulator) recordStart(jo *job, now time.Time) {
 	if now.After(jo.deadline) {
-		st.wastedSeconds += jo.service.Seconds()
+		si.wastedSeconds += jo.service.Seconds()
 		return
 	}
 	if jo.started {
-		st.wastedSeconds += jo.service.Seconds()
+		si.wastedSeconds += jo.service.Seconds()
 		return
 	}
 	jo.started = true
-	st.usefulSeconds += jo.service.Seconds()
+	si.usefulSeconds += jo.service.Seconds()
 	if jo.team != 0 {
-		st.otherTeamStarts++
+		si.otherTeamStarts++
 	}
 }
 
-// gaveUp books a refusal.
-func (st *simulator) recordRefusal(jo *job, now time.Time) {
-	st.refusals++
-	st.refusalSeconds += now.Sub(jo.arrived).Seconds()
+// recordRefusal counts a refusal.
+func (si *simulator) recordRefusal(jo *job, now time.Time) {
+	si.refusals++
+	si.refusalSeconds += now.Sub(jo.arrived).Seconds()
 }
 
-// system is what jobs are given to.
+// dispatcher is a strategy that assigns jobs to servers.
 type dispatcher interface {
-	dispatch(st *simulator, jo *job, now time.Time)
-	// lose and regain switch a server.
-	serverDown(st *simulator, server int, now time.Time)
-	serverUp(st *simulator, server int, now time.Time)
+	dispatch(si *simulator, jo *job, now time.Time)
+	// serverDown and serverUp report that a server became unreachable or reachable.
+	serverDown(si *simulator, server int, now time.Time)
+	serverUp(si *simulator, server int, now time.Time)
 }
 
-func (ru LoadScenario) run(name string, sy dispatcher) LoadOutcome {
+// run simulates the scenario with one strategy.
+func (ls LoadScenario) run(name string, di dispatcher) LoadOutcome {
 	begin := time.Unix(1_800_000_000, 0)
-	st := &simulator{ra: rand.New(rand.NewPCG(ru.Seed, 13))}
-	for i := range st.up {
-		st.up[i] = true
+	si := &simulator{ra: rand.New(rand.NewPCG(ls.Seed, 13))}
+	for i := range si.up {
+		si.up[i] = true
 	}
-	rate := ru.Load * poolServers * slotsPerServer / meanServiceTime.Seconds()
+	rate := ls.Load * poolServers * slotsPerServer / meanServiceTime.Seconds()
 	var arrive func(now time.Time)
 	arrive = func(now time.Time) {
-		if now.Sub(begin) > ru.Duration {
+		if now.Sub(begin) > ls.Duration {
 			return
 		}
-		jo := ru.job(st, now)
+		jo := ls.job(si, now)
 		if jo.team != 0 {
-			st.otherTeamRequests++
+			si.otherTeamRequests++
 		}
-		sy.dispatch(st, jo, now)
-		st.schedule(now.Add(time.Duration(st.ra.ExpFloat64()/rate*float64(time.Second))), arrive)
+		di.dispatch(si, jo, now)
+		si.schedule(now.Add(time.Duration(si.ra.ExpFloat64()/rate*float64(time.Second))), arrive)
 	}
-	st.schedule(begin, arrive)
-	if ru.HalfLostAt > 0 {
+	si.schedule(begin, arrive)
+	if ls.HalfLostAt > 0 {
 		for i := range poolServers / 2 {
-			st.schedule(begin.Add(ru.HalfLostAt), func(now time.Time) { st.up[i] = false; sy.serverDown(st, i, now) })
-			st.schedule(begin.Add(ru.HalfLostAt+ru.Duration/3), func(now time.Time) { st.up[i] = true; sy.serverUp(st, i, now) })
+			si.schedule(begin.Add(ls.HalfLostAt), func(now time.Time) { si.up[i] = false; di.serverDown(si, i, now) })
+			si.schedule(begin.Add(ls.HalfLostAt+ls.Duration/3), func(now time.Time) { si.up[i] = true; di.serverUp(si, i, now) })
 		}
 	}
-	for st.events.Len() > 0 {
-		oc := heap.Pop(&st.events).(event)
-		oc.run(oc.at)
+	for si.events.Len() > 0 {
+		ev := heap.Pop(&si.events).(event)
+		ev.run(ev.at)
 	}
-	capacity := poolServers * slotsPerServer * ru.Duration.Seconds()
-	if ru.HalfLostAt > 0 {
+	capacity := poolServers * slotsPerServer * ls.Duration.Seconds()
+	if ls.HalfLostAt > 0 {
 		capacity *= 1 - 1.0/6
 	}
 	return LoadOutcome{
-		Strategy: name, Goodput: st.usefulSeconds / capacity, WastedSlotTime: st.wastedSeconds / capacity,
-		OtherTeamsServed: st.otherTeamStarts / st.otherTeamRequests, RefusalLatency: st.refusalSeconds / math.Max(1, st.refusals),
+		Strategy: name, Goodput: si.usefulSeconds / capacity, WastedSlotTime: si.wastedSeconds / capacity,
+		OtherTeamsServed: si.otherTeamStarts / si.otherTeamRequests, RefusalLatency: si.refusalSeconds / math.Max(1, si.refusals),
 	}
 }
 
-func (ru LoadScenario) job(st *simulator, now time.Time) *job {
-	// The first team sends Burst times what each of the others does.
+// job draws the next job. The first team's jobs are FirstTeamWeight times as likely as those of each
+// other team.
+func (ls LoadScenario) job(si *simulator, now time.Time) *job {
 	team := 0
-	if draw := st.ra.Float64() * (ru.FirstTeamWeight + poolTeams - 1); draw >= ru.FirstTeamWeight {
-		team = 1 + int(draw-ru.FirstTeamWeight)
+	if draw := si.ra.Float64() * (ls.FirstTeamWeight + poolTeams - 1); draw >= ls.FirstTeamWeight {
+		team = 1 + int(draw-ls.FirstTeamWeight)
 	}
-	// Service times are log-normal with the mean rushService.
+	// Service times are log-normal with the mean meanServiceTime.
 	const sigma = 0.5
-	service := math.Exp(st.ra.NormFloat64()*sigma - sigma*sigma/2)
+	service := math.Exp(si.ra.NormFloat64()*sigma - sigma*sigma/2)
 	return &job{
 		team: min(team, poolTeams-1), arrived: now, deadline: now.Add(startDeadline),
-		service: time.Duration(service * float64(meanServiceTime)), entry: st.ra.IntN(poolEntries),
+		service: time.Duration(service * float64(meanServiceTime)), entry: si.ra.IntN(poolEntries),
 	}
 }
 
-// turns is the naive system: servers in turn, queues without an end, callers
-// that give up at their deadline and try again.
+// roundRobin is the naive strategy: round robin over the servers, unbounded queues, and clients that
+// give up at their deadline and retry. Servers execute jobs whose clients have given up.
 type roundRobin struct {
 	next    int
 	queues  [poolServers][]*job
 	running [poolServers]int
 }
 
-func (tu *roundRobin) dispatch(st *simulator, jo *job, now time.Time) {
-	server := tu.next % poolServers
-	tu.next++
-	tu.queues[server] = append(tu.queues[server], jo)
-	tu.startQueued(st, server, now)
-	st.schedule(jo.deadline, func(now time.Time) {
+func (rr *roundRobin) dispatch(si *simulator, jo *job, now time.Time) {
+	server := rr.next % poolServers
+	rr.next++
+	rr.queues[server] = append(rr.queues[server], jo)
+	rr.startQueued(si, server, now)
+	si.schedule(jo.deadline, func(now time.Time) {
 		if jo.started {
 			return
 		}
-		st.recordRefusal(jo, now)
+		si.recordRefusal(jo, now)
 		if jo.attempts < naiveRetries {
 			again := &job{team: jo.team, arrived: now, deadline: now.Add(startDeadline), service: jo.service, attempts: jo.attempts + 1}
-			tu.dispatch(st, again, now)
+			rr.dispatch(si, again, now)
 		}
 	})
 }
 
-func (tu *roundRobin) startQueued(st *simulator, server int, now time.Time) {
-	for st.up[server] && tu.running[server] < slotsPerServer && len(tu.queues[server]) > 0 {
-		jo := tu.queues[server][0]
-		tu.queues[server] = tu.queues[server][1:]
-		tu.running[server]++
-		st.recordStart(jo, now)
-		st.schedule(now.Add(jo.service), func(now time.Time) {
-			tu.running[server]--
-			tu.startQueued(st, server, now)
+// startQueued starts queued jobs of a server while it has free slots.
+func (rr *roundRobin) startQueued(si *simulator, server int, now time.Time) {
+	for si.up[server] && rr.running[server] < slotsPerServer && len(rr.queues[server]) > 0 {
+		jo := rr.queues[server][0]
+		rr.queues[server] = rr.queues[server][1:]
+		rr.running[server]++
+		si.recordStart(jo, now)
+		si.schedule(now.Add(jo.service), func(now time.Time) {
+			rr.running[server]--
+			rr.startQueued(si, server, now)
 		})
 	}
 }
 
 func (*roundRobin) serverDown(*simulator, int, time.Time) {}
-func (tu *roundRobin) serverUp(st *simulator, server int, now time.Time) {
-	tu.startQueued(st, server, now)
+func (rr *roundRobin) serverUp(si *simulator, server int, now time.Time) {
+	rr.startQueued(si, server, now)
 }
 
-// pool is the system: a board and a retry budget at each entry, a gate at each
+// systemPool is the strategy of the system: a balancer and retry budgets at each entry, a gate at each
 // server.
 type systemPool struct {
 	balancers [poolEntries]balance.Balancer
@@ -260,7 +267,7 @@
 	stream    uint64
 }
 
-// wireDelay is the way from an entry to an agent.
+// networkDelay is the one-way latency between an entry and an agent.
 const networkDelay = 500 * time.Microsecond
 
 func newPool() *systemPool {
@@ -304,15 +311,15 @@
 	return n
 }
 
-func (po *systemPool) dispatch(st *simulator, jo *job, now time.Time) {
+func (po *systemPool) dispatch(si *simulator, jo *job, now time.Time) {
 	po.budgets[jo.entry].For(teamName(jo.team)).Deposit(now)
-	po.send(st, jo, now)
+	po.send(si, jo, now)
 }
 
-func (po *systemPool) send(st *simulator, jo *job, now time.Time) {
-	server, ok := po.balancers[jo.entry].Pick("m@v1", jo.triedServers, st.ra.Uint64())
+func (po *systemPool) send(si *simulator, jo *job, now time.Time) {
+	server, ok := po.balancers[jo.entry].Pick("m@v1", jo.triedServers, si.ra.Uint64())
 	if !ok {
-		st.recordRefusal(jo, now)
+		si.recordRefusal(jo, now)
 		return
 	}
 	jo.triedServers = append(jo.triedServers, server)
@@ -322,61 +329,63 @@
 	key := gate.Key{Link: fmt.Sprint(jo.entry), Stream: po.stream}
 	po.jobs[key] = jo
 	i := serverIndex(server)
-	st.schedule(now.Add(networkDelay), func(now time.Time) {
-		if !st.up[i] {
-			po.retryOrRefuse(st, jo, now)
+	si.schedule(now.Add(networkDelay), func(now time.Time) {
+		if !si.up[i] {
+			po.retryOrRefuse(si, jo, now)
 			return
 		}
 		at := &wire.Attempt{Team: teamName(jo.team), Version: "m@v1", WaitMS: max(0, jo.deadline.Sub(now).Milliseconds())}
-		po.applyActions(st, i, po.gates[i].Submit(key, at, now), now)
-		po.checkDeadline(st, i, jo)
+		po.applyActions(si, i, po.gates[i].Submit(key, at, now), now)
+		po.checkDeadline(si, i, jo)
 	})
 }
 
-// watch lets the gate see the deadline of a job that may wait.
-func (po *systemPool) checkDeadline(st *simulator, i int, jo *job) {
-	st.schedule(jo.deadline.Add(time.Millisecond), func(now time.Time) {
-		if st.up[i] && !jo.started {
-			po.applyActions(st, i, po.gates[i].Tick(now), now)
+// checkDeadline makes the gate of a server check its deadlines shortly after that of a job.
+func (po *systemPool) checkDeadline(si *simulator, i int, jo *job) {
+	si.schedule(jo.deadline.Add(time.Millisecond), func(now time.Time) {
+		if si.up[i] && !jo.started {
+			po.applyActions(si, i, po.gates[i].Tick(now), now)
 		}
 	})
 }
 
-func (po *systemPool) applyActions(st *simulator, i int, acs []gate.Action, now time.Time) {
+// applyActions carries out what a gate decided: it starts jobs or returns rejected ones to their entry.
+// The gate's load reaches the balancer networkDelay later.
+func (po *systemPool) applyActions(si *simulator, i int, acs []gate.Action, now time.Time) {
 	for _, ac := range acs {
 		jo := po.jobs[ac.Key()]
 		lo := po.gates[i].Load()
 		if ac.Kind() == gate.Start {
-			st.recordStart(jo, now)
-			st.schedule(now.Add(networkDelay), func(time.Time) { po.balancers[jo.entry].SetLoad(serverName(i), lo) })
-			st.schedule(now.Add(jo.service), func(now time.Time) { po.finish(st, i, ac.Key(), now) })
+			si.recordStart(jo, now)
+			si.schedule(now.Add(networkDelay), func(time.Time) { po.balancers[jo.entry].SetLoad(serverName(i), lo) })
+			si.schedule(now.Add(jo.service), func(now time.Time) { po.finish(si, i, ac.Key(), now) })
 			continue
 		}
 		delete(po.jobs, ac.Key())
-		st.schedule(now.Add(networkDelay), func(now time.Time) {
+		si.schedule(now.Add(networkDelay), func(now time.Time) {
 			po.balancers[jo.entry].SetLoad(serverName(i), lo)
-			po.retryOrRefuse(st, jo, now)
+			po.retryOrRefuse(si, jo, now)
 		})
 	}
 }
 
-func (po *systemPool) finish(st *simulator, i int, key gate.Key, now time.Time) {
+func (po *systemPool) finish(si *simulator, i int, key gate.Key, now time.Time) {
 	jo := po.jobs[key]
 	delete(po.jobs, key)
-	po.applyActions(st, i, po.gates[i].Ended(key, now), now)
+	po.applyActions(si, i, po.gates[i].Ended(key, now), now)
 	lo := po.gates[i].Load()
-	st.schedule(now.Add(networkDelay), func(time.Time) { po.balancers[jo.entry].SetLoad(serverName(i), lo) })
+	si.schedule(now.Add(networkDelay), func(time.Time) { po.balancers[jo.entry].SetLoad(serverName(i), lo) })
 }
 
-// maxTries is how often the route tries servers.
+// maxAttempts is how many servers an entry tries for a job.
 const maxAttempts = 4
 
-func (po *systemPool) retryOrRefuse(st *simulator, jo *job, now time.Time) {
+func (po *systemPool) retryOrRefuse(si *simulator, jo *job, now time.Time) {
 	if jo.attempts >= maxAttempts || !now.Before(jo.deadline) || !po.budgets[jo.entry].For(teamName(jo.team)).Take(now) {
-		st.recordRefusal(jo, now)
+		si.recordRefusal(jo, now)
 		return
 	}
-	po.send(st, jo, now)
+	po.send(si, jo, now)
 }
 
 func (po *systemPool) serverDown(_ *simulator, i int, _ time.Time) {
@@ -386,7 +395,7 @@
 }
 
 func (po *systemPool) serverUp(_ *simulator, i int, now time.Time) {
-	// An agent that comes back asks a peer whether its configuration is fresh.
+	// An agent that reconnects asks a peer whether its configuration is current.
 	po.gates[i].Tick(now)
 	po.gates[i].Confirm(1, now)
 	for e := range po.balancers {
--- a/standin/trial/rollouts.go
+++ b/standin/trial/rollouts.go
@@ -9,64 +9,64 @@
 	"github.com/linnetrudder/linnetrudder/internal/rollout"
 )
 
-// Release is the input of the roll-out experiment: a new version takes over
-// from one that serves.
+// RolloutScenario is the input of the rollout experiment: a new version replaces the current one.
 type RolloutScenario struct {
-	// Rate is the model's requests in a second.
+	// RequestsPerSecond is the model's request rate.
 	RequestsPerSecond int
-	// GoodFailures and GoodLow are the rates of failures and of low ratings of
-	// the version that serves.
+	// BaselineFailureRate and BaselineLowRatingRate are the rates of failures and of low ratings of
+	// the current version.
 	BaselineFailureRate, BaselineLowRatingRate float64
-	// Failures and Low are those of the new version, from TurnsBad on; before,
-	// it is as good as the old.
+	// FailureRate and LowRatingRate are those of the new version from DegradesAt on; before that it
+	// has the rates of the current version.
 	FailureRate, LowRatingRate float64
 	DegradesAt                 time.Duration
-	// Rated is the part of answers that is rated, after RatingLag. Tallies are
-	// seen after Lag.
+	// RatedFraction is the fraction of responses that are rated. Ratings become visible after
+	// RatingLag, tallies after TallyLag.
 	RatedFraction       float64
 	TallyLag, RatingLag time.Duration
-	// Interrupted is when nobody decides for a while.
+	// DecisionOutage is the start and the end of a time during which the share is not changed.
 	DecisionOutage [2]time.Duration
-	// For is how long to watch.
+	// Duration is the simulated time.
 	Duration time.Duration
 	Seed     uint64
 }
 
-// ReleaseOutcome is what one strategy did.
+// RolloutOutcome is the result of one strategy.
 type RolloutOutcome struct {
 	Strategy string
-	// Exposure is how many requests went to the version after it was bad.
+	// Exposure is the number of requests that were sent to the new version while it was bad.
 	Exposure   int
 	RolledBack bool
-	// Full is when the version had all new work; zero if never.
+	// FullShareAt is when the new version first got all requests; zero if never.
 	FullShareAt time.Duration
 }
 
-// releaser decides the new version's share once a second.
+// rolloutStrategy decides the new version's share once a second.
 type rolloutStrategy interface {
 	share(now time.Time, version, others rollout.Tally) float64
 	name() string
 }
 
-// plan is what operators of all strategies write.
+// rolloutConfig returns the operators' configuration, the same for all strategies.
 func rolloutConfig() *config.Rollout {
 	return &config.Rollout{
 		Model: "m", To: "v2", Steps: []float64{0.01, 0.05, 0.2, 0.5, 1}, HoldSeconds: 60, MaxFailureRate: 0.05,
 	}
 }
 
-// ours is the system.
+// systemRollout is the strategy of the system.
 type systemRollout struct{ progress rollout.Progress }
 
 func (*systemRollout) name() string { return "linnetrudder" }
 
-func (ou *systemRollout) share(now time.Time, version, others rollout.Tally) float64 {
-	next, share := rollout.Decide(rolloutConfig(), ou.progress, now, version, others)
-	ou.progress = next
+func (sr *systemRollout) share(now time.Time, version, others rollout.Tally) float64 {
+	next, share := rollout.Decide(rolloutConfig(), sr.progress, now, version, others)
+	sr.progress = next
 	return share
 }
 
-// ladder takes fixed steps and looks at the failure rate before each.
+// fixedSteps raises the share by fixed steps at fixed intervals. Before each step it checks the rates of
+// failures and of low ratings since the last one.
 type fixedSteps struct {
 	strategyName string
 	steps        []float64
@@ -78,81 +78,83 @@
 	started      bool
 }
 
-func (la *fixedSteps) name() string { return la.strategyName }
+func (fs *fixedSteps) name() string { return fs.strategyName }
 
-// lowRate is the rate of low ratings at which a ladder goes back.
+// maxLowRatingRate is the rate of low ratings above which fixedSteps rolls back.
 const maxLowRatingRate = 0.25
 
-func (la *fixedSteps) share(now time.Time, version, _ rollout.Tally) float64 {
-	if !la.started {
-		la.started, la.stepStart = true, now
+func (fs *fixedSteps) share(now time.Time, version, _ rollout.Tally) float64 {
+	if !fs.started {
+		fs.started, fs.stepStart = true, now
 	}
-	if la.rolledBack {
+	if fs.rolledBack {
 		return 0
 	}
-	if now.Sub(la.stepStart) >= la.interval {
-		started := float64(version.Started - la.lastTally.Started)
-		failed := float64(version.Failed - la.lastTally.Failed)
-		rated, low := version.Rated-la.lastTally.Rated, version.Low-la.lastTally.Low
-		la.rolledBack = started > 0 && failed/started > rolloutConfig().MaxFailureRate || rated > 0 && low/rated > maxLowRatingRate
-		la.lastTally, la.stepStart = version, now
-		if la.step < len(la.steps)-1 {
-			la.step++
+	if now.Sub(fs.stepStart) >= fs.interval {
+		started := float64(version.Started - fs.lastTally.Started)
+		failed := float64(version.Failed - fs.lastTally.Failed)
+		rated, low := version.Rated-fs.lastTally.Rated, version.Low-fs.lastTally.Low
+		fs.rolledBack = started > 0 && failed/started > rolloutConfig().MaxFailureRate || rated > 0 && low/rated > maxLowRatingRate
+		fs.lastTally, fs.stepStart = version, now
+		if fs.step < len(fs.steps)-1 {
+			fs.step++
 		}
-		if la.rolledBack {
+		if fs.rolledBack {
 			return 0
 		}
 	}
-	return la.steps[la.step]
+	return fs.steps[fs.step]
 }
 
-// Rollouts runs every strategy on the same release.
-func CompareRollouts(re RolloutScenario) []RolloutOutcome {
+// CompareRollouts runs every strategy on the same scenario.
+func CompareRollouts(rs RolloutScenario) []RolloutOutcome {
 	return []RolloutOutcome{
-		re.run(&fixedSteps{strategyName: "all at once, looked at every 10 min", steps: []float64{1}, interval: 10 * time.Minute}),
-		re.run(&fixedSteps{strategyName: "fixed ladder, a step every 10 min", steps: rolloutConfig().Steps, interval: 10 * time.Minute}),
-		re.run(&systemRollout{}),
+		rs.run(&fixedSteps{strategyName: "all at once, looked at every 10 min", steps: []float64{1}, interval: 10 * time.Minute}),
+		rs.run(&fixedSteps{strategyName: "fixed ladder, a step every 10 min", steps: rolloutConfig().Steps, interval: 10 * time.Minute}),
+		rs.run(&systemRollout{}),
 	}
 }
 
-// lagged holds tallies until they are seen.
+// delayedTally delays tallies by a lag in seconds.
 type delayedTally struct {
 	lag     int
 	history []rollout.Tally
 }
 
-func (la *delayedTally) add(ta rollout.Tally) rollout.Tally {
-	la.history = append(la.history, ta)
-	return la.history[max(0, len(la.history)-1-la.lag)]
+// add records the tally of the current second and returns the one of lag seconds ago.
+func (dt *delayedTally) add(ta rollout.Tally) rollout.Tally {
+	dt.history = append(dt.history, ta)
+	return dt.history[max(0, len(dt.history)-1-dt.lag)]
 }
 
-func (re RolloutScenario) run(st rolloutStrategy) RolloutOutcome {
-	ra := rand.New(rand.NewPCG(re.Seed, 11))
+// run simulates the scenario with one strategy.
+func (rs RolloutScenario) run(st rolloutStrategy) RolloutOutcome {
+	ra := rand.New(rand.NewPCG(rs.Seed, 11))
 	out := RolloutOutcome{Strategy: st.name()}
 	begin := time.Unix(1_800_000_000, 0)
-	var young, old rollout.Tally
-	seen := [2]delayedTally{{lag: int(re.TallyLag.Seconds())}, {lag: int(re.TallyLag.Seconds())}}
-	rated := [2]delayedTally{{lag: int(re.RatingLag.Seconds())}, {lag: int(re.RatingLag.Seconds())}}
+	var newTally, oldTally rollout.Tally
+	seen := [2]delayedTally{{lag: int(rs.TallyLag.Seconds())}, {lag: int(rs.TallyLag.Seconds())}}
+	rated := [2]delayedTally{{lag: int(rs.RatingLag.Seconds())}, {lag: int(rs.RatingLag.Seconds())}}
 	share := 0.0
-	for sec := range int(re.Duration.Seconds()) {
+	for sec := range int(rs.Duration.Seconds()) {
 		at := time.Duration(sec) * time.Second
-		if at < re.DecisionOutage[0] || at >= re.DecisionOutage[1] {
-			share = st.share(begin.Add(at), visibleTally(&seen[0], &rated[0], young), visibleTally(&seen[1], &rated[1], old))
+		if at < rs.DecisionOutage[0] || at >= rs.DecisionOutage[1] {
+			share = st.share(begin.Add(at), visibleTally(&seen[0], &rated[0], newTally), visibleTally(&seen[1], &rated[1], oldTally))
 		} else {
-			visibleTally(&seen[0], &rated[0], young)
-			visibleTally(&seen[1], &rated[1], old)
+			visibleTally(&seen[0], &rated[0], newTally)
+			visibleTally(&seen[1], &rated[1], oldTally)
 		}
-		bad := at >= re.DegradesAt && (re.FailureRate > re.BaselineFailureRate || re.LowRatingRate > re.BaselineLowRatingRate)
-		for range re.RequestsPerSecond {
+		bad := at >= rs.DegradesAt && (rs.FailureRate > rs.BaselineFailureRate || rs.LowRatingRate > rs.BaselineLowRatingRate)
+		for range rs.RequestsPerSecond {
 			if ra.Float64() >= share {
-				re.simulateRequest(ra, &old, re.BaselineFailureRate, re.BaselineLowRatingRate)
+				rs.simulateRequest(ra, &oldTally, rs.BaselineFailureRate, rs.BaselineLowRatingRate)
 				continue
 			}
 			if bad {
 				out.Exposure++
-				re.simulateRequest(ra, &young, re.FailureRate, re.LowRatingRate)
+				rs.simulateRequest(ra, &newTally, rs.FailureRate, rs.LowRatingRate)
 			} else {
-				re.simulateRequest(ra, &young, re.BaselineFailureRate, re.BaselineLowRatingRate)
+				rs.simulateRequest(ra, &newTally, rs.BaselineFailureRate, rs.BaselineLowRatingRate)
 			}
 		}
 		if share >= 1 && out.FullShareAt == 0 {
@@ -163,8 +165,8 @@
 	return out
 }
 
-// view returns what of a tally is seen by now: counts after their lag, ratings
-// after theirs.
+// visibleTally records a tally and returns the one that is visible now: ratings have a longer lag than
+// counts.
 func visibleTally(counts, ratings *delayedTally, ta rollout.Tally) rollout.Tally {
 	seen := counts.add(ta)
 	late := ratings.add(ta)
@@ -172,13 +174,14 @@
 	return seen
 }
 
-func (re RolloutScenario) simulateRequest(ra *rand.Rand, ta *rollout.Tally, failures, low float64) {
+// simulateRequest draws the result of one request and adds it to a tally.
+func (rs RolloutScenario) simulateRequest(ra *rand.Rand, ta *rollout.Tally, failures, low float64) {
 	ta.Started++
 	if ra.Float64() < failures {
 		ta.Failed++
 		return
 	}
-	if ra.Float64() < re.RatedFraction {
+	if ra.Float64() < rs.RatedFraction {
 		ta.Rated++
 		if ra.Float64() < low {
 			ta.Low++
@@ -186,6 +189,7 @@
 	}
 }
 
+// String returns the outcome for logs.
 func (ro RolloutOutcome) String() string {
 	return fmt.Sprintf("%s: exposed %d, reversed %t, full after %s", ro.Strategy, ro.Exposure, ro.RolledBack, ro.FullShareAt)
 }
--- a/standin/trial/rollouts_test.go
+++ b/standin/trial/rollouts_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// release is a good version; tests change what is wrong with it.
+// newRolloutScenario returns a scenario with a good new version; tests make it worse.
 func newRolloutScenario(seed uint64) RolloutScenario {
 	return RolloutScenario{
 		RequestsPerSecond: 50, BaselineFailureRate: 0.01, BaselineLowRatingRate: 0.08, FailureRate: 0.01, LowRatingRate: 0.08, RatedFraction: 0.3,
@@ -15,26 +15,27 @@
 	}
 }
 
-// sums adds up what each strategy did over many seeds.
+// totals sums up the outcomes of one strategy over many seeds.
 type totals struct {
-	exposure, reversed, full int
+	exposure, rolledBack, fullShare int
 }
 
-func totalsByStrategy(n int, change func(re *RolloutScenario)) map[string]totals {
+// totalsByStrategy runs a changed scenario with n seeds.
+func totalsByStrategy(n int, change func(rs *RolloutScenario)) map[string]totals {
 	by := map[string]totals{}
 	for seed := range n {
-		re := newRolloutScenario(uint64(seed))
-		change(&re)
-		for _, ou := range CompareRollouts(re) {
-			su := by[ou.Strategy]
-			su.exposure += ou.Exposure
+		rs := newRolloutScenario(uint64(seed))
+		change(&rs)
+		for _, ou := range CompareRollouts(rs) {
+			to := by[ou.Strategy]
+			to.exposure += ou.Exposure
 			if ou.RolledBack {
-				su.reversed++
+				to.rolledBack++
 			}
 			if ou.FullShareAt > 0 {
-				su.full++
+				to.fullShare++
 			}
-			by[ou.Strategy] = su
+			by[ou.Strategy] = to
 		}
 	}
 	return by
@@ -50,34 +51,35 @@
 	t.Parallel()
 	by := totalsByStrategy(seedCount, func(*RolloutScenario) {})
 	t.Log(by)
-	require.Zero(t, by[systemName].reversed)
-	require.Equal(t, seedCount, by[systemName].full)
-	require.LessOrEqual(t, by[systemName].reversed, by[fixedStepsName].reversed, "no more false alarms than the ladder")
+	require.Zero(t, by[systemName].rolledBack)
+	require.Equal(t, seedCount, by[systemName].fullShare)
+	require.LessOrEqual(t, by[systemName].rolledBack, by[fixedStepsName].rolledBack, "no more false positives than with fixed steps")
 }
 
 func TestBadVersionsAreRolledBack(t *testing.T) {
 	t.Parallel()
 	for _, tc := range []struct {
 		name   string
-		change func(re *RolloutScenario)
+		change func(rs *RolloutScenario)
 	}{
-		{"fails from the start", func(re *RolloutScenario) { re.FailureRate = 0.2 }},
-		{"fails a little", func(re *RolloutScenario) { re.FailureRate = 0.08 }},
-		{"low ratings", func(re *RolloutScenario) { re.LowRatingRate = 0.4 }},
-		{"turns bad half-way", func(re *RolloutScenario) { re.FailureRate, re.DegradesAt = 0.3, 20*time.Minute }},
-		{"turns bad after all", func(re *RolloutScenario) { re.FailureRate, re.DegradesAt = 0.3, 90*time.Minute }},
-		{"interrupted", func(re *RolloutScenario) {
-			re.FailureRate = 0.2
-			re.DecisionOutage = [2]time.Duration{2 * time.Second, 10 * time.Minute}
+		{"fails from the start", func(rs *RolloutScenario) { rs.FailureRate = 0.2 }},
+		{"fails slightly", func(rs *RolloutScenario) { rs.FailureRate = 0.08 }},
+		{"low ratings", func(rs *RolloutScenario) { rs.LowRatingRate = 0.4 }},
+		{"degrades during the rollout", func(rs *RolloutScenario) { rs.FailureRate, rs.DegradesAt = 0.3, 20*time.Minute }},
+		{"degrades after the rollout", func(rs *RolloutScenario) { rs.FailureRate, rs.DegradesAt = 0.3, 90*time.Minute }},
+		{"decision outage", func(rs *RolloutScenario) {
+			rs.FailureRate = 0.2
+			rs.DecisionOutage = [2]time.Duration{2 * time.Second, 10 * time.Minute}
 		}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
 			by := totalsByStrategy(seedCount, tc.change)
 			t.Log(by)
-			require.Equal(t, seedCount, by[systemName].reversed)
-			if tc.name == "interrupted" {
-				// Nobody decides for ten minutes, so both keep the first share.
+			require.Equal(t, seedCount, by[systemName].rolledBack)
+			if tc.name == "decision outage" {
+				// The share is not changed for ten minutes, so both strategies stay at the first
+				// one.
 				require.LessOrEqual(t, by[systemName].exposure, by[fixedStepsName].exposure)
 				return
 			}
--- a/standin/trial/versions.go
+++ b/standin/trial/versions.go
@@ -1,6 +1,6 @@
-// Package trial compares the system's decisions with naive ones on the same
-// seeded input: no processes, no network, no clock, only the packages that
-// decide.
+// Package trial simulates the system's decisions about versions, rollouts and load, and compares them
+// with naive strategies on the same seeded input. It runs only the packages that decide, without
+// processes, network or real time.
 package trial
 
 import (
@@ -13,20 +13,20 @@
 	"github.com/linnetrudder/linnetrudder/internal/selector"
 )
 
-// Market is the input of the version experiment.
+// VersionScenario is the input of the experiment on the choice of versions.
 type VersionScenario struct {
-	// Requests is how many requests come.
+	// Requests is the number of requests.
 	Requests int
-	// Rated is the part of answers that is rated, Wrong the part of ratings
-	// that say the opposite, Delay how many requests later a rating comes.
+	// RatedFraction is the fraction of responses that are rated, WrongFraction the fraction of
+	// ratings that are inverted, and RatingDelay how many requests later a rating arrives.
 	RatedFraction, WrongFraction float64
 	RatingDelay                  int
-	// Cascade lets drafts try a cheaper version first.
-	CascadeDrafts bool
-	Seed          uint64
+	// Cascade allows requests to try a cheaper version first.
+	Cascade bool
+	Seed    uint64
 }
 
-// kindSpec is a kind of request with each version's true quality.
+// kindSpec is a kind of request with its quality target and each version's true quality.
 type kindSpec struct {
 	name    string
 	target  float64
@@ -34,7 +34,7 @@
 }
 
 var (
-	// versionNames are in the order of price.
+	// versionNames and prices are ordered by price.
 	versionNames = []string{"small", "medium", "large"}
 	prices       = []int64{1, 4, 15}
 	kindSpecs    = []kindSpec{
@@ -42,11 +42,11 @@
 		{"note", 0.85, [3]float64{0.80, 0.93, 0.96}},
 		{"draft", 0.85, [3]float64{0.50, 0.78, 0.94}},
 	}
-	// teamShares are the parts of ten teams of very unequal size.
+	// teamShares are the shares of ten teams of very unequal size in all requests.
 	teamShares = []float64{0.34, 0.2, 0.13, 0.1, 0.07, 0.06, 0.04, 0.03, 0.02, 0.01}
 )
 
-// oddTeam's allergen questions are beyond the small version.
+// The small version's quality for outlierTeam's allergen requests is only outlierQuality.
 const (
 	outlierTeam    = 4
 	outlierQuality = 0.6
@@ -59,37 +59,39 @@
 	return kindSpecs[kind].quality[version]
 }
 
-// Outcome is what one strategy cost and reached.
+// VersionOutcome is the result of one strategy.
 type VersionOutcome struct {
 	Strategy string
 	// Cost is the mean price of a request.
 	Cost float64
-	// Met is the part of (team, kind) pairs, by their requests, whose mean
-	// true quality met the target within a hundredth.
+	// TargetMet is the fraction of (team, kind) pairs, weighted by their requests, whose mean true
+	// quality is at most 0.01 below the target.
 	TargetMet float64
-	// Worst is the largest shortfall of a pair with at least 100 requests.
+	// WorstShortfall is the largest shortfall of quality of a pair with at least 100 requests.
 	WorstShortfall float64
-	// Calls is the mean number of calls for a request.
+	// Calls is the mean number of calls per request.
 	Calls float64
 }
 
+// String returns the outcome as a row of a Markdown table.
 func (ou VersionOutcome) String() string {
 	return fmt.Sprintf("| %s | %.2f | %.1f%% | %.3f | %.2f |", ou.Strategy, ou.Cost, 100*ou.TargetMet, ou.WorstShortfall, ou.Calls)
 }
 
-// request is one request of the market.
+// request is one request of the scenario.
 type request struct {
 	team, kind int
-	// draws decide the outcome of each version, the ratings, and the choices;
-	// they are the same for every strategy.
+	// The random numbers that decide the result of each version, the ratings and the choices. They
+	// are drawn in advance, so that they are the same for every strategy.
 	good                         [3]float64
 	rated, wrong, share, explore float64
 	confidence                   float64
 }
 
-func (ma VersionScenario) requests() []request {
-	ra := rand.New(rand.NewPCG(ma.Seed, 7))
-	list := make([]request, ma.Requests)
+// requests draws all requests.
+func (vs VersionScenario) requests() []request {
+	ra := rand.New(rand.NewPCG(vs.Seed, 7))
+	list := make([]request, vs.Requests)
 	for i := range list {
 		re := &list[i]
 		re.team = drawTeam(ra.Float64())
@@ -103,6 +105,7 @@
 	return list
 }
 
+// drawTeam returns the team for a random number in [0, 1).
 func drawTeam(draw float64) int {
 	for i, sh := range teamShares {
 		if draw < sh {
@@ -113,36 +116,37 @@
 	return len(teamShares) - 1
 }
 
-// strategy returns the versions to call in order, and learns from ratings and
-// from whether a first try was kept.
+// strategy plans the versions to call, in order, and learns from ratings and from whether the response
+// of the first attempt was accepted.
 type strategy interface {
 	plan(re *request) []int
 	recordRating(ra rating)
-	recordFirstAttempt(team, kind, version int, kept bool)
+	recordFirstAttempt(team, kind, version int, accepted bool)
 }
 
-// What the judge of first tries sees: how many bad answers it finds, and how
-// many good ones it takes for bad.
+// judgeRecall is the fraction of bad responses to first attempts that the judge detects,
+// judgeFalsePositiveRate the fraction of good ones that it rejects.
 const (
 	judgeRecall            = 0.85
 	judgeFalsePositiveRate = 0.1
 )
 
-// Versions runs every strategy on the same market.
-func CompareVersions(ma VersionScenario) []VersionOutcome {
-	list := ma.requests()
+// CompareVersions runs every strategy on the same scenario.
+func CompareVersions(vs VersionScenario) []VersionOutcome {
+	list := vs.requests()
 	fixed := func(v int) strategy { return &fixedStrategy{func(int, int) int { return v }} }
 	turn := 0
 	return []VersionOutcome{
-		ma.run("always the large one", fixed(2), list),
-		ma.run("always the small one", fixed(0), list),
-		ma.run("round robin", &fixedStrategy{func(int, int) int { turn++; return turn % 3 }}, list),
-		ma.run("best fixed in hindsight", &fixedStrategy{cheapestMeetingTarget}, list),
-		ma.run("linnetrudder", newLearner(ma.CascadeDrafts), list),
+		vs.run("always the large one", fixed(2), list),
+		vs.run("always the small one", fixed(0), list),
+		vs.run("round robin", &fixedStrategy{func(int, int) int { turn++; return turn % 3 }}, list),
+		vs.run("best fixed in hindsight", &fixedStrategy{cheapestMeetingTarget}, list),
+		vs.run("linnetrudder", newLearner(vs.Cascade), list),
 	}
 }
 
-// hindsight is the cheapest version whose true quality meets the target.
+// cheapestMeetingTarget returns the cheapest version whose true quality meets the target, or the last
+// one.
 func cheapestMeetingTarget(team, kind int) int {
 	for v := range versionNames {
 		if trueQuality(team, kind, v) >= kindSpecs[kind].target {
@@ -152,13 +156,14 @@
 	return len(versionNames) - 1
 }
 
+// fixedStrategy chooses one version by team and kind and does not learn.
 type fixedStrategy struct{ choose func(team, kind int) int }
 
 func (fs *fixedStrategy) plan(re *request) []int              { return []int{fs.choose(re.team, re.kind)} }
 func (*fixedStrategy) recordRating(rating)                    {}
 func (*fixedStrategy) recordFirstAttempt(int, int, int, bool) {}
 
-// learner is the system: choice over what quality has learnt.
+// learner is the strategy of the system: package choice on the data that package quality has collected.
 type learner struct {
 	sn    *config.Snapshot
 	table quality.Table
@@ -168,7 +173,8 @@
 	doc := &config.Document{Grants: []config.Grant{{Versions: &selector.Selector{}}}}
 	for v, na := range versionNames {
 		doc.Models = append(doc.Models, config.Model{Name: na})
-		// The operators expect the same of all, and are wrong.
+		// The quality that operators expect is the same for all teams and kinds, and differs from
+		// the true quality.
 		doc.Versions = append(doc.Versions, config.Version{
 			Model: na, Name: "v1", State: config.Serving, OutputPrice: prices[v], Quality: 0.7 + 0.1*float64(v),
 		})
@@ -184,7 +190,7 @@
 
 func teamName(t int) string { return fmt.Sprintf("team-%d", t) }
 
-// everywhere says that every version has a server.
+// allAvailable reports that every version has a server.
 type allAvailable struct{}
 
 func (allAvailable) Has(string) bool { return true }
@@ -218,30 +224,29 @@
 	le.table.Add(quality.Cell{Team: teamName(ra.team), Kind: kind, Version: versionNames[ra.version] + "@v1"}, ra.score)
 }
 
-func (le *learner) recordFirstAttempt(team, kind, version int, kept bool) {
-	le.table.AddFirstAttempt(teamName(team), kindSpecs[kind].name, versionNames[version]+"@v1", kept)
+func (le *learner) recordFirstAttempt(team, kind, version int, accepted bool) {
+	le.table.AddFirstAttempt(teamName(team), kindSpecs[kind].name, versionNames[version]+"@v1", accepted)
 }
 
-// rating is one that is under way.
+// rating is a rating that arrives at the request number due.
 type rating struct {
 	due, team, kind, version int
 	score                    float64
-	// kept is set for a first try that was kept.
+	// accepted is set if the judge accepted the response of the first attempt.
 	accepted bool
 }
 
-// answer is what became of a request.
+// answer is the result of a request.
 type answer struct {
 	version  int
 	accepted bool
 	cost     float64
 	calls    float64
-	// quality is the chance that the answer is good, over all draws of the
-	// judge.
+	// quality is the probability that the response is good, averaged over the judge's verdicts.
 	quality float64
 }
 
-// serve calls the versions of a plan.
+// serve calls the first version of a plan, and the second one if the judge rejects its response.
 func (re *request) serve(st strategy, plan []int) answer {
 	v := plan[0]
 	an := answer{version: v, cost: float64(prices[v]), calls: 1, quality: trueQuality(re.team, re.kind, v)}
@@ -252,8 +257,8 @@
 	flagged := !good && re.confidence < judgeRecall || good && re.confidence < judgeFalsePositiveRate
 	st.recordFirstAttempt(re.team, re.kind, v, !flagged)
 	next := plan[1]
-	keep := an.quality*(1-judgeFalsePositiveRate) + (1-an.quality)*(1-judgeRecall)
-	an.quality = an.quality*(1-judgeFalsePositiveRate) + (1-keep)*trueQuality(re.team, re.kind, next)
+	acceptRate := an.quality*(1-judgeFalsePositiveRate) + (1-an.quality)*(1-judgeRecall)
+	an.quality = an.quality*(1-judgeFalsePositiveRate) + (1-acceptRate)*trueQuality(re.team, re.kind, next)
 	an.accepted = !flagged
 	if flagged {
 		an.version = next
@@ -263,26 +268,27 @@
 	return an
 }
 
-// rating is what the rating service will say of an answer.
-func (ma VersionScenario) rating(i int, re *request, an answer) rating {
+// rating returns the rating that a response will get.
+func (vs VersionScenario) rating(i int, re *request, an answer) rating {
 	good := re.good[an.version] < trueQuality(re.team, re.kind, an.version)
 	score := 0.0
-	if good != (re.wrong < ma.WrongFraction) {
+	if good != (re.wrong < vs.WrongFraction) {
 		score = 1
 	}
-	return rating{due: i + ma.RatingDelay, team: re.team, kind: re.kind, version: an.version, score: score, accepted: an.accepted}
+	return rating{due: i + vs.RatingDelay, team: re.team, kind: re.kind, version: an.version, score: score, accepted: an.accepted}
 }
 
-func (ma VersionScenario) run(name string, st strategy, list []request) VersionOutcome {
+// run simulates the scenario with one strategy.
+func (vs VersionScenario) run(name string, st strategy, list []request) VersionOutcome {
 	ou := VersionOutcome{Strategy: name}
-	var under []rating
+	var pending []rating
 	type pair struct{ n, quality float64 }
 	pairs := map[[2]int]*pair{}
 	for i := range list {
 		re := &list[i]
-		for len(under) > 0 && under[0].due <= i {
-			st.recordRating(under[0])
-			under = under[1:]
+		for len(pending) > 0 && pending[0].due <= i {
+			st.recordRating(pending[0])
+			pending = pending[1:]
 		}
 		an := re.serve(st, st.plan(re))
 		ou.Cost += an.cost
@@ -293,20 +299,20 @@
 		}
 		pairs[key].n++
 		pairs[key].quality += an.quality
-		if re.rated < ma.RatedFraction {
-			under = append(under, ma.rating(i, re, an))
+		if re.rated < vs.RatedFraction {
+			pending = append(pending, vs.rating(i, re, an))
 		}
 	}
 	n := float64(len(list))
 	ou.Cost /= n
 	ou.Calls /= n
 	for key, pa := range pairs {
-		short := kindSpecs[key[1]].target - pa.quality/pa.n
-		if short <= 0.01 {
+		shortfall := kindSpecs[key[1]].target - pa.quality/pa.n
+		if shortfall <= 0.01 {
 			ou.TargetMet += pa.n / n
 		}
 		if pa.n >= 100 {
-			ou.WorstShortfall = max(ou.WorstShortfall, short)
+			ou.WorstShortfall = max(ou.WorstShortfall, shortfall)
 		}
 	}
 	return ou
