--- a/standin/fleet/address.go
+++ b/standin/fleet/address.go
@@ -8,26 +8,25 @@
 	"github.com/rotisserie/eris"
 )
 
-// ownIP is a loopback address that only this process hands out, made from its
-// process id. Outgoing connections leave from 127.0.0.1, so that none of them
-// can take a port here between the moment it is found free and the moment a
-// started process listens on it, or while that process is restarted.
+// processLoopbackIP returns a loopback address that is derived from the process id, so that no other
+// process issues ports of it. Outgoing connections use 127.0.0.1 as their source, so none of them can
+// take a port of this address between the probe and the moment a started process listens on it, or
+// while that process restarts.
 func processLoopbackIP() net.IP {
 	id := os.Getpid()
-	const first = 16 // 127.0.0.0/12 is left to everything else
+	const first = 16 // 127.0.0.0/12 is reserved for all other uses
 	return net.IPv4(127, byte(first+id>>16), byte(id>>8), byte(id))
 }
 
-// given holds the addresses that were handed out: a port that is free again
-// because its process has not bound it yet, or is being restarted, is not handed
-// out a second time.
+// issued holds all addresses that FreeAddress returned. A port that its process has not bound yet, or
+// not bound again after a restart, would otherwise be issued a second time.
 var issued = struct {
 	sync.Mutex
 	addresses map[string]bool
 }{addresses: map[string]bool{}}
 
-// FreeAddress returns a loopback address that is free now, that no outgoing
-// connection takes and that was not returned before.
+// FreeAddress returns a loopback address that is free now, that no outgoing connection uses and that
+// was not returned before.
 func FreeAddress() (string, error) {
 	issued.Lock()
 	defer issued.Unlock()
@@ -43,10 +42,11 @@
 	}
 }
 
+// probeFreeAddress listens on a port chosen by the kernel and closes it again.
 func probeFreeAddress() (string, error) {
 	li, err := net.Listen("tcp", net.JoinHostPort(processLoopbackIP().String(), "0"))
 	if err != nil {
-		return "", eris.Wrap(err, "free port")
+		return "", eris.Wrap(err, "find a free port")
 	}
 	defer li.Close()
 	return li.Addr().String(), nil
--- a/standin/fleet/fleet.go
+++ b/standin/fleet/fleet.go
@@ -1,5 +1,5 @@
-// Package fleet starts stand-ins and processes of the system on loopback, for
-// the demo and for tests over real processes. It ends only what it started.
+// Package fleet starts stand-ins and processes of the system on loopback, for the demo, for measurements
+// and for tests with real processes. It stops only processes that it started.
 package fleet
 
 import (
@@ -18,25 +18,24 @@
 	"github.com/linnetrudder/linnetrudder/internal/boxes"
 )
 
-// Member is a process of the system.
+// Member is a process of the system, an entry or an agent.
 type Member struct {
 	Box, Role, DataCentre, Server string
-	// Address and Admin are its ports; Backend is the stand-in behind an
-	// agent.
+	// Address and Admin are the addresses that it listens on; Backend is the address of the backend
+	// server behind an agent.
 	Address, Admin, Backend string
 	Process                 *Process
 }
 
-// Fleet is everything that was started. Its exported fields are set before
-// use.
+// Fleet is a set of processes that were started together. Its exported fields are set before use.
 type Fleet struct {
-	// Bin is the folder of the programs; Dir holds settings and logs.
+	// Bin is the directory of the programs; Dir is where settings and logs are written.
 	Bin, Dir string
 	// Store and Boxes are the addresses of the platform's stand-ins.
 	Store, Boxes string
-	// Unlisted leaves the list of boxes to the caller.
+	// Unlisted stops Add from publishing the list of boxes.
 	Unlisted bool
-	// Tune changes a member's settings before they are written.
+	// Tune adjusts a member's settings before they are written.
 	Tune func(settings map[string]any)
 
 	members   []*Member
@@ -49,7 +48,7 @@
 	pollInterval = 20 * time.Millisecond
 )
 
-// Start starts a program of the folder.
+// Start starts a program of the directory Bin; its output goes to a log file in Dir.
 func (fl *Fleet) Start(name, program string, args ...string) (*Process, error) {
 	lo, err := os.OpenFile(filepath.Join(fl.Dir, name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -71,7 +70,7 @@
 	return pr, nil
 }
 
-// StandIn starts a stand-in and returns its address.
+// StartStandIn starts a stand-in of the given kind and returns its address.
 func (fl *Fleet) StartStandIn(name, kind string, args ...string) (string, *Process, error) {
 	address, err := FreeAddress()
 	if err != nil {
@@ -84,7 +83,7 @@
 	return address, pr, pr.WaitListening(address)
 }
 
-// Platform starts the stand-ins of the platform.
+// StartPlatform starts the stand-ins of the platform: the key-value service and the list of boxes.
 func (fl *Fleet) StartPlatform() error {
 	var err error
 	if fl.Store, _, err = fl.StartStandIn("store", "store"); err != nil {
@@ -94,7 +93,7 @@
 	return err
 }
 
-// Add starts a process of the system and puts it on the list of boxes.
+// Add starts a process of the system and, unless Unlisted is set, publishes the list of boxes with it.
 func (fl *Fleet) Add(me Member) (*Member, error) {
 	var err error
 	if me.Address == "" {
@@ -116,7 +115,7 @@
 	return added, fl.Publish()
 }
 
-// Restart starts a member's process again with the same settings.
+// Restart starts a member's process again, with the same addresses.
 func (fl *Fleet) Restart(me *Member) error { return fl.startMember(me) }
 
 func (fl *Fleet) startMember(me *Member) error {
@@ -155,17 +154,17 @@
 	return path, eris.Wrap(os.WriteFile(path, body, 0o600), "settings")
 }
 
-// Publish puts the members on the list of boxes.
+// Publish publishes a list of boxes with all members as live.
 func (fl *Fleet) Publish() error { return fl.publishStates(nil) }
 
-// PublishLeaving puts the members on the list with one that leaves.
-func (fl *Fleet) PublishWithLeaving(leaver *Member) error { return fl.publishStates(leaver) }
+// PublishWithLeaving publishes a list of boxes with one member as leaving and all others as live.
+func (fl *Fleet) PublishWithLeaving(leaving *Member) error { return fl.publishStates(leaving) }
 
-func (fl *Fleet) publishStates(leaver *Member) error {
+func (fl *Fleet) publishStates(leaving *Member) error {
 	list := make([]boxes.Box, 0, len(fl.members))
 	for _, me := range fl.members {
 		state := boxes.Live
-		if me == leaver {
+		if me == leaving {
 			state = boxes.Leaving
 		}
 		list = append(list, boxes.Box{
@@ -176,12 +175,12 @@
 	return fl.PublishBoxes(list)
 }
 
-// List replaces the list of boxes.
+// PublishBoxes replaces the list of boxes.
 func (fl *Fleet) PublishBoxes(list []boxes.Box) error {
 	return fl.put("http://"+fl.Boxes+"/v1/boxes", list)
 }
 
-// Fault switches faults of the key-value service.
+// SetStoreFaults replaces the faults of the key-value service.
 func (fl *Fleet) SetStoreFaults(faults any) error {
 	return fl.put("http://"+fl.Store+"/fault", faults)
 }
@@ -189,15 +188,15 @@
 func (fl *Fleet) put(url string, value any) error {
 	body, err := json.Marshal(value)
 	if err != nil {
-		return eris.Wrap(err, "put")
+		return eris.Wrap(err, "put "+url)
 	}
 	req, err := http.NewRequestWithContext(context.Background(), http.MethodPut, url, bytes.NewReader(body))
 	if err != nil {
-		return eris.Wrap(err, "put")
+		return eris.Wrap(err, "put "+url)
 	}
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return eris.Wrap(err, "put")
+		return eris.Wrap(err, "put "+url)
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
@@ -206,11 +205,12 @@
 	return nil
 }
 
-// Members returns the processes of the system.
+// Members returns the processes of the system, without the stand-ins.
 func (fl *Fleet) Members() []*Member { return fl.members }
 
-// Stop ends everything: first the system's processes as planned, then what is
-// left. It returns an error if a process of the system did not end well.
+// Stop stops everything: first the system's processes, gracefully and in reverse order, then it kills
+// what is left. It returns an error if a process of the system did not stop in time or exited with a
+// code other than 0.
 func (fl *Fleet) Stop() error {
 	var failed error
 	for i := len(fl.members) - 1; i >= 0; i-- {
@@ -221,9 +221,9 @@
 		_ = pr.Signal(syscall.SIGCONT)
 		_ = pr.Signal(syscall.SIGTERM)
 		if !pr.Wait(stopTimeout) {
-			failed = eris.Errorf("%s did not stop", pr.Name)
+			failed = eris.Errorf("%s did not stop within %s", pr.Name, stopTimeout)
 		} else if pr.ExitCode() != 0 {
-			failed = eris.Errorf("%s ended with %d", pr.Name, pr.ExitCode())
+			failed = eris.Errorf("%s exited with code %d", pr.Name, pr.ExitCode())
 		}
 	}
 	for _, pr := range fl.processes {
--- a/standin/fleet/process.go
+++ b/standin/fleet/process.go
@@ -11,12 +11,12 @@
 	"github.com/rotisserie/eris"
 )
 
-// Process is one started program.
+// Process is a started program.
 type Process struct {
 	Name string
 	cmd  *exec.Cmd
 	log  *os.File
-	// ended is closed when the program has ended.
+	// done is closed when the program has exited.
 	done chan struct{}
 }
 
@@ -25,13 +25,13 @@
 	return eris.Wrap(pr.cmd.Process.Signal(si), "signal "+pr.Name)
 }
 
-// ID returns the program's process id.
+// PID returns the program's process id.
 func (pr *Process) PID() int { return pr.cmd.Process.Pid }
 
-// Wait waits until the program has ended, at most for a time. It reports
-// whether it has.
-func (pr *Process) Wait(most time.Duration) bool {
-	ti := time.NewTimer(most)
+// Wait waits until the program has exited or the timeout has passed. It reports whether the program has
+// exited.
+func (pr *Process) Wait(timeout time.Duration) bool {
+	ti := time.NewTimer(timeout)
 	defer ti.Stop()
 	select {
 	case <-pr.done:
@@ -40,7 +40,7 @@
 	return pr.exited()
 }
 
-// hasEnded reports whether the program has ended by now.
+// exited reports whether the program has exited.
 func (pr *Process) exited() bool {
 	select {
 	case <-pr.done:
@@ -50,44 +50,44 @@
 	}
 }
 
-// Code returns the exit code of an ended program.
+// ExitCode returns the exit code of a program that has exited.
 func (pr *Process) ExitCode() int { return pr.cmd.ProcessState.ExitCode() }
 
-// WaitPort waits until the program listens. A program that does not is shown with
-// the end of its log, since the log goes with the test's folder.
+// WaitListening waits until the program accepts connections at an address. Otherwise the error contains
+// the end of the program's log, since the log is removed with the test's directory.
 func (pr *Process) WaitListening(address string) error {
-	listens := false
+	listening := false
 	err := WaitUntil(startTimeout, "port "+address, func() bool {
 		co, err := net.Dial("tcp", address)
 		if err == nil {
 			_ = co.Close()
-			listens = true
+			listening = true
 		}
-		return listens || pr.exited()
+		return listening || pr.exited()
 	})
-	if listens {
+	if listening {
 		return nil
 	}
 	if err == nil {
-		err = eris.Errorf("port %s: the program has ended", address)
+		err = eris.Errorf("port %s: the program has exited", address)
 	}
 	body, readErr := os.ReadFile(pr.log.Name())
 	if readErr != nil {
 		return errors.Join(err, readErr)
 	}
-	return fmt.Errorf("%s, ended %t: %w: %s", pr.Name, pr.exited(), err, body[max(0, len(body)-logTailBytes):])
+	return fmt.Errorf("%s (exited: %t): %w: %s", pr.Name, pr.exited(), err, body[max(0, len(body)-logTailBytes):])
 }
 
-// logTail is how many bytes of a log are shown.
+// logTailBytes is how many bytes of a log an error contains.
 const logTailBytes = 2000
 
-// Until waits for a condition; it fails after a bound that only a broken
-// system reaches.
-func WaitUntil(most time.Duration, what string, holds func() bool) error {
-	for end := time.Now().Add(most); time.Now().Before(end); time.Sleep(pollInterval) {
-		if holds() {
+// WaitUntil polls a condition until it holds. It returns an error after a timeout, which should be long
+// enough to be reached only if the system is broken.
+func WaitUntil(timeout time.Duration, what string, condition func() bool) error {
+	for end := time.Now().Add(timeout); time.Now().Before(end); time.Sleep(pollInterval) {
+		if condition() {
 			return nil
 		}
 	}
-	return fmt.Errorf("%s: not within %s", what, most)
+	return fmt.Errorf("%s: not reached within %s", what, timeout)
 }
--- a/standin/fleet/proxy.go
+++ b/standin/fleet/proxy.go
@@ -8,17 +8,17 @@
 	"github.com/rotisserie/eris"
 )
 
-// Trouble is what ails a cable that is not cut.
+// Impairment describes how a Proxy impairs the traffic of its connections.
 type Impairment struct {
-	// Delay puts off what is sent either way.
+	// Delay delays the data in both directions.
 	Delay time.Duration
-	// Silent passes nothing on, and Mute nothing that comes back; what was sent
-	// meanwhile comes through once the trouble is over.
+	// Stall stops the data in both directions, StallResponses only the data from the target. It is
+	// delivered once the stall is over.
 	Stall, StallResponses bool
 }
 
-// Cable is a way to an address that can be cut and healed, for tests of
-// partitions between processes that live on.
+// Proxy forwards TCP connections to an address. It can be partitioned and impaired, for tests of network
+// faults between processes that keep running.
 type Proxy struct {
 	listener net.Listener
 	target   string
@@ -26,46 +26,46 @@
 	mu          sync.Mutex
 	partitioned bool
 	impairment  Impairment
-	// eased is closed when the trouble changes.
+	// changed is closed and replaced when the impairment changes.
 	changed chan struct{}
 	conns   map[net.Conn]bool
 }
 
-// NewCable listens on loopback and forwards to an address.
-func NewProxy(to string) (*Proxy, error) {
+// NewProxy starts a proxy that listens on loopback and forwards to an address.
+func NewProxy(target string) (*Proxy, error) {
 	li, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return nil, eris.Wrap(err, "cable")
+		return nil, eris.Wrap(err, "proxy")
 	}
-	ca := &Proxy{listener: li, target: to, conns: map[net.Conn]bool{}, changed: make(chan struct{})}
-	go ca.serve()
-	return ca, nil
+	px := &Proxy{listener: li, target: target, conns: map[net.Conn]bool{}, changed: make(chan struct{})}
+	go px.serve()
+	return px, nil
 }
 
-// Address returns where the cable begins.
-func (ca *Proxy) Address() string { return ca.listener.Addr().String() }
+// Address returns the address that the proxy listens on.
+func (px *Proxy) Address() string { return px.listener.Addr().String() }
 
-// Close ends the cable.
-func (ca *Proxy) Close() {
-	_ = ca.listener.Close()
-	ca.SetPartitioned(true)
-	ca.SetImpairment(Impairment{})
+// Close stops the proxy and closes its connections.
+func (px *Proxy) Close() {
+	_ = px.listener.Close()
+	px.SetPartitioned(true)
+	px.SetImpairment(Impairment{})
 }
 
-// SetTrouble replaces the trouble.
-func (ca *Proxy) SetImpairment(tr Impairment) {
-	ca.mu.Lock()
-	defer ca.mu.Unlock()
-	ca.impairment = tr
-	close(ca.changed)
-	ca.changed = make(chan struct{})
+// SetImpairment replaces the impairment.
+func (px *Proxy) SetImpairment(im Impairment) {
+	px.mu.Lock()
+	defer px.mu.Unlock()
+	px.impairment = im
+	close(px.changed)
+	px.changed = make(chan struct{})
 }
 
-// Reset breaks the connections that are open now, by a reset.
-func (ca *Proxy) ResetConnections() {
-	ca.mu.Lock()
-	defer ca.mu.Unlock()
-	for co := range ca.conns {
+// ResetConnections closes the open connections with a TCP reset.
+func (px *Proxy) ResetConnections() {
+	px.mu.Lock()
+	defer px.mu.Unlock()
+	for co := range px.conns {
 		if tc, ok := co.(*net.TCPConn); ok {
 			_ = tc.SetLinger(0)
 		}
@@ -73,76 +73,78 @@
 	}
 }
 
-// hinder waits until a part may pass, in the direction from the far end if back is
-// set.
-func (ca *Proxy) waitToForward(back bool) {
+// waitToForward waits until the impairment permits to forward data, which comes from the target if
+// response is set.
+func (px *Proxy) waitToForward(response bool) {
 	for {
-		ca.mu.Lock()
-		tr, eased := ca.impairment, ca.changed
-		ca.mu.Unlock()
-		if tr.Stall || tr.StallResponses && back {
-			<-eased
+		px.mu.Lock()
+		im, changed := px.impairment, px.changed
+		px.mu.Unlock()
+		if im.Stall || im.StallResponses && response {
+			<-changed
 			continue
 		}
-		time.Sleep(tr.Delay)
+		time.Sleep(im.Delay)
 		return
 	}
 }
 
-// Cut breaks all connections and lets none through, or heals the cable.
-func (ca *Proxy) SetPartitioned(cut bool) {
-	ca.mu.Lock()
-	defer ca.mu.Unlock()
-	ca.partitioned = cut
-	for co := range ca.conns {
-		if cut {
+// SetPartitioned starts a partition, which closes all connections and closes new ones at once, or ends it.
+func (px *Proxy) SetPartitioned(partitioned bool) {
+	px.mu.Lock()
+	defer px.mu.Unlock()
+	px.partitioned = partitioned
+	for co := range px.conns {
+		if partitioned {
 			_ = co.Close()
 		}
 	}
 }
 
-func (ca *Proxy) serve() {
+// serve accepts and forwards connections until the listener is closed.
+func (px *Proxy) serve() {
 	for {
-		near, err := ca.listener.Accept()
+		client, err := px.listener.Accept()
 		if err != nil {
 			return
 		}
-		far, err := net.Dial("tcp", ca.target)
-		if err != nil || !ca.track(near, far) {
-			_ = near.Close()
+		target, err := net.Dial("tcp", px.target)
+		if err != nil || !px.track(client, target) {
+			_ = client.Close()
 			continue
 		}
-		go ca.forward(near, far, true)
-		go ca.forward(far, near, false)
+		go px.forward(client, target, true)
+		go px.forward(target, client, false)
 	}
 }
 
-// hold keeps a pair of connections, so that a cut finds them. It reports
-// whether the cable is whole.
-func (ca *Proxy) track(near, far net.Conn) bool {
-	ca.mu.Lock()
-	defer ca.mu.Unlock()
-	if ca.partitioned {
-		_ = far.Close()
+// track registers a pair of connections, so that a partition closes them. If the proxy is partitioned, it
+// closes the connection to the target and returns false.
+func (px *Proxy) track(client, target net.Conn) bool {
+	px.mu.Lock()
+	defer px.mu.Unlock()
+	if px.partitioned {
+		_ = target.Close()
 		return false
 	}
-	ca.conns[near], ca.conns[far] = true, true
+	px.conns[client], px.conns[target] = true, true
 	return true
 }
 
-func (ca *Proxy) forward(to, from net.Conn, back bool) {
+// forward copies data in one direction, subject to the impairment, until one side closes.
+func (px *Proxy) forward(to, from net.Conn, response bool) {
 	buf := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buf)
-		ca.waitToForward(back)
+		px.waitToForward(response)
 		if _, werr := to.Write(buf[:n]); err != nil || werr != nil {
 			break
 		}
 	}
 	_ = to.Close()
 	_ = from.Close()
-	ca.mu.Lock()
-	defer ca.mu.Unlock()
-	delete(ca.conns, to)
-	delete(ca.conns, from)
+	px.mu.Lock()
+	defer px.mu.Unlock()
+	delete(px.conns, to)
+	delete(px.conns, from)
 }
