--- a/standin/keyvalue/keyvalue.go
+++ b/standin/keyvalue/keyvalue.go
@@ -1,6 +1,5 @@
-// Package keyvalue stands in for the key-value service of the users' platform:
-// items, watches, conditions, leases, a history that can be dropped, and the ways
-// in which it fails.
+// Package keyvalue simulates the key-value service of the users' platform: items, watches, conditional
+// transactions, leases, an event history that can be compacted, and faults.
 package keyvalue
 
 import (
@@ -16,8 +15,7 @@
 	"time"
 )
 
-// Item is one key as the service tells it. Its fields are exported because a codec
-// writes them.
+// Item is a version of a key as the service encodes it.
 type Item struct {
 	Key      string `json:"key_file"`
 	Value    []byte `json:"value"`
@@ -26,7 +24,7 @@
 	Deleted  bool   `json:"deleted,omitempty"`
 }
 
-// list is the answer to a range or a watch.
+// rangeResponse is the response to a range or a watch.
 type rangeResponse struct {
 	Items  []Item `json:"items"`
 	Events []Item `json:"events"`
@@ -35,7 +33,8 @@
 	era uint64
 }
 
-// transaction is what a client asks to be written.
+// transaction is a request to write and remove keys, on the condition that keys have the expected
+// revisions.
 type transaction struct {
 	Conditions []struct {
 		Key      string `json:"key_file"`
@@ -49,40 +48,41 @@
 	Removes []string `json:"remove"`
 }
 
-// Faults are the ways in which the service fails now.
+// Faults are the faults that are in effect. The zero value is none.
 type Faults struct {
-	// Refuse answers every call with this status, if it is not zero.
+	// RefuseStatus is the status of every response, if it is not zero.
 	RefuseStatus int
-	// Silent answers no call.
+	// Hang leaves every request unanswered until the fault ends.
 	Hang bool
-	// LoseWrites makes writes and does not answer them.
+	// DropWriteResponses applies writes and closes their connections without a response.
 	DropWriteResponses bool
-	// Withhold tells watches and reads of nothing new: a broken service, by which
-	// tests show that stale configurations are noticed.
+	// WithholdEvents withholds new events from watches. Tests use this defect to show that stale
+	// configurations are detected.
 	WithholdEvents bool
-	// Delay puts every answer off.
+	// Delay delays every response.
 	Delay time.Duration
-	// Era is what answers name in place of their era, if it is not empty; "none" for nothing.
+	// Era replaces the era in the header of responses, if it is not empty; "none" omits the header.
 	Era string
 }
 
-// Store is the service. New makes one.
+// Store is the service. It is created with New.
 type Store struct {
 	mu       sync.Mutex
 	items    map[string]Item
 	events   []Item
 	revision uint64
-	// era counts how often the service was restored from a copy, from one on.
+	// era starts at 1 and grows with every restore from a snapshot.
 	era uint64
-	// calls counts the calls.
+	// calls counts the requests.
 	calls int
-	// dropped is the newest revision whose history is gone.
+	// compactedAt is the newest revision whose event has been dropped from the history.
 	compactedAt uint64
-	// withheld is the revision up to which is told while Withhold holds.
+	// withheldAfter is the newest revision that watches return while WithholdEvents is set.
 	withheldAfter uint64
-	changed       chan struct{}
-	faults        Faults
-	// leases holds the timers of the leases in force.
+	// changed is closed and replaced at each change of items or faults.
+	changed chan struct{}
+	faults  Faults
+	// leases holds the expiry timers of the current leases.
 	leases    map[int64]*time.Timer
 	lastLease int64
 }
@@ -92,7 +92,7 @@
 	return &Store{items: map[string]Item{}, leases: map[int64]*time.Timer{}, changed: make(chan struct{}), era: 1}
 }
 
-// Calls returns how many calls there were.
+// Calls returns the number of requests so far.
 func (st *Store) Calls() int {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -106,7 +106,7 @@
 	return st.revision
 }
 
-// Set writes a key as the operator or a backend server does, as JSON.
+// Set writes a value as JSON, as operators and backend servers do.
 func (st *Store) Set(key string, value any) {
 	body, err := json.Marshal(value)
 	if err != nil {
@@ -117,21 +117,21 @@
 	st.put(Item{Key: key, Value: body})
 }
 
-// Remove removes a key.
+// Remove removes a key without conditions.
 func (st *Store) Remove(key string) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	st.put(Item{Key: key, Deleted: true})
 }
 
-// Value returns what a key holds, "" if it is absent.
+// Value returns the value of a key, "" if it is absent.
 func (st *Store) Value(key string) string {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	return string(st.items[key].Value)
 }
 
-// Keys returns the keys that begin with a prefix, in order.
+// Keys returns the keys with a prefix, sorted.
 func (st *Store) Keys(prefix string) []string {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -144,7 +144,7 @@
 	return keys
 }
 
-// Compact forgets the history.
+// Compact drops the event history.
 func (st *Store) Compact() {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -162,7 +162,7 @@
 	st.notify()
 }
 
-// EndLeases ends all leases, and with them their keys.
+// ExpireLeases expires all leases, which removes their keys.
 func (st *Store) ExpireLeases() {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -171,7 +171,7 @@
 	}
 }
 
-// put takes a change; the lock is held.
+// put applies a change; the caller holds mu.
 func (st *Store) put(it Item) {
 	st.revision++
 	it.Revision = st.revision
@@ -184,11 +184,13 @@
 	st.notify()
 }
 
+// notify wakes up waiting requests; the caller holds mu.
 func (st *Store) notify() {
 	close(st.changed)
 	st.changed = make(chan struct{})
 }
 
+// revokeLease ends a lease and removes its keys; the caller holds mu.
 func (st *Store) revokeLease(le int64) {
 	delete(st.leases, le)
 	for key, it := range st.items {
@@ -198,7 +200,7 @@
 	}
 }
 
-// ServeHTTP answers one call.
+// ServeHTTP serves the service's HTTP API.
 func (st *Store) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	st.mu.Lock()
 	fa := st.faults
@@ -227,8 +229,7 @@
 	}
 }
 
-// fail answers a call while the service fails, or not at all. It reports whether the
-// service does.
+// serveFault handles a request as Hang or RefuseStatus demands. It returns false if neither is set.
 func (st *Store) serveFault(fa Faults, w http.ResponseWriter, r *http.Request) bool {
 	switch {
 	case fa.Hang:
@@ -239,14 +240,13 @@
 	return fa.Hang || fa.RefuseStatus != 0
 }
 
-// hang holds a call until its client has gone or the service answers others again,
-// and breaks it off then.
+// hang blocks a request until its client disconnects or Hang ends, and then aborts it.
 func (st *Store) hang(r *http.Request) {
 	for {
 		st.mu.Lock()
-		silent, changed := st.faults.Hang, st.changed
+		hanging, changed := st.faults.Hang, st.changed
 		st.mu.Unlock()
-		if !silent {
+		if !hanging {
 			panic(http.ErrAbortHandler)
 		}
 		select {
@@ -258,10 +258,10 @@
 }
 
 func (st *Store) grantLease(w http.ResponseWriter, r *http.Request) {
-	var term struct {
+	var req struct {
 		TTLMS int64 `json:"ttl_ms"`
 	}
-	if json.NewDecoder(r.Body).Decode(&term) != nil || term.TTLMS <= 0 {
+	if json.NewDecoder(r.Body).Decode(&req) != nil || req.TTLMS <= 0 {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
@@ -269,15 +269,15 @@
 	defer st.mu.Unlock()
 	st.lastLease++
 	le := st.lastLease
-	st.leases[le] = time.AfterFunc(time.Duration(term.TTLMS)*time.Millisecond, func() {
+	st.leases[le] = time.AfterFunc(time.Duration(req.TTLMS)*time.Millisecond, func() {
 		st.mu.Lock()
 		defer st.mu.Unlock()
 		st.revokeLease(le)
 	})
-	_, _ = fmt.Fprintf(w, `{"lease":%d,"ttl_ms":%d}`, le, term.TTLMS)
+	_, _ = fmt.Fprintf(w, `{"lease":%d,"ttl_ms":%d}`, le, req.TTLMS)
 }
 
-// renewal is how long a renewed lease goes on.
+// renewedTTL is the time to live of a renewed lease.
 const renewedTTL = 30 * time.Second
 
 func (st *Store) renewLease(w http.ResponseWriter, id string) {
@@ -306,7 +306,8 @@
 	_ = json.NewEncoder(w).Encode(li)
 }
 
-// since returns what a watch has to tell, and when there may be more.
+// eventsSince returns the events after a revision, the current faults, whether the revision is
+// unavailable (compacted, or newer than the newest), and a channel that is closed at the next change.
 func (st *Store) eventsSince(after uint64) (li rangeResponse, fa Faults, gone bool, changed chan struct{}) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -326,19 +327,20 @@
 	return li, st.faults, after < st.compactedAt, st.changed
 }
 
+// serveWatch waits for events after a revision, at most for the time that the client asks for.
 func (st *Store) serveWatch(w http.ResponseWriter, r *http.Request) {
 	after, _ := strconv.ParseUint(r.URL.Query().Get("since_revision"), 10, 64)
 	wait, _ := strconv.Atoi(r.URL.Query().Get("wait_ms"))
 	st.mu.Lock()
 	era := st.era
 	st.mu.Unlock()
-	over := time.NewTimer(time.Duration(wait) * time.Millisecond)
-	defer over.Stop()
+	timeout := time.NewTimer(time.Duration(wait) * time.Millisecond)
+	defer timeout.Stop()
 	for waiting := true; ; {
 		li, fa, gone, changed := st.eventsSince(after)
 		switch {
 		case li.era != era:
-			panic(http.ErrAbortHandler) // the service was restored meanwhile
+			panic(http.ErrAbortHandler) // the service was restored during the watch
 		case st.serveFault(fa, w, r):
 			return
 		case gone:
@@ -350,7 +352,7 @@
 		}
 		select {
 		case <-changed:
-		case <-over.C:
+		case <-timeout.C:
 			waiting = false
 		case <-r.Context().Done():
 			return
@@ -358,6 +360,7 @@
 	}
 }
 
+// serveTransaction applies a transaction if all conditions hold and all leases exist.
 func (st *Store) serveTransaction(w http.ResponseWriter, r *http.Request) {
 	var tx transaction
 	if err := json.NewDecoder(r.Body).Decode(&tx); err != nil {
--- a/standin/keyvalue/keyvalue_test.go
+++ b/standin/keyvalue/keyvalue_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Seen as a soak that never ended: a call with a body was held after its client had
-// gone, since a server notices that only once the body is read.
+// A soak run never ended: a request with a body remained blocked after its client had disconnected, since
+// the HTTP server detects a disconnect only after the body has been read.
 func TestHungCallEndsWithFault(t *testing.T) {
 	st := New()
 	st.SetFaults(Faults{Hang: true})
@@ -28,7 +28,7 @@
 	select {
 	case <-closed:
 	case <-time.After(4 * time.Second):
-		t.Fatal("the call is still held")
+		t.Fatal("the request is still blocked 4 s after the fault ended")
 	}
 }
 
@@ -64,14 +64,14 @@
 		return resp
 	}
 	st.Set("kept", 1)
-	co := st.Snapshot()
+	sn := st.Snapshot()
 	st.Set("lost", 2)
 	require.Equal(t, "1", get("/api/kv-range").Header.Get("Store-Era"))
-	st.Restore(co)
+	st.Restore(sn)
 	require.Equal(t, "2", get("/api/kv-range").Header.Get("Store-Era"))
 	require.Equal(t, []string{"kept"}, st.Keys(""))
 	require.Equal(t, http.StatusGone, get("/api/kv-watch?since_revision=2").StatusCode)
 	st.Set("again", 3)
-	require.Equal(t, uint64(2), st.Revision(), "revisions are given out again")
+	require.Equal(t, uint64(2), st.Revision(), "revisions are issued again")
 	require.Equal(t, http.StatusOK, get("/api/kv-watch?since_revision=2").StatusCode)
 }
--- a/standin/keyvalue/snapshot.go
+++ b/standin/keyvalue/snapshot.go
@@ -7,7 +7,7 @@
 	"strconv"
 )
 
-// Copy is what the service held at some moment.
+// Snapshot is the state of the service at one time.
 type Snapshot struct {
 	items       map[string]Item
 	events      []Item
@@ -16,7 +16,7 @@
 	leases      map[int64]bool
 }
 
-// Copy returns a copy of what the service holds.
+// Snapshot returns a copy of the service's state.
 func (st *Store) Snapshot() Snapshot {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -29,14 +29,14 @@
 	}
 }
 
-// Restore goes back to a copy: what was written since is gone, leases too, and revisions are
-// given out again. Watches are broken off.
-func (st *Store) Restore(co Snapshot) {
+// Restore reverts the service to a snapshot: later writes and leases are lost, and later revisions are
+// issued again. It starts a new era and aborts running watches.
+func (st *Store) Restore(sn Snapshot) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	st.items, st.events, st.revision, st.compactedAt = maps.Clone(co.items), slices.Clone(co.events), co.revision, co.compactedAt
+	st.items, st.events, st.revision, st.compactedAt = maps.Clone(sn.items), slices.Clone(sn.events), sn.revision, sn.compactedAt
 	for le, ti := range st.leases {
-		if !co.leases[le] {
+		if !sn.leases[le] {
 			ti.Stop()
 			delete(st.leases, le)
 		}
@@ -50,7 +50,7 @@
 	st.notify()
 }
 
-// nameEra sets the header that names the era.
+// setEraHeader sets the header with the era, or with the text of Faults.Era in its place.
 func setEraHeader(w http.ResponseWriter, text string, era uint64) {
 	switch text {
 	case "":
