--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -1,5 +1,5 @@
-// Package engine stands in for a model engine: chat completions, streamed or
-// not, with tokens at a steady pace and switches for faults.
+// Package engine simulates a model engine: chat completions, streamed or not, with tokens at a fixed
+// rate, and faults that can be switched on.
 package engine
 
 import (
@@ -12,40 +12,42 @@
 	"time"
 )
 
-// Engine is the stand-in. Its exported fields are set before use.
+// Engine is the simulated engine. Its exported fields are set before use.
 type Engine struct {
-	// Tokens is the length of each answer.
+	// Tokens is the number of tokens of each response.
 	Tokens int
-	// Pace is the time between two tokens.
+	// TokenInterval is the time between two tokens.
 	TokenInterval time.Duration
-	// Fenced makes the engine refuse orders with a lower fencing number.
+	// CheckFencing makes the engine refuse orders with a fencing number lower than the highest so
+	// far.
 	CheckFencing bool
-	// Confidence is reported with each answer if it is not zero.
+	// Confidence is reported with each response.
 	Confidence float64
-	// Crash ends the engine's process, as a request for Poison does once it runs.
+	// Crash stops the engine without notice. A request with PoisonContent calls it, if it is set.
 	Crash func()
 
 	mu sync.Mutex
-	// runs counts the requests that began, by the id the caller gave.
+	// runs counts the requests that started, by the id that the client sent.
 	runs map[string]int
-	// versions counts the requests that began, by version.
+	// versions counts the requests that started, by version.
 	versions map[string]int
 	running  int
-	// most is how many ran at once at the most.
+	// peak is the largest number of requests that ran at once.
 	peak int
-	// bad makes requests of a version fail.
+	// failing holds the versions whose requests fail.
 	failing map[string]bool
-	// held is what orders made the engine load; fence is the highest number.
+	// loaded holds the versions that orders loaded; highestFence is the highest fencing number of an
+	// accepted order.
 	loaded       []string
 	highestFence uint64
-	// orders lists the fencing numbers of the orders taken.
+	// acceptedFences holds the fencing numbers of the accepted orders.
 	acceptedFences []uint64
 }
 
-// Poison is the content of a message under which engines end.
+// PoisonContent is the content of a message that crashes an engine.
 const PoisonContent = "poison"
 
-// crashTime is how long after its first token an engine ends.
+// crashDelay is the time from the start of a poison request to the crash.
 const crashDelay = 120 * time.Millisecond
 
 type chatRequest struct {
@@ -56,14 +58,14 @@
 	} `json:"messages"`
 }
 
-// Runs returns how often the request of an id began.
+// Runs returns how often the request with an id started.
 func (en *Engine) Runs(id string) int {
 	en.mu.Lock()
 	defer en.mu.Unlock()
 	return en.runs[id]
 }
 
-// AllRuns returns how often the request of each id began.
+// RunCounts returns how often the request with each id started.
 func (en *Engine) RunCounts() map[string]int {
 	en.mu.Lock()
 	defer en.mu.Unlock()
@@ -74,44 +76,45 @@
 	return all
 }
 
-// Began returns how many requests of a version began.
+// Started returns how many requests of a version started.
 func (en *Engine) Started(version string) int {
 	en.mu.Lock()
 	defer en.mu.Unlock()
 	return en.versions[version]
 }
 
-// Running returns how many requests run now, and ran at once at the most.
-func (en *Engine) Running() (now, most int) {
+// Running returns how many requests are running, and the largest number that ran at once.
+func (en *Engine) Running() (now, peak int) {
 	en.mu.Lock()
 	defer en.mu.Unlock()
 	return en.running, en.peak
 }
 
-// SetBad makes a version fail, or heals it.
-func (en *Engine) SetFailing(version string, bad bool) {
+// SetFailing sets whether requests of a version fail.
+func (en *Engine) SetFailing(version string, failing bool) {
 	en.mu.Lock()
 	defer en.mu.Unlock()
 	if en.failing == nil {
 		en.failing = map[string]bool{}
 	}
-	en.failing[version] = bad
+	en.failing[version] = failing
 }
 
-// Order is an order as engines take it.
+// Order is an order to load or drop a version, as engines receive it.
 type Order struct {
 	Action        string `json:"do"`
 	Version       string `json:"version"`
 	FencingNumber uint64 `json:"fence"`
 }
 
-// Held is what an engine says of itself.
+// Status is the response to a request for the state of an engine.
 type Status struct {
 	Versions []string `json:"versions"`
-	// Fences lists the numbers of the orders taken so far.
+	// FencingNumbers holds the fencing numbers of the orders that were accepted, in order.
 	FencingNumbers []uint64 `json:"fences"`
 }
 
+// serveOrders responds to GET with the Status and carries out other requests as orders.
 func (en *Engine) serveOrders(w http.ResponseWriter, r *http.Request) {
 	en.mu.Lock()
 	defer en.mu.Unlock()
@@ -136,6 +139,7 @@
 	}
 }
 
+// versionCounts returns how many requests of each version started.
 func (en *Engine) versionCounts() map[string]int {
 	en.mu.Lock()
 	defer en.mu.Unlock()
@@ -146,9 +150,8 @@
 	return all
 }
 
-// ServeHTTP answers a chat request; GET /runs, /versions,
-// /running and /most answer with the
-// counts, and PUT /bad?version=V&bad=true makes a version fail.
+// ServeHTTP responds to a chat request. GET /runs, /versions, /running and /most return counts, PUT
+// /bad?version=V&bad=true makes a version fail, and /orders receives orders.
 func (en *Engine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/orders" {
 		en.serveOrders(w, r)
@@ -159,8 +162,8 @@
 		return
 	}
 	if r.URL.Path == "/running" || r.URL.Path == "/most" {
-		running, most := en.Running()
-		_ = json.NewEncoder(w).Encode(map[bool]int{true: running, false: most}[r.URL.Path == "/running"])
+		running, peak := en.Running()
+		_ = json.NewEncoder(w).Encode(map[bool]int{true: running, false: peak}[r.URL.Path == "/running"])
 		return
 	}
 	if r.Method == http.MethodPut {
@@ -176,14 +179,14 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	bad := en.begin(r.Header.Get("X-Request-Id"), ch.Model)
+	failing := en.begin(r.Header.Get("X-Request-Id"), ch.Model)
 	defer en.end()
 	if en.Crash != nil && len(ch.Messages) > 0 && ch.Messages[0].Content == PoisonContent {
 		en.wait(r, crashDelay)
 		en.Crash()
 		return
 	}
-	if bad {
+	if failing {
 		http.Error(w, "engine fault", http.StatusInternalServerError)
 		return
 	}
@@ -198,6 +201,7 @@
 	_ = json.NewEncoder(w).Encode(en.completion(ch))
 }
 
+// begin counts a request that starts and reports whether it has to fail.
 func (en *Engine) begin(id, version string) bool {
 	en.mu.Lock()
 	defer en.mu.Unlock()
@@ -218,6 +222,7 @@
 	en.running--
 }
 
+// wait sleeps and returns false if the client disconnects meanwhile.
 func (en *Engine) wait(r *http.Request, du time.Duration) bool {
 	if du == 0 {
 		return true
@@ -230,15 +235,16 @@
 	}
 }
 
-// Answer returns the text that the engine gives to a request.
+// Answer returns the text of the response for a version and a number of tokens.
 func Answer(version string, tokens int) string {
-	words := make([]string, tokens)
-	for i := range words {
-		words[i] = fmt.Sprintf("%s-%d", version, i)
+	tokenTexts := make([]string, tokens)
+	for i := range tokenTexts {
+		tokenTexts[i] = fmt.Sprintf("%s-%d", version, i)
 	}
-	return strings.Join(words, " ")
+	return strings.Join(tokenTexts, " ")
 }
 
+// completion returns the body of a response that is not streamed.
 func (en *Engine) completion(ch chatRequest) map[string]any {
 	return map[string]any{
 		"id": "chatcmpl-1", "object": "chat.completion", "created": 1, "model": ch.Model,
@@ -257,6 +263,7 @@
 	}
 }
 
+// writeStream writes a response as a stream of server-sent events, one token each.
 func (en *Engine) writeStream(w http.ResponseWriter, r *http.Request, ch chatRequest) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	rc := http.NewResponseController(w)
@@ -268,11 +275,11 @@
 		_, _ = fmt.Fprintf(w, "data: %s\n\n", body)
 		_ = rc.Flush()
 	}
-	for i, word := range strings.SplitAfter(Answer(ch.Model, en.Tokens), " ") {
+	for i, token := range strings.SplitAfter(Answer(ch.Model, en.Tokens), " ") {
 		if i > 0 && !en.wait(r, en.TokenInterval) {
 			return
 		}
-		send(map[string]any{"content": word}, nil)
+		send(map[string]any{"content": token}, nil)
 	}
 	send(map[string]any{}, "stop")
 	body, _ := json.Marshal(map[string]any{
