--- a/standin/store/store.go
+++ b/standin/store/store.go
@@ -1,5 +1,5 @@
-// Package store stands in for the platform's key-value service: the part of
-// Consul's HTTP protocol that the system uses, with switches for its faults.
+// Package store simulates the platform's key-value service: the part of Consul's HTTP API that the system
+// uses, and faults that can be switched on.
 package store
 
 import (
@@ -14,13 +14,13 @@
 	"time"
 )
 
-// Faults are the ways in which the service can fail. The zero value is none.
+// Faults are the faults that are in effect. The zero value is none.
 type Faults struct {
-	// Down answers every call with 500 and changes nothing.
+	// Down fails every request with status 500 and without a change.
 	Down bool `json:"down"`
-	// DropAnswers is how many of the next writes are made but not answered.
+	// DropWriteResponses is how many of the next writes are handled without a response.
 	DropWriteResponses int `json:"drop_answers"`
-	// DelayMS is waited before each call.
+	// DelayMS is the delay before each request is handled.
 	DelayMS int `json:"delay_ms"`
 }
 
@@ -29,15 +29,15 @@
 	index uint64
 }
 
-// Store is the service. The zero value is empty and ready.
+// Store is the service. The zero value is an empty store.
 type Store struct {
 	mu     sync.Mutex
 	values map[string]value
 	index  uint64
-	// changed is closed and replaced at each write.
+	// changed is closed and replaced at each write and each change of the faults.
 	changed chan struct{}
 	faults  Faults
-	// calls counts calls by method.
+	// calls counts the requests by method.
 	calls map[string]int
 }
 
@@ -47,10 +47,10 @@
 	ModifyIndex uint64 `json:"ModifyIndex"`
 }
 
-// prefix is where the protocol's paths begin.
+// prefix is the path prefix of the keys.
 const prefix = "/v1/kv/"
 
-// ServeHTTP answers one call.
+// ServeHTTP serves the API; a request for /fault replaces the faults.
 func (st *Store) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/fault" {
 		st.serveFault(w, r)
@@ -82,7 +82,7 @@
 	st.SetFaults(fa)
 }
 
-// SetFaults switches faults on and off.
+// SetFaults replaces the faults.
 func (st *Store) SetFaults(fa Faults) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -90,27 +90,28 @@
 	st.notify()
 }
 
-// Calls returns how many calls of a method came.
+// Calls returns how many requests with a method were received.
 func (st *Store) Calls(method string) int {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	return st.calls[method]
 }
 
-// Value returns what a key holds.
+// Value returns the value of a key.
 func (st *Store) Value(key string) []byte {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	return slices.Clone(st.values[key].data)
 }
 
-// Put writes a key as another client would.
+// Put writes a key without conditions.
 func (st *Store) Put(key string, data []byte) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	st.put(key, data)
 }
 
+// countCall counts a request and returns the current faults.
 func (st *Store) countCall(method string) Faults {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -136,7 +137,8 @@
 	_ = json.NewEncoder(w).Encode(pairs)
 }
 
-// wait returns when the key changed after an index, or the time is over.
+// waitForChange returns when the key has changed after an index, the service is down, the wait has
+// passed or the client has disconnected.
 func (st *Store) waitForChange(r *http.Request, key string, after uint64, wait time.Duration) {
 	ti := time.NewTimer(wait)
 	defer ti.Stop()
@@ -146,9 +148,9 @@
 			st.changed = make(chan struct{})
 		}
 		changed := st.changed
-		over := st.values[key].index > after || st.faults.Down
+		done := st.values[key].index > after || st.faults.Down
 		st.mu.Unlock()
-		if over {
+		if done {
 			return
 		}
 		select {
@@ -161,12 +163,13 @@
 	}
 }
 
-func (st *Store) lookup(key string, below bool) ([]pair, uint64) {
+// lookup returns the pairs with a key, or with a key prefix if recurse is set, and the current index.
+func (st *Store) lookup(key string, recurse bool) ([]pair, uint64) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	var pairs []pair
 	for ke, va := range st.values {
-		if ke == key || below && strings.HasPrefix(ke, key) {
+		if ke == key || recurse && strings.HasPrefix(ke, key) {
 			pairs = append(pairs, pair{ke, base64.StdEncoding.EncodeToString(va.data), va.index})
 		}
 	}
@@ -182,8 +185,8 @@
 	}
 	want, casErr := strconv.ParseUint(r.URL.Query().Get("cas"), 10, 64)
 	st.mu.Lock()
-	made := casErr != nil || st.values[key].index == want
-	if made {
+	written := casErr != nil || st.values[key].index == want
+	if written {
 		st.put(key, data)
 	}
 	drop := st.faults.DropWriteResponses > 0
@@ -194,10 +197,10 @@
 	if drop {
 		panic(http.ErrAbortHandler)
 	}
-	_, _ = io.WriteString(w, strconv.FormatBool(made))
+	_, _ = io.WriteString(w, strconv.FormatBool(written))
 }
 
-// put writes; the lock is held.
+// put writes a key; the caller holds mu.
 func (st *Store) put(key string, data []byte) {
 	if st.values == nil {
 		st.values = map[string]value{}
@@ -207,6 +210,7 @@
 	st.notify()
 }
 
+// notify wakes up waiting requests; the caller holds mu.
 func (st *Store) notify() {
 	if st.changed != nil {
 		close(st.changed)
--- a/standin/store/store_test.go
+++ b/standin/store/store_test.go
@@ -15,7 +15,7 @@
 	"github.com/linnetrudder/linnetrudder/internal/result"
 )
 
-// never is a bound that only a broken client or stand-in reaches.
+// testTimeout is a timeout that is reached only if the client or the stand-in is broken.
 const testTimeout = time.Minute
 
 func newClient(t *testing.T, ha http.Handler) *kv.Client {
@@ -40,19 +40,19 @@
 	require.NoError(t, err)
 	require.Zero(t, pair.Index)
 	for _, want := range []bool{true, false} {
-		made, err := cl.Swap(t.Context(), "a/b", []byte("one"), 0)
+		swapped, err := cl.Swap(t.Context(), "a/b", []byte("one"), 0)
 		require.NoError(t, err)
-		require.Equal(t, want, made, "only the first creates it")
+		require.Equal(t, want, swapped, "only the first write creates the key")
 	}
 	pair, err = cl.Get(t.Context(), "a/b")
 	require.NoError(t, err)
 	require.Equal(t, "one", string(pair.Value))
-	made, err := cl.Swap(t.Context(), "a/b", []byte("two"), pair.Index)
+	swapped, err := cl.Swap(t.Context(), "a/b", []byte("two"), pair.Index)
 	require.NoError(t, err)
-	require.True(t, made)
-	made, err = cl.Swap(t.Context(), "a/b", []byte("three"), pair.Index)
+	require.True(t, swapped)
+	swapped, err = cl.Swap(t.Context(), "a/b", []byte("three"), pair.Index)
 	require.NoError(t, err)
-	require.False(t, made)
+	require.False(t, swapped)
 }
 
 func TestListReadsPrefix(t *testing.T) {
@@ -90,14 +90,14 @@
 	st := &Store{}
 	cl := newClient(t, st)
 	st.SetFaults(Faults{DropWriteResponses: 1})
-	_, err := cl.Swap(t.Context(), "k", []byte("made"), 0)
+	_, err := cl.Swap(t.Context(), "k", []byte("applied"), 0)
 	require.Equal(t, result.StoreUnknown, code(t, err))
-	require.Equal(t, "made", string(st.Value("k")), "it was made all the same")
+	require.Equal(t, "applied", string(st.Value("k")), "the write was applied although its response was lost")
 	st.SetFaults(Faults{Down: true})
 	_, err = cl.Get(t.Context(), "k")
 	require.Equal(t, result.StoreDown, code(t, err))
 	_, err = cl.Swap(t.Context(), "k", nil, 0)
-	require.Equal(t, result.StoreUnknown, code(t, err), "a failed write says nothing of whether it was made")
+	require.Equal(t, result.StoreUnknown, code(t, err), "a failed write may have been applied")
 }
 
 func TestRateLimitCountsAsOutage(t *testing.T) {
@@ -105,7 +105,7 @@
 		w.WriteHeader(http.StatusTooManyRequests)
 	}))
 	_, err := cl.Swap(t.Context(), "k", nil, 0)
-	require.Equal(t, result.StoreDown, code(t, err), "a refused write was not made")
+	require.Equal(t, result.StoreDown, code(t, err), "a refused write was not applied")
 }
 
 func TestMalformedResponseCountsAsOutage(t *testing.T) {
@@ -124,7 +124,8 @@
 	cl.Limiter = rate.NewLimiter(rate.Every(time.Hour), 1)
 	_, err := cl.Get(t.Context(), "k")
 	require.NoError(t, err)
-	// The limiter refuses at once what its context cannot wait for.
+	// The limiter refuses at once a request for which it would have to wait beyond the deadline of
+	// the context.
 	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
 	_, err = cl.Get(ctx, "k")
