--- a/standin/swarm/swarm.go
+++ b/standin/swarm/swarm.go
@@ -1,6 +1,6 @@
-// Package swarm runs entries and agents inside the calling process, over real
-// connections on loopback. Measurements use it for the many on the other side
-// of one measured process, and tests use it where no process must be killed.
+// Package swarm runs entries and agents inside the calling process, with real connections on loopback.
+// Measurements use it for the many peers of one measured process, and tests use it where they need not
+// kill a process.
 package swarm
 
 import (
@@ -22,16 +22,15 @@
 	"github.com/linnetrudder/linnetrudder/internal/timeline"
 )
 
-// Swarm is a set of running processes' insides. Its exported fields are set
-// before use.
+// Swarm is a set of entries and agents that run in this process. Its exported fields are set before use.
 type Swarm struct {
 	// Store and Boxes are the addresses of the platform's stand-ins.
 	Store, Boxes string
-	// Key is the shared key.
+	// SharedKey is the key that all boxes share.
 	SharedKey string
-	// Tune changes the settings of each member.
+	// AdjustSettings adjusts the settings of each member before it starts.
 	AdjustSettings func(se *settings.Settings)
-	// Log gets the members' logs; nil drops them.
+	// Log receives the members' logs; nil discards them.
 	Log io.Writer
 
 	wg sync.WaitGroup
@@ -39,17 +38,17 @@
 
 // Member is one running entry or agent.
 type Member struct {
-	// Box is how the member stands in the list of boxes.
+	// Box is the member's entry for the list of boxes.
 	Box boxes.Box
-	// Node is the member's common part.
+	// Node is the part of the member that entries and agents have in common.
 	Node *node.Node
-	// Stop begins a planned stop.
+	// Stop starts a graceful shutdown.
 	Stop context.CancelFunc
-	// Ended is closed when the member has ended.
+	// Ended is closed when the member has stopped.
 	Ended chan struct{}
 }
 
-// Agent starts an agent before a backend server.
+// StartAgent starts an agent for a backend server.
 func (sw *Swarm) StartAgent(box, dataCentre, server, backend string) (*Member, error) {
 	me, listener, admin, err := sw.newMember(box, dataCentre, boxes.Agent)
 	if err != nil {
@@ -62,7 +61,7 @@
 	return me, nil
 }
 
-// Entry starts an entry.
+// StartEntry starts an entry.
 func (sw *Swarm) StartEntry(box, dataCentre string) (*Member, error) {
 	me, listener, admin, err := sw.newMember(box, dataCentre, boxes.Entry)
 	if err != nil {
@@ -74,9 +73,11 @@
 	return me, nil
 }
 
-// Wait waits until every member has ended.
+// Wait waits until every member has stopped.
 func (sw *Swarm) Wait() { sw.wg.Wait() }
 
+// newMember returns a member with its settings, and its listeners for links or clients and for the admin
+// interface.
 func (sw *Swarm) newMember(box, dataCentre string, role boxes.Role) (*Member, net.Listener, net.Listener, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -107,6 +108,7 @@
 	return me, listener, admin, nil
 }
 
+// runMember runs a member in the background until Stop is called.
 func (sw *Swarm) runMember(me *Member, serve func(context.Context) error) {
 	ctx, stop := context.WithCancel(context.Background())
 	me.Stop = stop
