--- a/standin/plain/plain.go
+++ b/standin/plain/plain.go
@@ -1,4 +1,4 @@
-// Package plain stands in for a plain service, such as order tracking.
+// Package plain simulates a backend service that is not a model engine, such as order tracking.
 package plain
 
 import (
@@ -8,31 +8,30 @@
 	"time"
 )
 
-// Service answers every call and counts it. Its exported fields are set
-// before use.
+// Service responds to every request and counts it. Its exported fields are set before use.
 type Service struct {
-	// Takes is how long a call runs.
+	// Latency is how long a request runs.
 	Latency time.Duration
 
 	mu   sync.Mutex
 	runs map[string]int
 }
 
-// Answer is what a call gets.
+// Response is the body of a response.
 type Response struct {
 	Method  string `json:"method"`
 	Path    string `json:"path"`
 	Request string `json:"request"`
 }
 
-// Runs returns how often the call of an id ran.
+// Runs returns how often the request with an id ran.
 func (se *Service) Runs(id string) int {
 	se.mu.Lock()
 	defer se.mu.Unlock()
 	return se.runs[id]
 }
 
-// All returns how often the call of each id ran.
+// RunCounts returns how often the request with each id ran.
 func (se *Service) RunCounts() map[string]int {
 	se.mu.Lock()
 	defer se.mu.Unlock()
@@ -43,7 +42,7 @@
 	return all
 }
 
-// ServeHTTP answers a call; /runs answers with the counts.
+// ServeHTTP responds to a request; /runs returns the counts.
 func (se *Service) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set("Content-Type", "application/json")
 	if r.URL.Path == "/runs" {
