--- a/standin/boxlist/boxlist.go
+++ b/standin/boxlist/boxlist.go
@@ -1,5 +1,4 @@
-// Package boxlist stands in for the platform's list of live and leaving
-// boxes.
+// Package boxlist simulates the platform's list of live and leaving boxes.
 package boxlist
 
 import (
@@ -11,7 +10,7 @@
 	"github.com/linnetrudder/linnetrudder/internal/boxes"
 )
 
-// List is the stand-in. The zero value is empty and ready.
+// List is the simulated list. The zero value is an empty list.
 type List struct {
 	mu    sync.Mutex
 	boxes []boxes.Box
@@ -24,7 +23,7 @@
 	li.boxes = slices.Clone(list)
 }
 
-// ServeHTTP answers with the list; PUT replaces it.
+// ServeHTTP returns the list; a PUT request replaces it.
 func (li *List) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.Method == http.MethodPut {
 		var list []boxes.Box
