--- a/standin/soak/check.go
+++ b/standin/soak/check.go
@@ -8,148 +8,150 @@
 	"time"
 )
 
-// Promise names what is checked.
+// Guarantee names a property of the system that a run checks. Its values appear in reports.
 type Guarantee string
 
-// The promises.
+// The guarantees that are checked.
 const (
-	// AtMostOnce: a request that may not be repeated runs at most once.
+	// AtMostOnce: a request that is not idempotent is executed at most once.
 	AtMostOnce Guarantee = "at-most-once"
-	// TrueRefusal: what is refused as not run did not run and never does.
+	// RefusedNotExecuted: a request that was refused as not executed is never executed.
 	RefusedNotExecuted Guarantee = "true-refusal"
-	// OwnAnswer: a good answer is the whole answer to its own request.
+	// ResponseIntegrity: a successful response is complete and belongs to its request.
 	ResponseIntegrity Guarantee = "own-answer"
-	// RevokedKey: a key that was taken away is not accepted after the bound.
+	// RevokedKey: an API key is not accepted later than revokeBound after its revocation.
 	RevokedKey Guarantee = "revoked-key"
-	// LeavingServer: a server that leaves gets nothing new after the bound.
+	// DrainingServer: a server gets no new requests later than drainBound after it starts draining.
 	DrainingServer Guarantee = "leaving-server"
-	// KeptPause: a server that asked a gateway for a pause gets next to nothing from it meanwhile.
+	// RetryAfterHonoured: while the Retry-After that a server sent to a gateway is running, the
+	// gateway sends the server at most maxDuringPause requests.
 	RetryAfterHonoured Guarantee = "kept-pause"
-	// PlannedStop: a planned stop cuts no request in progress.
+	// GracefulShutdown: a graceful shutdown of a gateway truncates no request in progress.
 	GracefulShutdown Guarantee = "planned-stop"
-	// InTime: a request has its final answer by its deadline.
+	// DeadlineMet: a request gets its final response by its deadline.
 	DeadlineMet Guarantee = "in-time"
-	// FewEnds: a request under which three servers have ended reaches few more.
+	// PoisonContained: later than blockWithin after the poison request has crashed maxPoisonCrashes
+	// servers, it crashes at most as many more through undisturbed gateways.
 	PoisonContained Guarantee = "few-ends"
-	// Recovery: requests are served soon after the last fault.
+	// Recovery: requests succeed again within recoverWithin of the last fault.
 	Recovery Guarantee = "recovery"
 )
 
-// Violation is a promise that was broken.
+// Violation is a guarantee that was not met.
 type Violation struct {
 	Guarantee Guarantee
 	Request   string
 	Detail    string
 }
 
-// String describes the violation.
 func (vi Violation) String() string {
 	return fmt.Sprintf("%s: request %s: %s", vi.Guarantee, vi.Request, vi.Detail)
 }
 
-// outcome is one request as its caller saw it.
+// outcome is one request as its client observed it.
 type outcome struct {
 	id, path, key string
 	gateway       int
 	sent, done    time.Time
 	status        int
 	body          string
-	// broken is set if the answer did not end well or none came.
+	// incomplete is set if there was no response or it ended early.
 	incomplete bool
-	// poison is set for copies of a request under which servers end.
+	// poison is set for copies of the poison request, which crashes the servers that execute it.
 	poison bool
 }
 
 const (
-	// revokeBound and drainBound are the bounds that the gateways hold to.
+	// revokeBound and drainBound are the times within which gateways must stop accepting a
+	// revoked key and stop sending requests to a draining server.
 	revokeBound = 5 * time.Second
 	drainBound  = 2 * time.Second
-	// deadline is how long callers wait.
+	// requestDeadline is the deadline that clients set.
 	requestDeadline = 1500 * time.Millisecond
-	// slack is added to each bound: processes share a machine with their callers.
+	// timingSlack is added to the deadline, since the gateways share a machine with their clients.
 	timingSlack = 500 * time.Millisecond
-	// touch is how long nothing must have struck a gateway for it to be bound by what
-	// has a time.
+	// settleTime is how long a gateway must have been free of faults before guarantees with a
+	// time limit are checked on it.
 	settleTime = 3 * time.Second
-	// recoverWithin is the time after the last fault from which requests are served,
-	// recoverPart the part of them that must be.
+	// recoverWithin is the time after the last fault from which requests must succeed,
+	// recoverFraction the fraction of them that must.
 	recoverWithin   = 3 * time.Second
 	recoverFraction = 0.9
-	// mostEnds is how many servers may end under a request, and tellWithin how long after the
-	// third of them more may.
-	maxServerEnds = 3
-	blockWithin   = 3 * time.Second
+	// maxPoisonCrashes is how many servers the poison request may crash before gateways must block
+	// it, and blockWithin how long after the last of these the block must be in force.
+	maxPoisonCrashes = 3
+	blockWithin      = 3 * time.Second
 )
 
-// record is everything that a run has seen.
+// history is everything that was observed during a run.
 type history struct {
 	plan       Plan
 	start      time.Time
 	outcomes   []outcome
 	executions *executionLog
-	// poisoned holds the copies of a request under which servers end.
+	// poisoned holds the outcomes of the poison request.
 	poisoned []outcome
-	// revoked and drained hold when keys were taken away and servers began to leave.
+	// revokedAt and drainedAt hold when keys were revoked and servers started draining.
 	revokedAt, drainedAt map[string]time.Time
 }
 
-// check returns the promises that were broken.
-func (re *history) check() []Violation {
+// check returns all violations.
+func (hi *history) check() []Violation {
 	var list []Violation
-	add := func(pr Guarantee, ou outcome, detail string, args ...any) {
-		list = append(list, Violation{pr, ou.id, fmt.Sprintf(detail, args...)})
+	add := func(gu Guarantee, ou outcome, detail string, args ...any) {
+		list = append(list, Violation{gu, ou.id, fmt.Sprintf(detail, args...)})
 	}
-	for _, ou := range re.outcomes {
-		runs := re.executions.executionsOf(ou.id)
-		if strings.HasPrefix(ou.path, "/unsafe/") && len(runs) > 1 {
-			add(AtMostOnce, ou, "ran %d times", len(runs))
+	for _, ou := range hi.outcomes {
+		executions := hi.executions.executionsOf(ou.id)
+		if strings.HasPrefix(ou.path, "/unsafe/") && len(executions) > 1 {
+			add(AtMostOnce, ou, "executed %d times", len(executions))
 		}
 		refused := ou.status == http.StatusServiceUnavailable || ou.status == http.StatusTooManyRequests
-		if refused && len(runs) > 0 {
-			add(RefusedNotExecuted, ou, "answered %d, ran on %s", ou.status, runs[0].server)
+		if refused && len(executions) > 0 {
+			add(RefusedNotExecuted, ou, "answered %d, but executed on %s", ou.status, executions[0].server)
 		}
 		if ou.status == http.StatusOK && !ou.incomplete && ou.body != ou.expectedBody() {
-			add(ResponseIntegrity, ou, "got %q", ou.body)
+			add(ResponseIntegrity, ou, "got body %q", ou.body)
 		}
-		if at, ok := re.revokedAt[ou.key]; ok && ou.sent.Sub(at) > revokeBound && len(runs) > 0 {
-			add(RevokedKey, ou, "ran %s after its key was taken away", runs[0].at.Sub(at))
+		if at, ok := hi.revokedAt[ou.key]; ok && ou.sent.Sub(at) > revokeBound && len(executions) > 0 {
+			add(RevokedKey, ou, "executed %s after its key was revoked", executions[0].at.Sub(at))
 		}
-		if re.undisturbed(ou.gateway, ou.sent, ou.sent.Add(requestDeadline)) && ou.done.Sub(ou.sent) > requestDeadline+timingSlack {
+		if hi.undisturbed(ou.gateway, ou.sent, ou.sent.Add(requestDeadline)) && ou.done.Sub(ou.sent) > requestDeadline+timingSlack {
 			add(DeadlineMet, ou, "answered after %s", ou.done.Sub(ou.sent))
 		}
-		list = append(list, re.checkDraining(ou, runs)...)
-		if detail, cut := re.truncatedByShutdown(ou, runs); cut {
+		list = append(list, hi.checkDraining(ou, executions)...)
+		if detail, truncated := hi.truncatedByShutdown(ou, executions); truncated {
 			add(GracefulShutdown, ou, "%s", detail)
 		}
 	}
-	list = append(list, re.checkPoison()...)
-	list = append(list, re.checkAnnouncedShutdowns()...)
-	list = append(list, re.checkPauses()...)
-	return append(list, re.checkRecovery()...)
+	list = append(list, hi.checkPoison()...)
+	list = append(list, hi.checkAnnouncedShutdowns()...)
+	list = append(list, hi.checkPauses()...)
+	return append(list, hi.checkRecovery()...)
 }
 
-// checkEnds looks at the copies of a request under which servers end, of those at gateways that
-// nothing had struck for a while.
-func (re *history) checkPoison() []Violation {
-	var ends []execution
+// checkPoison counts the servers that the poison request crashed after it had to be blocked, through
+// gateways that had been undisturbed by faults.
+func (hi *history) checkPoison() []Violation {
+	var crashes []execution
 	late := 0
 	var last outcome
-	for _, ou := range re.poisoned {
-		for _, ru := range re.executions.executionsOf(ou.id) {
-			ends = append(ends, ru)
-			if len(ends) > maxServerEnds && ru.at.Sub(ends[maxServerEnds-1].at) > blockWithin && re.undisturbed(ou.gateway, ou.sent, ru.at) {
+	for _, ou := range hi.poisoned {
+		for _, ex := range hi.executions.executionsOf(ou.id) {
+			crashes = append(crashes, ex)
+			if len(crashes) > maxPoisonCrashes && ex.at.Sub(crashes[maxPoisonCrashes-1].at) > blockWithin && hi.undisturbed(ou.gateway, ou.sent, ex.at) {
 				late++
 				last = ou
 			}
 		}
 	}
-	if late <= maxServerEnds {
+	if late <= maxPoisonCrashes {
 		return nil
 	}
-	return []Violation{{PoisonContained, last.id, fmt.Sprintf("%d servers ended, %d of them late", len(ends), late)}}
+	return []Violation{{PoisonContained, last.id, fmt.Sprintf("crashed %d servers, %d of them after it had to be blocked", len(crashes), late)}}
 }
 
-// wanted returns the whole answer.
+// expectedBody returns the complete response body.
 func (ou outcome) expectedBody() string {
 	if !strings.HasPrefix(ou.path, "/stream/") {
 		return plainBody(ou.id)
@@ -161,7 +163,8 @@
 	return sb.String()
 }
 
-// strikes reports whether a fault concerns a gateway's view of the world.
+// affectsGateway reports whether a fault affects a gateway itself, its connections or the key-value
+// service that it reads from.
 func (fa Fault) affectsGateway(gateway int) bool {
 	switch {
 	case slices.Contains(gatewayKinds, fa.Kind):
@@ -172,38 +175,41 @@
 	return false
 }
 
-// calm reports whether nothing struck a gateway from a while before a span to its
+// undisturbed reports whether no fault affected a gateway from settleTime before a time span to its
 // end.
-func (re *history) undisturbed(gateway int, from, until time.Time) bool {
-	return !slices.ContainsFunc(re.plan.Faults, func(fa Fault) bool {
-		return fa.affectsGateway(gateway) && re.overlaps(fa, from.Add(-settleTime), until)
+func (hi *history) undisturbed(gateway int, from, until time.Time) bool {
+	return !slices.ContainsFunc(hi.plan.Faults, func(fa Fault) bool {
+		return fa.affectsGateway(gateway) && hi.overlaps(fa, from.Add(-settleTime), until)
 	})
 }
 
-func (re *history) overlaps(fa Fault, from, until time.Time) bool {
-	return re.start.Add(fa.Start).Before(until) && re.start.Add(fa.End).Add(restartTime).After(from)
+// overlaps reports whether a fault, with the restart that may follow it, overlaps a time span.
+func (hi *history) overlaps(fa Fault, from, until time.Time) bool {
+	return hi.start.Add(fa.Start).Before(until) && hi.start.Add(fa.End).Add(restartTime).After(from)
 }
 
-func (re *history) checkDraining(ou outcome, runs []execution) []Violation {
+// checkDraining returns the executions of a request on servers that had started draining longer than
+// drainBound before it was sent.
+func (hi *history) checkDraining(ou outcome, executions []execution) []Violation {
 	var list []Violation
-	for _, ru := range runs {
-		at, leaving := re.drainedAt[ru.server]
-		if leaving && ou.sent.Sub(at) > drainBound && re.undisturbed(ou.gateway, at, ru.at) {
-			list = append(list, Violation{DrainingServer, ou.id, fmt.Sprintf("reached %s %s after it began to leave", ru.server, ru.at.Sub(at))})
+	for _, ex := range executions {
+		at, draining := hi.drainedAt[ex.server]
+		if draining && ou.sent.Sub(at) > drainBound && hi.undisturbed(ou.gateway, at, ex.at) {
+			list = append(list, Violation{DrainingServer, ou.id, fmt.Sprintf("executed on %s %s after it started draining", ex.server, ex.at.Sub(at))})
 		}
 	}
 	return list
 }
 
-// cutByStop reports whether a request that a server was at work on was cut beside a
-// planned stop and nothing else.
-func (re *history) truncatedByShutdown(ou outcome, runs []execution) (detail string, cut bool) {
-	if !ou.incomplete || len(runs) == 0 {
+// truncatedByShutdown reports whether the response to an executed request was truncated while its
+// gateway shut down gracefully and no other fault could have caused it.
+func (hi *history) truncatedByShutdown(ou outcome, executions []execution) (detail string, truncated bool) {
+	if !ou.incomplete || len(executions) == 0 {
 		return "", false
 	}
 	stopped := false
-	for _, fa := range re.plan.Faults {
-		if !re.overlaps(fa, ou.sent, ou.done) {
+	for _, fa := range hi.plan.Faults {
+		if !hi.overlaps(fa, ou.sent, ou.done) {
 			continue
 		}
 		if fa.Kind != Stop && (fa.affectsGateway(ou.gateway) || slices.Contains(serverKinds, fa.Kind)) {
@@ -211,27 +217,27 @@
 		}
 		stopped = stopped || fa.Kind == Stop && fa.Target == ou.gateway
 	}
-	return "cut while " + runs[0].server + " was at work", stopped
+	return "truncated while " + executions[0].server + " executed it", stopped
 }
 
-// checkRecovery looks at the end of the run, when nothing fails any more.
-func (re *history) checkRecovery() []Violation {
-	from := re.start.Add(re.plan.FaultsEnd + recoverWithin)
-	asked, served := 0, 0
+// checkRecovery checks the success rate at the end of the run, after recoverWithin without faults.
+func (hi *history) checkRecovery() []Violation {
+	from := hi.start.Add(hi.plan.FaultsEnd + recoverWithin)
+	total, served := 0, 0
 	var last outcome
-	for _, ou := range re.outcomes {
-		if ou.sent.Before(from) || !re.revokedAt[ou.key].IsZero() {
+	for _, ou := range hi.outcomes {
+		if ou.sent.Before(from) || !hi.revokedAt[ou.key].IsZero() {
 			continue
 		}
-		asked++
+		total++
 		if ou.status == http.StatusOK && !ou.incomplete {
 			served++
 		} else {
 			last = ou
 		}
 	}
-	if asked > 0 && float64(served) >= recoverFraction*float64(asked) {
+	if total > 0 && float64(served) >= recoverFraction*float64(total) {
 		return nil
 	}
-	return []Violation{{Recovery, last.id, fmt.Sprintf("%d of %d served at the end", served, asked)}}
+	return []Violation{{Recovery, last.id, fmt.Sprintf("%d of %d requests succeeded after the last fault", served, total)}}
 }
--- a/standin/soak/faults.go
+++ b/standin/soak/faults.go
@@ -13,15 +13,15 @@
 	"github.com/linnetrudder/linnetrudder/standin/keyvalue"
 )
 
-// pauseBetween is how long a caller waits between two requests.
+// requestInterval is how long a client waits between two requests.
 const requestInterval = 20 * time.Millisecond
 
-// ask sends one request and notes what became of it. Callers don't ask again: each
-// answer is looked at by itself.
-func (py *soakRun) sendRequest(client *http.Client, ou *outcome) {
+// sendRequest sends one request and records its outcome. Clients do not retry, so that each response
+// is checked by itself.
+func (sr *soakRun) sendRequest(client *http.Client, ou *outcome) {
 	defer func() { ou.done = time.Now() }()
 	ou.sent = time.Now()
-	req, err := http.NewRequest(http.MethodPost, "http://"+py.gateways[ou.gateway].clientProxy.Address()+ou.path, io.NopCloser(http.NoBody))
+	req, err := http.NewRequest(http.MethodPost, "http://"+sr.gateways[ou.gateway].clientProxy.Address()+ou.path, io.NopCloser(http.NoBody))
 	if err != nil {
 		ou.incomplete = true
 		return
@@ -43,213 +43,215 @@
 	ou.status, ou.body, ou.incomplete = resp.StatusCode, string(body), err != nil
 }
 
-// strike carries a fault out, from its start to its end.
-func (py *soakRun) inject(fa Fault) {
+// inject applies a fault and returns when it is over.
+func (sr *soakRun) inject(fa Fault) {
 	switch fa.Kind {
 	case Kill, Stop:
-		py.restartGateway(fa)
+		sr.restartGateway(fa)
 	case Pause:
-		me := py.gateways[fa.Target]
-		me.restartMu.Lock()
-		defer me.restartMu.Unlock()
-		_ = me.process.Signal(syscall.SIGSTOP)
-		py.waitForEnd(fa)
-		_ = me.process.Signal(syscall.SIGCONT)
+		gw := sr.gateways[fa.Target]
+		gw.restartMu.Lock()
+		defer gw.restartMu.Unlock()
+		_ = gw.process.Signal(syscall.SIGSTOP)
+		sr.waitForEnd(fa)
+		_ = gw.process.Signal(syscall.SIGCONT)
 	case Reload:
-		py.reloadSettings(fa)
+		sr.reloadSettings(fa)
 	case CallersReset:
-		py.gateways[fa.Target].clientProxy.ResetConnections()
+		sr.gateways[fa.Target].clientProxy.ResetConnections()
 	case StorePartition, StoreStall, StoreStallResponses, StoreDelay:
-		py.impairStoreConnection(fa)
+		sr.impairStoreConnection(fa)
 	case StoreDown, StoreHang, StoreDropsResponses:
-		py.addStoreFault(fa.Kind, 1)
-		py.waitForEnd(fa)
-		py.addStoreFault(fa.Kind, -1)
+		sr.addStoreFault(fa.Kind, 1)
+		sr.waitForEnd(fa)
+		sr.addStoreFault(fa.Kind, -1)
 	case StoreCompaction:
-		py.store.Compact()
+		sr.store.Compact()
 	case StoreLeaseExpiry:
-		py.store.ExpireLeases()
+		sr.store.ExpireLeases()
 	case StoreRestore:
-		py.restoreStore(fa)
+		sr.restoreStore(fa)
 	case ConfigChange:
-		py.publishConfig()
+		sr.publishConfig()
 	case KeyRevocation:
-		py.revokeKey()
+		sr.revokeKey()
 	case Poison:
-		py.sendPoison(fa)
+		sr.sendPoison(fa)
 	default:
-		py.injectServerFault(fa)
+		sr.injectServerFault(fa)
 	}
 }
 
-// last waits for the end of a fault, which may have come while it waited for
-// another one of the same gateway.
-func (py *soakRun) waitForEnd(fa Fault) { time.Sleep(time.Until(py.history.start.Add(fa.End))) }
+// waitForEnd waits for the end of a fault. The end may have passed already while the fault waited for
+// another one on the same gateway.
+func (sr *soakRun) waitForEnd(fa Fault) { time.Sleep(time.Until(sr.history.start.Add(fa.End))) }
 
-// replace ends a gateway's process and starts it again.
-func (py *soakRun) restartGateway(fa Fault) {
-	me := py.gateways[fa.Target]
-	me.restartMu.Lock()
-	defer me.restartMu.Unlock()
+// restartGateway kills or stops a gateway's process and starts it again.
+func (sr *soakRun) restartGateway(fa Fault) {
+	gw := sr.gateways[fa.Target]
+	gw.restartMu.Lock()
+	defer gw.restartMu.Unlock()
 	si := syscall.SIGTERM
-	if fa.Kind == Kill || py.runner.Defect == KillsOnStop {
+	if fa.Kind == Kill || sr.runner.Defect == KillsOnStop {
 		si = syscall.SIGKILL
 	}
-	_ = me.process.Signal(si)
-	me.process.Wait(gracePeriod + restartTime)
-	if err := py.startGateway(fa.Target); err != nil {
-		// The next check finds a gateway that serves nobody; its log says why.
-		_, _ = fmt.Fprintln(os.Stderr, "soak:", err)
+	_ = gw.process.Signal(si)
+	gw.process.Wait(gracePeriod + restartTime)
+	if err := sr.startGateway(fa.Target); err != nil {
+		// Clients of this gateway fail from now on, which the Recovery check detects.
+		_, _ = fmt.Fprintln(os.Stderr, "soak:", "restart of a gateway failed:", err)
 	}
 }
 
-// reload changes a gateway's settings file for a while and tells it so.
-func (py *soakRun) reloadSettings(fa Fault) {
-	me := py.gateways[fa.Target]
-	me.restartMu.Lock()
-	defer me.restartMu.Unlock()
-	good, err := os.ReadFile(me.settingsPath)
+// reloadSettings makes a gateway reload a truncated settings file and then the valid one again.
+func (sr *soakRun) reloadSettings(fa Fault) {
+	gw := sr.gateways[fa.Target]
+	gw.restartMu.Lock()
+	defer gw.restartMu.Unlock()
+	good, err := os.ReadFile(gw.settingsPath)
 	if err != nil {
 		return
 	}
-	_ = os.WriteFile(me.settingsPath, good[:len(good)/2], 0o600)
-	_ = me.process.Signal(syscall.SIGHUP)
+	_ = os.WriteFile(gw.settingsPath, good[:len(good)/2], 0o600)
+	_ = gw.process.Signal(syscall.SIGHUP)
 	time.Sleep(requestInterval)
-	_ = os.WriteFile(me.settingsPath, good, 0o600)
-	_ = me.process.Signal(syscall.SIGHUP)
+	_ = os.WriteFile(gw.settingsPath, good, 0o600)
+	_ = gw.process.Signal(syscall.SIGHUP)
 }
 
-// strikeWay harms a gateway's way to the key-value service.
-func (py *soakRun) impairStoreConnection(fa Fault) {
-	way := py.gateways[fa.Target].storeProxy
+// impairStoreConnection impairs a gateway's connections to the key-value service.
+func (sr *soakRun) impairStoreConnection(fa Fault) {
+	proxy := sr.gateways[fa.Target].storeProxy
 	switch fa.Kind {
 	case StorePartition:
-		way.SetPartitioned(true)
-		defer way.SetPartitioned(false)
+		proxy.SetPartitioned(true)
+		defer proxy.SetPartitioned(false)
 	case StoreStall:
-		way.SetImpairment(fleet.Impairment{Stall: true})
+		proxy.SetImpairment(fleet.Impairment{Stall: true})
 	case StoreStallResponses:
-		way.SetImpairment(fleet.Impairment{StallResponses: true})
+		proxy.SetImpairment(fleet.Impairment{StallResponses: true})
 	default:
-		way.SetImpairment(fleet.Impairment{Delay: storeDelay})
+		proxy.SetImpairment(fleet.Impairment{Delay: storeDelay})
 	}
-	py.waitForEnd(fa)
-	way.SetImpairment(fleet.Impairment{})
+	sr.waitForEnd(fa)
+	proxy.SetImpairment(fleet.Impairment{})
 }
 
-// wayDelay is what a delayed way adds.
+// storeDelay is the delay that StoreDelay adds in each direction.
 const storeDelay = 150 * time.Millisecond
 
-// outage begins or ends one of the service's own faults; several may overlap.
-func (py *soakRun) addStoreFault(ki FaultKind, by int) {
-	py.mu.Lock()
-	defer py.mu.Unlock()
-	py.storeFaults[ki] += by
+// addStoreFault starts (delta 1) or ends (delta -1) a fault of the key-value service. Faults of the
+// same kind may overlap.
+func (sr *soakRun) addStoreFault(ki FaultKind, delta int) {
+	sr.mu.Lock()
+	defer sr.mu.Unlock()
+	sr.storeFaults[ki] += delta
 	fa := keyvalue.Faults{
-		Hang: py.storeFaults[StoreHang] > 0, DropWriteResponses: py.storeFaults[StoreDropsResponses] > 0,
-		WithholdEvents: py.runner.Defect == WithholdsEvents,
+		Hang: sr.storeFaults[StoreHang] > 0, DropWriteResponses: sr.storeFaults[StoreDropsResponses] > 0,
+		WithholdEvents: sr.runner.Defect == WithholdsEvents,
 	}
-	if py.storeFaults[StoreDown] > 0 {
+	if sr.storeFaults[StoreDown] > 0 {
 		fa.RefuseStatus = http.StatusServiceUnavailable
 	}
-	if py.runner.Defect == OutageNeverEnds {
+	if sr.runner.Defect == OutageNeverEnds {
 		fa.Hang = true
 	}
-	py.store.SetFaults(fa)
+	sr.store.SetFaults(fa)
 }
 
-// strikeServer harms one backend server. One that ends is replaced, with a new id.
-func (py *soakRun) injectServerFault(fa Fault) {
-	py.mu.Lock()
-	se := py.servers[fa.Target]
-	py.mu.Unlock()
+// injectServerFault applies a fault to a backend server. A server that stops is replaced by one with a
+// new id.
+func (sr *soakRun) injectServerFault(fa Fault) {
+	sr.mu.Lock()
+	se := sr.servers[fa.Target]
+	sr.mu.Unlock()
 	switch fa.Kind {
 	case ServerCrash:
-		py.crashServer(se)
+		sr.crashServer(se)
 	case ServerDrain:
-		py.replaceServer(fa.Target, se)
-		py.drainServer(se)
+		sr.replaceServer(fa.Target, se)
+		sr.drainServer(se)
 	case ServerAnnouncesShutdown:
 		se.addFault(fa.Kind, 1)
 		time.Sleep(announcedBeforeEntry)
-		py.replaceServer(fa.Target, se)
-		py.drainServer(se)
+		sr.replaceServer(fa.Target, se)
+		sr.drainServer(se)
 	case ServerReset:
 		se.proxy.ResetConnections()
 	case ServerStall:
 		se.proxy.SetImpairment(fleet.Impairment{Stall: true})
-		py.waitForEnd(fa)
+		sr.waitForEnd(fa)
 		se.proxy.SetImpairment(fleet.Impairment{})
 	default:
 		se.addFault(fa.Kind, 1)
-		py.waitForEnd(fa)
+		sr.waitForEnd(fa)
 		se.addFault(fa.Kind, -1)
 	}
 }
 
-// unlistedShutdown is how long a server that announces its shutdown has an entry that says nothing of
-// it.
+// announcedBeforeEntry is how long a server announces its shutdown in its responses before its entry
+// says that it is draining.
 const announcedBeforeEntry = 3 * time.Second
 
-// crash ends a server without a word; its entry stays for a while.
-func (py *soakRun) crashServer(se *server) {
-	py.mu.Lock()
-	place := slices.Index(py.servers, se)
-	py.mu.Unlock()
-	py.replaceServer(place, se)
+// crashServer stops a server without notice; its entry remains for crashedEntryTTL.
+func (sr *soakRun) crashServer(se *server) {
+	sr.mu.Lock()
+	index := slices.Index(sr.servers, se)
+	sr.mu.Unlock()
+	sr.replaceServer(index, se)
 	se.stop()
 	time.Sleep(crashedEntryTTL)
 	se.unlisted.Store(true)
-	py.store.Remove("servers/" + se.id)
+	sr.store.Remove("servers/" + se.id)
 }
 
-// poisonEvery is the pause between two copies of a request under which servers end.
+// poisonInterval is the time between two copies of the poison request.
 const poisonInterval = 400 * time.Millisecond
 
-// poison sends copies of one request, each to another gateway.
-func (py *soakRun) sendPoison(fa Fault) {
+// sendPoison sends copies of the poison request to all gateways in turn.
+func (sr *soakRun) sendPoison(fa Fault) {
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: 4 * requestDeadline}
-	for n := 0; time.Until(py.history.start.Add(fa.End)) > 0; n++ {
+	for n := 0; time.Until(sr.history.start.Add(fa.End)) > 0; n++ {
 		ou := outcome{
-			id: fmt.Sprint(poisonIDPrefix, n), gateway: n % len(py.gateways), path: "/safe/poison", key: py.pickKey(n + 1), poison: true,
+			id: fmt.Sprint(poisonIDPrefix, n), gateway: n % len(sr.gateways), path: "/safe/poison", key: sr.pickKey(n + 1), poison: true,
 		}
-		if py.runner.Defect == VariesPoison {
+		if sr.runner.Defect == VariesPoison {
 			ou.path += fmt.Sprint(n)
 		}
-		py.sendRequest(client, &ou)
-		py.mu.Lock()
-		py.history.poisoned = append(py.history.poisoned, ou)
-		py.mu.Unlock()
+		sr.sendRequest(client, &ou)
+		sr.mu.Lock()
+		sr.history.poisoned = append(sr.history.poisoned, ou)
+		sr.mu.Unlock()
 		time.Sleep(poisonInterval)
 	}
 }
 
-// poisonID begins the ids of such copies.
+// poisonIDPrefix is the prefix of the ids of the poison request's copies.
 const poisonIDPrefix = "poison-"
 
-// drain lets a server leave as planned: it serves on for a while after it said so.
-func (py *soakRun) drainServer(se *server) {
+// drainServer marks a server as draining and stops it twice the drainBound later.
+func (sr *soakRun) drainServer(se *server) {
 	se.drain()
-	py.store.Set("servers/"+se.id, se.entry())
-	py.mu.Lock()
-	py.history.drainedAt[se.id] = time.Now()
-	py.mu.Unlock()
+	sr.store.Set("servers/"+se.id, se.entry())
+	sr.mu.Lock()
+	sr.history.drainedAt[se.id] = time.Now()
+	sr.mu.Unlock()
 	time.Sleep(2 * drainBound)
 	se.unlisted.Store(true)
-	py.store.Remove("servers/" + se.id)
+	sr.store.Remove("servers/" + se.id)
 	se.stop()
 }
 
-// substitute starts a server in the place of one that ends.
-func (py *soakRun) replaceServer(place int, old *server) {
-	if err := py.addServer(); err != nil {
-		_, _ = fmt.Fprintln(os.Stderr, "soak:", err)
+// replaceServer starts a server that takes over the index of one that stops.
+func (sr *soakRun) replaceServer(index int, old *server) {
+	if err := sr.addServer(); err != nil {
+		_, _ = fmt.Fprintln(os.Stderr, "soak:", "replacement of a backend server failed:", err)
 		return
 	}
-	py.mu.Lock()
-	defer py.mu.Unlock()
-	last := len(py.servers) - 1
-	if py.servers[place] == old {
-		py.servers[place], py.servers[last] = py.servers[last], old
+	sr.mu.Lock()
+	defer sr.mu.Unlock()
+	last := len(sr.servers) - 1
+	if sr.servers[index] == old {
+		sr.servers[index], sr.servers[last] = sr.servers[last], old
 	}
 }
--- a/standin/soak/reports.go
+++ b/standin/soak/reports.go
@@ -7,25 +7,25 @@
 )
 
 const (
-	// pauseSlack is how long after a server asked for a pause requests may still reach it,
-	// mostInPause how many may later.
+	// pauseSlack is how long requests may still reach a server after it sent a Retry-After, and
+	// maxDuringPause how many may between then and the end of the pause.
 	pauseSlack     = 500 * time.Millisecond
 	maxDuringPause = 2
 )
 
-// way is one gateway's way to one server.
+// gatewayServer is a pair of a gateway and a backend server.
 type gatewayServer struct {
 	gateway int
 	server  string
 }
 
-// steady reports whether a gateway's process kept running for a span: one that was replaced or stopped
-// for a while is excused.
-func (re *history) uninterrupted(gateway int, from, until time.Time) bool {
-	for _, fa := range re.plan.Faults {
+// uninterrupted reports whether a gateway's process ran during a whole time span. What a server
+// reported is lost when a gateway restarts, and it cannot react while it is suspended.
+func (hi *history) uninterrupted(gateway int, from, until time.Time) bool {
+	for _, fa := range hi.plan.Faults {
 		switch fa.Kind {
 		case Kill, Stop, Pause:
-			if fa.Target == gateway && re.overlaps(fa, from, until) {
+			if fa.Target == gateway && hi.overlaps(fa, from, until) {
 				return false
 			}
 		}
@@ -33,54 +33,55 @@
 	return true
 }
 
-// checkAnnounced looks for requests that reached a server through a gateway which had delivered its
-// announcement.
-func (re *history) checkAnnouncedShutdowns() []Violation {
-	told := map[gatewayServer]time.Time{}
-	for _, ou := range re.outcomes {
-		for _, ru := range re.executions.executionsOf(ou.id) {
-			wa := gatewayServer{ou.gateway, ru.server}
-			if at := told[wa]; ru.announced && ou.status == http.StatusOK && (at.IsZero() || ou.done.Before(at)) {
-				told[wa] = ou.done
+// checkAnnouncedShutdowns finds requests that a gateway sent to a server longer than drainBound after it
+// had delivered a response in which the server announced its shutdown.
+func (hi *history) checkAnnouncedShutdowns() []Violation {
+	announcedAt := map[gatewayServer]time.Time{}
+	for _, ou := range hi.outcomes {
+		for _, ex := range hi.executions.executionsOf(ou.id) {
+			gs := gatewayServer{ou.gateway, ex.server}
+			if at := announcedAt[gs]; ex.announced && ou.status == http.StatusOK && (at.IsZero() || ou.done.Before(at)) {
+				announcedAt[gs] = ou.done
 			}
 		}
 	}
 	var list []Violation
-	for _, ou := range re.outcomes {
-		for _, ru := range re.executions.executionsOf(ou.id) {
-			at, ok := told[gatewayServer{ou.gateway, ru.server}]
-			if ok && ou.sent.Sub(at) > drainBound && re.uninterrupted(ou.gateway, at, ru.at) {
-				list = append(list, Violation{DrainingServer, ou.id, fmt.Sprintf("reached %s %s after its announcement", ru.server, ou.sent.Sub(at))})
+	for _, ou := range hi.outcomes {
+		for _, ex := range hi.executions.executionsOf(ou.id) {
+			at, ok := announcedAt[gatewayServer{ou.gateway, ex.server}]
+			if ok && ou.sent.Sub(at) > drainBound && hi.uninterrupted(ou.gateway, at, ex.at) {
+				list = append(list, Violation{DrainingServer, ou.id, fmt.Sprintf("executed on %s, sent %s after it announced its shutdown", ex.server, ou.sent.Sub(at))})
 			}
 		}
 	}
 	return list
 }
 
-// checkPauses looks for requests that reached a server in a pause that it had asked their gateway for.
-func (re *history) checkPauses() []Violation {
+// checkPauses finds requests that a gateway sent to a server during a pause that the server had asked
+// that gateway for with a Retry-After.
+func (hi *history) checkPauses() []Violation {
 	arrivals := map[gatewayServer][]time.Time{}
-	for _, ou := range re.outcomes {
-		for _, ru := range re.executions.rejectionsOf(ou.id) {
-			wa := gatewayServer{ou.gateway, ru.server}
-			arrivals[wa] = append(arrivals[wa], ru.at)
+	for _, ou := range hi.outcomes {
+		for _, ex := range hi.executions.rejectionsOf(ou.id) {
+			gs := gatewayServer{ou.gateway, ex.server}
+			arrivals[gs] = append(arrivals[gs], ex.at)
 		}
-		for _, ru := range re.executions.executionsOf(ou.id) {
-			wa := gatewayServer{ou.gateway, ru.server}
-			arrivals[wa] = append(arrivals[wa], ru.at)
+		for _, ex := range hi.executions.executionsOf(ou.id) {
+			gs := gatewayServer{ou.gateway, ex.server}
+			arrivals[gs] = append(arrivals[gs], ex.at)
 		}
 	}
 	var list []Violation
-	for _, ou := range re.outcomes {
-		for _, ru := range re.executions.rejectionsOf(ou.id) {
-			n, from, until := 0, ru.at.Add(pauseSlack), ru.at.Add(retryAfter)
-			for _, at := range arrivals[gatewayServer{ou.gateway, ru.server}] {
+	for _, ou := range hi.outcomes {
+		for _, ex := range hi.executions.rejectionsOf(ou.id) {
+			n, from, until := 0, ex.at.Add(pauseSlack), ex.at.Add(retryAfter)
+			for _, at := range arrivals[gatewayServer{ou.gateway, ex.server}] {
 				if at.After(from) && at.Before(until) {
 					n++
 				}
 			}
-			if n > maxDuringPause && re.undisturbed(ou.gateway, ru.at, until) {
-				list = append(list, Violation{RetryAfterHonoured, ou.id, fmt.Sprintf("%s got %d requests in its pause", ru.server, n)})
+			if n > maxDuringPause && hi.undisturbed(ou.gateway, ex.at, until) {
+				list = append(list, Violation{RetryAfterHonoured, ou.id, fmt.Sprintf("%s got %d requests before its Retry-After had passed", ex.server, n)})
 			}
 		}
 	}
--- a/standin/soak/restore.go
+++ b/standin/soak/restore.go
@@ -7,48 +7,50 @@
 	"time"
 )
 
-// lostWrites is how many other keys a restored service loses: revisions that are given out again
-// reach the old ones only some time after the restore.
+// lostWrites is how many unrelated keys are written between snapshot and restore. They are lost, so
+// that the revisions reach their old values again only some time after the restore.
 const lostWrites = 40
 
-// longestRewrite bounds the time after which what a restored service has lost is written again.
+// maxRewriteDelay bounds the time from a restore until the lost entries are written again.
 const maxRewriteDelay = time.Second
 
-// restore lets the key-value service go back to what it holds at the start of a fault, and lets
-// operators and servers write again what they had written since.
-func (py *soakRun) restoreStore(fa Fault) {
-	co, copied := py.store.Snapshot(), time.Now()
+// restoreStore restores the key-value service, at the end of a fault, from a snapshot that was made at
+// its start. Then operators and servers write again what they had written since the snapshot.
+func (sr *soakRun) restoreStore(fa Fault) {
+	sn, copied := sr.store.Snapshot(), time.Now()
 	for i := range lostWrites {
-		py.store.Set(fmt.Sprint("other/", i), i)
+		sr.store.Set(fmt.Sprint("other/", i), i)
 	}
-	py.waitForEnd(fa)
-	py.store.Restore(co)
+	sr.waitForEnd(fa)
+	sr.store.Restore(sn)
 	time.Sleep(rand.N(maxRewriteDelay))
-	py.mu.Lock()
-	defer py.mu.Unlock()
-	py.writeConfig()
-	py.rewriteServerEntries()
-	resetTimes(py.history.revokedAt, copied)
-	resetTimes(py.history.drainedAt, copied)
+	sr.mu.Lock()
+	defer sr.mu.Unlock()
+	sr.writeConfig()
+	sr.rewriteServerEntries()
+	resetTimes(sr.history.revokedAt, copied)
+	resetTimes(sr.history.drainedAt, copied)
 }
 
-// rewriteServers writes the entries of all servers as they are; the lock is held.
-func (py *soakRun) rewriteServerEntries() {
+// rewriteServerEntries writes the current entries of all listed servers and removes all others; the
+// caller holds mu.
+func (sr *soakRun) rewriteServerEntries() {
 	listed := map[string]bool{}
-	for _, se := range py.servers {
+	for _, se := range sr.servers {
 		if !se.unlisted.Load() {
 			listed[se.id] = true
-			py.store.Set("servers/"+se.id, se.entry())
+			sr.store.Set("servers/"+se.id, se.entry())
 		}
 	}
-	for _, key := range py.store.Keys("servers/") {
+	for _, key := range sr.store.Keys("servers/") {
 		if !listed[strings.TrimPrefix(key, "servers/")] {
-			py.store.Remove(key)
+			sr.store.Remove(key)
 		}
 	}
 }
 
-// renew takes what was written since a copy as written now.
+// resetTimes sets the times of changes that were made since a snapshot to now, since the restore
+// undid them and they have just been made again.
 func resetTimes(written map[string]time.Time, copied time.Time) {
 	for name, at := range written {
 		if at.After(copied) {
--- a/standin/soak/schedule.go
+++ b/standin/soak/schedule.go
@@ -1,7 +1,7 @@
-// Package soak runs real gateways as separate processes between stand-in callers,
-// backend servers and a key-value service, injects faults from outside, and checks
-// what callers and servers see against what is promised. The faults and their times
-// come from a seed; which requests they hit does not repeat exactly.
+// Package soak runs real gateways as separate processes between simulated clients, backend servers
+// and a key-value service, injects faults from outside, and checks what clients and servers observe
+// against the gateways' guarantees. The faults and their times are derived from a seed; which requests
+// they affect differs from run to run.
 package soak
 
 import (
@@ -11,62 +11,65 @@
 	"time"
 )
 
-// Kind is a kind of fault.
+// FaultKind is a kind of fault. Its values appear in printed plans.
 type FaultKind string
 
 // The kinds of fault.
 const (
-	// Kill ends a gateway's process at once, Stop as planned, Pause stops it for a
-	// while. Reload changes its settings file, half of the time to one that is not
-	// valid.
+	// Kill kills a gateway's process, Stop shuts it down gracefully, Pause suspends it for the
+	// duration of the fault. Reload makes it load a truncated settings file and then the valid one
+	// again.
 	Kill   FaultKind = "kill"
 	Stop   FaultKind = "stop"
 	Pause  FaultKind = "pause"
 	Reload FaultKind = "reload"
-	// CallersReset resets the connections of a gateway's callers.
+	// CallersReset resets the connections of a gateway's clients.
 	CallersReset FaultKind = "callers-reset"
-	// StoreCut breaks a gateway's way to the key-value service, StoreSilent holds up
-	// what passes on it, StoreMute only what comes back, StoreDelay puts it off.
+	// StorePartition closes a gateway's connections to the key-value service, new ones at once.
+	// StoreStall stalls the traffic in both directions, StoreStallResponses only the responses, and
+	// StoreDelay delays the traffic.
 	StorePartition      FaultKind = "store-cut"
 	StoreStall          FaultKind = "store-silent"
 	StoreStallResponses FaultKind = "store-mute"
 	StoreDelay          FaultKind = "store-delay"
-	// StoreDown lets the service refuse everybody, StoreHang answer nobody,
-	// StoreLoses make writes that it does not answer, StoreForgets drop its history
-	// and StoreLapse end all leases.
+	// StoreDown makes the service refuse all requests, StoreHang leave all requests unanswered and
+	// StoreDropsResponses apply writes without responding. StoreCompaction drops its event history,
+	// StoreLeaseExpiry expires all leases.
 	StoreDown           FaultKind = "store-down"
 	StoreHang           FaultKind = "store-hang"
 	StoreDropsResponses FaultKind = "store-loses"
 	StoreCompaction     FaultKind = "store-forgets"
 	StoreLeaseExpiry    FaultKind = "store-lapse"
-	// StoreRestored lets the service go back to a copy that was made when the fault began; soon
-	// after its end what was lost is written again.
+	// StoreRestore restores the service, at the end of the fault, from a snapshot that was made at
+	// its start; the lost entries are written again up to maxRewriteDelay later.
 	StoreRestore FaultKind = "store-restored"
-	// ServerCrash ends a backend server without a word, ServerDrain as planned.
+	// ServerCrash stops a backend server without notice, ServerDrain drains it first.
 	ServerCrash FaultKind = "server-crash"
 	ServerDrain FaultKind = "server-drain"
-	// ServerGrey lets it fail part of its requests, ServerLoses run some and answer
-	// them not, ServerGarbles give some another request's answer, ServerSlow take long.
+	// ServerErrors makes a backend server fail a fraction of its requests, ServerDropsResponses
+	// execute some without responding, ServerWrongRequestID respond to some with another request's
+	// id, and ServerSlow respond slowly.
 	ServerErrors         FaultKind = "server-grey"
 	ServerDropsResponses FaultKind = "server-loses"
 	ServerWrongRequestID FaultKind = "server-garbles"
 	ServerSlow           FaultKind = "server-slow"
-	// ServerReset resets the connections to it, ServerSilent holds up what passes.
+	// ServerReset resets the connections to a backend server, ServerStall stalls their traffic.
 	ServerReset FaultKind = "server-reset"
 	ServerStall FaultKind = "server-silent"
-	// ServerAnnounces lets a server announce its shutdown in its answers some time before its
-	// entry says so, ServerSheds reject everything and ask for a pause.
+	// ServerAnnouncesShutdown makes a server announce its shutdown in its responses some time before
+	// its entry does, ServerShedsLoad reject all requests with a Retry-After.
 	ServerAnnouncesShutdown FaultKind = "server-announces"
 	ServerShedsLoad         FaultKind = "server-sheds"
-	// Poison lets a caller send one request again and again under which servers end.
+	// Poison makes a client send copies of a request that crashes the servers that execute it.
 	Poison FaultKind = "poison"
-	// Configure changes the configuration, Revoke takes a key away.
+	// ConfigChange publishes a new version of the configuration, KeyRevocation revokes an API key.
 	ConfigChange  FaultKind = "configure"
 	KeyRevocation FaultKind = "revoke"
 )
 
-// gatewayKinds strike one gateway, storeKinds the key-value service, serverKinds
-// one backend server, operatorKinds are an operator's changes.
+// gatewayKinds affect one gateway, storeKinds the key-value service and serverKinds one backend
+// server; operatorKinds are changes made by an operator. A kind that is listed twice is drawn twice as
+// often.
 var (
 	gatewayKinds  = []FaultKind{Kill, Stop, Stop, Pause, Reload, CallersReset, StorePartition, StoreStall, StoreStallResponses, StoreDelay}
 	storeKinds    = []FaultKind{StoreDown, StoreHang, StoreDropsResponses, StoreCompaction, StoreLeaseExpiry}
@@ -74,41 +77,42 @@
 	operatorKinds = []FaultKind{ConfigChange, KeyRevocation}
 )
 
-// Fault is one fault of a run.
+// Fault is one fault of a plan.
 type Fault struct {
 	Kind FaultKind
-	// Target is the number of the gateway or the backend server that is struck.
+	// Target is the index of the affected gateway or backend server.
 	Target int
-	// From and Until are counted from the start of the run.
+	// Start and End are relative to the start of the run.
 	Start, End time.Duration
 }
 
-// String describes the fault.
 func (fa Fault) String() string {
 	return fmt.Sprintf("%s %d %s to %s", fa.Kind, fa.Target, fa.Start, fa.End)
 }
 
-// Plan is what a seed draws.
+// Plan is the list of faults that is generated from a seed.
 type Plan struct {
 	Seed              uint64
 	Gateways, Servers int
-	// Faults are ordered by their start. All are over by Calm, and the run ends at End.
+	// Faults are ordered by their start. Those that GeneratePlan draws end by FaultsEnd; the run
+	// ends at End.
 	Faults         []Fault
 	FaultsEnd, End time.Duration
 }
 
 const (
-	// warmUp is the time before the first fault, calmFor that after the last.
+	// warmUp is the time before the first fault, faultFreeTail the time after the last.
 	warmUp        = time.Second
 	faultFreeTail = 5 * time.Second
-	// longestFault bounds a fault.
+	// maxFaultDuration bounds the duration of a fault.
 	maxFaultDuration = 4 * time.Second
-	// gap is the usual time between the starts of two faults: they overlap.
+	// meanFaultInterval is the mean time between the starts of two faults. It is shorter than most
+	// faults, so that they overlap.
 	meanFaultInterval = 450 * time.Millisecond
 )
 
-// WithPoison adds a request under which servers end, drawn apart, so that all other faults of
-// a seed stay.
+// WithPoison adds a request that crashes the servers that execute it. It has a random source of its
+// own, so that the other faults of the seed remain the same.
 func (pl Plan) WithPoison() Plan {
 	rn := rand.New(rand.NewPCG(pl.Seed, pl.Seed+1))
 	from := warmUp + time.Duration(rn.Int64N(int64(pl.FaultsEnd-warmUp)/2))
@@ -117,10 +121,11 @@
 	return pl
 }
 
-// reportFaults is how many faults WithReports adds of each kind.
+// reportFaultsPerKind is how many faults of each kind WithReports adds.
 const reportFaultsPerKind = 2
 
-// WithReports adds servers that report their shutdown or a pause in their answers, drawn apart.
+// WithReports adds servers that report their shutdown or a pause in their responses. It has a random
+// source of its own, so that the other faults of the seed remain the same.
 func (pl Plan) WithReports() Plan {
 	rn := rand.New(rand.NewPCG(pl.Seed, pl.Seed+2))
 	pl.Faults = slices.Clone(pl.Faults)
@@ -135,11 +140,12 @@
 	return pl
 }
 
-// restores is how often WithRestores lets the service go back.
+// restoreCount is how many restores WithRestores adds.
 const restoreCount = 3
 
-// WithRestores lets the key-value service go back to a copy some seconds old, drawn apart. Soon
-// after each of them a server leaves and a key is revoked.
+// WithRestores adds restores of the key-value service from snapshots up to maxFaultDuration old. Up to
+// maxRewriteDelay after each restore a server is drained and a key is revoked. It has a random source
+// of its own, so that the other faults of the seed remain the same.
 func (pl Plan) WithRestores() Plan {
 	rn := rand.New(rand.NewPCG(pl.Seed, pl.Seed+3))
 	pl.Faults = slices.Clone(pl.Faults)
@@ -156,26 +162,27 @@
 	return pl
 }
 
-// Draw draws a plan for so many gateways and servers, with faults for a time.
-func GeneratePlan(seed uint64, gateways, servers int, trouble time.Duration) Plan {
+// GeneratePlan generates the plan of a seed for a number of gateways and servers, with faults that
+// start within faultTime after the warm-up.
+func GeneratePlan(seed uint64, gateways, servers int, faultTime time.Duration) Plan {
 	rn := rand.New(rand.NewPCG(seed, seed))
-	pl := Plan{Seed: seed, Gateways: gateways, Servers: servers, FaultsEnd: warmUp + trouble}
+	pl := Plan{Seed: seed, Gateways: gateways, Servers: servers, FaultsEnd: warmUp + faultTime}
 	pl.End = pl.FaultsEnd + faultFreeTail
 	for at := warmUp; at < pl.FaultsEnd; at += time.Duration(rn.ExpFloat64() * float64(meanFaultInterval)) {
 		fa := Fault{Start: at, End: min(pl.FaultsEnd, at+time.Duration(rn.Int64N(int64(maxFaultDuration))))}
-		switch part := rn.IntN(10); {
-		case part < 4:
+		switch draw := rn.IntN(10); {
+		case draw < 4:
 			fa.Kind, fa.Target = gatewayKinds[rn.IntN(len(gatewayKinds))], rn.IntN(gateways)
-		case part < 6:
+		case draw < 6:
 			fa.Kind = storeKinds[rn.IntN(len(storeKinds))]
-		case part < 9:
+		case draw < 9:
 			fa.Kind, fa.Target = serverKinds[rn.IntN(len(serverKinds))], rn.IntN(servers)
 		default:
 			fa.Kind = operatorKinds[rn.IntN(len(operatorKinds))]
 		}
 		pl.Faults = append(pl.Faults, fa)
 		if rn.IntN(4) == 0 {
-			// Series: the same again soon.
+			// One in four faults is repeated 300 ms later, to test series of faults.
 			fa.Start += 300 * time.Millisecond
 			fa.End = min(pl.FaultsEnd, fa.End+300*time.Millisecond)
 			if fa.Start < pl.FaultsEnd {
--- a/standin/soak/server.go
+++ b/standin/soak/server.go
@@ -15,101 +15,104 @@
 	"github.com/linnetrudder/linnetrudder/standin/fleet"
 )
 
-// run is one run of a request as a backend server saw it.
+// execution is one execution of a request as a backend server observed it.
 type execution struct {
 	server string
 	team   string
 	at     time.Time
-	// announced is set if the answer announced the server's shutdown.
+	// announced is set if the response announced the server's shutdown.
 	announced bool
 }
 
-// ledger holds what ran, and what was rejected with a pause.
+// executionLog holds, by request id, the executions of all servers and the rejections with a
+// Retry-After.
 type executionLog struct {
 	mu       sync.Mutex
 	executed map[string][]execution
 	rejected map[string][]execution
 }
 
-func (le *executionLog) addRejection(request string, ru execution) {
-	le.mu.Lock()
-	defer le.mu.Unlock()
-	le.rejected[request] = append(le.rejected[request], ru)
+func (el *executionLog) addRejection(request string, ex execution) {
+	el.mu.Lock()
+	defer el.mu.Unlock()
+	el.rejected[request] = append(el.rejected[request], ex)
 }
 
-func (le *executionLog) add(request string, ru execution) {
-	le.mu.Lock()
-	defer le.mu.Unlock()
-	le.executed[request] = append(le.executed[request], ru)
+func (el *executionLog) add(request string, ex execution) {
+	el.mu.Lock()
+	defer el.mu.Unlock()
+	el.executed[request] = append(el.executed[request], ex)
 }
 
-func (le *executionLog) rejectionsOf(request string) []execution {
-	le.mu.Lock()
-	defer le.mu.Unlock()
-	return le.rejected[request]
+func (el *executionLog) rejectionsOf(request string) []execution {
+	el.mu.Lock()
+	defer el.mu.Unlock()
+	return el.rejected[request]
 }
 
-func (le *executionLog) executionsOf(request string) []execution {
-	le.mu.Lock()
-	defer le.mu.Unlock()
-	return le.executed[request]
+func (el *executionLog) executionsOf(request string) []execution {
+	el.mu.Lock()
+	defer el.mu.Unlock()
+	return el.executed[request]
 }
 
 const (
-	// plainWork is how long a plain request takes, eventEvery the time between two
-	// events of a stream, streamEvents how many there are.
+	// plainDuration is how long a request takes, eventInterval the time between two events of a
+	// stream and streamEvents their number.
 	plainDuration = 15 * time.Millisecond
 	eventInterval = 20 * time.Millisecond
 	streamEvents  = 8
-	// slots is how many requests a server works on.
+	// slots is how many requests a server executes at once.
 	slots = 32
-	// greyPart is the part of its requests that a grey server fails, oddPart that
-	// which is lost or garbled.
+	// errorFraction is the fraction of requests that fail under ServerErrors,
+	// responseFaultFraction the fraction that ServerDropsResponses and ServerWrongRequestID affect.
 	errorFraction         = 0.5
 	responseFaultFraction = 0.2
-	// liePart is the part of its requests that a sabotaged server runs and rejects: a request is
-	// only refused after several rejections in a row.
+	// falseRejectionFraction is the fraction of requests that a server with the defect
+	// FalseNotExecuted executes and rejects. It is high because a gateway refuses a request only
+	// after several rejections in a row.
 	falseRejectionFraction = 0.6
-	// slowBy is how much longer a slow server takes.
+	// slowFactor is how many times longer a request takes under ServerSlow.
 	slowFactor = 10
-	// askedPause is the pause that a server asks for which rejects everything.
+	// retryAfter is the pause that a server asks for under ServerShedsLoad.
 	retryAfter = 1500 * time.Millisecond
 )
 
-// headerPoison marks the request that servers end under.
+// headerPoison marks the request that crashes servers.
 const headerPoison = "X-Soak-Poison"
 
-// server is one life of a stand-in backend server.
+// server is a simulated backend server, from its start to its stop.
 type server struct {
 	id         string
 	executions *executionLog
 	proxy      *fleet.Proxy
 	http       *http.Server
 	defect     Defect
-	// ends ends the server as a crash does.
+	// crash stops the server without notice.
 	crash func()
 
-	// unlisted is set once its entry has ended.
+	// unlisted is set before the server's entry is removed.
 	unlisted atomic.Bool
 
 	mu       sync.Mutex
 	faults   map[FaultKind]int
 	inFlight int
 	drained  bool
-	// entries counts the entries that it has written.
+	// entriesWritten counts the versions of the server's entry and is their sequence number.
 	entriesWritten int
 }
 
-func startServer(id string, le *executionLog, sabotage Defect) (*server, error) {
+// startServer starts a backend server on loopback behind a proxy.
+func startServer(id string, el *executionLog, de Defect) (*server, error) {
 	li, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, fmt.Errorf("server: %w", err)
 	}
-	ca, err := fleet.NewProxy(li.Addr().String())
+	px, err := fleet.NewProxy(li.Addr().String())
 	if err != nil {
 		return nil, err
 	}
-	se := &server{id: id, executions: le, proxy: ca, defect: sabotage, faults: map[FaultKind]int{}}
+	se := &server{id: id, executions: el, proxy: px, defect: de, faults: map[FaultKind]int{}}
 	se.http = &http.Server{Handler: se, ReadHeaderTimeout: time.Minute}
 	go func() { _ = se.http.Serve(li) }()
 	return se, nil
@@ -120,27 +123,28 @@
 	se.proxy.Close()
 }
 
-// strike adds a fault, or takes it away again.
-func (se *server) addFault(ki FaultKind, by int) {
+// addFault starts (delta 1) or ends (delta -1) a fault. Faults of the same kind may overlap.
+func (se *server) addFault(ki FaultKind, delta int) {
 	se.mu.Lock()
 	defer se.mu.Unlock()
-	se.faults[ki] += by
+	se.faults[ki] += delta
 }
 
-func (se *server) faultActive(ki FaultKind, part float64) bool {
+// faultActive reports whether a fault affects the current request, which it does with a probability.
+func (se *server) faultActive(ki FaultKind, probability float64) bool {
 	se.mu.Lock()
 	defer se.mu.Unlock()
-	return se.faults[ki] > 0 && rand.Float64() < part
+	return se.faults[ki] > 0 && rand.Float64() < probability
 }
 
-// drain lets its entries say from now on that it leaves.
+// drain marks the server as draining in its next entries.
 func (se *server) drain() {
 	se.mu.Lock()
 	defer se.mu.Unlock()
 	se.drained = true
 }
 
-// enter takes a slot, if there is one.
+// acquireSlot takes a slot and reports whether one was free.
 func (se *server) acquireSlot() bool {
 	se.mu.Lock()
 	defer se.mu.Unlock()
@@ -157,7 +161,7 @@
 	se.inFlight--
 }
 
-// entry is how the server lists itself.
+// entry returns the next version of the server's entry in the key-value service.
 func (se *server) entry() map[string]any {
 	se.mu.Lock()
 	defer se.mu.Unlock()
@@ -172,7 +176,7 @@
 	}
 }
 
-// ServeHTTP runs one request.
+// ServeHTTP executes or rejects one request.
 func (se *server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	id := r.Header.Get("X-Request-Id")
 	_, _ = io.Copy(io.Discard, r.Body)
@@ -200,20 +204,21 @@
 		return
 	}
 	defer se.releaseSlot()
-	ru := execution{server: se.id, team: r.Header.Get("X-Tenant"), at: time.Now(), announced: announced}
-	se.executions.add(id, ru)
+	ex := execution{server: se.id, team: r.Header.Get("X-Tenant"), at: time.Now(), announced: announced}
+	se.executions.add(id, ex)
 	if se.defect == RunsTwice {
-		se.executions.add(id, ru)
+		se.executions.add(id, ex)
 	}
 	se.execute(w, r, id)
 }
 
+// execute writes the response to a request, subject to the faults and the defect of the server.
 func (se *server) execute(w http.ResponseWriter, r *http.Request, id string) {
-	pause := plainDuration
+	duration := plainDuration
 	if se.faultActive(ServerSlow, 1) {
-		pause *= slowFactor
+		duration *= slowFactor
 	}
-	time.Sleep(pause)
+	time.Sleep(duration)
 	if r.Header.Get(headerPoison) != "" {
 		se.crash()
 		<-r.Context().Done()
@@ -247,6 +252,7 @@
 
 func eventBody(id string, n int) string { return fmt.Sprintf("id: %d\ndata: %s part %d\n\n", n, id, n) }
 
+// writeStream writes the events of a stream after the one that the request names as the last received.
 func (se *server) writeStream(w http.ResponseWriter, r *http.Request, id string) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	last, _ := strconv.Atoi(r.Header.Get("Last-Event-Id"))
--- a/standin/soak/soak_test.go
+++ b/standin/soak/soak_test.go
@@ -13,7 +13,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// bin is the folder of the built program.
+// bin is the directory of the built program.
 var bin string
 
 func TestMain(m *testing.M) { os.Exit(runAll(m)) }
@@ -44,16 +44,16 @@
 	}
 }
 
-// playPlan plays a plan and returns the promises that were broken.
-func runPlan(t *testing.T, pl Plan, sabotage Defect) []Violation {
+// runPlan executes a plan and returns the violations.
+func runPlan(t *testing.T, pl Plan, de Defect) []Violation {
 	t.Helper()
-	so := &Runner{Bin: bin, Dir: t.TempDir(), Callers: 8, Defect: sabotage}
-	violations, err := so.Run(t.Context(), pl)
+	rn := &Runner{Bin: bin, Dir: t.TempDir(), Callers: 8, Defect: de}
+	violations, err := rn.Run(t.Context(), pl)
 	require.NoError(t, err)
 	return violations
 }
 
-// Seeds that once broke a promise, and one more.
+// Runs the seeds that violated a guarantee in the past, and one more.
 func TestSeededFaultsViolateNoGuarantee(t *testing.T) {
 	file, err := os.Open("testdata/seeds.txt")
 	require.NoError(t, err)
@@ -62,7 +62,7 @@
 		text, _, _ := strings.Cut(sc.Text(), "#")
 		seed, err := strconv.ParseUint(strings.TrimSpace(text), 10, 64)
 		if err != nil {
-			continue // a line of comment
+			continue // the line is a comment
 		}
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
@@ -72,7 +72,7 @@
 	}
 }
 
-// Servers that report their shutdown or a pause in their answers, beside all other faults.
+// Servers report their shutdown or a pause in their responses, in addition to all other faults.
 func TestSelfReportingServersReceiveNoRequests(t *testing.T) {
 	for _, seed := range []uint64{1, 2} {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -93,58 +93,57 @@
 	}
 }
 
-// The checks see what they are there for: each promise fails on a part that is
-// broken on purpose.
+// Each check must detect a defect that violates its guarantee.
 func TestChecksDetectEachDefect(t *testing.T) {
-	second := func(n float64) time.Duration { return time.Duration(n * float64(time.Second)) }
+	seconds := func(n float64) time.Duration { return time.Duration(n * float64(time.Second)) }
 	for _, ca := range []struct {
-		sabotage Defect
-		promise  Guarantee
-		faults   []Fault
-		calm     time.Duration
+		defect    Defect
+		guarantee Guarantee
+		faults    []Fault
+		faultsEnd time.Duration
 	}{
-		{RunsTwice, AtMostOnce, nil, second(1)},
-		{FalseNotExecuted, RefusedNotExecuted, nil, second(1)},
-		{SwapsResponses, ResponseIntegrity, nil, second(1)},
-		{SkipsEvents, ResponseIntegrity, nil, second(1)},
-		{WithholdsEvents, RevokedKey, []Fault{{StoreLeaseExpiry, 0, second(0.2), second(0.2)}, {StoreDropsResponses, 0, second(0.4), second(0.5)}, {KeyRevocation, 0, second(0.8), second(0.8)}}, second(5)},
-		{WithholdsEvents, DrainingServer, []Fault{{StoreDropsResponses, 0, second(0.2), second(0.3)}, {ServerDrain, 0, second(4.7), second(4.7)}}, second(5)},
-		{KillsOnStop, GracefulShutdown, []Fault{{Stop, 0, second(1), second(1)}, {Stop, 1, second(2), second(2)}}, second(3)},
-		{VariesPoison, PoisonContained, []Fault{{Poison, 0, second(0.5), second(8)}}, second(8)},
-		{OmitsReports, DrainingServer, []Fault{{StoreDown, 0, second(0.9), second(5.5)}, {ServerAnnouncesShutdown, 0, second(1), second(1)}}, second(7)},
-		{OmitsReports, RetryAfterHonoured, []Fault{{ServerShedsLoad, 0, second(1), second(4)}, {ServerShedsLoad, 1, second(1), second(4)}, {ServerShedsLoad, 2, second(1), second(4)}}, second(4)},
-		{OutageNeverEnds, Recovery, []Fault{{StoreDown, 0, second(0.5), second(1)}}, second(1)},
+		{RunsTwice, AtMostOnce, nil, seconds(1)},
+		{FalseNotExecuted, RefusedNotExecuted, nil, seconds(1)},
+		{SwapsResponses, ResponseIntegrity, nil, seconds(1)},
+		{SkipsEvents, ResponseIntegrity, nil, seconds(1)},
+		{WithholdsEvents, RevokedKey, []Fault{{StoreLeaseExpiry, 0, seconds(0.2), seconds(0.2)}, {StoreDropsResponses, 0, seconds(0.4), seconds(0.5)}, {KeyRevocation, 0, seconds(0.8), seconds(0.8)}}, seconds(5)},
+		{WithholdsEvents, DrainingServer, []Fault{{StoreDropsResponses, 0, seconds(0.2), seconds(0.3)}, {ServerDrain, 0, seconds(4.7), seconds(4.7)}}, seconds(5)},
+		{KillsOnStop, GracefulShutdown, []Fault{{Stop, 0, seconds(1), seconds(1)}, {Stop, 1, seconds(2), seconds(2)}}, seconds(3)},
+		{VariesPoison, PoisonContained, []Fault{{Poison, 0, seconds(0.5), seconds(8)}}, seconds(8)},
+		{OmitsReports, DrainingServer, []Fault{{StoreDown, 0, seconds(0.9), seconds(5.5)}, {ServerAnnouncesShutdown, 0, seconds(1), seconds(1)}}, seconds(7)},
+		{OmitsReports, RetryAfterHonoured, []Fault{{ServerShedsLoad, 0, seconds(1), seconds(4)}, {ServerShedsLoad, 1, seconds(1), seconds(4)}, {ServerShedsLoad, 2, seconds(1), seconds(4)}}, seconds(4)},
+		{OutageNeverEnds, Recovery, []Fault{{StoreDown, 0, seconds(0.5), seconds(1)}}, seconds(1)},
 	} {
-		t.Run(string(ca.sabotage)+" "+string(ca.promise), func(t *testing.T) {
+		t.Run(string(ca.defect)+" "+string(ca.guarantee), func(t *testing.T) {
 			t.Parallel()
-			pl := Plan{Gateways: 2, Servers: 3, Faults: ca.faults, FaultsEnd: ca.calm, End: ca.calm + faultFreeTail}
-			seen := map[Guarantee]bool{}
-			for _, vi := range runPlan(t, pl, ca.sabotage) {
-				seen[vi.Guarantee] = true
+			pl := Plan{Gateways: 2, Servers: 3, Faults: ca.faults, FaultsEnd: ca.faultsEnd, End: ca.faultsEnd + faultFreeTail}
+			violated := map[Guarantee]bool{}
+			for _, vi := range runPlan(t, pl, ca.defect) {
+				violated[vi.Guarantee] = true
 			}
-			require.True(t, seen[ca.promise], "%v", seen)
+			require.True(t, violated[ca.guarantee], "%v", violated)
 		})
 	}
 }
 
-// An answer that comes late is seen; no build of the gateway is that slow.
+// The check of deadlines is tested on a made-up history, since no defect makes a gateway that slow.
 func TestCheckDetectsLateAnswer(t *testing.T) {
-	began := time.Unix(1000, 0)
-	ou := outcome{id: "r", path: "/safe/x", sent: began.Add(5 * time.Second), done: began.Add(5*time.Second + requestDeadline + timingSlack + 1), status: 504}
-	re := &history{plan: Plan{FaultsEnd: time.Second}, start: began, executions: &executionLog{executed: map[string][]execution{}}, outcomes: []outcome{ou}}
-	require.Equal(t, DeadlineMet, re.check()[0].Guarantee)
-	re.plan.Faults = []Fault{{StoreHang, 0, 4 * time.Second, 5 * time.Second}}
-	require.NotEqual(t, DeadlineMet, re.check()[0].Guarantee, "not beside an outage")
+	start := time.Unix(1000, 0)
+	ou := outcome{id: "r", path: "/safe/x", sent: start.Add(5 * time.Second), done: start.Add(5*time.Second + requestDeadline + timingSlack + 1), status: 504}
+	hi := &history{plan: Plan{FaultsEnd: time.Second}, start: start, executions: &executionLog{executed: map[string][]execution{}}, outcomes: []outcome{ou}}
+	require.Equal(t, DeadlineMet, hi.check()[0].Guarantee)
+	hi.plan.Faults = []Fault{{StoreHang, 0, 4 * time.Second, 5 * time.Second}}
+	require.NotEqual(t, DeadlineMet, hi.check()[0].Guarantee, "a late answer during an outage is no violation")
 }
 
-// One request ends server after server while gateways are killed, paused and cut off from the
-// key-value service, and servers crash by themselves.
+// One request crashes the servers that execute it while gateways are killed, suspended and partitioned
+// from the key-value service, and servers crash for other reasons.
 func TestPoisonRequestIsContained(t *testing.T) {
 	for _, pl := range []Plan{
 		GeneratePlan(1, 3, 5, 6*time.Second),
 		GeneratePlan(2, 3, 5, 6*time.Second),
-		// Recovery: a gateway that had just started blocked what all callers ask alike, and
-		// nobody could tell it better while the key-value service was away.
+		// Violated Recovery: a gateway that had just started blocked a common request, and could not
+		// learn otherwise while the key-value service was unavailable.
 		GeneratePlan(900, 4, 6, 8*time.Second),
 	} {
 		t.Run(fmt.Sprint(pl.Seed), func(t *testing.T) {
