--- a/standin/fleet/fleet.go
+++ b/standin/fleet/fleet.go
@@ -188,15 +188,15 @@
 func (fl *Fleet) put(url string, value any) error {
 	body, err := json.Marshal(value)
 	if err != nil {
-		return eris.Wrap(err, "put "+url)
+		return eris.Wrap(err, "put")
 	}
 	req, err := http.NewRequestWithContext(context.Background(), http.MethodPut, url, bytes.NewReader(body))
 	if err != nil {
-		return eris.Wrap(err, "put "+url)
+		return eris.Wrap(err, "put")
 	}
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
-		return eris.Wrap(err, "put "+url)
+		return eris.Wrap(err, "put")
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
@@ -221,7 +221,7 @@
 		_ = pr.Signal(syscall.SIGCONT)
 		_ = pr.Signal(syscall.SIGTERM)
 		if !pr.Wait(stopTimeout) {
-			failed = eris.Errorf("%s did not stop within %s", pr.Name, stopTimeout)
+			failed = eris.Errorf("%s did not stop in time", pr.Name)
 		} else if pr.ExitCode() != 0 {
 			failed = eris.Errorf("%s exited with code %d", pr.Name, pr.ExitCode())
 		}
--- a/standin/fleet/fleet_test.go
+++ b/standin/fleet/fleet_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Two equal addresses would be given to the two listeners of a process, which then fails to start.
+// A process never listened because it had been given the same address for both of its listeners.
 func TestFreeAddressesAreUnique(t *testing.T) {
 	issued := map[string]bool{}
 	for range 2000 {
--- a/standin/soak/reports.go
+++ b/standin/soak/reports.go
@@ -19,8 +19,8 @@
 	server  string
 }
 
-// uninterrupted reports whether a gateway's process ran during a whole time span. What a server
-// reported is lost when a gateway restarts, and it cannot react while it is suspended.
+// uninterrupted reports whether a gateway's process ran during a whole time span. The checks of what
+// servers report excuse a gateway that was restarted or suspended.
 func (hi *history) uninterrupted(gateway int, from, until time.Time) bool {
 	for _, fa := range hi.plan.Faults {
 		switch fa.Kind {
--- a/standin/store/store_test.go
+++ b/standin/store/store_test.go
@@ -90,9 +90,9 @@
 	st := &Store{}
 	cl := newClient(t, st)
 	st.SetFaults(Faults{DropWriteResponses: 1})
-	_, err := cl.Swap(t.Context(), "k", []byte("applied"), 0)
+	_, err := cl.Swap(t.Context(), "k", []byte("made"), 0)
 	require.Equal(t, result.StoreUnknown, code(t, err))
-	require.Equal(t, "applied", string(st.Value("k")), "the write was applied although its response was lost")
+	require.Equal(t, "made", string(st.Value("k")), "the write was applied although its response was lost")
 	st.SetFaults(Faults{Down: true})
 	_, err = cl.Get(t.Context(), "k")
 	require.Equal(t, result.StoreDown, code(t, err))
--- a/standin/trial/rollouts_test.go
+++ b/standin/trial/rollouts_test.go
@@ -67,7 +67,7 @@
 		{"low ratings", func(rs *RolloutScenario) { rs.LowRatingRate = 0.4 }},
 		{"degrades during the rollout", func(rs *RolloutScenario) { rs.FailureRate, rs.DegradesAt = 0.3, 20*time.Minute }},
 		{"degrades after the rollout", func(rs *RolloutScenario) { rs.FailureRate, rs.DegradesAt = 0.3, 90*time.Minute }},
-		{"decision outage", func(rs *RolloutScenario) {
+		{"interrupted", func(rs *RolloutScenario) {
 			rs.FailureRate = 0.2
 			rs.DecisionOutage = [2]time.Duration{2 * time.Second, 10 * time.Minute}
 		}},
@@ -77,7 +77,7 @@
 			by := totalsByStrategy(seedCount, tc.change)
 			t.Log(by)
 			require.Equal(t, seedCount, by[systemName].rolledBack)
-			if tc.name == "decision outage" {
+			if tc.name == "interrupted" {
 				// The share is not changed for ten minutes, so both strategies stay at the first
 				// one.
 				require.LessOrEqual(t, by[systemName].exposure, by[fixedStepsName].exposure)
