--- a/internal/agent/streams.go
+++ b/internal/agent/streams.go
@@ -103,7 +103,7 @@
 // once.
 func (ag *Agent) cancelLinkStreams(li *link.Link) {
 	ag.mu.Lock()
-	ag.ledger.MakeDue(time.Now())
+	ag.ledger.MakeAllDue(time.Now())
 	var keys []gate.Key
 	for key, st := range ag.streams {
 		if st.li == li && (st.cancel == nil || !st.at.AtMostOnce) {
--- a/internal/grace/grace.go
+++ b/internal/grace/grace.go
@@ -1,5 +1,6 @@
-// Package grace keeps what the key-value service no longer holds for a while, since it may have
-// lost it and whoever wrote it may write it again. It does no I/O and reads no clock.
+// Package grace implements a grace period for names that are missing from the key-value service,
+// which may have lost them: whoever wrote them may write them again before they are treated as
+// removed. It does no I/O and reads no clock.
 package grace
 
 import (
@@ -7,38 +8,38 @@
 	"time"
 )
 
-// Set holds names until a deadline each. The zero value is empty. It is not safe for concurrent
+// Set holds names, each with a deadline. The zero value is empty. It is not safe for concurrent
 // use.
-type Set struct{ until map[string]time.Time }
+type Set struct{ deadlines map[string]time.Time }
 
-// Hold keeps a name until a deadline; one that is held already keeps its own.
-func (se *Set) Hold(name string, until time.Time) {
-	if se.until == nil {
-		se.until = map[string]time.Time{}
+// Add adds a name with a deadline; a name that is in the set keeps its deadline.
+func (se *Set) Add(name string, until time.Time) {
+	if se.deadlines == nil {
+		se.deadlines = map[string]time.Time{}
 	}
-	if _, ok := se.until[name]; !ok {
-		se.until[name] = until
+	if _, ok := se.deadlines[name]; !ok {
+		se.deadlines[name] = until
 	}
 }
 
-// Release forgets a name, as once it was written again.
-func (se *Set) Release(name string) { delete(se.until, name) }
+// Remove removes a name, for instance because it was written again.
+func (se *Set) Remove(name string) { delete(se.deadlines, name) }
 
-// Has reports whether a name is held.
-func (se *Set) Has(name string) bool {
-	_, ok := se.until[name]
+// Contains reports whether a name is in the set.
+func (se *Set) Contains(name string) bool {
+	_, ok := se.deadlines[name]
 	return ok
 }
 
-// Expire forgets the names whose deadline is over and returns them in order.
+// Expire removes the names whose deadline has passed and returns them in order.
 func (se *Set) Expire(now time.Time) []string {
-	var over []string
-	for name, until := range se.until {
+	var expired []string
+	for name, until := range se.deadlines {
 		if !now.Before(until) {
-			over = append(over, name)
-			delete(se.until, name)
+			expired = append(expired, name)
+			delete(se.deadlines, name)
 		}
 	}
-	slices.Sort(over)
-	return over
+	slices.Sort(expired)
+	return expired
 }
