--- a/internal/entry/rollouts.go
+++ b/internal/entry/rollouts.go
@@ -12,18 +12,17 @@
 	"github.com/linnetrudder/linnetrudder/internal/timeline"
 )
 
-// decideEvery is the time between two looks at the roll-outs under way.
-const decideEvery = 2 * time.Second
+// rolloutInterval is the time between two decisions on the active roll-outs.
+const rolloutInterval = 2 * time.Second
 
-// followRollouts decides on the roll-outs while this entry leads its data
-// centre. The leaders of all data centres do so from the same documents;
-// compare-and-swap lets one of them through, and whoever comes next continues
-// from what it stored.
-func (en *Entry) followRollouts(ctx context.Context) error {
+// runRollouts decides on the active roll-outs while this entry is the leader of its data centre.
+// The leaders of all data centres decide from the same documents. Compare-and-swap lets only one of
+// them succeed, and the next one continues from what it stored.
+func (en *Entry) runRollouts(ctx context.Context) error {
 	for ctx.Err() == nil {
-		sleep(ctx, decideEvery)
+		sleep(ctx, rolloutInterval)
 		sn := en.Node.Snapshot()
-		if sn == nil || len(sn.Document().Rollouts) == 0 || !en.leads() {
+		if sn == nil || len(sn.Document().Rollouts) == 0 || !en.isLeader() {
 			continue
 		}
 		all, err := en.readOutcomes(ctx)
@@ -38,12 +37,13 @@
 	return ctx.Err()
 }
 
-func (en *Entry) leads() bool {
+func (en *Entry) isLeader() bool {
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	return en.view.IsLeader()
+	return en.members.IsLeader()
 }
 
+// readOutcomes returns the sum of the outcomes of all data centres.
 func (en *Entry) readOutcomes(ctx context.Context) (rollout.Tallies, error) {
 	pairs, err := en.Store.List(ctx, rollout.OutcomesPrefix)
 	if err != nil {
@@ -51,20 +51,20 @@
 	}
 	all := rollout.Tallies{}
 	for _, pair := range pairs {
-		part, err := rollout.DecodeTallies(pair.Value)
+		tallies, err := rollout.DecodeTallies(pair.Value)
 		if err != nil {
 			continue
 		}
-		for version, ta := range part {
+		for version, ta := range tallies {
 			all.Add(version, ta)
 		}
 	}
 	return all, nil
 }
 
-// decideRollout moves one roll-out on: first its progress is stored, then the
-// configuration follows it. If this process dies in between, the next one sees
-// that the configuration does not follow yet.
+// decideRollout advances a roll-out: it stores the progress first and then updates the
+// configuration. If the process dies in between, the next leader detects that the configuration
+// does not match the progress yet.
 func (en *Entry) decideRollout(ctx context.Context, doc *config.Document, plan *config.Rollout, all rollout.Tallies) {
 	key := rollout.ProgressPrefix + plan.Model + "@" + plan.To
 	pair, err := en.Store.Get(ctx, key)
@@ -82,14 +82,15 @@
 		if err != nil {
 			return
 		}
-		made, err := en.Store.Swap(ctx, key, value, pair.Index)
-		if err != nil || !made {
+		swapped, err := en.Store.Swap(ctx, key, value, pair.Index)
+		if err != nil || !swapped {
 			return
 		}
 	}
 	en.applyRollout(ctx, doc, plan, next, share)
 }
 
+// applyRollout updates the configuration to match a roll-out's progress.
 func (en *Entry) applyRollout(ctx context.Context, doc *config.Document, plan *config.Rollout, pr rollout.Progress, share float64) {
 	if _, changed := rollout.Apply(doc, plan, pr, share); !changed {
 		return
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -90,15 +90,17 @@
 	Evaluator   Evaluator
 	Blocklist   Blocklist
 
+	// step is the index of the current step.
 	step int
 	// current is the attempt whose answer may be delivered, nil between attempts.
 	current *attempt
 	// fallback is a complete answer of an earlier step, delivered if the later steps fail.
 	fallback *attempt
-	tried    []string
-	// stepAttempts counts the attempts of the current step.
+	// tried lists the servers that were tried in the current step, stepAttempts counts its attempts.
+	tried        []string
 	stepAttempts int
-	number       int
+	// number is the number of the latest attempt.
+	number int
 	// mayHaveRunCode is the code of an attempt without an answer that may have run, zero if there
 	// was none. Once it is set, the request is not closed with a code that says that it did not
 	// run.
@@ -258,7 +260,7 @@
 // fail handles an attempt that failed after it was sent.
 func (re *Request) fail(at *attempt, co result.Code, now time.Time) []Action {
 	at.phase = finished
-	didNotRun := result.Of(co).Run() == result.DidNotRun
+	didNotRun := result.Lookup(co).Run() == result.DidNotRun
 	if !didNotRun {
 		re.mayHaveRunCode = co
 	}
@@ -269,7 +271,7 @@
 	if !mayRepeat {
 		return re.settle(co, 0)
 	}
-	return re.retry(co, result.Of(co).RetryAfter(), now)
+	return re.retry(co, result.Lookup(co).RetryAfter(), now)
 }
 
 // retry makes another attempt of the current step if that is allowed.
@@ -309,7 +311,7 @@
 
 // settle closes the request, with the fallback answer if there is one.
 func (re *Request) settle(co result.Code, after time.Duration) []Action {
-	if re.mayHaveRunCode != 0 && result.Of(co).Run() == result.DidNotRun {
+	if re.mayHaveRunCode != 0 && result.Lookup(co).Run() == result.DidNotRun {
 		co = re.mayHaveRunCode
 	}
 	if re.fallback == nil {
@@ -340,7 +342,7 @@
 
 func (re *Request) close(co result.Code, after time.Duration) []Action {
 	if after == 0 {
-		after = result.Of(co).RetryAfter()
+		after = result.Lookup(co).RetryAfter()
 	}
 	re.closed = true
 	return []Action{{op: Close, code: co, retryAfter: after}}
