--- a/standin/fleet/fleet_test.go
+++ b/standin/fleet/fleet_test.go
@@ -8,36 +8,36 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Seen as a process that never listened: its two addresses were one.
-func TestNoAddressIsGivenTwice(t *testing.T) {
-	given := map[string]bool{}
+// A process never listened because it had been given the same address for both of its listeners.
+func TestFreeAddressesAreUnique(t *testing.T) {
+	issued := map[string]bool{}
 	for range 2000 {
 		address, err := FreeAddress()
 		require.NoError(t, err)
-		require.False(t, given[address], address)
-		given[address] = true
+		require.False(t, issued[address], address)
+		issued[address] = true
 	}
 }
 
-func TestAProgramThatDoesNotListenIsShownWithItsLog(t *testing.T) {
-	folder := t.TempDir()
-	require.NoError(t, os.WriteFile(filepath.Join(folder, "failing"), []byte("#!/bin/sh\necho no address\nexit 1\n"), 0o700))
-	fl := &Fleet{Bin: folder, Dir: folder}
+func TestWaitListeningReportsLogOfFailedProgram(t *testing.T) {
+	dir := t.TempDir()
+	require.NoError(t, os.WriteFile(filepath.Join(dir, "failing"), []byte("#!/bin/sh\necho no address\nexit 1\n"), 0o700))
+	fl := &Fleet{Bin: dir, Dir: dir}
 	pr, err := fl.Start("p", "failing")
 	require.NoError(t, err)
 	address, err := FreeAddress()
 	require.NoError(t, err)
-	err = pr.WaitPort(address)
-	require.ErrorContains(t, err, "p, ended true")
+	err = pr.WaitListening(address)
+	require.ErrorContains(t, err, "p (exited: true)")
 	require.ErrorContains(t, err, "no address")
 }
 
-// Seen as a program that had ended and was reported as running: two channels that
-// are both ready are chosen between at random.
-func TestAProgramThatHasEndedIsNeverTakenForRunning(t *testing.T) {
-	pr := &Process{ended: make(chan struct{})}
+// A program that had exited was reported as running: when both the timer and the exit are ready, select
+// chooses between them at random.
+func TestWaitReportsExitWithExpiredTimer(t *testing.T) {
+	pr := &Process{done: make(chan struct{})}
 	require.False(t, pr.Wait(0))
-	close(pr.ended)
+	close(pr.done)
 	for range 10_000 {
 		require.True(t, pr.Wait(0))
 	}
