--- a/standin/plain/plain.go
+++ b/standin/plain/plain.go
@@ -1,4 +1,4 @@
-// Package plain stands in for a plain service, such as order tracking.
+// Package plain simulates a backend service that is not a model engine, such as order tracking.
 package plain
 
 import (
@@ -8,32 +8,31 @@
 	"time"
 )
 
-// Service answers every call and counts it. Its exported fields are set
-// before use.
+// Service responds to every request and counts it. Its exported fields are set before use.
 type Service struct {
-	// Takes is how long a call runs.
-	Takes time.Duration
+	// Latency is how long a request runs.
+	Latency time.Duration
 
 	mu   sync.Mutex
 	runs map[string]int
 }
 
-// Answer is what a call gets.
-type Answer struct {
+// Response is the body of a response.
+type Response struct {
 	Method  string `json:"method"`
 	Path    string `json:"path"`
 	Request string `json:"request"`
 }
 
-// Runs returns how often the call of an id ran.
+// Runs returns how often the request with an id ran.
 func (se *Service) Runs(id string) int {
 	se.mu.Lock()
 	defer se.mu.Unlock()
 	return se.runs[id]
 }
 
-// All returns how often the call of each id ran.
-func (se *Service) All() map[string]int {
+// RunCounts returns how often the request with each id ran.
+func (se *Service) RunCounts() map[string]int {
 	se.mu.Lock()
 	defer se.mu.Unlock()
 	all := make(map[string]int, len(se.runs))
@@ -43,11 +42,11 @@
 	return all
 }
 
-// ServeHTTP answers a call; /runs answers with the counts.
+// ServeHTTP responds to a request; /runs returns the counts.
 func (se *Service) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set("Content-Type", "application/json")
 	if r.URL.Path == "/runs" {
-		_ = json.NewEncoder(w).Encode(se.All())
+		_ = json.NewEncoder(w).Encode(se.RunCounts())
 		return
 	}
 	id := r.Header.Get("X-Request-Id")
@@ -57,6 +56,6 @@
 	}
 	se.runs[id]++
 	se.mu.Unlock()
-	time.Sleep(se.Takes)
-	_ = json.NewEncoder(w).Encode(Answer{Method: r.Method, Path: r.URL.Path, Request: id})
+	time.Sleep(se.Latency)
+	_ = json.NewEncoder(w).Encode(Response{Method: r.Method, Path: r.URL.Path, Request: id})
 }
--- a/standin/soak/faults.go
+++ b/standin/soak/faults.go
@@ -13,243 +13,245 @@
 	"github.com/linnetrudder/linnetrudder/standin/keyvalue"
 )
 
-// pauseBetween is how long a caller waits between two requests.
-const pauseBetween = 20 * time.Millisecond
+// requestInterval is how long a client waits between two requests.
+const requestInterval = 20 * time.Millisecond
 
-// ask sends one request and notes what became of it. Callers don't ask again: each
-// answer is looked at by itself.
-func (py *play) ask(client *http.Client, ou *outcome) {
+// sendRequest sends one request and records its outcome. Clients do not retry, so that each response
+// is checked by itself.
+func (sr *soakRun) sendRequest(client *http.Client, ou *outcome) {
 	defer func() { ou.done = time.Now() }()
 	ou.sent = time.Now()
-	req, err := http.NewRequest(http.MethodPost, "http://"+py.members[ou.gateway].callers.Address()+ou.path, io.NopCloser(http.NoBody))
+	req, err := http.NewRequest(http.MethodPost, "http://"+sr.gateways[ou.gateway].clientProxy.Address()+ou.path, io.NopCloser(http.NoBody))
 	if err != nil {
-		ou.broken = true
+		ou.incomplete = true
 		return
 	}
 	req.Host = "h.example"
 	req.Header.Set("X-Request-Id", ou.id)
 	req.Header.Set("Authorization", "Bearer "+ou.key)
-	req.Header.Set("X-Deadline-Ms", fmt.Sprint(deadline.Milliseconds()))
+	req.Header.Set("X-Deadline-Ms", fmt.Sprint(requestDeadline.Milliseconds()))
 	if ou.poison {
 		req.Header.Set(headerPoison, "1")
 	}
 	resp, err := client.Do(req)
 	if err != nil {
-		ou.broken = true
+		ou.incomplete = true
 		return
 	}
 	defer resp.Body.Close()
 	body, err := io.ReadAll(resp.Body)
-	ou.status, ou.body, ou.broken = resp.StatusCode, string(body), err != nil
+	ou.status, ou.body, ou.incomplete = resp.StatusCode, string(body), err != nil
 }
 
-// strike carries a fault out, from its start to its end.
-func (py *play) strike(fa Fault) {
+// inject applies a fault and returns when it is over.
+func (sr *soakRun) inject(fa Fault) {
 	switch fa.Kind {
 	case Kill, Stop:
-		py.replace(fa)
+		sr.restartGateway(fa)
 	case Pause:
-		me := py.members[fa.Target]
-		me.restarting.Lock()
-		defer me.restarting.Unlock()
-		_ = me.process.Signal(syscall.SIGSTOP)
-		py.last(fa)
-		_ = me.process.Signal(syscall.SIGCONT)
+		gw := sr.gateways[fa.Target]
+		gw.restartMu.Lock()
+		defer gw.restartMu.Unlock()
+		_ = gw.process.Signal(syscall.SIGSTOP)
+		sr.waitForEnd(fa)
+		_ = gw.process.Signal(syscall.SIGCONT)
 	case Reload:
-		py.reload(fa)
+		sr.reloadSettings(fa)
 	case CallersReset:
-		py.members[fa.Target].callers.Reset()
-	case StoreCut, StoreSilent, StoreMute, StoreDelay:
-		py.strikeWay(fa)
-	case StoreDown, StoreHang, StoreLoses:
-		py.outage(fa.Kind, 1)
-		py.last(fa)
-		py.outage(fa.Kind, -1)
-	case StoreForgets:
-		py.store.Compact()
-	case StoreLapse:
-		py.store.EndLeases()
-	case StoreRestored:
-		py.restore(fa)
-	case Configure:
-		py.configure()
-	case Revoke:
-		py.revoke()
+		sr.gateways[fa.Target].clientProxy.ResetConnections()
+	case StorePartition, StoreStall, StoreStallResponses, StoreDelay:
+		sr.impairStoreConnection(fa)
+	case StoreDown, StoreHang, StoreDropsResponses:
+		sr.addStoreFault(fa.Kind, 1)
+		sr.waitForEnd(fa)
+		sr.addStoreFault(fa.Kind, -1)
+	case StoreCompaction:
+		sr.store.Compact()
+	case StoreLeaseExpiry:
+		sr.store.ExpireLeases()
+	case StoreRestore:
+		sr.restoreStore(fa)
+	case ConfigChange:
+		sr.publishConfig()
+	case KeyRevocation:
+		sr.revokeKey()
 	case Poison:
-		py.poison(fa)
+		sr.sendPoison(fa)
 	default:
-		py.strikeServer(fa)
+		sr.injectServerFault(fa)
 	}
 }
 
-// last waits for the end of a fault, which may have come while it waited for
-// another one of the same gateway.
-func (py *play) last(fa Fault) { time.Sleep(time.Until(py.rec.began.Add(fa.Until))) }
+// waitForEnd waits for the end of a fault. The end may have passed already while the fault waited for
+// another one on the same gateway.
+func (sr *soakRun) waitForEnd(fa Fault) { time.Sleep(time.Until(sr.history.start.Add(fa.End))) }
 
-// replace ends a gateway's process and starts it again.
-func (py *play) replace(fa Fault) {
-	me := py.members[fa.Target]
-	me.restarting.Lock()
-	defer me.restarting.Unlock()
+// restartGateway kills or stops a gateway's process and starts it again.
+func (sr *soakRun) restartGateway(fa Fault) {
+	gw := sr.gateways[fa.Target]
+	gw.restartMu.Lock()
+	defer gw.restartMu.Unlock()
 	si := syscall.SIGTERM
-	if fa.Kind == Kill || py.so.Sabotage == KillsForStop {
+	if fa.Kind == Kill || sr.runner.Defect == KillsOnStop {
 		si = syscall.SIGKILL
 	}
-	_ = me.process.Signal(si)
-	me.process.Wait(stopGrace + restartTime)
-	if err := py.launch(fa.Target); err != nil {
-		// The next check finds a gateway that serves nobody; its log says why.
-		_, _ = fmt.Fprintln(os.Stderr, "soak:", err)
+	_ = gw.process.Signal(si)
+	gw.process.Wait(gracePeriod + restartTime)
+	if err := sr.startGateway(fa.Target); err != nil {
+		// Clients of this gateway fail from now on, which the Recovery check detects.
+		_, _ = fmt.Fprintln(os.Stderr, "soak:", "restart of a gateway failed:", err)
 	}
 }
 
-// reload changes a gateway's settings file for a while and tells it so.
-func (py *play) reload(fa Fault) {
-	me := py.members[fa.Target]
-	me.restarting.Lock()
-	defer me.restarting.Unlock()
-	good, err := os.ReadFile(me.settings)
+// reloadSettings makes a gateway reload a truncated settings file and then the valid one again.
+func (sr *soakRun) reloadSettings(fa Fault) {
+	gw := sr.gateways[fa.Target]
+	gw.restartMu.Lock()
+	defer gw.restartMu.Unlock()
+	good, err := os.ReadFile(gw.settingsPath)
 	if err != nil {
 		return
 	}
-	_ = os.WriteFile(me.settings, good[:len(good)/2], 0o600)
-	_ = me.process.Signal(syscall.SIGHUP)
-	time.Sleep(pauseBetween)
-	_ = os.WriteFile(me.settings, good, 0o600)
-	_ = me.process.Signal(syscall.SIGHUP)
+	_ = os.WriteFile(gw.settingsPath, good[:len(good)/2], 0o600)
+	_ = gw.process.Signal(syscall.SIGHUP)
+	time.Sleep(requestInterval)
+	_ = os.WriteFile(gw.settingsPath, good, 0o600)
+	_ = gw.process.Signal(syscall.SIGHUP)
 }
 
-// strikeWay harms a gateway's way to the key-value service.
-func (py *play) strikeWay(fa Fault) {
-	way := py.members[fa.Target].toStore
+// impairStoreConnection impairs a gateway's connections to the key-value service.
+func (sr *soakRun) impairStoreConnection(fa Fault) {
+	proxy := sr.gateways[fa.Target].storeProxy
 	switch fa.Kind {
-	case StoreCut:
-		way.Cut(true)
-		defer way.Cut(false)
-	case StoreSilent:
-		way.SetTrouble(fleet.Trouble{Silent: true})
-	case StoreMute:
-		way.SetTrouble(fleet.Trouble{Mute: true})
+	case StorePartition:
+		proxy.SetPartitioned(true)
+		defer proxy.SetPartitioned(false)
+	case StoreStall:
+		proxy.SetImpairment(fleet.Impairment{Stall: true})
+	case StoreStallResponses:
+		proxy.SetImpairment(fleet.Impairment{StallResponses: true})
 	default:
-		way.SetTrouble(fleet.Trouble{Delay: wayDelay})
+		proxy.SetImpairment(fleet.Impairment{Delay: storeDelay})
 	}
-	py.last(fa)
-	way.SetTrouble(fleet.Trouble{})
+	sr.waitForEnd(fa)
+	proxy.SetImpairment(fleet.Impairment{})
 }
 
-// wayDelay is what a delayed way adds.
-const wayDelay = 150 * time.Millisecond
+// storeDelay is the delay that StoreDelay adds in each direction.
+const storeDelay = 150 * time.Millisecond
 
-// outage begins or ends one of the service's own faults; several may overlap.
-func (py *play) outage(ki Kind, by int) {
-	py.mu.Lock()
-	defer py.mu.Unlock()
-	py.outages[ki] += by
+// addStoreFault starts (delta 1) or ends (delta -1) a fault of the key-value service. Faults of the
+// same kind may overlap.
+func (sr *soakRun) addStoreFault(ki FaultKind, delta int) {
+	sr.mu.Lock()
+	defer sr.mu.Unlock()
+	sr.storeFaults[ki] += delta
 	fa := keyvalue.Faults{
-		Silent: py.outages[StoreHang] > 0, LoseWrites: py.outages[StoreLoses] > 0,
-		Withhold: py.so.Sabotage == WithholdsNews,
+		Hang: sr.storeFaults[StoreHang] > 0, DropWriteResponses: sr.storeFaults[StoreDropsResponses] > 0,
+		WithholdEvents: sr.runner.Defect == WithholdsEvents,
 	}
-	if py.outages[StoreDown] > 0 {
-		fa.Refuse = http.StatusServiceUnavailable
+	if sr.storeFaults[StoreDown] > 0 {
+		fa.RefuseStatus = http.StatusServiceUnavailable
 	}
-	if py.so.Sabotage == StaysDown {
-		fa.Silent = true
+	if sr.runner.Defect == OutageNeverEnds {
+		fa.Hang = true
 	}
-	py.store.SetFaults(fa)
+	sr.store.SetFaults(fa)
 }
 
-// strikeServer harms one backend server. One that ends is replaced, with a new id.
-func (py *play) strikeServer(fa Fault) {
-	py.mu.Lock()
-	se := py.servers[fa.Target]
-	py.mu.Unlock()
+// injectServerFault applies a fault to a backend server. A server that stops is replaced by one with a
+// new id.
+func (sr *soakRun) injectServerFault(fa Fault) {
+	sr.mu.Lock()
+	se := sr.servers[fa.Target]
+	sr.mu.Unlock()
 	switch fa.Kind {
 	case ServerCrash:
-		py.crash(se)
+		sr.crashServer(se)
 	case ServerDrain:
-		py.substitute(fa.Target, se)
-		py.drain(se)
-	case ServerAnnounces:
-		se.strike(fa.Kind, 1)
-		time.Sleep(unlistedShutdown)
-		py.substitute(fa.Target, se)
-		py.drain(se)
+		sr.replaceServer(fa.Target, se)
+		sr.drainServer(se)
+	case ServerAnnouncesShutdown:
+		se.addFault(fa.Kind, 1)
+		time.Sleep(announcedBeforeEntry)
+		sr.replaceServer(fa.Target, se)
+		sr.drainServer(se)
 	case ServerReset:
-		se.cable.Reset()
-	case ServerSilent:
-		se.cable.SetTrouble(fleet.Trouble{Silent: true})
-		py.last(fa)
-		se.cable.SetTrouble(fleet.Trouble{})
+		se.proxy.ResetConnections()
+	case ServerStall:
+		se.proxy.SetImpairment(fleet.Impairment{Stall: true})
+		sr.waitForEnd(fa)
+		se.proxy.SetImpairment(fleet.Impairment{})
 	default:
-		se.strike(fa.Kind, 1)
-		py.last(fa)
-		se.strike(fa.Kind, -1)
+		se.addFault(fa.Kind, 1)
+		sr.waitForEnd(fa)
+		se.addFault(fa.Kind, -1)
 	}
 }
 
-// unlistedShutdown is how long a server that announces its shutdown has an entry that says nothing of
-// it.
-const unlistedShutdown = 3 * time.Second
+// announcedBeforeEntry is how long a server announces its shutdown in its responses before its entry
+// says that it is draining.
+const announcedBeforeEntry = 3 * time.Second
 
-// crash ends a server without a word; its entry stays for a while.
-func (py *play) crash(se *server) {
-	py.mu.Lock()
-	place := slices.Index(py.servers, se)
-	py.mu.Unlock()
-	py.substitute(place, se)
+// crashServer stops a server without notice; its entry remains for crashedEntryTTL.
+func (sr *soakRun) crashServer(se *server) {
+	sr.mu.Lock()
+	index := slices.Index(sr.servers, se)
+	sr.mu.Unlock()
+	sr.replaceServer(index, se)
 	se.stop()
-	time.Sleep(lapse)
+	time.Sleep(crashedEntryTTL)
 	se.unlisted.Store(true)
-	py.store.Remove("servers/" + se.id)
+	sr.store.Remove("servers/" + se.id)
 }
 
-// poisonEvery is the pause between two copies of a request under which servers end.
-const poisonEvery = 400 * time.Millisecond
+// poisonInterval is the time between two copies of the poison request.
+const poisonInterval = 400 * time.Millisecond
 
-// poison sends copies of one request, each to another gateway.
-func (py *play) poison(fa Fault) {
-	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: 4 * deadline}
-	for n := 0; time.Until(py.rec.began.Add(fa.Until)) > 0; n++ {
+// sendPoison sends copies of the poison request to all gateways in turn.
+func (sr *soakRun) sendPoison(fa Fault) {
+	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: 4 * requestDeadline}
+	for n := 0; time.Until(sr.history.start.Add(fa.End)) > 0; n++ {
 		ou := outcome{
-			id: fmt.Sprint(poisonID, n), gateway: n % len(py.members), path: "/safe/poison", key: py.key(n + 1), poison: true,
+			id: fmt.Sprint(poisonIDPrefix, n), gateway: n % len(sr.gateways), path: "/safe/poison", key: sr.pickKey(n + 1), poison: true,
 		}
-		if py.so.Sabotage == VariesPoison {
+		if sr.runner.Defect == VariesPoison {
 			ou.path += fmt.Sprint(n)
 		}
-		py.ask(client, &ou)
-		py.mu.Lock()
-		py.rec.poisoned = append(py.rec.poisoned, ou)
-		py.mu.Unlock()
-		time.Sleep(poisonEvery)
+		sr.sendRequest(client, &ou)
+		sr.mu.Lock()
+		sr.history.poisoned = append(sr.history.poisoned, ou)
+		sr.mu.Unlock()
+		time.Sleep(poisonInterval)
 	}
 }
 
-// poisonID begins the ids of such copies.
-const poisonID = "poison-"
+// poisonIDPrefix is the prefix of the ids of the poison request's copies.
+const poisonIDPrefix = "poison-"
 
-// drain lets a server leave as planned: it serves on for a while after it said so.
-func (py *play) drain(se *server) {
+// drainServer marks a server as draining and stops it twice the drainBound later.
+func (sr *soakRun) drainServer(se *server) {
 	se.drain()
-	py.store.Set("servers/"+se.id, se.entry())
-	py.mu.Lock()
-	py.rec.drained[se.id] = time.Now()
-	py.mu.Unlock()
+	sr.store.Set("servers/"+se.id, se.entry())
+	sr.mu.Lock()
+	sr.history.drainedAt[se.id] = time.Now()
+	sr.mu.Unlock()
 	time.Sleep(2 * drainBound)
 	se.unlisted.Store(true)
-	py.store.Remove("servers/" + se.id)
+	sr.store.Remove("servers/" + se.id)
 	se.stop()
 }
 
-// substitute starts a server in the place of one that ends.
-func (py *play) substitute(place int, old *server) {
-	if err := py.addServer(); err != nil {
-		_, _ = fmt.Fprintln(os.Stderr, "soak:", err)
+// replaceServer starts a server that takes over the index of one that stops.
+func (sr *soakRun) replaceServer(index int, old *server) {
+	if err := sr.addServer(); err != nil {
+		_, _ = fmt.Fprintln(os.Stderr, "soak:", "replacement of a backend server failed:", err)
 		return
 	}
-	py.mu.Lock()
-	defer py.mu.Unlock()
-	last := len(py.servers) - 1
-	if py.servers[place] == old {
-		py.servers[place], py.servers[last] = py.servers[last], old
+	sr.mu.Lock()
+	defer sr.mu.Unlock()
+	last := len(sr.servers) - 1
+	if sr.servers[index] == old {
+		sr.servers[index], sr.servers[last] = sr.servers[last], old
 	}
 }
--- a/standin/soak/soak.go
+++ b/standin/soak/soak.go
@@ -16,131 +16,132 @@
 	"github.com/linnetrudder/linnetrudder/standin/keyvalue"
 )
 
-// Sabotage is a deliberately broken part, by which tests show that the checks see
-// what they are there for.
-type Sabotage string
+// Defect is a deliberate defect of the test environment or of the way it treats gateways. Tests use
+// it to show that a check detects the violation of its guarantee.
+type Defect string
 
-// The sabotages, each of which breaks one promise.
+// The defects, each of which violates one guarantee.
 const (
-	// RunsTwice lets servers run each request twice, LiesNotRun deny some that ran,
-	// MixesAnswers answer with another request's body, SkipsEvents leave one out.
-	RunsTwice    Sabotage = "runs-twice"
-	LiesNotRun   Sabotage = "lies-not-run"
-	MixesAnswers Sabotage = "mixes-answers"
-	SkipsEvents  Sabotage = "skips-events"
-	// WithholdsNews lets the key-value service answer without telling of changes.
-	WithholdsNews Sabotage = "withholds-news"
-	// KillsForStop ends processes at once where a planned stop is asked for.
-	KillsForStop Sabotage = "kills-for-stop"
-	// VariesPoison makes each copy of a request differ under which servers end.
-	VariesPoison Sabotage = "varies-poison"
-	// HidesReports lets servers keep their shutdown and pauses to themselves.
-	HidesReports Sabotage = "hides-reports"
-	// StaysDown never ends an outage of the key-value service.
-	StaysDown Sabotage = "stays-down"
+	// RunsTwice makes servers execute each request twice, FalseNotExecuted reject some requests as
+	// not executed after executing them, SwapsResponses respond with another request's body and
+	// SkipsEvents omit an event of each stream.
+	RunsTwice        Defect = "runs-twice"
+	FalseNotExecuted Defect = "lies-not-run"
+	SwapsResponses   Defect = "mixes-answers"
+	SkipsEvents      Defect = "skips-events"
+	// WithholdsEvents makes the key-value service answer watches without the changes.
+	WithholdsEvents Defect = "withholds-news"
+	// KillsOnStop kills gateways instead of stopping them gracefully.
+	KillsOnStop Defect = "kills-for-stop"
+	// VariesPoison makes each copy of the poison request different.
+	VariesPoison Defect = "varies-poison"
+	// OmitsReports makes servers omit the headers that announce their shutdown or ask for a pause.
+	OmitsReports Defect = "hides-reports"
+	// OutageNeverEnds makes the key-value service leave all requests unanswered after its first
+	// fault.
+	OutageNeverEnds Defect = "stays-down"
 )
 
-// Soak plays plans. Its exported fields are set before Run.
-type Soak struct {
-	// Bin is the folder of the built programs, Dir takes settings and logs.
+// Runner executes plans. Its exported fields are set before Run.
+type Runner struct {
+	// Bin is the directory of the built programs; Dir is where settings and logs are written.
 	Bin, Dir string
-	// Callers is how many callers there are.
-	Callers  int
-	Sabotage Sabotage
+	// Callers is the number of concurrent clients.
+	Callers int
+	Defect  Defect
 }
 
 const (
-	// restartTime is how long a process may take to be back after its end.
+	// restartTime is how long a process may take to restart.
 	restartTime = time.Second
-	// lapse is how long the entry of a crashed server stays.
-	lapse = 1500 * time.Millisecond
-	// stopGrace is the time that the settings give a planned stop.
-	stopGrace = 3 * time.Second
+	// crashedEntryTTL is how long the entry of a crashed server remains.
+	crashedEntryTTL = 1500 * time.Millisecond
+	// gracePeriod is the time that the settings allow for a graceful shutdown.
+	gracePeriod = 3 * time.Second
 )
 
-// member is one gateway's process and the ways to it and from it.
-type member struct {
-	settings         string
-	address          string
-	callers, toStore *fleet.Cable
-	process          *fleet.Process
-	// restarting is held while the process is being replaced.
-	restarting sync.Mutex
+// gateway is a gateway process with the proxies for its clients and for the key-value service.
+type gateway struct {
+	settingsPath            string
+	address                 string
+	clientProxy, storeProxy *fleet.Proxy
+	process                 *fleet.Process
+	// restartMu is held while the process is being restarted, suspended or reloaded.
+	restartMu sync.Mutex
 }
 
-// play is one run.
-type play struct {
-	so    *Soak
-	plan  Plan
-	fleet *fleet.Fleet
-	store *keyvalue.Store
-	// serving answers the calls to the store.
-	serving *httptest.Server
-	rec     *record
+// soakRun is one run of a plan.
+type soakRun struct {
+	runner *Runner
+	plan   Plan
+	fleet  *fleet.Fleet
+	store  *keyvalue.Store
+	// storeServer serves the store over HTTP.
+	storeServer *httptest.Server
+	history     *history
 
-	members []*member
-	// mu guards what follows.
-	mu      sync.Mutex
-	servers []*server
-	started int
-	version int
-	keys    []string
-	outages map[Kind]int
-	faults  sync.WaitGroup
+	gateways []*gateway
+	// mu guards the contents of history and the fields below except injections.
+	mu             sync.Mutex
+	servers        []*server
+	serversStarted int
+	configVersion  int
+	keys           []string
+	storeFaults    map[FaultKind]int
+	injections     sync.WaitGroup
 }
 
-// Run plays a plan and returns the promises that were broken. Settings and logs
-// stay in the folder.
-func (so *Soak) Run(ctx context.Context, pl Plan) ([]Violation, error) {
-	py := &play{
-		so: so, plan: pl, store: keyvalue.New(), fleet: &fleet.Fleet{Bin: so.Bin, Dir: so.Dir},
-		keys: []string{"key-1", "key-2"}, outages: map[Kind]int{},
-		rec: &record{plan: pl, ran: &ledger{runs: map[string][]run{}, shed: map[string][]run{}}, revoked: map[string]time.Time{}, drained: map[string]time.Time{}},
+// Run executes a plan and returns the violations. Settings and logs remain in Dir.
+func (rn *Runner) Run(ctx context.Context, pl Plan) ([]Violation, error) {
+	sr := &soakRun{
+		runner: rn, plan: pl, store: keyvalue.New(), fleet: &fleet.Fleet{Bin: rn.Bin, Dir: rn.Dir},
+		keys: []string{"key-1", "key-2"}, storeFaults: map[FaultKind]int{},
+		history: &history{plan: pl, executions: &executionLog{executed: map[string][]execution{}, rejected: map[string][]execution{}}, revokedAt: map[string]time.Time{}, drainedAt: map[string]time.Time{}},
 	}
-	err := py.start()
-	defer py.close()
+	err := sr.start()
+	defer sr.close()
 	if err != nil {
 		return nil, err
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	py.rec.began = time.Now()
+	sr.history.start = time.Now()
 	var callers sync.WaitGroup
-	for i := range so.Callers {
-		callers.Go(func() { py.call(ctx, i) })
+	for i := range rn.Callers {
+		callers.Go(func() { sr.runCaller(ctx, i) })
 	}
 	for _, fa := range pl.Faults {
-		time.Sleep(time.Until(py.rec.began.Add(fa.From)))
-		py.faults.Go(func() { py.strike(fa) })
+		time.Sleep(time.Until(sr.history.start.Add(fa.Start)))
+		sr.injections.Go(func() { sr.inject(fa) })
 	}
-	time.Sleep(time.Until(py.rec.began.Add(pl.End)))
+	time.Sleep(time.Until(sr.history.start.Add(pl.End)))
 	cancel()
 	callers.Wait()
-	py.faults.Wait()
-	return py.rec.check(), nil
+	sr.injections.Wait()
+	return sr.history.check(), nil
 }
 
-func (py *play) start() error {
-	py.serving = httptest.NewServer(py.store)
-	address := strings.TrimPrefix(py.serving.URL, "http://")
-	py.configure()
-	for range py.plan.Servers {
-		if err := py.addServer(); err != nil {
+func (sr *soakRun) start() error {
+	sr.storeServer = httptest.NewServer(sr.store)
+	address := strings.TrimPrefix(sr.storeServer.URL, "http://")
+	sr.publishConfig()
+	for range sr.plan.Servers {
+		if err := sr.addServer(); err != nil {
 			return err
 		}
 	}
-	for i := range py.plan.Gateways {
-		if err := py.addGateway(i, address); err != nil {
+	for i := range sr.plan.Gateways {
+		if err := sr.addGateway(i, address); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (py *play) addGateway(i int, store string) error {
-	me := &member{}
+func (sr *soakRun) addGateway(i int, store string) error {
+	gw := &gateway{}
 	var err error
-	if me.address, err = fleet.FreeAddress(); err != nil {
+	if gw.address, err = fleet.FreeAddress(); err != nil {
 		return err
 	}
 	ready, err := fleet.FreeAddress()
@@ -151,24 +152,24 @@
 	if err != nil {
 		return err
 	}
-	if me.callers, err = fleet.NewCable(me.address); err != nil {
+	if gw.clientProxy, err = fleet.NewProxy(gw.address); err != nil {
 		return err
 	}
-	if me.toStore, err = fleet.NewCable(store); err != nil {
+	if gw.storeProxy, err = fleet.NewProxy(store); err != nil {
 		return err
 	}
 	host, port, _ := strings.Cut(relay, ":")
-	me.settings = filepath.Join(py.so.Dir, fmt.Sprintf("gateway-%d.toml", i))
-	text := fmt.Sprintf(settingsText, i, host, port, port, me.address, ready, stopGrace.Seconds(), revokeBound.Milliseconds(), me.toStore.Address())
-	if err := os.WriteFile(me.settings, []byte(text), 0o600); err != nil {
+	gw.settingsPath = filepath.Join(sr.runner.Dir, fmt.Sprintf("gateway-%d.toml", i))
+	text := fmt.Sprintf(settingsTemplate, i, host, port, port, gw.address, ready, gracePeriod.Seconds(), revokeBound.Milliseconds(), gw.storeProxy.Address())
+	if err := os.WriteFile(gw.settingsPath, []byte(text), 0o600); err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
-	py.members = append(py.members, me)
-	return py.launch(i)
+	sr.gateways = append(sr.gateways, gw)
+	return sr.startGateway(i)
 }
 
-// settingsText is a gateway's settings file.
-const settingsText = `
+// settingsTemplate is the template of a gateway's settings file.
+const settingsTemplate = `
 node_name = "front-%d"
 zone = "z1"
 ip = "%s"
@@ -188,118 +189,118 @@
 address = "%s"
 `
 
-// launch starts a gateway's process and waits until it serves. One that is being
-// stopped leaves its port in use for a moment.
-func (py *play) launch(i int) error {
-	me := py.members[i]
-	pr, err := py.fleet.Start(fmt.Sprintf("gateway-%d", i), "linnetrudder", "gateway", "--settings", me.settings)
+// startGateway starts a gateway's process and waits until it accepts connections. The port of a process
+// that is still stopping remains in use for a moment.
+func (sr *soakRun) startGateway(i int) error {
+	gw := sr.gateways[i]
+	pr, err := sr.fleet.Start(fmt.Sprintf("gateway-%d", i), "linnetrudder", "gateway", "--settings", gw.settingsPath)
 	if err != nil {
 		return err
 	}
-	me.process = pr
-	return pr.WaitPort(me.address)
+	gw.process = pr
+	return pr.WaitListening(gw.address)
 }
 
-// close ends everything that the run has started.
-func (py *play) close() {
-	for _, me := range py.members {
-		if me.process == nil {
-			continue // it did not start
+// close stops everything that the run has started.
+func (sr *soakRun) close() {
+	for _, gw := range sr.gateways {
+		if gw.process == nil {
+			continue // the process was never started
 		}
-		_ = me.process.Signal(syscall.SIGCONT)
-		_ = me.process.Signal(syscall.SIGKILL)
-		me.process.Wait(restartTime)
-		me.callers.Close()
-		me.toStore.Close()
+		_ = gw.process.Signal(syscall.SIGCONT)
+		_ = gw.process.Signal(syscall.SIGKILL)
+		gw.process.Wait(restartTime)
+		gw.clientProxy.Close()
+		gw.storeProxy.Close()
 	}
-	py.store.SetFaults(keyvalue.Faults{})
-	py.serving.CloseClientConnections()
-	py.serving.Close()
-	py.mu.Lock()
-	defer py.mu.Unlock()
-	for _, se := range py.servers {
+	sr.store.SetFaults(keyvalue.Faults{})
+	sr.storeServer.CloseClientConnections()
+	sr.storeServer.Close()
+	sr.mu.Lock()
+	defer sr.mu.Unlock()
+	for _, se := range sr.servers {
 		se.stop()
 	}
 }
 
-// addServer starts a backend server and lists it; the lock is not held.
-func (py *play) addServer() error {
-	py.mu.Lock()
-	defer py.mu.Unlock()
-	py.started++
-	se, err := startServer(fmt.Sprintf("s-%d", py.started), py.rec.ran, py.so.Sabotage)
+// addServer starts a backend server and writes its entry; it acquires mu itself.
+func (sr *soakRun) addServer() error {
+	sr.mu.Lock()
+	defer sr.mu.Unlock()
+	sr.serversStarted++
+	se, err := startServer(fmt.Sprintf("s-%d", sr.serversStarted), sr.history.executions, sr.runner.Defect)
 	if err != nil {
 		return err
 	}
-	se.ends = sync.OnceFunc(func() { py.faults.Go(func() { py.crash(se) }) })
-	py.servers = append(py.servers, se)
-	py.store.Set("servers/"+se.id, se.entry())
+	se.crash = sync.OnceFunc(func() { sr.injections.Go(func() { sr.crashServer(se) }) })
+	sr.servers = append(sr.servers, se)
+	sr.store.Set("servers/"+se.id, se.entry())
 	return nil
 }
 
-// configure puts a newer configuration into force.
-func (py *play) configure() {
-	py.mu.Lock()
-	defer py.mu.Unlock()
-	py.version++
-	py.writeConfiguration()
+// publishConfig publishes the next version of the configuration.
+func (sr *soakRun) publishConfig() {
+	sr.mu.Lock()
+	defer sr.mu.Unlock()
+	sr.configVersion++
+	sr.writeConfig()
 }
 
-// writeConfiguration writes the configuration in force; the lock is held.
-func (py *play) writeConfiguration() {
+// writeConfig writes the current version of the configuration; the caller holds mu.
+func (sr *soakRun) writeConfig() {
 	route := func(name, kind string, attempts int) map[string]any {
 		return map[string]any{
-			"name": name, "host": "h.example", "path_prefix": "/" + name + "/", "route_type": kind, "timeout_ms": 1200 + py.version,
+			"name": name, "host": "h.example", "path_prefix": "/" + name + "/", "route_type": kind, "timeout_ms": 1200 + sr.configVersion,
 			"target_latency_ms": 200, "target_gap_ms": 300, "priority": 1, "service": "svc", "max_attempts": attempts,
 			"resumable": kind == "streaming",
 		}
 	}
-	py.store.Set("op/config", map[string]any{
-		"version":  py.version,
+	sr.store.Set("op/config", map[string]any{
+		"version":  sr.configVersion,
 		"routes":   []any{route("safe", "safe", 3), route("unsafe", "unsafe", 1), route("stream", "streaming", 3)},
 		"services": []any{map[string]any{"name": "svc", "max_connections": 100}},
 		"limits":   map[string]any{"max_header_bytes": 16384, "max_body_bytes": 1000, "header_timeout_ms": 3000, "idle_timeout_ms": 15000},
-		"tenants":  []any{map[string]any{"name": "team", "api_keys": py.keys}},
+		"tenants":  []any{map[string]any{"name": "team", "api_keys": sr.keys}},
 	})
 }
 
-// revoke takes the oldest key away and adds a new one.
-func (py *play) revoke() {
-	py.mu.Lock()
-	gone := py.keys[0]
-	py.keys = append(py.keys[1:], fmt.Sprintf("key-%d", py.version+2))
-	py.mu.Unlock()
-	py.configure()
-	py.mu.Lock()
-	defer py.mu.Unlock()
-	py.rec.revoked[gone] = time.Now()
+// revokeKey revokes the oldest API key and adds a new one.
+func (sr *soakRun) revokeKey() {
+	sr.mu.Lock()
+	revoked := sr.keys[0]
+	sr.keys = append(sr.keys[1:], fmt.Sprintf("key-%d", sr.configVersion+2))
+	sr.mu.Unlock()
+	sr.publishConfig()
+	sr.mu.Lock()
+	defer sr.mu.Unlock()
+	sr.history.revokedAt[revoked] = time.Now()
 }
 
-// key returns one of the keys that callers know: one that was taken away is used
-// for a while longer.
-func (py *play) key(n int) string {
-	py.mu.Lock()
-	defer py.mu.Unlock()
+// pickKey returns the API key for the nth request. Every eighth request uses the first key, also after
+// its revocation.
+func (sr *soakRun) pickKey(n int) string {
+	sr.mu.Lock()
+	defer sr.mu.Unlock()
 	if n%8 == 0 {
 		return "key-1"
 	}
-	return py.keys[n%len(py.keys)]
+	return sr.keys[n%len(sr.keys)]
 }
 
-// call sends requests one after the other, as one caller, until the context ends.
-// It keeps its connections until they are gone.
-func (py *play) call(ctx context.Context, caller int) {
-	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 4, DisableCompression: true}, Timeout: 4 * deadline}
+// runCaller sends requests one after another, as one client with persistent connections, until the
+// context is cancelled.
+func (sr *soakRun) runCaller(ctx context.Context, caller int) {
+	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 4, DisableCompression: true}, Timeout: 4 * requestDeadline}
 	defer client.CloseIdleConnections()
 	for n := 0; ctx.Err() == nil; n++ {
 		ou := outcome{
-			id: fmt.Sprintf("r-%d-%d", caller, n), gateway: (caller + n/5) % len(py.members),
-			path: []string{"/safe/x", "/unsafe/x", "/stream/x"}[n%3], key: py.key(caller + n),
+			id: fmt.Sprintf("r-%d-%d", caller, n), gateway: (caller + n/5) % len(sr.gateways),
+			path: []string{"/safe/x", "/unsafe/x", "/stream/x"}[n%3], key: sr.pickKey(caller + n),
 		}
-		py.ask(client, &ou)
-		py.mu.Lock()
-		py.rec.outcomes = append(py.rec.outcomes, ou)
-		py.mu.Unlock()
-		time.Sleep(pauseBetween)
+		sr.sendRequest(client, &ou)
+		sr.mu.Lock()
+		sr.history.outcomes = append(sr.history.outcomes, ou)
+		sr.mu.Unlock()
+		time.Sleep(requestInterval)
 	}
 }
