--- a/standin/cmd/demo/steps.go
+++ b/standin/cmd/demo/steps.go
@@ -60,7 +60,7 @@
 }
 
 func (de *demo) start() error {
-	if err := de.fleet.Platform(); err != nil {
+	if err := de.fleet.StartPlatform(); err != nil {
 		return err
 	}
 	backends := []struct {
@@ -72,7 +72,7 @@
 		{"a-track-1", "dc-a", "plain", nil},
 	}
 	for _, ba := range backends {
-		address, _, err := de.fleet.StandIn(ba.server, ba.kind, ba.args...)
+		address, _, err := de.fleet.StartStandIn(ba.server, ba.kind, ba.args...)
 		if err != nil {
 			return err
 		}
@@ -107,7 +107,7 @@
 	if _, err := de.runCtl("apply", de.config, "--operator", "demo"); err != nil {
 		return err
 	}
-	return fleet.Until(waitTimeout, "revision 1 to be in force in all processes", func() bool {
+	return fleet.WaitUntil(waitTimeout, "revision 1 to be in force in all processes", func() bool {
 		for _, me := range de.fleet.Members() {
 			if !ready(me) {
 				return false
@@ -269,7 +269,7 @@
 		return err
 	}
 	defer resp.Body.Close()
-	var an plain.Answer
+	var an plain.Response
 	if err := json.NewDecoder(resp.Body).Decode(&an); err != nil {
 		return err
 	}
@@ -285,7 +285,7 @@
 	if _, err := de.runCtl("withdraw", "notes@v2"); err != nil {
 		return err
 	}
-	if err := fleet.Until(waitTimeout, "the withdrawal to be in force", func() bool { return de.revisionInForce("2") }); err != nil {
+	if err := fleet.WaitUntil(waitTimeout, "the withdrawal to be in force", func() bool { return de.revisionInForce("2") }); err != nil {
 		return err
 	}
 	for n := range 10 {
@@ -318,7 +318,7 @@
 
 func (de *demo) checkBill() error {
 	lines := 0
-	err := fleet.Until(waitTimeout, "all requests to be billed", func() bool {
+	err := fleet.WaitUntil(waitTimeout, "all requests to be billed", func() bool {
 		out, err := exec.Command(filepath.Join(de.bin, "linnetrudderctl"),
 			"bill", "--lines", "--admin", de.entries[0].Admin).Output()
 		lines = strings.Count(string(out), "\n")
--- a/standin/cmd/measure/load.go
+++ b/standin/cmd/measure/load.go
@@ -59,11 +59,11 @@
 // startSystem starts one engine, one agent and one entry. It returns the targets, the entry and the
 // agent.
 func (cm *loadCmd) startSystem(fe *fleet.Fleet) ([]target, *fleet.Member, *fleet.Member, error) {
-	if err := fe.Platform(); err != nil {
+	if err := fe.StartPlatform(); err != nil {
 		return nil, nil, nil, err
 	}
 	fe.Tune = func(se map[string]any) { se["log_level"] = "warn" }
-	engine, _, err := fe.StandIn("engine", "engine", "--tokens", fmt.Sprint(cm.Tokens), "--pace", cm.Pace.String())
+	engine, _, err := fe.StartStandIn("engine", "engine", "--tokens", fmt.Sprint(cm.Tokens), "--pace", cm.Pace.String())
 	if err != nil {
 		return nil, nil, nil, err
 	}
--- a/standin/cmd/measure/proc.go
+++ b/standin/cmd/measure/proc.go
@@ -33,7 +33,7 @@
 // takeSample reads the resource use of a process from /proc and from its metrics.
 func takeSample(me *fleet.Member) (sample, error) {
 	sa := sample{at: time.Now()}
-	pid := me.Process.ID()
+	pid := me.Process.PID()
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return sa, err
--- a/standin/e2e/caller_test.go
+++ b/standin/e2e/caller_test.go
@@ -111,7 +111,7 @@
 	defer resp.Body.Close()
 	require.Equal(t, 1, sy.runningCount())
 	cancel()
-	require.NoError(t, fleet.Until(waitTimeout, "the engine's slot to be free", func() bool { return sy.runningCount() == 0 }))
+	require.NoError(t, fleet.WaitUntil(waitTimeout, "the engine's slot to be free", func() bool { return sy.runningCount() == 0 }))
 }
 
 // runningCount returns the number of requests in progress on the first engine.
@@ -133,11 +133,11 @@
 				sy.applyConfig(doc)
 				sy.waitRevision(2, sy.fleet.Members()...)
 			} else {
-				require.NoError(t, sy.fleet.PublishLeaving(sy.agents[0]))
+				require.NoError(t, sy.fleet.PublishWithLeaving(sy.agents[0]))
 			}
 			// The change is in force once five requests are answered and none of them starts on this
 			// server.
-			require.NoError(t, fleet.Until(waitTimeout, "no new requests on the leaving server", func() bool {
+			require.NoError(t, fleet.WaitUntil(waitTimeout, "no new requests on the leaving server", func() bool {
 				before := sy.totalStarted(sy.agents[0])
 				sy.waitAnswers(5)
 				return sy.totalStarted(sy.agents[0]) == before
--- a/standin/e2e/failure_test.go
+++ b/standin/e2e/failure_test.go
@@ -31,7 +31,7 @@
 // waitAnswers sends requests until the given number of them are answered in full.
 func (sy *system) waitAnswers(calls int) {
 	for range calls {
-		require.NoError(sy.t, fleet.Until(waitTimeout, "an answer", func() bool {
+		require.NoError(sy.t, fleet.WaitUntil(waitTimeout, "an answer", func() bool {
 			return sy.send(sy.entries[0], call{kind: "patient"}).complete
 		}))
 	}
@@ -78,12 +78,12 @@
 	sy := newSystem(t, 2, time.Millisecond)
 	stop := sy.startLoad(4, mixedCall)
 	sy.waitAnswers(2)
-	require.NoError(t, sy.fleet.Fault(store.Faults{Down: true}))
+	require.NoError(t, sy.fleet.SetStoreFaults(store.Faults{Down: true}))
 	sy.waitAnswers(10)
-	require.NoError(t, sy.fleet.Fault(store.Faults{DropAnswers: 5}))
+	require.NoError(t, sy.fleet.SetStoreFaults(store.Faults{DropWriteResponses: 5}))
 	sy.waitAnswers(2)
 	calls := stop()
-	require.NoError(t, sy.fleet.Fault(store.Faults{}))
+	require.NoError(t, sy.fleet.SetStoreFaults(store.Faults{}))
 	for _, ca := range calls {
 		require.True(t, ca.complete, "a store outage must not fail requests without an idempotency key: %+v", ca)
 	}
@@ -94,13 +94,13 @@
 	sy := newSystem(t, 3, time.Millisecond)
 	stop := sy.startLoad(4, mixedCall)
 	sy.waitAnswers(2)
-	require.NoError(t, sy.fleet.Fault(store.Faults{Down: true}))
+	require.NoError(t, sy.fleet.SetStoreFaults(store.Faults{Down: true}))
 	sy.waitAnswers(2)
 	require.NoError(t, sy.agents[1].Process.Signal(syscall.SIGKILL))
 	require.True(t, sy.agents[1].Process.Wait(waitTimeout))
 	sy.waitAnswers(4)
 	calls := stop()
-	require.NoError(t, sy.fleet.Fault(store.Faults{}))
+	require.NoError(t, sy.fleet.SetStoreFaults(store.Faults{}))
 	sy.checkCalls(calls)
 }
 
@@ -110,7 +110,7 @@
 	sy.waitAnswers(2)
 	require.NoError(t, sy.agents[0].Process.Signal(syscall.SIGTERM))
 	require.True(t, sy.agents[0].Process.Wait(waitTimeout))
-	require.Zero(t, sy.agents[0].Process.Code())
+	require.Zero(t, sy.agents[0].Process.ExitCode())
 	sy.waitAnswers(2)
 	calls := stop()
 	for _, ca := range calls {
@@ -126,10 +126,10 @@
 	for i := range calls {
 		wg.Go(func() { calls[i] = sy.send(sy.entries[1], call{stream: i%2 == 0}) })
 	}
-	require.NoError(t, fleet.Until(waitTimeout, "all requests to start", func() bool { return len(sy.runsByRequest()) >= len(calls) }))
+	require.NoError(t, fleet.WaitUntil(waitTimeout, "all requests to start", func() bool { return len(sy.runsByRequest()) >= len(calls) }))
 	require.NoError(t, sy.entries[1].Process.Signal(syscall.SIGTERM))
 	require.True(t, sy.entries[1].Process.Wait(waitTimeout))
-	require.Zero(t, sy.entries[1].Process.Code())
+	require.Zero(t, sy.entries[1].Process.ExitCode())
 	wg.Wait()
 	for _, ca := range calls {
 		require.True(t, ca.complete, "%+v", ca)
@@ -167,7 +167,7 @@
 	sy := newSystem(t, 2, time.Millisecond)
 	revision := sy.setV2State(config.RollingOut)
 	sy.waitRevision(revision, sy.fleet.Members()...)
-	require.NoError(t, sy.fleet.Fault(store.Faults{Down: true}))
+	require.NoError(t, sy.fleet.SetStoreFaults(store.Faults{Down: true}))
 	en := sy.addEntry("entry-new", "dc-0")
 	sy.waitRevision(revision, en)
 	require.True(t, sy.send(en, call{kind: "patient"}).complete)
@@ -196,7 +196,7 @@
 	withdrawn := sy.setV2State(config.Withdrawn)
 	sy.waitRevision(withdrawn, sy.fleet.Members()...)
 	require.NoError(t, sy.putStore(config.StoreKey, copied))
-	require.NoError(t, fleet.Until(waitTimeout, "the newest configuration to be written again", func() bool {
+	require.NoError(t, fleet.WaitUntil(waitTimeout, "the newest configuration to be written again", func() bool {
 		current, err := sy.storedConfig()
 		return err == nil && current.Revision == withdrawn
 	}))
@@ -237,7 +237,7 @@
 	check := func(en *fleet.Member) {
 		for i := range sessions {
 			var ca call
-			require.NoError(t, fleet.Until(waitTimeout, "an answer within the session", func() bool {
+			require.NoError(t, fleet.WaitUntil(waitTimeout, "an answer within the session", func() bool {
 				ca = sy.send(en, call{session: fmt.Sprint("s", i), kind: "patient"})
 				return ca.complete
 			}))
@@ -283,7 +283,7 @@
 	}
 	sy.waitRevision(1, sy.agents...)
 	var again call
-	require.NoError(t, fleet.Until(waitTimeout, "the claim on the key to be readable", func() bool {
+	require.NoError(t, fleet.WaitUntil(waitTimeout, "the claim on the key to be readable", func() bool {
 		again = sy.send(sy.entries[0], call{idempotencyKey: "k0", kind: "once"})
 		return again.code != result.ClaimsUnavailable
 	}))
@@ -292,20 +292,20 @@
 
 func TestIdempotencyKeyRefusedWhileStoreDown(t *testing.T) {
 	sy := newSystem(t, 2, time.Millisecond)
-	require.NoError(t, sy.fleet.Fault(store.Faults{Down: true}))
+	require.NoError(t, sy.fleet.SetStoreFaults(store.Faults{Down: true}))
 	ca := sy.send(sy.entries[0], call{idempotencyKey: "k", kind: "once"})
 	require.Equal(t, result.ClaimsUnavailable, ca.code)
 	require.Equal(t, result.DidNotRun, ca.run)
 	require.Zero(t, sy.runsByRequest()[ca.id])
-	require.NoError(t, sy.fleet.Fault(store.Faults{}))
-	require.NoError(t, fleet.Until(waitTimeout, "a request with the key to run after the outage", func() bool {
+	require.NoError(t, sy.fleet.SetStoreFaults(store.Faults{}))
+	require.NoError(t, fleet.WaitUntil(waitTimeout, "a request with the key to run after the outage", func() bool {
 		return sy.send(sy.entries[0], call{idempotencyKey: "k", kind: "once"}).complete
 	}))
 }
 
 func TestConcurrentConfigChangesWithLostStoreResponses(t *testing.T) {
 	sy := newSystem(t, 2, time.Millisecond)
-	require.NoError(t, sy.fleet.Fault(store.Faults{DropAnswers: 4, DelayMS: 5}))
+	require.NoError(t, sy.fleet.SetStoreFaults(store.Faults{DropWriteResponses: 4, DelayMS: 5}))
 	var wg sync.WaitGroup
 	revisions := make([]uint64, 8)
 	for i := range revisions {
@@ -368,7 +368,7 @@
 	sy.applyConfig(doc)
 	sy.waitRevision(2, sy.fleet.Members()...)
 	go sy.send(sy.entries[1], call{kind: "once"})
-	require.NoError(t, fleet.Until(waitTimeout, "the call to run", func() bool { return len(sy.runsByRequest()) == 1 }))
+	require.NoError(t, fleet.WaitUntil(waitTimeout, "the call to run", func() bool { return len(sy.runsByRequest()) == 1 }))
 	require.NoError(t, sy.entries[1].Process.Signal(syscall.SIGKILL))
 	require.True(t, sy.entries[1].Process.Wait(waitTimeout))
 	require.NoError(t, sy.fleet.Restart(sy.entries[1]))
@@ -377,7 +377,7 @@
 	require.True(t, ca.complete, "%+v", ca)
 	require.Equal(t, 1, sy.maxConcurrent(), "one slot runs one request at a time")
 	require.False(t, sy.agents[0].Process.Wait(0), "the agent still runs")
-	require.NoError(t, fleet.Until(waitTimeout, "both calls to be billed", func() bool { return len(sy.billLinesByRequest()) == 2 }))
+	require.NoError(t, fleet.WaitUntil(waitTimeout, "both calls to be billed", func() bool { return len(sy.billLinesByRequest()) == 2 }))
 	sy.checkCalls([]call{ca})
 }
 
--- a/standin/e2e/order_test.go
+++ b/standin/e2e/order_test.go
@@ -19,12 +19,12 @@
 		doc.Servers[i].Orders = true
 	}
 	sy.applyConfig(doc)
-	backendState := func() engine.Held {
-		var he engine.Held
+	backendState := func() engine.Status {
+		var he engine.Status
 		require.NoError(t, sy.getJSON("http://"+sy.agents[0].Backend+"/orders", &he))
 		return he
 	}
-	require.NoError(t, fleet.Until(waitTimeout, "both versions to be loaded", func() bool { return len(backendState().Versions) == 2 }))
+	require.NoError(t, fleet.WaitUntil(waitTimeout, "both versions to be loaded", func() bool { return len(backendState().Versions) == 2 }))
 	sy.waitAnswers(2)
 
 	// The agent is suspended and a second one is started for the same backend server. The new agent
@@ -38,12 +38,12 @@
 	doc.Servers[0].Versions = []string{"m@v1"}
 	sy.applyConfig(doc)
 	sy.waitRevision(3, replacement)
-	require.NoError(t, fleet.Until(waitTimeout, "one version to be unloaded", func() bool {
+	require.NoError(t, fleet.WaitUntil(waitTimeout, "one version to be unloaded", func() bool {
 		return slices.Equal(backendState().Versions, []string{"m@v1"})
 	}))
 	require.NoError(t, old.Process.Signal(syscall.SIGCONT))
 	sy.waitRevision(3, old)
 	sy.waitAnswers(5)
 	require.Equal(t, []string{"m@v1"}, backendState().Versions)
-	require.True(t, slices.IsSorted(backendState().Fences), "fencing numbers must not decrease: %v", backendState().Fences)
+	require.True(t, slices.IsSorted(backendState().FencingNumbers), "fencing numbers must not decrease: %v", backendState().FencingNumbers)
 }
--- a/standin/e2e/partition_test.go
+++ b/standin/e2e/partition_test.go
@@ -16,7 +16,7 @@
 // the store, run through TCP proxies that can be cut.
 type partitionedSystem struct {
 	*system
-	proxies []*fleet.Cable
+	proxies []*fleet.Proxy
 	// boxLists contains the address of each data centre's list of boxes, in which the agents of the
 	// other data centre have the addresses of their proxies.
 	boxLists [2]string
@@ -24,7 +24,7 @@
 
 // addProxy starts a proxy to an address and returns the proxy's own address.
 func (ps *partitionedSystem) addProxy(to string) string {
-	ca, err := fleet.NewCable(to)
+	ca, err := fleet.NewProxy(to)
 	require.NoError(ps.t, err)
 	ps.t.Cleanup(ca.Close)
 	ps.proxies = append(ps.proxies, ca)
@@ -33,7 +33,7 @@
 
 func (ps *partitionedSystem) setPartitioned(cut bool) {
 	for _, ca := range ps.proxies {
-		ca.Cut(cut)
+		ca.SetPartitioned(cut)
 	}
 }
 
@@ -43,9 +43,9 @@
 		ps.setPartitioned(false)
 		_ = ps.fleet.Stop()
 	})
-	require.NoError(t, ps.fleet.Platform())
+	require.NoError(t, ps.fleet.StartPlatform())
 	ps.boxLists[0] = ps.fleet.Boxes
-	other, _, err := ps.fleet.StandIn("boxes-1", "boxes")
+	other, _, err := ps.fleet.StartStandIn("boxes-1", "boxes")
 	require.NoError(t, err)
 	ps.boxLists[1] = other
 	proxiedStore := ps.addProxy(ps.fleet.Store)
@@ -58,7 +58,7 @@
 	}
 	for i := range 2 {
 		name := []string{"s-0", "s-1"}[i]
-		address, _, err := ps.fleet.StandIn(name, "engine", "--tokens", "12", "--pace", "1ms")
+		address, _, err := ps.fleet.StartStandIn(name, "engine", "--tokens", "12", "--pace", "1ms")
 		require.NoError(t, err)
 		me := fleet.Member{Box: "agent-" + name, Role: "agent", DataCentre: dataCentre(i), Server: name, Backend: address}
 		added, err := ps.fleet.Add(me)
@@ -89,7 +89,7 @@
 		}
 		saved := ps.fleet.Boxes
 		ps.fleet.Boxes = ps.boxLists[here]
-		require.NoError(ps.t, ps.fleet.List(list))
+		require.NoError(ps.t, ps.fleet.PublishBoxes(list))
 		ps.fleet.Boxes = saved
 	}
 }
@@ -99,7 +99,7 @@
 	stop := ps.startLoad(6, func(n int) call { return call{kind: "patient", stream: n%2 == 0} })
 	ps.waitAnswers(2)
 	ps.setPartitioned(true)
-	require.NoError(t, fleet.Until(waitTimeout, "the second data centre to lose its peers", func() bool {
+	require.NoError(t, fleet.WaitUntil(waitTimeout, "the second data centre to lose its peers", func() bool {
 		var st struct {
 			Peers map[string]uint64 `json:"peers"`
 		}
@@ -111,7 +111,7 @@
 	revision := ps.setV2State(config.Withdrawn)
 	ps.waitRevision(revision, ps.entries[0], ps.agents[0])
 	ps.waitAnswers(3)
-	require.NoError(t, fleet.Until(waitTimeout, "an answer in the cut-off data centre", func() bool {
+	require.NoError(t, fleet.WaitUntil(waitTimeout, "an answer in the cut-off data centre", func() bool {
 		return ps.send(ps.entries[1], call{kind: "patient"}).complete
 	}))
 	require.Equal(t, uint64(1), ps.currentRevision(ps.entries[1]))
@@ -125,7 +125,7 @@
 	ps.waitRevision(revision, ps.fleet.Members()...)
 	before := ps.startedCount(ps.agents[1], "m@v2")
 	ps.waitAnswers(3)
-	require.NoError(t, fleet.Until(waitTimeout, "a request with the key to run after the partition", func() bool {
+	require.NoError(t, fleet.WaitUntil(waitTimeout, "a request with the key to run after the partition", func() bool {
 		return ps.send(ps.entries[1], call{idempotencyKey: "k", kind: "once"}).complete
 	}))
 	require.Equal(t, before, ps.startedCount(ps.agents[1], "m@v2"), "the version must be withdrawn in both data centres")
--- a/standin/e2e/poison_test.go
+++ b/standin/e2e/poison_test.go
@@ -28,7 +28,7 @@
 // given ids started on any of them.
 func (sy *system) countRuns(ids map[string]bool) int {
 	sy.t.Helper()
-	require.NoError(sy.t, fleet.Until(waitTimeout, "all engines to restart", func() bool {
+	require.NoError(sy.t, fleet.WaitUntil(waitTimeout, "all engines to restart", func() bool {
 		for _, ag := range sy.agents {
 			resp, err := http.Get("http://" + ag.Backend + "/runs")
 			if err != nil {
@@ -59,11 +59,11 @@
 	time.Sleep(2 * time.Second) // by then the entries have recorded the load's requests as harmless
 	ids := map[string]bool{}
 	send := func(n int) call {
-		ca := sy.send(sy.entries[n%len(sy.entries)], call{content: engine.Poison, stream: true})
+		ca := sy.send(sy.entries[n%len(sy.entries)], call{content: engine.PoisonContent, stream: true})
 		ids[ca.id] = true
 		return ca
 	}
-	require.NoError(t, fleet.Until(waitTimeout, "both entries to block the request", func() bool {
+	require.NoError(t, fleet.WaitUntil(waitTimeout, "both entries to block the request", func() bool {
 		return send(0).code == result.RequestBlocked && send(1).code == result.RequestBlocked
 	}))
 	runs := sy.countRuns(ids)
@@ -78,7 +78,7 @@
 	require.Equal(t, runs, sy.countRuns(ids))
 
 	// Both entries are killed; blocked requests must persist in the store.
-	require.NoError(t, fleet.Until(waitTimeout, "blocked requests to be stored", func() bool { return sy.keyExists(blocksKey) }))
+	require.NoError(t, fleet.WaitUntil(waitTimeout, "blocked requests to be stored", func() bool { return sy.keyExists(blocksKey) }))
 	for _, en := range sy.entries {
 		require.NoError(t, en.Process.Signal(syscall.SIGKILL))
 		require.True(t, en.Process.Wait(waitTimeout))
@@ -103,10 +103,10 @@
 	sy := newSystem(t, 6, 3*time.Millisecond)
 	stop := sy.startLoad(4, func(int) call { return call{stream: true, kind: "patient"} })
 	defer stop()
-	require.NoError(t, fleet.Until(waitTimeout, "both entries to block the request", func() bool {
+	require.NoError(t, fleet.WaitUntil(waitTimeout, "both entries to block the request", func() bool {
 		blocked := 0
 		for _, en := range sy.entries {
-			if sy.send(en, call{content: engine.Poison, stream: true}).code == result.RequestBlocked {
+			if sy.send(en, call{content: engine.PoisonContent, stream: true}).code == result.RequestBlocked {
 				blocked++
 			}
 		}
--- a/standin/e2e/rollout_test.go
+++ b/standin/e2e/rollout_test.go
@@ -38,7 +38,7 @@
 }
 
 func (sy *system) waitVersionState(version string, state config.State) {
-	require.NoError(sy.t, fleet.Until(waitTimeout, version+" "+string(state), func() bool {
+	require.NoError(sy.t, fleet.WaitUntil(waitTimeout, version+" "+string(state), func() bool {
 		return sy.versionState(version) == state
 	}))
 }
--- a/standin/e2e/system_test.go
+++ b/standin/e2e/site_test.go
@@ -45,13 +45,13 @@
 func newSystem(t *testing.T, servers int, pace time.Duration) *system {
 	sy := &system{t: t, fleet: &fleet.Fleet{Bin: binDir, Dir: t.TempDir()}}
 	t.Cleanup(func() {
-		_ = sy.fleet.Fault(store.Faults{})
+		_ = sy.fleet.SetStoreFaults(store.Faults{})
 		_ = sy.fleet.Stop()
 	})
-	require.NoError(t, sy.fleet.Platform())
+	require.NoError(t, sy.fleet.StartPlatform())
 	for i := range servers {
 		name := fmt.Sprintf("s-%d", i)
-		address, _, err := sy.fleet.StandIn(name, "engine", "--tokens", fmt.Sprint(answerTokens), "--pace", pace.String())
+		address, _, err := sy.fleet.StartStandIn(name, "engine", "--tokens", fmt.Sprint(answerTokens), "--pace", pace.String())
 		require.NoError(t, err)
 		me := fleet.Member{Box: "agent-" + name, Role: "agent", DataCentre: dataCentre(i), Server: name, Backend: address}
 		added, err := sy.fleet.Add(me)
@@ -120,7 +120,7 @@
 // applyConfig applies a configuration, with retries until the first entry accepts it.
 func (sy *system) applyConfig(doc *config.Document) {
 	var ch config.Change
-	require.NoError(sy.t, fleet.Until(waitTimeout, "apply", func() bool {
+	require.NoError(sy.t, fleet.WaitUntil(waitTimeout, "the configuration to be accepted", func() bool {
 		return sy.callAdmin(sy.entries[0], http.MethodPut, "/v1/config", doc, &ch) == nil
 	}))
 }
@@ -144,7 +144,7 @@
 
 // waitRevision waits until at least the given revision is in force at all members.
 func (sy *system) waitRevision(revision uint64, members ...*fleet.Member) {
-	require.NoError(sy.t, fleet.Until(waitTimeout, fmt.Sprint("revision ", revision), func() bool {
+	require.NoError(sy.t, fleet.WaitUntil(waitTimeout, fmt.Sprint("revision in force: ", revision), func() bool {
 		for _, me := range members {
 			if sy.currentRevision(me) < revision {
 				return false
@@ -332,7 +332,7 @@
 		}
 	}
 	require.NotEmpty(sy.t, answered)
-	require.NoError(sy.t, fleet.Until(waitTimeout, "every answered request to be billed", func() bool {
+	require.NoError(sy.t, fleet.WaitUntil(waitTimeout, "every answered request to be billed", func() bool {
 		count := sy.billLinesByRequest()
 		for id := range answered {
 			if count[id] == 0 {
--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -1,5 +1,5 @@
-// Package engine stands in for a model engine: chat completions, streamed or
-// not, with tokens at a steady pace and switches for faults.
+// Package engine simulates a model engine: chat completions, streamed or not, with tokens at a fixed
+// rate, and faults that can be switched on.
 package engine
 
 import (
@@ -12,43 +12,45 @@
 	"time"
 )
 
-// Engine is the stand-in. Its exported fields are set before use.
+// Engine is the simulated engine. Its exported fields are set before use.
 type Engine struct {
-	// Tokens is the length of each answer.
+	// Tokens is the number of tokens of each response.
 	Tokens int
-	// Pace is the time between two tokens.
-	Pace time.Duration
-	// Fenced makes the engine refuse orders with a lower fencing number.
-	Fenced bool
-	// Confidence is reported with each answer if it is not zero.
+	// TokenInterval is the time between two tokens.
+	TokenInterval time.Duration
+	// CheckFencing makes the engine refuse orders with a fencing number lower than the highest so
+	// far.
+	CheckFencing bool
+	// Confidence is reported with each response.
 	Confidence float64
-	// Crash ends the engine's process, as a request for Poison does once it runs.
+	// Crash stops the engine without notice. A request with PoisonContent calls it, if it is set.
 	Crash func()
 
 	mu sync.Mutex
-	// runs counts the requests that began, by the id the caller gave.
+	// runs counts the requests that started, by the id that the client sent.
 	runs map[string]int
-	// versions counts the requests that began, by version.
+	// versions counts the requests that started, by version.
 	versions map[string]int
 	running  int
-	// most is how many ran at once at the most.
-	most int
-	// bad makes requests of a version fail.
-	bad map[string]bool
-	// held is what orders made the engine load; fence is the highest number.
-	held  []string
-	fence uint64
-	// orders lists the fencing numbers of the orders taken.
-	orders []uint64
+	// peak is the largest number of requests that ran at once.
+	peak int
+	// failing holds the versions whose requests fail.
+	failing map[string]bool
+	// loaded holds the versions that orders loaded; highestFence is the highest fencing number of an
+	// accepted order.
+	loaded       []string
+	highestFence uint64
+	// acceptedFences holds the fencing numbers of the accepted orders.
+	acceptedFences []uint64
 }
 
-// Poison is the content of a message under which engines end.
-const Poison = "poison"
+// PoisonContent is the content of a message that crashes an engine.
+const PoisonContent = "poison"
 
-// crashTime is how long after its first token an engine ends.
-const crashTime = 120 * time.Millisecond
+// crashDelay is the time from the start of a poison request to the crash.
+const crashDelay = 120 * time.Millisecond
 
-type chat struct {
+type chatRequest struct {
 	Model    string `json:"model"`
 	Stream   bool   `json:"stream"`
 	Messages []struct {
@@ -56,15 +58,15 @@
 	} `json:"messages"`
 }
 
-// Runs returns how often the request of an id began.
+// Runs returns how often the request with an id started.
 func (en *Engine) Runs(id string) int {
 	en.mu.Lock()
 	defer en.mu.Unlock()
 	return en.runs[id]
 }
 
-// AllRuns returns how often the request of each id began.
-func (en *Engine) AllRuns() map[string]int {
+// RunCounts returns how often the request with each id started.
+func (en *Engine) RunCounts() map[string]int {
 	en.mu.Lock()
 	defer en.mu.Unlock()
 	all := make(map[string]int, len(en.runs))
@@ -74,49 +76,50 @@
 	return all
 }
 
-// Began returns how many requests of a version began.
-func (en *Engine) Began(version string) int {
+// Started returns how many requests of a version started.
+func (en *Engine) Started(version string) int {
 	en.mu.Lock()
 	defer en.mu.Unlock()
 	return en.versions[version]
 }
 
-// Running returns how many requests run now, and ran at once at the most.
-func (en *Engine) Running() (now, most int) {
+// Running returns how many requests are running, and the largest number that ran at once.
+func (en *Engine) Running() (now, peak int) {
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	return en.running, en.most
+	return en.running, en.peak
 }
 
-// SetBad makes a version fail, or heals it.
-func (en *Engine) SetBad(version string, bad bool) {
+// SetFailing sets whether requests of a version fail.
+func (en *Engine) SetFailing(version string, failing bool) {
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	if en.bad == nil {
-		en.bad = map[string]bool{}
+	if en.failing == nil {
+		en.failing = map[string]bool{}
 	}
-	en.bad[version] = bad
+	en.failing[version] = failing
 }
 
-// Order is an order as engines take it.
+// Order is an order to load or drop a version, as engines receive it.
 type Order struct {
-	Do      string `json:"do"`
-	Version string `json:"version"`
-	Fence   uint64 `json:"fence"`
+	Action        string `json:"do"`
+	Version       string `json:"version"`
+	FencingNumber uint64 `json:"fence"`
 }
 
-// Held is what an engine says of itself.
-type Held struct {
+// Status is the response to a request for the state of an engine.
+type Status struct {
 	Versions []string `json:"versions"`
-	// Fences lists the numbers of the orders taken so far.
-	Fences []uint64 `json:"fences"`
+	// FencingNumbers holds the fencing numbers of the orders that were accepted, in order.
+	FencingNumbers []uint64 `json:"fences"`
 }
 
+// serveOrders responds to GET with the Status and carries out other requests as orders.
 func (en *Engine) serveOrders(w http.ResponseWriter, r *http.Request) {
 	en.mu.Lock()
 	defer en.mu.Unlock()
 	if r.Method == http.MethodGet {
-		_ = json.NewEncoder(w).Encode(Held{Versions: en.held, Fences: en.orders})
+		_ = json.NewEncoder(w).Encode(Status{Versions: en.loaded, FencingNumbers: en.acceptedFences})
 		return
 	}
 	var or Order
@@ -124,19 +127,20 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	if en.Fenced && or.Fence < en.fence {
+	if en.CheckFencing && or.FencingNumber < en.highestFence {
 		http.Error(w, "lower fencing number", http.StatusConflict)
 		return
 	}
-	en.fence = max(en.fence, or.Fence)
-	en.orders = append(en.orders, or.Fence)
-	en.held = slices.DeleteFunc(en.held, func(ve string) bool { return ve == or.Version })
-	if or.Do == "load" {
-		en.held = append(en.held, or.Version)
+	en.highestFence = max(en.highestFence, or.FencingNumber)
+	en.acceptedFences = append(en.acceptedFences, or.FencingNumber)
+	en.loaded = slices.DeleteFunc(en.loaded, func(ve string) bool { return ve == or.Version })
+	if or.Action == "load" {
+		en.loaded = append(en.loaded, or.Version)
 	}
 }
 
-func (en *Engine) allVersions() map[string]int {
+// versionCounts returns how many requests of each version started.
+func (en *Engine) versionCounts() map[string]int {
 	en.mu.Lock()
 	defer en.mu.Unlock()
 	all := make(map[string]int, len(en.versions))
@@ -146,58 +150,58 @@
 	return all
 }
 
-// ServeHTTP answers a chat request; GET /runs, /versions,
-// /running and /most answer with the
-// counts, and PUT /bad?version=V&bad=true makes a version fail.
+// ServeHTTP responds to a chat request. GET /runs, /versions, /running and /most return counts, PUT
+// /bad?version=V&bad=true makes a version fail, and /orders receives orders.
 func (en *Engine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/orders" {
 		en.serveOrders(w, r)
 		return
 	}
 	if r.URL.Path == "/versions" {
-		_ = json.NewEncoder(w).Encode(en.allVersions())
+		_ = json.NewEncoder(w).Encode(en.versionCounts())
 		return
 	}
 	if r.URL.Path == "/running" || r.URL.Path == "/most" {
-		running, most := en.Running()
-		_ = json.NewEncoder(w).Encode(map[bool]int{true: running, false: most}[r.URL.Path == "/running"])
+		running, peak := en.Running()
+		_ = json.NewEncoder(w).Encode(map[bool]int{true: running, false: peak}[r.URL.Path == "/running"])
 		return
 	}
 	if r.Method == http.MethodPut {
-		en.SetBad(r.URL.Query().Get("version"), r.URL.Query().Get("bad") == "true")
+		en.SetFailing(r.URL.Query().Get("version"), r.URL.Query().Get("bad") == "true")
 		return
 	}
 	if r.Method == http.MethodGet {
-		_ = json.NewEncoder(w).Encode(en.AllRuns())
+		_ = json.NewEncoder(w).Encode(en.RunCounts())
 		return
 	}
-	var ch chat
+	var ch chatRequest
 	if err := json.NewDecoder(r.Body).Decode(&ch); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	bad := en.begin(r.Header.Get("X-Request-Id"), ch.Model)
+	failing := en.begin(r.Header.Get("X-Request-Id"), ch.Model)
 	defer en.end()
-	if en.Crash != nil && len(ch.Messages) > 0 && ch.Messages[0].Content == Poison {
-		en.pause(r, crashTime)
+	if en.Crash != nil && len(ch.Messages) > 0 && ch.Messages[0].Content == PoisonContent {
+		en.wait(r, crashDelay)
 		en.Crash()
 		return
 	}
-	if bad {
+	if failing {
 		http.Error(w, "engine fault", http.StatusInternalServerError)
 		return
 	}
 	if ch.Stream {
-		en.stream(w, r, ch)
+		en.writeStream(w, r, ch)
 		return
 	}
-	if !en.pause(r, en.Pace*time.Duration(en.Tokens)) {
+	if !en.wait(r, en.TokenInterval*time.Duration(en.Tokens)) {
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(en.whole(ch))
+	_ = json.NewEncoder(w).Encode(en.completion(ch))
 }
 
+// begin counts a request that starts and reports whether it has to fail.
 func (en *Engine) begin(id, version string) bool {
 	en.mu.Lock()
 	defer en.mu.Unlock()
@@ -208,8 +212,8 @@
 	en.runs[id]++
 	en.versions[version]++
 	en.running++
-	en.most = max(en.most, en.running)
-	return en.bad[version]
+	en.peak = max(en.peak, en.running)
+	return en.failing[version]
 }
 
 func (en *Engine) end() {
@@ -218,7 +222,8 @@
 	en.running--
 }
 
-func (en *Engine) pause(r *http.Request, du time.Duration) bool {
+// wait sleeps and returns false if the client disconnects meanwhile.
+func (en *Engine) wait(r *http.Request, du time.Duration) bool {
 	if du == 0 {
 		return true
 	}
@@ -230,16 +235,17 @@
 	}
 }
 
-// Answer returns the text that the engine gives to a request.
+// Answer returns the text of the response for a version and a number of tokens.
 func Answer(version string, tokens int) string {
-	words := make([]string, tokens)
-	for i := range words {
-		words[i] = fmt.Sprintf("%s-%d", version, i)
+	tokenTexts := make([]string, tokens)
+	for i := range tokenTexts {
+		tokenTexts[i] = fmt.Sprintf("%s-%d", version, i)
 	}
-	return strings.Join(words, " ")
+	return strings.Join(tokenTexts, " ")
 }
 
-func (en *Engine) whole(ch chat) map[string]any {
+// completion returns the body of a response that is not streamed.
+func (en *Engine) completion(ch chatRequest) map[string]any {
 	return map[string]any{
 		"id": "chatcmpl-1", "object": "chat.completion", "created": 1, "model": ch.Model,
 		"choices": []any{map[string]any{
@@ -250,14 +256,15 @@
 	}
 }
 
-func (en *Engine) usage(ch chat) map[string]any {
+func (en *Engine) usage(ch chatRequest) map[string]any {
 	return map[string]any{
 		"prompt_tokens": len(ch.Messages), "completion_tokens": en.Tokens,
 		"total_tokens": len(ch.Messages) + en.Tokens,
 	}
 }
 
-func (en *Engine) stream(w http.ResponseWriter, r *http.Request, ch chat) {
+// writeStream writes a response as a stream of server-sent events, one token each.
+func (en *Engine) writeStream(w http.ResponseWriter, r *http.Request, ch chatRequest) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	rc := http.NewResponseController(w)
 	send := func(delta map[string]any, finish any) {
@@ -268,11 +275,11 @@
 		_, _ = fmt.Fprintf(w, "data: %s\n\n", body)
 		_ = rc.Flush()
 	}
-	for i, word := range strings.SplitAfter(Answer(ch.Model, en.Tokens), " ") {
-		if i > 0 && !en.pause(r, en.Pace) {
+	for i, token := range strings.SplitAfter(Answer(ch.Model, en.Tokens), " ") {
+		if i > 0 && !en.wait(r, en.TokenInterval) {
 			return
 		}
-		send(map[string]any{"content": word}, nil)
+		send(map[string]any{"content": token}, nil)
 	}
 	send(map[string]any{}, "stop")
 	body, _ := json.Marshal(map[string]any{
--- /dev/null
+++ b/standin/fleet/proxy.go
@@ -0,0 +1,150 @@
+package fleet
+
+import (
+	"net"
+	"sync"
+	"time"
+
+	"github.com/rotisserie/eris"
+)
+
+// Impairment describes how a Proxy impairs the traffic of its connections.
+type Impairment struct {
+	// Delay delays the data in both directions.
+	Delay time.Duration
+	// Stall stops the data in both directions, StallResponses only the data from the target. It is
+	// delivered once the stall is over.
+	Stall, StallResponses bool
+}
+
+// Proxy forwards TCP connections to an address. It can be partitioned and impaired, for tests of network
+// faults between processes that keep running.
+type Proxy struct {
+	listener net.Listener
+	target   string
+
+	mu          sync.Mutex
+	partitioned bool
+	impairment  Impairment
+	// changed is closed and replaced when the impairment changes.
+	changed chan struct{}
+	conns   map[net.Conn]bool
+}
+
+// NewProxy starts a proxy that listens on loopback and forwards to an address.
+func NewProxy(target string) (*Proxy, error) {
+	li, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		return nil, eris.Wrap(err, "proxy")
+	}
+	px := &Proxy{listener: li, target: target, conns: map[net.Conn]bool{}, changed: make(chan struct{})}
+	go px.serve()
+	return px, nil
+}
+
+// Address returns the address that the proxy listens on.
+func (px *Proxy) Address() string { return px.listener.Addr().String() }
+
+// Close stops the proxy and closes its connections.
+func (px *Proxy) Close() {
+	_ = px.listener.Close()
+	px.SetPartitioned(true)
+	px.SetImpairment(Impairment{})
+}
+
+// SetImpairment replaces the impairment.
+func (px *Proxy) SetImpairment(im Impairment) {
+	px.mu.Lock()
+	defer px.mu.Unlock()
+	px.impairment = im
+	close(px.changed)
+	px.changed = make(chan struct{})
+}
+
+// ResetConnections closes the open connections with a TCP reset.
+func (px *Proxy) ResetConnections() {
+	px.mu.Lock()
+	defer px.mu.Unlock()
+	for co := range px.conns {
+		if tc, ok := co.(*net.TCPConn); ok {
+			_ = tc.SetLinger(0)
+		}
+		_ = co.Close()
+	}
+}
+
+// waitToForward waits until the impairment permits to forward data, which comes from the target if
+// response is set.
+func (px *Proxy) waitToForward(response bool) {
+	for {
+		px.mu.Lock()
+		im, changed := px.impairment, px.changed
+		px.mu.Unlock()
+		if im.Stall || im.StallResponses && response {
+			<-changed
+			continue
+		}
+		time.Sleep(im.Delay)
+		return
+	}
+}
+
+// SetPartitioned starts a partition, which closes all connections and closes new ones at once, or ends it.
+func (px *Proxy) SetPartitioned(partitioned bool) {
+	px.mu.Lock()
+	defer px.mu.Unlock()
+	px.partitioned = partitioned
+	for co := range px.conns {
+		if partitioned {
+			_ = co.Close()
+		}
+	}
+}
+
+// serve accepts and forwards connections until the listener is closed.
+func (px *Proxy) serve() {
+	for {
+		client, err := px.listener.Accept()
+		if err != nil {
+			return
+		}
+		target, err := net.Dial("tcp", px.target)
+		if err != nil || !px.track(client, target) {
+			_ = client.Close()
+			continue
+		}
+		go px.forward(client, target, true)
+		go px.forward(target, client, false)
+	}
+}
+
+// track registers a pair of connections, so that a partition closes them. If the proxy is partitioned, it
+// closes the connection to the target and returns false.
+func (px *Proxy) track(client, target net.Conn) bool {
+	px.mu.Lock()
+	defer px.mu.Unlock()
+	if px.partitioned {
+		_ = target.Close()
+		return false
+	}
+	px.conns[client], px.conns[target] = true, true
+	return true
+}
+
+// forward copies data in one direction, subject to the impairment, until one side closes.
+func (px *Proxy) forward(to, from net.Conn, response bool) {
+	buf := make([]byte, 32<<10)
+	for {
+		n, err := from.Read(buf)
+		px.waitToForward(response)
+		if _, werr := to.Write(buf[:n]); err != nil || werr != nil {
+			break
+		}
+	}
+	_ = to.Close()
+	_ = from.Close()
+	px.mu.Lock()
+	defer px.mu.Unlock()
+	delete(px.conns, to)
+	delete(px.conns, from)
+}
--- a/standin/keyvalue/keyvalue.go
+++ b/standin/keyvalue/keyvalue.go
@@ -1,6 +1,5 @@
-// Package keyvalue stands in for the key-value service of the users' platform:
-// items, watches, conditions, leases, a history that can be dropped, and the ways
-// in which it fails.
+// Package keyvalue simulates the key-value service of the users' platform: items, watches, conditional
+// transactions, leases, an event history that can be compacted, and faults.
 package keyvalue
 
 import (
@@ -16,8 +15,7 @@
 	"time"
 )
 
-// Item is one key as the service tells it. Its fields are exported because a codec
-// writes them.
+// Item is a version of a key as the service encodes it.
 type Item struct {
 	Key      string `json:"key_file"`
 	Value    []byte `json:"value"`
@@ -26,8 +24,8 @@
 	Deleted  bool   `json:"deleted,omitempty"`
 }
 
-// list is the answer to a range or a watch.
-type list struct {
+// rangeResponse is the response to a range or a watch.
+type rangeResponse struct {
 	Items  []Item `json:"items"`
 	Events []Item `json:"events"`
 	At     uint64 `json:"timestamp"`
@@ -35,7 +33,8 @@
 	era uint64
 }
 
-// transaction is what a client asks to be written.
+// transaction is a request to write and remove keys, on the condition that keys have the expected
+// revisions.
 type transaction struct {
 	Conditions []struct {
 		Key      string `json:"key_file"`
@@ -49,40 +48,41 @@
 	Removes []string `json:"remove"`
 }
 
-// Faults are the ways in which the service fails now.
+// Faults are the faults that are in effect. The zero value is none.
 type Faults struct {
-	// Refuse answers every call with this status, if it is not zero.
-	Refuse int
-	// Silent answers no call.
-	Silent bool
-	// LoseWrites makes writes and does not answer them.
-	LoseWrites bool
-	// Withhold tells watches and reads of nothing new: a broken service, by which
-	// tests show that stale configurations are noticed.
-	Withhold bool
-	// Delay puts every answer off.
+	// RefuseStatus is the status of every response, if it is not zero.
+	RefuseStatus int
+	// Hang leaves every request unanswered until the fault ends.
+	Hang bool
+	// DropWriteResponses applies writes and closes their connections without a response.
+	DropWriteResponses bool
+	// WithholdEvents withholds new events from watches. Tests use this defect to show that stale
+	// configurations are detected.
+	WithholdEvents bool
+	// Delay delays every response.
 	Delay time.Duration
-	// Era is what answers name in place of their era, if it is not empty; "none" for nothing.
+	// Era replaces the era in the header of responses, if it is not empty; "none" omits the header.
 	Era string
 }
 
-// Store is the service. New makes one.
+// Store is the service. It is created with New.
 type Store struct {
 	mu       sync.Mutex
 	items    map[string]Item
 	events   []Item
 	revision uint64
-	// era counts how often the service was restored from a copy, from one on.
+	// era starts at 1 and grows with every restore from a snapshot.
 	era uint64
-	// calls counts the calls.
+	// calls counts the requests.
 	calls int
-	// dropped is the newest revision whose history is gone.
-	dropped uint64
-	// withheld is the revision up to which is told while Withhold holds.
-	withheld uint64
-	changed  chan struct{}
-	faults   Faults
-	// leases holds the timers of the leases in force.
+	// compactedAt is the newest revision whose event has been dropped from the history.
+	compactedAt uint64
+	// withheldAfter is the newest revision that watches return while WithholdEvents is set.
+	withheldAfter uint64
+	// changed is closed and replaced at each change of items or faults.
+	changed chan struct{}
+	faults  Faults
+	// leases holds the expiry timers of the current leases.
 	leases    map[int64]*time.Timer
 	lastLease int64
 }
@@ -92,7 +92,7 @@
 	return &Store{items: map[string]Item{}, leases: map[int64]*time.Timer{}, changed: make(chan struct{}), era: 1}
 }
 
-// Calls returns how many calls there were.
+// Calls returns the number of requests so far.
 func (st *Store) Calls() int {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -106,7 +106,7 @@
 	return st.revision
 }
 
-// Set writes a key as the operator or a backend server does, as JSON.
+// Set writes a value as JSON, as operators and backend servers do.
 func (st *Store) Set(key string, value any) {
 	body, err := json.Marshal(value)
 	if err != nil {
@@ -117,21 +117,21 @@
 	st.put(Item{Key: key, Value: body})
 }
 
-// Remove removes a key.
+// Remove removes a key without conditions.
 func (st *Store) Remove(key string) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	st.put(Item{Key: key, Deleted: true})
 }
 
-// Value returns what a key holds, "" if it is absent.
+// Value returns the value of a key, "" if it is absent.
 func (st *Store) Value(key string) string {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	return string(st.items[key].Value)
 }
 
-// Keys returns the keys that begin with a prefix, in order.
+// Keys returns the keys with a prefix, sorted.
 func (st *Store) Keys(prefix string) []string {
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -144,34 +144,34 @@
 	return keys
 }
 
-// Compact forgets the history.
+// Compact drops the event history.
 func (st *Store) Compact() {
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	st.dropped, st.events = st.revision, nil
+	st.compactedAt, st.events = st.revision, nil
 }
 
 // SetFaults replaces the faults.
 func (st *Store) SetFaults(fa Faults) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	if fa.Withhold && !st.faults.Withhold {
-		st.withheld = st.revision
+	if fa.WithholdEvents && !st.faults.WithholdEvents {
+		st.withheldAfter = st.revision
 	}
 	st.faults = fa
-	st.wake()
+	st.notify()
 }
 
-// EndLeases ends all leases, and with them their keys.
-func (st *Store) EndLeases() {
+// ExpireLeases expires all leases, which removes their keys.
+func (st *Store) ExpireLeases() {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	for le := range st.leases {
-		st.endLease(le)
+		st.revokeLease(le)
 	}
 }
 
-// put takes a change; the lock is held.
+// put applies a change; the caller holds mu.
 func (st *Store) put(it Item) {
 	st.revision++
 	it.Revision = st.revision
@@ -181,15 +181,17 @@
 		st.items[it.Key] = it
 	}
 	st.events = append(st.events, it)
-	st.wake()
+	st.notify()
 }
 
-func (st *Store) wake() {
+// notify wakes up waiting requests; the caller holds mu.
+func (st *Store) notify() {
 	close(st.changed)
 	st.changed = make(chan struct{})
 }
 
-func (st *Store) endLease(le int64) {
+// revokeLease ends a lease and removes its keys; the caller holds mu.
+func (st *Store) revokeLease(le int64) {
 	delete(st.leases, le)
 	for key, it := range st.items {
 		if it.Lease == le {
@@ -198,55 +200,53 @@
 	}
 }
 
-// ServeHTTP answers one call.
+// ServeHTTP serves the service's HTTP API.
 func (st *Store) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	st.mu.Lock()
 	fa := st.faults
 	st.calls++
-	nameEra(w, fa.Era, st.era)
+	setEraHeader(w, fa.Era, st.era)
 	st.mu.Unlock()
 	time.Sleep(fa.Delay)
-	if st.fail(fa, w, r) {
+	if st.serveFault(fa, w, r) {
 		return
 	}
 	if id, ok := strings.CutPrefix(r.URL.Path, "/api/kv-keep/"); ok {
-		st.renew(w, id)
+		st.renewLease(w, id)
 		return
 	}
 	switch r.URL.Path {
 	case "/api/kv-lease":
-		st.lease(w, r)
+		st.grantLease(w, r)
 	case "/api/kv-range":
-		st.scan(w, r)
+		st.serveRange(w, r)
 	case "/api/kv-watch":
-		st.watch(w, r)
+		st.serveWatch(w, r)
 	case "/api/kv-txn":
-		st.commit(w, r)
+		st.serveTransaction(w, r)
 	default:
 		w.WriteHeader(http.StatusNotFound)
 	}
 }
 
-// fail answers a call while the service fails, or not at all. It reports whether the
-// service does.
-func (st *Store) fail(fa Faults, w http.ResponseWriter, r *http.Request) bool {
+// serveFault handles a request as Hang or RefuseStatus demands. It returns false if neither is set.
+func (st *Store) serveFault(fa Faults, w http.ResponseWriter, r *http.Request) bool {
 	switch {
-	case fa.Silent:
+	case fa.Hang:
 		st.hang(r)
-	case fa.Refuse != 0:
-		w.WriteHeader(fa.Refuse)
+	case fa.RefuseStatus != 0:
+		w.WriteHeader(fa.RefuseStatus)
 	}
-	return fa.Silent || fa.Refuse != 0
+	return fa.Hang || fa.RefuseStatus != 0
 }
 
-// hang holds a call until its client has gone or the service answers others again,
-// and breaks it off then.
+// hang blocks a request until its client disconnects or Hang ends, and then aborts it.
 func (st *Store) hang(r *http.Request) {
 	for {
 		st.mu.Lock()
-		silent, changed := st.faults.Silent, st.changed
+		hanging, changed := st.faults.Hang, st.changed
 		st.mu.Unlock()
-		if !silent {
+		if !hanging {
 			panic(http.ErrAbortHandler)
 		}
 		select {
@@ -257,11 +257,11 @@
 	}
 }
 
-func (st *Store) lease(w http.ResponseWriter, r *http.Request) {
-	var term struct {
+func (st *Store) grantLease(w http.ResponseWriter, r *http.Request) {
+	var req struct {
 		TTLMS int64 `json:"ttl_ms"`
 	}
-	if json.NewDecoder(r.Body).Decode(&term) != nil || term.TTLMS <= 0 {
+	if json.NewDecoder(r.Body).Decode(&req) != nil || req.TTLMS <= 0 {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
@@ -269,18 +269,18 @@
 	defer st.mu.Unlock()
 	st.lastLease++
 	le := st.lastLease
-	st.leases[le] = time.AfterFunc(time.Duration(term.TTLMS)*time.Millisecond, func() {
+	st.leases[le] = time.AfterFunc(time.Duration(req.TTLMS)*time.Millisecond, func() {
 		st.mu.Lock()
 		defer st.mu.Unlock()
-		st.endLease(le)
+		st.revokeLease(le)
 	})
-	_, _ = fmt.Fprintf(w, `{"lease":%d,"ttl_ms":%d}`, le, term.TTLMS)
+	_, _ = fmt.Fprintf(w, `{"lease":%d,"ttl_ms":%d}`, le, req.TTLMS)
 }
 
-// renewal is how long a renewed lease goes on.
-const renewal = 30 * time.Second
+// renewedTTL is the time to live of a renewed lease.
+const renewedTTL = 30 * time.Second
 
-func (st *Store) renew(w http.ResponseWriter, id string) {
+func (st *Store) renewLease(w http.ResponseWriter, id string) {
 	le, _ := strconv.ParseInt(id, 10, 64)
 	st.mu.Lock()
 	defer st.mu.Unlock()
@@ -289,15 +289,15 @@
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
-	ti.Reset(renewal)
+	ti.Reset(renewedTTL)
 	_, _ = io.WriteString(w, `{"ttl_ms":30000}`)
 }
 
-func (st *Store) scan(w http.ResponseWriter, r *http.Request) {
+func (st *Store) serveRange(w http.ResponseWriter, r *http.Request) {
 	prefix := r.URL.Query().Get("path_prefix")
 	st.mu.Lock()
 	defer st.mu.Unlock()
-	li := list{At: st.revision}
+	li := rangeResponse{At: st.revision}
 	for _, it := range st.items {
 		if strings.HasPrefix(it.Key, prefix) {
 			li.Items = append(li.Items, it)
@@ -306,8 +306,9 @@
 	_ = json.NewEncoder(w).Encode(li)
 }
 
-// since returns what a watch has to tell, and when there may be more.
-func (st *Store) since(after uint64) (li list, fa Faults, gone bool, changed chan struct{}) {
+// eventsSince returns the events after a revision, the current faults, whether the revision is
+// unavailable (compacted, or newer than the newest), and a channel that is closed at the next change.
+func (st *Store) eventsSince(after uint64) (li rangeResponse, fa Faults, gone bool, changed chan struct{}) {
 	st.mu.Lock()
 	defer st.mu.Unlock()
 	li.era = st.era
@@ -315,31 +316,32 @@
 		return li, st.faults, true, st.changed
 	}
 	li.At = st.revision
-	if st.faults.Withhold {
-		li.At = st.withheld
+	if st.faults.WithholdEvents {
+		li.At = st.withheldAfter
 	}
 	for _, it := range st.events {
 		if it.Revision > after && it.Revision <= li.At {
 			li.Events = append(li.Events, it)
 		}
 	}
-	return li, st.faults, after < st.dropped, st.changed
+	return li, st.faults, after < st.compactedAt, st.changed
 }
 
-func (st *Store) watch(w http.ResponseWriter, r *http.Request) {
+// serveWatch waits for events after a revision, at most for the time that the client asks for.
+func (st *Store) serveWatch(w http.ResponseWriter, r *http.Request) {
 	after, _ := strconv.ParseUint(r.URL.Query().Get("since_revision"), 10, 64)
 	wait, _ := strconv.Atoi(r.URL.Query().Get("wait_ms"))
 	st.mu.Lock()
 	era := st.era
 	st.mu.Unlock()
-	over := time.NewTimer(time.Duration(wait) * time.Millisecond)
-	defer over.Stop()
+	timeout := time.NewTimer(time.Duration(wait) * time.Millisecond)
+	defer timeout.Stop()
 	for waiting := true; ; {
-		li, fa, gone, changed := st.since(after)
+		li, fa, gone, changed := st.eventsSince(after)
 		switch {
 		case li.era != era:
-			panic(http.ErrAbortHandler) // the service was restored meanwhile
-		case st.fail(fa, w, r):
+			panic(http.ErrAbortHandler) // the service was restored during the watch
+		case st.serveFault(fa, w, r):
 			return
 		case gone:
 			w.WriteHeader(http.StatusGone)
@@ -350,7 +352,7 @@
 		}
 		select {
 		case <-changed:
-		case <-over.C:
+		case <-timeout.C:
 			waiting = false
 		case <-r.Context().Done():
 			return
@@ -358,7 +360,8 @@
 	}
 }
 
-func (st *Store) commit(w http.ResponseWriter, r *http.Request) {
+// serveTransaction applies a transaction if all conditions hold and all leases exist.
+func (st *Store) serveTransaction(w http.ResponseWriter, r *http.Request) {
 	var tx transaction
 	if err := json.NewDecoder(r.Body).Decode(&tx); err != nil {
 		w.WriteHeader(http.StatusBadRequest)
@@ -386,7 +389,7 @@
 			st.put(Item{Key: key, Deleted: true})
 		}
 	}
-	if st.faults.LoseWrites {
+	if st.faults.DropWriteResponses {
 		panic(http.ErrAbortHandler)
 	}
 	_, _ = fmt.Fprintf(w, `{"revision":%d}`, st.revision)
--- a/standin/store/store_test.go
+++ b/standin/store/store_test.go
@@ -15,14 +15,14 @@
 	"github.com/linnetrudder/linnetrudder/internal/result"
 )
 
-// never is a bound that only a broken client or stand-in reaches.
-const never = time.Minute
+// testTimeout is a timeout that is reached only if the client or the stand-in is broken.
+const testTimeout = time.Minute
 
 func newClient(t *testing.T, ha http.Handler) *kv.Client {
 	srv := httptest.NewServer(ha)
 	t.Cleanup(srv.Close)
 	return &kv.Client{
-		Address: srv.Listener.Addr().String(), Timeout: never,
+		Address: srv.Listener.Addr().String(), Timeout: testTimeout,
 		Limiter: rate.NewLimiter(rate.Inf, 1), HTTP: srv.Client(),
 	}
 }
@@ -40,22 +40,22 @@
 	require.NoError(t, err)
 	require.Zero(t, pair.Index)
 	for _, want := range []bool{true, false} {
-		made, err := cl.Swap(t.Context(), "a/b", []byte("one"), 0)
+		swapped, err := cl.Swap(t.Context(), "a/b", []byte("one"), 0)
 		require.NoError(t, err)
-		require.Equal(t, want, made, "only the first creates it")
+		require.Equal(t, want, swapped, "only the first write creates the key")
 	}
 	pair, err = cl.Get(t.Context(), "a/b")
 	require.NoError(t, err)
 	require.Equal(t, "one", string(pair.Value))
-	made, err := cl.Swap(t.Context(), "a/b", []byte("two"), pair.Index)
+	swapped, err := cl.Swap(t.Context(), "a/b", []byte("two"), pair.Index)
 	require.NoError(t, err)
-	require.True(t, made)
-	made, err = cl.Swap(t.Context(), "a/b", []byte("three"), pair.Index)
+	require.True(t, swapped)
+	swapped, err = cl.Swap(t.Context(), "a/b", []byte("three"), pair.Index)
 	require.NoError(t, err)
-	require.False(t, made)
+	require.False(t, swapped)
 }
 
-func TestListReadsBelowAPrefix(t *testing.T) {
+func TestListReadsPrefix(t *testing.T) {
 	st := &Store{}
 	st.Put("a/1", []byte("x"))
 	st.Put("a/2", []byte("y"))
@@ -66,11 +66,11 @@
 	require.Equal(t, "y", string(pairs[1].Value))
 }
 
-func TestAWatchWaitsForAChange(t *testing.T) {
+func TestWatchWaitsForChange(t *testing.T) {
 	st := &Store{}
 	st.Put("k", []byte("one"))
 	cl := newClient(t, st)
-	pair, index, err := cl.Watch(t.Context(), "k", 0, never)
+	pair, index, err := cl.Watch(t.Context(), "k", 0, testTimeout)
 	require.NoError(t, err)
 	require.Equal(t, "one", string(pair.Value))
 	changed := make(chan struct{})
@@ -79,36 +79,36 @@
 		st.Put("other", nil)
 		st.Put("k", []byte("two"))
 	}()
-	pair, next, err := cl.Watch(t.Context(), "k", index, never)
+	pair, next, err := cl.Watch(t.Context(), "k", index, testTimeout)
 	require.NoError(t, err)
 	require.Equal(t, "two", string(pair.Value))
 	require.Greater(t, next, index)
 	<-changed
 }
 
-func TestALostAnswerIsToldFromAnOutage(t *testing.T) {
+func TestLostResponseDiffersFromOutage(t *testing.T) {
 	st := &Store{}
 	cl := newClient(t, st)
-	st.SetFaults(Faults{DropAnswers: 1})
+	st.SetFaults(Faults{DropWriteResponses: 1})
 	_, err := cl.Swap(t.Context(), "k", []byte("made"), 0)
 	require.Equal(t, result.StoreUnknown, code(t, err))
-	require.Equal(t, "made", string(st.Value("k")), "it was made all the same")
+	require.Equal(t, "made", string(st.Value("k")), "the write was applied although its response was lost")
 	st.SetFaults(Faults{Down: true})
 	_, err = cl.Get(t.Context(), "k")
 	require.Equal(t, result.StoreDown, code(t, err))
 	_, err = cl.Swap(t.Context(), "k", nil, 0)
-	require.Equal(t, result.StoreUnknown, code(t, err), "a failed write says nothing of whether it was made")
+	require.Equal(t, result.StoreUnknown, code(t, err), "a failed write may have been applied")
 }
 
-func TestARateLimitIsAnOutage(t *testing.T) {
+func TestRateLimitCountsAsOutage(t *testing.T) {
 	cl := newClient(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(http.StatusTooManyRequests)
 	}))
 	_, err := cl.Swap(t.Context(), "k", nil, 0)
-	require.Equal(t, result.StoreDown, code(t, err), "a refused write was not made")
+	require.Equal(t, result.StoreDown, code(t, err), "a refused write was not applied")
 }
 
-func TestNonsenseIsAnOutage(t *testing.T) {
+func TestMalformedResponseCountsAsOutage(t *testing.T) {
 	for _, body := range []string{"", "{", `[{"Value": "%%%"}]`} {
 		cl := newClient(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			_, _ = w.Write([]byte(body))
@@ -118,14 +118,15 @@
 	}
 }
 
-func TestTheOwnRateIsHeld(t *testing.T) {
+func TestClientRateLimit(t *testing.T) {
 	st := &Store{}
 	cl := newClient(t, st)
 	cl.Limiter = rate.NewLimiter(rate.Every(time.Hour), 1)
 	_, err := cl.Get(t.Context(), "k")
 	require.NoError(t, err)
-	// The limiter refuses at once what its context cannot wait for.
-	ctx, cancel := context.WithTimeout(t.Context(), never)
+	// The limiter refuses at once a request for which it would have to wait beyond the deadline of
+	// the context.
+	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
 	_, err = cl.Get(ctx, "k")
 	require.Equal(t, result.StoreBudget, code(t, err))
--- a/standin/swarm/swarm.go
+++ b/standin/swarm/swarm.go
@@ -1,6 +1,6 @@
-// Package swarm runs entries and agents inside the calling process, over real
-// connections on loopback. Measurements use it for the many on the other side
-// of one measured process, and tests use it where no process must be killed.
+// Package swarm runs entries and agents inside the calling process, with real connections on loopback.
+// Measurements use it for the many peers of one measured process, and tests use it where they need not
+// kill a process.
 package swarm
 
 import (
@@ -22,16 +22,15 @@
 	"github.com/linnetrudder/linnetrudder/internal/timeline"
 )
 
-// Swarm is a set of running processes' insides. Its exported fields are set
-// before use.
+// Swarm is a set of entries and agents that run in this process. Its exported fields are set before use.
 type Swarm struct {
 	// Store and Boxes are the addresses of the platform's stand-ins.
 	Store, Boxes string
-	// Key is the shared key.
-	Key string
-	// Tune changes the settings of each member.
-	Tune func(se *settings.Settings)
-	// Log gets the members' logs; nil drops them.
+	// SharedKey is the key that all boxes share.
+	SharedKey string
+	// AdjustSettings adjusts the settings of each member before it starts.
+	AdjustSettings func(se *settings.Settings)
+	// Log receives the members' logs; nil discards them.
 	Log io.Writer
 
 	wg sync.WaitGroup
@@ -39,45 +38,47 @@
 
 // Member is one running entry or agent.
 type Member struct {
-	// Box is how the member stands in the list of boxes.
+	// Box is the member's entry for the list of boxes.
 	Box boxes.Box
-	// Node is the member's common part.
+	// Node is the part of the member that entries and agents have in common.
 	Node *node.Node
-	// Stop begins a planned stop.
+	// Stop starts a graceful shutdown.
 	Stop context.CancelFunc
-	// Ended is closed when the member has ended.
+	// Ended is closed when the member has stopped.
 	Ended chan struct{}
 }
 
-// Agent starts an agent before a backend server.
-func (sw *Swarm) Agent(box, dataCentre, server, backend string) (*Member, error) {
-	me, listener, admin, err := sw.member(box, dataCentre, boxes.Agent)
+// StartAgent starts an agent for a backend server.
+func (sw *Swarm) StartAgent(box, dataCentre, server, backend string) (*Member, error) {
+	me, listener, admin, err := sw.newMember(box, dataCentre, boxes.Agent)
 	if err != nil {
 		return nil, err
 	}
 	me.Box.Server = server
 	me.Node.Settings.Server = settings.Server{Name: server, Address: backend}
-	ag := &agent.Agent{Node: me.Node, Links: listener, Admin: admin, HTTP: &http.Client{}, Store: sw.store()}
-	sw.run(me, ag.Run)
+	ag := &agent.Agent{Node: me.Node, Links: listener, Admin: admin, HTTP: &http.Client{}, Store: sw.newStoreClient()}
+	sw.runMember(me, ag.Run)
 	return me, nil
 }
 
-// Entry starts an entry.
-func (sw *Swarm) Entry(box, dataCentre string) (*Member, error) {
-	me, listener, admin, err := sw.member(box, dataCentre, boxes.Entry)
+// StartEntry starts an entry.
+func (sw *Swarm) StartEntry(box, dataCentre string) (*Member, error) {
+	me, listener, admin, err := sw.newMember(box, dataCentre, boxes.Entry)
 	if err != nil {
 		return nil, err
 	}
 	list := &boxes.Client{Address: sw.Boxes, Timeout: me.Node.Settings.Platform.Timeout(), HTTP: &http.Client{}}
-	en := &entry.Entry{Node: me.Node, Callers: listener, Admin: admin, Store: sw.store(), Boxes: list}
-	sw.run(me, en.Run)
+	en := &entry.Entry{Node: me.Node, Callers: listener, Admin: admin, Store: sw.newStoreClient(), Boxes: list}
+	sw.runMember(me, en.Run)
 	return me, nil
 }
 
-// Wait waits until every member has ended.
+// Wait waits until every member has stopped.
 func (sw *Swarm) Wait() { sw.wg.Wait() }
 
-func (sw *Swarm) member(box, dataCentre string, role boxes.Role) (*Member, net.Listener, net.Listener, error) {
+// newMember returns a member with its settings, and its listeners for links or clients and for the admin
+// interface.
+func (sw *Swarm) newMember(box, dataCentre string, role boxes.Role) (*Member, net.Listener, net.Listener, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, nil, nil, err
@@ -87,11 +88,11 @@
 		return nil, nil, nil, err
 	}
 	se := settings.Default()
-	se.Box, se.DataCentre, se.SharedKey = box, dataCentre, sw.Key
+	se.Box, se.DataCentre, se.SharedKey = box, dataCentre, sw.SharedKey
 	se.Listen, se.Admin = listener.Addr().String(), admin.Addr().String()
 	se.Platform.Store, se.Platform.Boxes = sw.Store, sw.Boxes
-	if sw.Tune != nil {
-		sw.Tune(&se)
+	if sw.AdjustSettings != nil {
+		sw.AdjustSettings(&se)
 	}
 	lo := zerolog.Nop()
 	if sw.Log != nil {
@@ -107,7 +108,8 @@
 	return me, listener, admin, nil
 }
 
-func (sw *Swarm) run(me *Member, serve func(context.Context) error) {
+// runMember runs a member in the background until Stop is called.
+func (sw *Swarm) runMember(me *Member, serve func(context.Context) error) {
 	ctx, stop := context.WithCancel(context.Background())
 	me.Stop = stop
 	sw.wg.Go(func() {
@@ -116,7 +118,7 @@
 	})
 }
 
-func (sw *Swarm) store() *kv.Client {
+func (sw *Swarm) newStoreClient() *kv.Client {
 	return &kv.Client{
 		Address: sw.Store, Timeout: settings.Default().Platform.Timeout(),
 		Limiter: rate.NewLimiter(rate.Inf, 1), HTTP: &http.Client{},
--- a/standin/trial/rollouts.go
+++ b/standin/trial/rollouts.go
@@ -9,176 +9,179 @@
 	"github.com/linnetrudder/linnetrudder/internal/rollout"
 )
 
-// Release is the input of the roll-out experiment: a new version takes over
-// from one that serves.
-type Release struct {
-	// Rate is the model's requests in a second.
-	Rate int
-	// GoodFailures and GoodLow are the rates of failures and of low ratings of
-	// the version that serves.
-	GoodFailures, GoodLow float64
-	// Failures and Low are those of the new version, from TurnsBad on; before,
-	// it is as good as the old.
-	Failures, Low float64
-	TurnsBad      time.Duration
-	// Rated is the part of answers that is rated, after RatingLag. Tallies are
-	// seen after Lag.
-	Rated          float64
-	Lag, RatingLag time.Duration
-	// Interrupted is when nobody decides for a while.
-	Interrupted [2]time.Duration
-	// For is how long to watch.
-	For  time.Duration
-	Seed uint64
+// RolloutScenario is the input of the rollout experiment: a new version replaces the current one.
+type RolloutScenario struct {
+	// RequestsPerSecond is the model's request rate.
+	RequestsPerSecond int
+	// BaselineFailureRate and BaselineLowRatingRate are the rates of failures and of low ratings of
+	// the current version.
+	BaselineFailureRate, BaselineLowRatingRate float64
+	// FailureRate and LowRatingRate are those of the new version from DegradesAt on; before that it
+	// has the rates of the current version.
+	FailureRate, LowRatingRate float64
+	DegradesAt                 time.Duration
+	// RatedFraction is the fraction of responses that are rated. Ratings become visible after
+	// RatingLag, tallies after TallyLag.
+	RatedFraction       float64
+	TallyLag, RatingLag time.Duration
+	// DecisionOutage is the start and the end of a time during which the share is not changed.
+	DecisionOutage [2]time.Duration
+	// Duration is the simulated time.
+	Duration time.Duration
+	Seed     uint64
 }
 
-// ReleaseOutcome is what one strategy did.
-type ReleaseOutcome struct {
+// RolloutOutcome is the result of one strategy.
+type RolloutOutcome struct {
 	Strategy string
-	// Exposure is how many requests went to the version after it was bad.
-	Exposure int
-	Reversed bool
-	// Full is when the version had all new work; zero if never.
-	Full time.Duration
+	// Exposure is the number of requests that were sent to the new version while it was bad.
+	Exposure   int
+	RolledBack bool
+	// FullShareAt is when the new version first got all requests; zero if never.
+	FullShareAt time.Duration
 }
 
-// releaser decides the new version's share once a second.
-type releaser interface {
+// rolloutStrategy decides the new version's share once a second.
+type rolloutStrategy interface {
 	share(now time.Time, version, others rollout.Tally) float64
 	name() string
 }
 
-// plan is what operators of all strategies write.
-func plan() *config.Rollout {
+// rolloutConfig returns the operators' configuration, the same for all strategies.
+func rolloutConfig() *config.Rollout {
 	return &config.Rollout{
 		Model: "m", To: "v2", Steps: []float64{0.01, 0.05, 0.2, 0.5, 1}, HoldSeconds: 60, MaxFailureRate: 0.05,
 	}
 }
 
-// ours is the system.
-type ours struct{ pr rollout.Progress }
+// systemRollout is the strategy of the system.
+type systemRollout struct{ progress rollout.Progress }
 
-func (*ours) name() string { return "linnetrudder" }
+func (*systemRollout) name() string { return "linnetrudder" }
 
-func (ou *ours) share(now time.Time, version, others rollout.Tally) float64 {
-	next, share := rollout.Decide(plan(), ou.pr, now, version, others)
-	ou.pr = next
+func (sr *systemRollout) share(now time.Time, version, others rollout.Tally) float64 {
+	next, share := rollout.Decide(rolloutConfig(), sr.progress, now, version, others)
+	sr.progress = next
 	return share
 }
 
-// ladder takes fixed steps and looks at the failure rate before each.
-type ladder struct {
-	title string
-	steps []float64
-	every time.Duration
-	begin time.Time
-	seen  rollout.Tally
-	step  int
-	bad   bool
-	begun bool
+// fixedSteps raises the share by fixed steps at fixed intervals. Before each step it checks the rates of
+// failures and of low ratings since the last one.
+type fixedSteps struct {
+	strategyName string
+	steps        []float64
+	interval     time.Duration
+	stepStart    time.Time
+	lastTally    rollout.Tally
+	step         int
+	rolledBack   bool
+	started      bool
 }
 
-func (la *ladder) name() string { return la.title }
+func (fs *fixedSteps) name() string { return fs.strategyName }
 
-// lowRate is the rate of low ratings at which a ladder goes back.
-const lowRate = 0.25
+// maxLowRatingRate is the rate of low ratings above which fixedSteps rolls back.
+const maxLowRatingRate = 0.25
 
-func (la *ladder) share(now time.Time, version, _ rollout.Tally) float64 {
-	if !la.begun {
-		la.begun, la.begin = true, now
+func (fs *fixedSteps) share(now time.Time, version, _ rollout.Tally) float64 {
+	if !fs.started {
+		fs.started, fs.stepStart = true, now
 	}
-	if la.bad {
+	if fs.rolledBack {
 		return 0
 	}
-	if now.Sub(la.begin) >= la.every {
-		started := float64(version.Started - la.seen.Started)
-		failed := float64(version.Failed - la.seen.Failed)
-		rated, low := version.Rated-la.seen.Rated, version.Low-la.seen.Low
-		la.bad = started > 0 && failed/started > plan().MaxFailureRate || rated > 0 && low/rated > lowRate
-		la.seen, la.begin = version, now
-		if la.step < len(la.steps)-1 {
-			la.step++
+	if now.Sub(fs.stepStart) >= fs.interval {
+		started := float64(version.Started - fs.lastTally.Started)
+		failed := float64(version.Failed - fs.lastTally.Failed)
+		rated, low := version.Rated-fs.lastTally.Rated, version.Low-fs.lastTally.Low
+		fs.rolledBack = started > 0 && failed/started > rolloutConfig().MaxFailureRate || rated > 0 && low/rated > maxLowRatingRate
+		fs.lastTally, fs.stepStart = version, now
+		if fs.step < len(fs.steps)-1 {
+			fs.step++
 		}
-		if la.bad {
+		if fs.rolledBack {
 			return 0
 		}
 	}
-	return la.steps[la.step]
+	return fs.steps[fs.step]
 }
 
-// Rollouts runs every strategy on the same release.
-func Rollouts(re Release) []ReleaseOutcome {
-	return []ReleaseOutcome{
-		re.run(&ladder{title: "all at once, looked at every 10 min", steps: []float64{1}, every: 10 * time.Minute}),
-		re.run(&ladder{title: "fixed ladder, a step every 10 min", steps: plan().Steps, every: 10 * time.Minute}),
-		re.run(&ours{}),
+// CompareRollouts runs every strategy on the same scenario.
+func CompareRollouts(rs RolloutScenario) []RolloutOutcome {
+	return []RolloutOutcome{
+		rs.run(&fixedSteps{strategyName: "all at once, looked at every 10 min", steps: []float64{1}, interval: 10 * time.Minute}),
+		rs.run(&fixedSteps{strategyName: "fixed ladder, a step every 10 min", steps: rolloutConfig().Steps, interval: 10 * time.Minute}),
+		rs.run(&systemRollout{}),
 	}
 }
 
-// lagged holds tallies until they are seen.
-type lagged struct {
-	lag  int
-	past []rollout.Tally
+// delayedTally delays tallies by a lag in seconds.
+type delayedTally struct {
+	lag     int
+	history []rollout.Tally
 }
 
-func (la *lagged) push(ta rollout.Tally) rollout.Tally {
-	la.past = append(la.past, ta)
-	return la.past[max(0, len(la.past)-1-la.lag)]
+// add records the tally of the current second and returns the one of lag seconds ago.
+func (dt *delayedTally) add(ta rollout.Tally) rollout.Tally {
+	dt.history = append(dt.history, ta)
+	return dt.history[max(0, len(dt.history)-1-dt.lag)]
 }
 
-func (re Release) run(st releaser) ReleaseOutcome {
-	ra := rand.New(rand.NewPCG(re.Seed, 11))
-	out := ReleaseOutcome{Strategy: st.name()}
+// run simulates the scenario with one strategy.
+func (rs RolloutScenario) run(st rolloutStrategy) RolloutOutcome {
+	ra := rand.New(rand.NewPCG(rs.Seed, 11))
+	out := RolloutOutcome{Strategy: st.name()}
 	begin := time.Unix(1_800_000_000, 0)
-	var young, old rollout.Tally
-	seen := [2]lagged{{lag: int(re.Lag.Seconds())}, {lag: int(re.Lag.Seconds())}}
-	rated := [2]lagged{{lag: int(re.RatingLag.Seconds())}, {lag: int(re.RatingLag.Seconds())}}
+	var newTally, oldTally rollout.Tally
+	seen := [2]delayedTally{{lag: int(rs.TallyLag.Seconds())}, {lag: int(rs.TallyLag.Seconds())}}
+	rated := [2]delayedTally{{lag: int(rs.RatingLag.Seconds())}, {lag: int(rs.RatingLag.Seconds())}}
 	share := 0.0
-	for sec := range int(re.For.Seconds()) {
+	for sec := range int(rs.Duration.Seconds()) {
 		at := time.Duration(sec) * time.Second
-		if at < re.Interrupted[0] || at >= re.Interrupted[1] {
-			share = st.share(begin.Add(at), view(&seen[0], &rated[0], young), view(&seen[1], &rated[1], old))
+		if at < rs.DecisionOutage[0] || at >= rs.DecisionOutage[1] {
+			share = st.share(begin.Add(at), visibleTally(&seen[0], &rated[0], newTally), visibleTally(&seen[1], &rated[1], oldTally))
 		} else {
-			view(&seen[0], &rated[0], young)
-			view(&seen[1], &rated[1], old)
+			visibleTally(&seen[0], &rated[0], newTally)
+			visibleTally(&seen[1], &rated[1], oldTally)
 		}
-		bad := at >= re.TurnsBad && (re.Failures > re.GoodFailures || re.Low > re.GoodLow)
-		for range re.Rate {
+		bad := at >= rs.DegradesAt && (rs.FailureRate > rs.BaselineFailureRate || rs.LowRatingRate > rs.BaselineLowRatingRate)
+		for range rs.RequestsPerSecond {
 			if ra.Float64() >= share {
-				re.request(ra, &old, re.GoodFailures, re.GoodLow)
+				rs.simulateRequest(ra, &oldTally, rs.BaselineFailureRate, rs.BaselineLowRatingRate)
 				continue
 			}
 			if bad {
 				out.Exposure++
-				re.request(ra, &young, re.Failures, re.Low)
+				rs.simulateRequest(ra, &newTally, rs.FailureRate, rs.LowRatingRate)
 			} else {
-				re.request(ra, &young, re.GoodFailures, re.GoodLow)
+				rs.simulateRequest(ra, &newTally, rs.BaselineFailureRate, rs.BaselineLowRatingRate)
 			}
 		}
-		if share >= 1 && out.Full == 0 {
-			out.Full = at
+		if share >= 1 && out.FullShareAt == 0 {
+			out.FullShareAt = at
 		}
-		out.Reversed = share == 0
+		out.RolledBack = share == 0
 	}
 	return out
 }
 
-// view returns what of a tally is seen by now: counts after their lag, ratings
-// after theirs.
-func view(counts, ratings *lagged, ta rollout.Tally) rollout.Tally {
-	seen := counts.push(ta)
-	late := ratings.push(ta)
+// visibleTally records a tally and returns the one that is visible now: ratings have a longer lag than
+// counts.
+func visibleTally(counts, ratings *delayedTally, ta rollout.Tally) rollout.Tally {
+	seen := counts.add(ta)
+	late := ratings.add(ta)
 	seen.Rated, seen.Low = late.Rated, late.Low
 	return seen
 }
 
-func (re Release) request(ra *rand.Rand, ta *rollout.Tally, failures, low float64) {
+// simulateRequest draws the result of one request and adds it to a tally.
+func (rs RolloutScenario) simulateRequest(ra *rand.Rand, ta *rollout.Tally, failures, low float64) {
 	ta.Started++
 	if ra.Float64() < failures {
 		ta.Failed++
 		return
 	}
-	if ra.Float64() < re.Rated {
+	if ra.Float64() < rs.RatedFraction {
 		ta.Rated++
 		if ra.Float64() < low {
 			ta.Low++
@@ -186,6 +189,7 @@
 	}
 }
 
-func (ro ReleaseOutcome) String() string {
-	return fmt.Sprintf("%s: exposed %d, reversed %t, full after %s", ro.Strategy, ro.Exposure, ro.Reversed, ro.Full)
+// String returns the outcome for logs.
+func (ro RolloutOutcome) String() string {
+	return fmt.Sprintf("%s: exposed %d, reversed %t, full after %s", ro.Strategy, ro.Exposure, ro.RolledBack, ro.FullShareAt)
 }
