--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -29,7 +29,7 @@
 	step   direct.Step
 	server directory.Server
 	began  time.Time
-	// selection is how the server was chosen. prompt is the prompt that the server has to read.
+	// selection describes the choice of the server. prompt is the prompt that the server has to read.
 	selection pool.Selection
 	prompt    pool.Prompt
 	cancel    context.CancelFunc
@@ -42,9 +42,9 @@
 	err  error
 	// released is set once the resources of the attempt have been freed.
 	released atomic.Bool
-	// record is kept of the attempt in case its server ends. It is nil if the attempt was never sent.
-	// abandoned is set if this gateway ended the attempt before the response arrived.
-	record    *poison.Run
+	// run is the record that makes the request a suspect if the server crashes. It is nil if the
+	// attempt was never sent. abandoned is set if this gateway ended the attempt before the response arrived.
+	run       *poison.Run
 	abandoned bool
 	// headDecided is set once, either when sendAttempt has received the response or by the timer that
 	// abandons the attempt. serverSilent is set if the timer did so because the server had sent no
@@ -65,8 +65,8 @@
 	return se.response.Status
 }
 
-// sendAttempt makes an attempt and waits for the head of the response, for a plain service for all
-// of it.
+// sendAttempt makes an attempt and waits for the head of the response, or for the complete response
+// of a plain service.
 func (ex *exchange) sendAttempt(ctx context.Context, step direct.Step) *attemptState {
 	ga := ex.ga
 	now := clock.Now()
@@ -88,7 +88,7 @@
 	se.selection, se.prompt = ex.selection, ex.prompt(step.Model())
 	ga.pool.Started(se.server.Key(), se.selection.PrefillTime(), now)
 	ga.recordAttempt(se.server, ex.route.Name, now)
-	se.record = ga.runs.Sent(se.server.Key(), ex.fingerprint, ex.rq.ID, now)
+	se.run = ga.runs.Sent(se.server.Key(), ex.fingerprint, ex.rq.ID, now)
 	ga.awaitingHead[se] = true
 	ga.logUnwantedAttempt(se, now)
 	ga.mu.Unlock()
@@ -100,7 +100,7 @@
 	headTimer.Stop()
 	se.abandoned = !se.headDecided.CompareAndSwap(false, true)
 	if se.abandoned && se.err == nil {
-		// The attempt was abandoned just as the response arrived, and the call is already cancelled.
+		// The attempt was abandoned just as the response arrived, and its call is already cancelled.
 		se.err = errAbandoned
 	}
 	se.recordHead(clock.Now())
@@ -143,7 +143,7 @@
 	delete(ga.awaitingHead, se)
 	if se.err == nil {
 		ga.pool.Responded(se.server.Key(), now)
-		ga.runs.Answered(se.record, now)
+		ga.runs.Answered(se.run, now)
 	}
 	if se.err != nil && now.Before(se.step.SoftDeadline()) {
 		return
@@ -159,7 +159,7 @@
 	failed := se.response.Status >= direct.FirstServerError
 	ga.observeOutcome(se.server, se.ex.route.Name, failed)
 	if !failed && !se.response.Stream {
-		ga.observeDuration(se.server, "whole "+name+se.ex.route.Name, took, slowResponseFactor, now)
+		ga.observeDuration(se.server, "response "+name+se.ex.route.Name, took, slowResponseFactor, now)
 	}
 }
 
@@ -268,16 +268,16 @@
 	}
 	se.ex.ga.mu.Lock()
 	se.ex.ga.pool.Ended(se.server.Key())
-	se.record.Finish(outcome == attemptAnswered, clock.Now())
+	se.run.Finish(outcome == attemptAnswered, clock.Now())
 	se.ex.ga.mu.Unlock()
 	countAttempt(se.server.Service, outcome)
 }
 
 // endNotSent ends an attempt that its server never started.
 func (se *attemptState) endNotSent(outcome string) {
-	if se.record != nil {
+	if se.run != nil {
 		se.ex.ga.mu.Lock()
-		se.record.MarkUnsent()
+		se.run.MarkUnsent()
 		se.ex.ga.mu.Unlock()
 	}
 	se.end(outcome)
--- a/internal/gateway/blocks.go
+++ b/internal/gateway/blocks.go
@@ -13,23 +13,24 @@
 )
 
 const (
-	// blockWriteJitter is the longest random delay before a gateway writes a block. Of the gateways
-	// that create a block at the same time, few then write it.
+	// blockWriteJitter is the longest random delay before a gateway writes a block. It lets only a few
+	// of the gateways that create a block at the same time write it.
 	blockWriteJitter = 300 * time.Millisecond
 	// watcherWriteDelay is the delay after which a watcher writes another gateway's block, in case
-	// that gateway was lost before it wrote.
+	// that gateway failed before it wrote.
 	watcherWriteDelay = 500 * time.Millisecond
-	// nonWatcherWriteDelay is the least additional delay at other gateways, and their jitter.
+	// nonWatcherWriteDelay is the least delay at gateways that are not watchers, and also the range of
+	// the random delay added to it.
 	nonWatcherWriteDelay = 2 * time.Second
 	// blockWriteRetryDelay is the pause after a write that failed.
 	blockWriteRetryDelay = time.Second
-	// doubtTTL is how long a doubt is propagated. It is remembered for twice as long, so that it
-	// does not circulate.
+	// doubtTTL is how long a gateway propagates a doubt. It remembers the doubt for twice as long, so
+	// that it does not take the same doubt from another gateway as a new one.
 	doubtTTL = 3 * time.Second
 )
 
 // applySuspicion applies a suspicion of this gateway or another one. Suspicions are propagated with
-// the load reports, since each gateway only sees the servers that crash under its own copies of a
+// the load reports, since a gateway only notices crashes of servers that were running its own copies of a
 // request. The lock is held.
 func (ga *Gateway) applySuspicion(su poison.Suspicion, now time.Time) {
 	term := ga.crashDetector.Record(su, now)
@@ -63,8 +64,8 @@
 	}
 }
 
-// contestBlock contradicts another gateway's block: the doubt is propagated and the stored block
-// removed. A gateway that has just started may block a common request because it has seen no
+// contestBlock disputes a block that another gateway created: it propagates a doubt and schedules the
+// removal of the block if it is stored. A gateway that has just started may block a common request because it has seen no
 // response to it yet. The lock is held.
 func (ga *Gateway) contestBlock(fp poison.Fingerprint, stored bool, now time.Time) {
 	if _, due := ga.deleteBlockAt[fp]; !due && stored {
@@ -98,8 +99,8 @@
 	return true
 }
 
-// blockWriteTime returns when this gateway writes or removes a block that any gateway can write.
-// Watchers are first. The lock is held.
+// blockWriteTime returns when this gateway writes or removes a block that any gateway may write.
+// Watchers do so first. The lock is held.
 func (ga *Gateway) blockWriteTime(now time.Time) time.Time {
 	if ga.relayPlan.IsWatcher(ga.memberList()) {
 		return now.Add(rand.N(blockWriteJitter))
@@ -156,7 +157,7 @@
 	}
 	for _, fp := range re.Doubts {
 		if ga.addDoubt(fp, now) {
-			ga.unblock(fp, "another gateway had the request completed")
+			ga.unblock(fp, "another gateway received a complete response to the request")
 		}
 	}
 	for _, bl := range re.Blocks {
@@ -164,7 +165,7 @@
 	}
 }
 
-// addBlocks adds recent blocks and doubts to a report. The lock is held.
+// addBlocks returns a report with the recent blocks and doubts added. The lock is held.
 func (ga *Gateway) addBlocks(re relay.Report, now time.Time) relay.Report {
 	re.Blocks = ga.blocks.Recent(now)
 	for fp, since := range ga.doubts {
--- a/internal/gateway/cluster_test.go
+++ b/internal/gateway/cluster_test.go
@@ -31,8 +31,8 @@
 // poison request. It makes no network calls, and its time is that of the test.
 type crashingBackend struct {
 	store *fakeStore
-	// endsAfter is the time from the poison request's first token to the end of its server.
-	endsAfter time.Duration
+	// crashDelay is the time from the poison request's first token to the end of its server.
+	crashDelay time.Duration
 	// silent is set if the server of the poison request ends before it sends any part of its response.
 	silent bool
 	// machineFails is set if servers end together with their machines, which then refuse no connections.
@@ -41,8 +41,8 @@
 	mu      sync.Mutex
 	servers map[string]*fakeServer
 	started int
-	// sent holds when copies of the poison request reached servers. ended holds when servers ended.
-	sent, ended []time.Time
+	// sent holds when copies of the poison request reached servers. crashes holds when servers crashes.
+	sent, crashes []time.Time
 	// records holds the same by path of the request, with the ends of those servers only that ran it.
 	records map[string]*poisonRecord
 	// limits holds the rate limits that servers report, arrived the times at which requests reached
@@ -59,17 +59,17 @@
 }
 
 // poisonRecord records when one poison request was sent and when servers ended because of it.
-type poisonRecord struct{ sent, ended []time.Time }
+type poisonRecord struct{ sent, crashes []time.Time }
 
 // lateCopies returns the number of copies that reached servers more than propagationTime after the
 // third end and later than known.
 func (pr *poisonRecord) lateCopies(known time.Time) int {
-	if len(pr.ended) < 3 {
+	if len(pr.crashes) < 3 {
 		return 0
 	}
 	late := 0
 	for _, at := range pr.sent {
-		if at.After(pr.ended[2].Add(propagationTime)) && at.After(known) {
+		if at.After(pr.crashes[2].Add(propagationTime)) && at.After(known) {
 			late++
 		}
 	}
@@ -87,19 +87,19 @@
 	return cr.records[path]
 }
 
-// endByPoison ends the server that ran a poison request and records it.
-func (cr *crashingBackend) endByPoison(path string, se *fakeServer) {
+// crashByPoison ends the server that ran a poison request and records it.
+func (cr *crashingBackend) crashByPoison(path string, se *fakeServer) {
 	cr.mu.Lock()
 	pr := cr.recordOf(path)
-	pr.ended = append(pr.ended, time.Now())
+	pr.crashes = append(pr.crashes, time.Now())
 	cr.mu.Unlock()
-	cr.end(se)
+	cr.crash(se)
 }
 
 type fakeServer struct {
 	listed directory.Server
-	// gone is closed when the process has ended.
-	gone chan struct{}
+	// exited is closed when the process has ended.
+	exited chan struct{}
 }
 
 const (
@@ -123,23 +123,23 @@
 	id := fmt.Sprint("s", cr.started)
 	se := &fakeServer{
 		listed: directory.Server{ID: id, Service: "llm", Address: id, DataCentre: fmt.Sprint("dc", cr.started%3), Version: "v1"},
-		gone:   make(chan struct{}),
+		exited: make(chan struct{}),
 	}
 	cr.servers[id] = se
 	cr.store.add(Change{Server: &se.listed})
 }
 
-// end ends a server. Further calls do nothing.
-func (cr *crashingBackend) end(se *fakeServer) {
+// crash ends a server. Further calls do nothing.
+func (cr *crashingBackend) crash(se *fakeServer) {
 	cr.mu.Lock()
 	defer cr.mu.Unlock()
 	select {
-	case <-se.gone:
+	case <-se.exited:
 		return
 	default:
 	}
-	close(se.gone)
-	cr.ended = append(cr.ended, time.Now())
+	close(se.exited)
+	cr.crashes = append(cr.crashes, time.Now())
 	time.AfterFunc(entryTTL, func() { cr.store.add(Change{Gone: se.listed.ID}) })
 	time.AfterFunc(restartDelay, cr.start)
 }
@@ -152,7 +152,7 @@
 
 func (cr *crashingBackend) CheckReachable(_ context.Context, se directory.Server) error {
 	select {
-	case <-cr.server(se.ID).gone:
+	case <-cr.server(se.ID).exited:
 		if cr.machineFails {
 			return errors.New("no answer in time")
 		}
@@ -178,8 +178,8 @@
 	if poison {
 		cr.mu.Lock()
 		cr.sent = append(cr.sent, time.Now())
-		de := cr.recordOf(at.Request.Path)
-		de.sent = append(de.sent, time.Now())
+		pr := cr.recordOf(at.Request.Path)
+		pr.sent = append(pr.sent, time.Now())
 		cr.mu.Unlock()
 	}
 	if err := se.work(ctx, readTime); err != nil {
@@ -188,7 +188,7 @@
 	events := 10
 	if poison {
 		events = 0
-		time.AfterFunc(cr.endsAfter, func() { cr.endByPoison(at.Request.Path, se) })
+		time.AfterFunc(cr.crashDelay, func() { cr.crashByPoison(at.Request.Path, se) })
 		if cr.silent || at.Model == "" {
 			return nil, se.work(ctx, time.Hour)
 		}
@@ -237,7 +237,7 @@
 	select {
 	case <-ti.C:
 		return nil
-	case <-se.gone:
+	case <-se.exited:
 		return errors.New("call: EOF")
 	case <-ctx.Done():
 		return ctx.Err()
@@ -294,11 +294,11 @@
 	partitioned atomic.Bool
 }
 
-func (in *pipeNetwork) dial(ctx context.Context, _, address string) (net.Conn, error) {
-	in.mu.Lock()
-	li := in.listeners[address]
-	in.mu.Unlock()
-	if in.partitioned.Load() {
+func (pn *pipeNetwork) dial(ctx context.Context, _, address string) (net.Conn, error) {
+	pn.mu.Lock()
+	li := pn.listeners[address]
+	pn.mu.Unlock()
+	if pn.partitioned.Load() {
 		return nil, net.ErrClosed
 	}
 	near, far := net.Pipe()
@@ -384,7 +384,7 @@
 		Target: 150 * time.Millisecond, Attempts: 1, Split: []routing.Share{{Service: "llm", Weight: 1}},
 	}}}})
 	sc := &testCluster{
-		t: t, servers: &crashingBackend{store: store, endsAfter: 100 * time.Millisecond, servers: map[string]*fakeServer{}},
+		t: t, servers: &crashingBackend{store: store, crashDelay: 100 * time.Millisecond, servers: map[string]*fakeServer{}},
 		network: &pipeNetwork{listeners: map[string]*pipeListener{}}, log: io.Discard,
 	}
 	t.Cleanup(func() {
@@ -491,11 +491,11 @@
 	}
 }
 
-// endCount returns the number of servers that have ended.
-func (cr *crashingBackend) endCount() int {
+// crashCount returns the number of servers that have ended.
+func (cr *crashingBackend) crashCount() int {
 	cr.mu.Lock()
 	defer cr.mu.Unlock()
-	return len(cr.ended)
+	return len(cr.crashes)
 }
 
 // lateCopies returns the number of copies that reached servers more than propagationTime after the
@@ -503,11 +503,11 @@
 func (cr *crashingBackend) lateCopies() int {
 	cr.mu.Lock()
 	defer cr.mu.Unlock()
-	if len(cr.ended) < 3 {
+	if len(cr.crashes) < 3 {
 		return 0
 	}
-	slices.SortFunc(cr.ended, time.Time.Compare)
-	bound := cr.ended[2].Add(propagationTime)
+	slices.SortFunc(cr.crashes, time.Time.Compare)
+	bound := cr.crashes[2].Add(propagationTime)
 	late := 0
 	for _, at := range cr.sent {
 		if at.After(bound) {
--- a/internal/gateway/common_test.go
+++ b/internal/gateway/common_test.go
@@ -42,7 +42,7 @@
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		sc := newTestCluster(t, ml.gateways)
-		sc.servers.endsAfter = ml.crashDelay
+		sc.servers.crashDelay = ml.crashDelay
 		next := time.Now().Add(ml.replaceEvery)
 		for n := range int(lasts / (100 * time.Millisecond)) {
 			sc.send(n%ml.gateways, "/menu/other", fmt.Sprint("other-", n))
@@ -64,7 +64,7 @@
 			}
 		}
 		all := float64(len(sc.otherResponses))
-		out = mixedLoadResult{float64(served) / all, float64(blocked) / all, sc.servers.lateCopies(), sc.servers.endCount()}
+		out = mixedLoadResult{float64(served) / all, float64(blocked) / all, sc.servers.lateCopies(), sc.servers.crashCount()}
 	})
 	return out
 }
@@ -187,7 +187,7 @@
 				}
 				sc.callers.Wait()
 				require.LessOrEqual(t, len(sc.servers.sent), 2, "%d gateways, %s", gateways, path)
-				require.LessOrEqual(t, sc.servers.endCount(), 2)
+				require.LessOrEqual(t, sc.servers.crashCount(), 2)
 				require.Len(t, sc.storedBlocks(), 1)
 			})
 		}
--- a/internal/gateway/crashes.go
+++ b/internal/gateway/crashes.go
@@ -12,20 +12,20 @@
 )
 
 const (
-	// probeTimeout bounds a probe whether a server still listens. The machine of a server that has
-	// crashed refuses the connection within a round trip of a few milliseconds.
+	// probeTimeout bounds a probe. The box of a server that has crashed refuses the connection within
+	// a round trip of a few milliseconds.
 	probeTimeout = 400 * time.Millisecond
-	// probeWait is how long a request whose connection broke waits for the result before it
-	// continues elsewhere: a few round trips, and far less than a caller notices.
+	// probeWait is how long a request whose connection broke waits for the result before it continues
+	// at another server: a few round trips, and far less than a caller notices.
 	probeWait = 50 * time.Millisecond
-	// probeReuse is how long a probe serves further requests: when a server crashes, all its
-	// connections break within a few milliseconds.
+	// probeReuse is how long after its start the result of a probe is used for further requests: when
+	// a server crashes, all its connections break within a few milliseconds.
 	probeReuse = 100 * time.Millisecond
 	// maxLoggedSuspects bounds the suspects in a log line.
 	maxLoggedSuspects = 8
 )
 
-// probe is a check whether a server still listens.
+// probe is a check whether a server still accepts connections.
 type probe struct {
 	at time.Time
 	// done is closed when the result is known.
@@ -36,7 +36,7 @@
 // for the result for up to probeWait, since the next step may depend on it.
 func (ga *Gateway) connectionLost(ctx context.Context, se directory.Server) {
 	if ctx.Err() != nil {
-		return // the caller left or the deadline passed: this is no evidence on the server
+		return // the caller disconnected or the deadline passed, so the server need not have failed
 	}
 	now := clock.Now()
 	ga.mu.Lock()
@@ -103,7 +103,8 @@
 		Strs("prints", suspectNames(suspects)).Str("detail", reason).Msg(event.Name(event.ServerEnded))
 }
 
-// suspectNames returns the names of the first maxLoggedSuspects suspects for the log.
+// suspectNames returns the request ids and fingerprints of the first maxLoggedSuspects suspects for
+// the log.
 func suspectNames(suspects []*poison.Run) []string {
 	names := make([]string, 0, maxLoggedSuspects)
 	for _, ru := range suspects[:min(maxLoggedSuspects, len(suspects))] {
--- a/internal/gateway/deliver.go
+++ b/internal/gateway/deliver.go
@@ -16,10 +16,10 @@
 
 const (
 	// stallFactor is the multiple of the route's maximum pause between events after which a stream is
-	// resumed at another server. A server that reads a long prompt pauses its streams for more than a
-	// second without having failed.
+	// resumed at another server. A server that reads a long prompt pauses its other streams for more
+	// than a second without having failed.
 	stallFactor = 2
-	// defaultStall is the stall timeout if the route names no maximum pause.
+	// defaultStall is the time after which a stream is resumed if the route names no maximum pause.
 	defaultStall = 2 * time.Second
 )
 
@@ -95,7 +95,7 @@
 	}
 }
 
-// minStreamEvents is the minimum number of events of a stream whose pace is used.
+// minStreamEvents is the number of events that a stream must have for its pace to be used.
 const minStreamEvents = 3
 
 // recordStreamPace records the pace of a complete stream for the roll-out of its service. Unlike
@@ -187,8 +187,8 @@
 	return ok && ga.window(ex.service).Remaining(now) >= 1
 }
 
-// alreadyDelivered reports whether the caller already has an event, as when a server resumes a
-// stream too early.
+// alreadyDelivered reports whether the caller has already received an event. That is the case if a
+// server resumes a stream at an earlier event than requested.
 func (ex *exchange) alreadyDelivered(ev sse.Event) bool {
 	if ex.deliveredID == "" {
 		return false
@@ -198,8 +198,8 @@
 	return ok && hasLast && n <= last
 }
 
-// codeOf returns the result code of an error, Stopped if it has none, since the caller's connection
-// then failed.
+// codeOf returns the result code of an error. It is Stopped if the error has none, which means that
+// the caller's connection failed.
 func codeOf(err error) result.Code {
 	var er *result.Error
 	if errors.As(err, &er) {
--- a/internal/gateway/fallback.go
+++ b/internal/gateway/fallback.go
@@ -7,8 +7,8 @@
 	"github.com/linnetrudder/linnetrudder/internal/event"
 )
 
-// rejectionWindow is how long the previous response is kept after an escalation. Servers reject an
-// attempt within a few round trips.
+// rejectionWindow is how long the response before an escalation is kept. A server that rejects an
+// attempt does so within a few round trips.
 const rejectionWindow = 20 * time.Millisecond
 
 // fallbackResponse is the response before an escalation. It is dropped after rejectionWindow unless
@@ -18,9 +18,8 @@
 	timer   *time.Timer
 }
 
-// releasePrevious frees the attempt before a step. The response that an escalation is to improve on
-// is kept for rejectionWindow: the larger model's server may reject the attempt when no retry is
-// left.
+// releasePrevious frees the attempt before a step. If the step escalates, the response so far is kept
+// for rejectionWindow, since the larger model's server may reject the attempt when no retry is left.
 func (ex *exchange) releasePrevious(at *attemptState, step direct.Step) {
 	switch {
 	case at == nil:
@@ -35,9 +34,9 @@
 	}
 }
 
-// checkFallback tells the request if the response before an escalation is no longer available, once
-// the head of the next answer has arrived or will not arrive. If the response is still available, it
-// is kept until the next step.
+// checkFallback drops the fallback response if the head of the next response has arrived, and informs
+// the request when the fallback response is no longer available. Otherwise it stops the timer, so
+// that the fallback response is kept until the next step.
 func (ex *exchange) checkFallback(at *attemptState) {
 	if ex.fallback == nil {
 		return
@@ -48,8 +47,8 @@
 	}
 }
 
-// useFallback frees the attempt that was to improve on the fallback response, and returns the
-// attempt that gave the latter.
+// useFallback frees the attempt of an escalation that failed, and returns the attempt whose response
+// is the fallback.
 func (ex *exchange) useFallback(at *attemptState) *attemptState {
 	at.discard()
 	fallback := ex.takeFallback()
--- a/internal/gateway/follow.go
+++ b/internal/gateway/follow.go
@@ -16,11 +16,11 @@
 )
 
 const (
-	// maxWatchWait is the longest wait of a watch. Each response confirms the configuration, and each
-	// call has a cost.
+	// maxWatchWait is the longest wait of a watch. A shorter wait confirms the configuration more often
+	// but costs more calls.
 	maxWatchWait = 1500 * time.Millisecond
 	// rootWatchWait is the longest wait of a watch by a root. Its state reaches other gateways over two
-	// hops, and beyond denyAge they can no longer reject unknown keys.
+	// hops, and they can no longer reject unknown keys once it is older than denyAge.
 	rootWatchWait = time.Second
 	// minWatchWait is the shortest wait of a watch.
 	minWatchWait = minRetryPause
@@ -35,7 +35,8 @@
 	minRetryPause  = 100 * time.Millisecond
 	maxRetryPause  = 400 * time.Millisecond
 	maxOutagePause = time.Second
-	// outagePauseRatio is the longest pause in a longer outage as a part of the outage's duration.
+	// outagePauseRatio is the longest pause in a longer outage as a fraction of the configuration's age,
+	// which grows with the duration of the outage.
 	outagePauseRatio = 0.2
 	// watcherRetryPause is the pause after a watcher failed. In an outage of the service, watchers
 	// answer immediately that their state is out of date.
@@ -73,8 +74,8 @@
 }
 
 // receiveChanges waits once for changes after a revision and returns the revision to continue from.
-// A watcher that fails is not asked again for a while. A watcher whose history does not go back far
-// enough is asked again after one call to the service.
+// A watcher that fails is not called again for a while. A watcher whose history does not go back far
+// enough is called again after one call to the service.
 func (ga *Gateway) receiveChanges(ctx context.Context, after revision.Revision) (revision.Revision, error) {
 	wa, ok := ga.watcher(clock.Now())
 	if !ok {
@@ -157,7 +158,7 @@
 	}
 	longest := min(maxOutagePause, max(maxRetryPause, time.Duration(outagePauseRatio*float64(age))))
 	if neverRead {
-		longest = maxRetryPause // no other gateway knows this one to report that the service answers again
+		longest = maxRetryPause // no other gateway knows of this one yet and could report to it
 	}
 	ga.awaitStore(ctx, minRetryPause+rand.N(longest-minRetryPause))
 }
--- a/internal/gateway/fuzz_test.go
+++ b/internal/gateway/fuzz_test.go
@@ -97,8 +97,8 @@
 	return false
 }
 
-// FuzzWhole applies encoded states. A state that cannot be decoded must change nothing.
-func FuzzWhole(f *testing.F) {
+// FuzzSnapshot applies encoded states. A state that cannot be decoded must change nothing.
+func FuzzSnapshot(f *testing.F) {
 	f.Add(encodedChanges(f))
 	f.Add([]byte("torn"))
 	f.Fuzz(func(t *testing.T, data []byte) {
@@ -128,8 +128,8 @@
 			return
 		}
 		ga := newGatewayWithState()
-		answer := ga.Reported(re)
-		require.Equal(t, "a", answer.Box)
+		reply := ga.Reported(re)
+		require.Equal(t, "a", reply.Box)
 		ga.applyReportReply(re, clock.Now())
 		ga.expireLoads(clock.Now().Add(time.Hour))
 		checkInvariants(t, ga)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -30,7 +30,7 @@
 )
 
 const (
-	// ownRatio is the part of the retry ratio that a gateway uses, since requests near the edge of a
+	// ownRatio is the fraction of the retry ratio that a gateway uses, since requests near the edge of a
 	// window are counted by another clock.
 	ownRatio = 0.94
 	// ownSlack is the number of retries that each gateway allows itself in addition. The platform's
@@ -42,8 +42,8 @@
 	// unreadableBurst is how many unreadable reports are logged in each unreadablePeriod.
 	unreadableBurst  = 5
 	unreadablePeriod = 10 * time.Second
-	// aheadBurst is how many requests for changes after an unknown later revision are logged in each
-	// aheadPeriod.
+	// aheadBurst is how many requests for changes after a revision that is later than this gateway's
+	// are logged in each aheadPeriod.
 	aheadBurst  = 5
 	aheadPeriod = time.Second
 	// staleMargin is subtracted from the maximum age of the configuration, but at most 1/staleShare of
@@ -86,7 +86,7 @@
 
 	// mu guards the fields below.
 	mu sync.Mutex
-	// freshness tracks the maximum age of the configuration.
+	// freshness tracks an upper bound on the age of the configuration.
 	freshness freshness.Tracker
 	// members holds the gateways that may watch the key-value service for others, by box. gatewayCount
 	// is the number of gateways.
@@ -94,7 +94,7 @@
 	gatewayCount int
 	// snapshot is the complete state as it was last sent to other gateways.
 	snapshot encodedSnapshot
-	// maxChangeAge is the maximum age of changes that are being applied for the first time.
+	// maxChangeAge is an upper bound on the age of changes that are being applied for the first time.
 	maxChangeAge time.Duration
 	// stateRead is set after the first complete read of the state.
 	stateRead bool
@@ -117,8 +117,8 @@
 	// were logged as unusable.
 	fleet    quota.Fleet
 	unusable map[string]bool
-	// unreadableLog limits the log entries for unreadable reports, aheadLog those for gateways that
-	// request changes after an unknown later revision.
+	// unreadableLog limits the log entries for unreadable reports, aheadLog those for requests for
+	// changes after a revision that is later than this gateway's.
 	unreadableLog, aheadLog zerolog.BurstSampler
 	// eraGuard tracks the era of the key-value service. eraSince is when a state of that era was first
 	// read.
@@ -178,10 +178,11 @@
 	// store the blocks that the key-value service does not have yet.
 	awaitingHead map[*attemptState]bool
 	storeBlockAt map[poison.Fingerprint]time.Time
-	// deleteBlockAt holds when to delete stored blocks of requests that servers here answer without
-	// ending.
+	// deleteBlockAt holds when to delete the stored blocks of requests that servers have completed for
+	// this gateway without crashing.
 	deleteBlockAt map[poison.Fingerprint]time.Time
-	// doubts holds the blocks that this gateway or another one disputes, with the time since when.
+	// doubts holds the requests whose blocks this gateway or another one disputes, with the time at
+	// which this gateway learned of it.
 	doubts map[poison.Fingerprint]time.Time
 }
 
@@ -250,7 +251,7 @@
 	return !ga.Stopping() && ga.table.Load() != nil && ga.acceptsKeysLocked(now)
 }
 
-// configAge returns the maximum age of the configuration.
+// configAge returns an upper bound on the age of the configuration.
 func (ga *Gateway) configAge(now time.Time) time.Duration {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
@@ -269,7 +270,7 @@
 	return ga.Bounds.MaxConfigAge == 0 || ga.freshness.Age(now) < ga.Bounds.keyAcceptanceAge()
 }
 
-// SetBounds replaces the bounds and resets the retry windows.
+// SetBounds replaces the bounds and clears the retry windows.
 func (ga *Gateway) SetBounds(bo Bounds) {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
--- a/internal/gateway/health.go
+++ b/internal/gateway/health.go
@@ -8,8 +8,8 @@
 	"github.com/linnetrudder/linnetrudder/internal/event"
 )
 
-// recordHealth records the result of an attempt for the health of its server. Attempts that ended
-// because the caller left or the deadline passed do not count.
+// recordHealth records whether an attempt succeeded for the health of its server. A failure does not
+// count if the caller had disconnected or the deadline had passed.
 func (ga *Gateway) recordHealth(ctx context.Context, se *attemptState, good bool, now time.Time) {
 	if ctx.Err() != nil && !good {
 		return
@@ -28,7 +28,7 @@
 	}
 }
 
-// ejectUnreachable takes a server out of use for a while that accepts no connections.
+// ejectUnreachable takes a server that accepts no connections out of use for a while.
 func (ga *Gateway) ejectUnreachable(ctx context.Context, se *attemptState, now time.Time) {
 	if ctx.Err() != nil {
 		return
@@ -40,7 +40,7 @@
 	}
 }
 
-// removeReplacedServer takes a server out of use whose address now belongs to another one.
+// removeReplacedServer takes a server out of use after another server was found at its address.
 func (ex *exchange) removeReplacedServer(se *attemptState) {
 	ex.ga.mu.Lock()
 	defer ex.ga.mu.Unlock()
--- a/internal/gateway/loads.go
+++ b/internal/gateway/loads.go
@@ -27,7 +27,7 @@
 	// milliseconds on a busy box. loadRetryDelay is the pause after an exchange that failed.
 	loadExchangeTimeout = 300 * time.Millisecond
 	loadRetryDelay      = time.Second
-	// loadPeersInterval is how often the gateways to report to are chosen again.
+	// loadPeersInterval is how often the gateways to report to are selected anew.
 	loadPeersInterval = 500 * time.Millisecond
 )
 
@@ -118,7 +118,7 @@
 }
 
 // reportSince returns this gateway's report with the suspicions from a sequence number on, and the
-// sequence number of the first suspicion after it.
+// sequence number to continue from in the next report.
 func (ga *Gateway) reportSince(collector bool, from uint64) (relay.Report, uint64) {
 	re := ga.report(collector)
 	ga.mu.Lock()
@@ -171,7 +171,8 @@
 	ga.receiveNotices(reply, now)
 }
 
-// applyGroupReport applies a report that covers several gateways. The lock is held.
+// applyGroupReport applies the loads and the number of gateways in a report that covers several
+// gateways. The lock is held.
 func (ga *Gateway) applyGroupReport(re relay.Report, now time.Time) {
 	ga.loads.PutGroup(re.Box, re.Work, now)
 	ga.loads.SetGroupSize(re.Box, re.Gateways)
--- a/internal/gateway/membership.go
+++ b/internal/gateway/membership.go
@@ -99,7 +99,7 @@
 	return nil
 }
 
-// self describes this gateway as a member.
+// self returns this gateway's description as a member.
 func (ga *Gateway) self() relay.Member {
 	return relay.Member{Box: ga.Box, DataCentre: ga.DataCentre, Address: ga.RelayAddress, LinkMbps: ga.LinkMbps}
 }
--- a/internal/gateway/models.go
+++ b/internal/gateway/models.go
@@ -15,8 +15,8 @@
 	// largestModelCost is the cost of a response of the largest model as a fraction of the
 	// response's value. The costs of the other models are in proportion to the operators' figures.
 	largestModelCost = 0.15
-	// defaultTimePerToken is the smallest model's reading time per token until responses give a
-	// measured one: 5 to 8 us on the users' servers. Larger models are assumed to be slower in
+	// defaultTimePerToken is the assumed reading time per token of the smallest model until it has been
+	// measured: 5 to 8 us on the users' servers. Larger models are assumed to be slower in
 	// proportion to their cost.
 	defaultTimePerToken = 10 * time.Microsecond
 	// promptSizeSmoothing is the weight of the newest request in the mean size of a prompt.
@@ -55,7 +55,7 @@
 		Dur("largest_ms", mc.options[len(mc.options)-1].TimeToHead)
 }
 
-// First returns the model to ask first. A caller that resumes a stream may have received the
+// First returns the index of the model for the first attempt. A caller that resumes a stream may have received the
 // beginning from the largest model.
 func (ex *exchange) First(time.Time) int {
 	if ex.rq.LastEventID != "" {
@@ -64,7 +64,7 @@
 	return 0
 }
 
-// Next returns the model to escalate to instead of delivering a response.
+// Next returns the index of the model to escalate to, or false to deliver the response.
 func (ex *exchange) Next(index, confidence int, now time.Time) (int, bool) {
 	ex.observeGain(index, confidence)
 	ex.evaluateModels(index, now)
@@ -105,9 +105,9 @@
 			continue
 		}
 		op.Price, op.TimeToHead = ex.relativeCost(i), noServerDelay
-		if of, ok := ga.pool.Pick(ex.poolQuery(model, nil, now), 0, now); ok {
-			op.TimeToHead = of.TimeToHead()
-			op.RelativeWork = of.PrefillTime().Seconds() / reference.Seconds()
+		if sel, ok := ga.pool.Pick(ex.poolQuery(model, nil, now), 0, now); ok {
+			op.TimeToHead = sel.TimeToHead()
+			op.RelativeWork = sel.PrefillTime().Seconds() / reference.Seconds()
 		}
 	}
 }
@@ -123,7 +123,7 @@
 }
 
 // relativeCost returns the cost of a response of the model at an index, as a fraction of the value
-// of a good response. If the operators give no figures, cost increases linearly with its index.
+// of a good response. If the operators give no figures, the cost increases linearly with the index.
 func (ex *exchange) relativeCost(index int) float64 {
 	models := ex.request.Models
 	if most := ex.cost(models[len(models)-1]); most > 0 {
@@ -140,9 +140,9 @@
 	return 0
 }
 
-// referenceReadTime returns how long the largest model takes to read a prompt with a size between
-// this one's and the mean of its route. Larger prompts have more value, but each kind of request
-// counts alike. The lock is held.
+// referenceReadTime returns how long the largest model takes to read a prompt of a reference size: the
+// geometric mean of the service's mean size and a size between this prompt's own and the mean of its
+// route. Larger prompts have more value, but each kind of request counts alike. The lock is held.
 func (ex *exchange) referenceReadTime() time.Duration {
 	ga, models := ex.ga, ex.request.Models
 	weighted := promptSizeWeight*float64(ex.rq.PromptTokens) + (1-promptSizeWeight)*ga.promptSizes.means[ex.route.Name]
@@ -156,17 +156,17 @@
 
 // prompt returns the prompt that a model reads, the zero value for a plain service.
 func (ex *exchange) prompt(model string) pool.Prompt {
-	as := ex.rq
-	start, shared := as.sharedPrefix()
+	rq := ex.rq
+	start, shared := rq.sharedPrefix()
 	if start == "" {
 		return pool.Prompt{}
 	}
 	pr := pool.Prompt{
-		Model: ex.modelKey(model), PrefillPerToken: ex.perToken(model), PrefixID: start,
-		PrefixTokens: shared, SuffixTokens: max(0, as.PromptTokens-shared), SizeKB: float64(len(ex.body)) / 1000,
+		Model: ex.modelKey(model), PrefillPerToken: ex.timePerToken(model), PrefixID: start,
+		PrefixTokens: shared, SuffixTokens: max(0, rq.PromptTokens-shared), SizeKB: float64(len(ex.body)) / 1000,
 	}
-	if n := len(as.Prompt); n > 1 {
-		pr.FullID = as.Prompt[n-1].ID
+	if n := len(rq.Prompt); n > 1 {
+		pr.FullID = rq.Prompt[n-1].ID
 	}
 	return pr
 }
@@ -174,8 +174,8 @@
 // modelKey returns the key of a service's model in the statistics on models.
 func (ex *exchange) modelKey(model string) string { return ex.service + "\x00" + model }
 
-// perToken returns the assumed reading time per token of a model while no responses have given one.
-func (ex *exchange) perToken(model string) time.Duration {
+// timePerToken returns the assumed reading time per token of a model until it has been measured.
+func (ex *exchange) timePerToken(model string) time.Duration {
 	if len(ex.route.Models) == 0 {
 		return defaultTimePerToken
 	}
--- a/internal/gateway/poison_test.go
+++ b/internal/gateway/poison_test.go
@@ -33,8 +33,8 @@
 			sc.servers.silent = silent
 			sc.sendTraffic(0, poisonPath, 20*time.Second)
 			sc.callers.Wait()
-			require.LessOrEqual(t, sc.servers.lateCopies(), 3, "%d crashes", sc.servers.endCount())
-			crashes := sc.servers.endCount()
+			require.LessOrEqual(t, sc.servers.lateCopies(), 3, "%d crashes", sc.servers.crashCount())
+			crashes := sc.servers.crashCount()
 			require.Less(t, crashes, 10)
 
 			// All gateways fail at once, and others start.
@@ -45,7 +45,7 @@
 			sc.poisonResponses = nil
 			sc.sendTraffic(4, poisonPath, 5*time.Second)
 			sc.callers.Wait()
-			require.Equal(t, crashes, sc.servers.endCount(), "the block is stored")
+			require.Equal(t, crashes, sc.servers.crashCount(), "the block is stored")
 			require.NotEmpty(t, sc.poisonResponses)
 			for _, ca := range sc.poisonResponses {
 				require.Equal(t, result.DidNotRun, result.Of(ca.code).Run())
@@ -69,7 +69,7 @@
 		sc := newTestCluster(t, 12)
 		sc.sendTraffic(0, plainPoisonPath, 20*time.Second)
 		sc.callers.Wait()
-		require.LessOrEqual(t, sc.servers.endCount(), 6+2, "six, and one for each trial")
+		require.LessOrEqual(t, sc.servers.crashCount(), 6+2, "six, and one for each trial")
 		require.LessOrEqual(t, sc.servers.lateCopies(), 1, "the second trial; the users accept three")
 		refused := 0
 		for _, ca := range sc.poisonResponses {
@@ -89,7 +89,7 @@
 		sc.sendTraffic(0, poisonPath, 20*time.Second)
 		sc.callers.Wait()
 		require.Equal(t, 4, sc.blockCount())
-		require.LessOrEqual(t, sc.servers.endCount(), 30)
+		require.LessOrEqual(t, sc.servers.crashCount(), 30)
 		require.LessOrEqual(t, sc.servers.lateCopies(), 3)
 	})
 }
@@ -102,22 +102,22 @@
 		for range 6 {
 			sc.sendTraffic(0, "", 1500*time.Millisecond)
 			sc.servers.mu.Lock()
-			var rack []*fakeServer
+			var running []*fakeServer
 			for _, se := range sc.servers.servers {
 				select {
-				case <-se.gone:
+				case <-se.exited:
 				default:
-					rack = append(rack, se)
+					running = append(running, se)
 				}
 			}
 			sc.servers.mu.Unlock()
-			for _, se := range rack[:6] {
-				sc.servers.end(se)
+			for _, se := range running[:6] {
+				sc.servers.crash(se)
 			}
 			sc.sendTraffic(0, "", 1500*time.Millisecond)
 		}
 		sc.callers.Wait()
-		require.Equal(t, 36, sc.servers.endCount())
+		require.Equal(t, 36, sc.servers.crashCount())
 		require.Zero(t, sc.blockCount())
 	})
 }
@@ -155,9 +155,9 @@
 		sc.servers.mu.Lock()
 		defer sc.servers.mu.Unlock()
 		for _, path := range paths {
-			de := sc.servers.records[path]
-			require.LessOrEqual(t, de.lateCopies(known), 3, "%s: %d crashes", path, len(de.ended))
-			require.LessOrEqual(t, len(de.ended), 20, path)
+			pr := sc.servers.records[path]
+			require.LessOrEqual(t, pr.lateCopies(known), 3, "%s: %d crashes", path, len(pr.crashes))
+			require.LessOrEqual(t, len(pr.crashes), 20, path)
 		}
 	})
 }
@@ -168,14 +168,14 @@
 func TestBlockOfRequestCompletedElsewhereIsLifted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sc := newTestCluster(t, 4)
-		common := func(gateways int) {
+		sendCommon := func(gateways int) {
 			for i := range 40 {
 				sc.send(i%gateways, "/menu/common", fmt.Sprint("common", gateways, "-", i))
 				time.Sleep(25 * time.Millisecond)
 			}
 		}
-		common(4)
-		common(4)
+		sendCommon(4)
+		sendCommon(4)
 		var newestLog lockedLog
 		sc.log = &newestLog
 		sc.addGateway()
@@ -186,7 +186,7 @@
 			time.Sleep(100 * time.Millisecond)
 			for _, se := range sc.servers.all() {
 				if newest.hasAttemptsAt(se.listed.ID) {
-					sc.servers.end(se)
+					sc.servers.crash(se)
 				}
 			}
 			time.Sleep(150 * time.Millisecond)
@@ -224,25 +224,25 @@
 func TestBlocksArePropagatedWithoutKeyValueService(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sc := newTestCluster(t, 8)
-		cut := func(cut bool) {
+		disconnect := func(cut bool) {
 			for i := range 16 {
 				sc.servers.store.setDisconnected(fmt.Sprint("b", i), cut)
 			}
 		}
-		cut(true)
+		disconnect(true)
 		sc.sendTraffic(0, poisonPath, 6*time.Second)
 		sc.callers.Wait()
-		require.Less(t, sc.servers.endCount(), 10)
+		require.Less(t, sc.servers.crashCount(), 10)
 		require.Equal(t, 8, sc.blockCount(), "each gateway")
-		crashes := sc.servers.endCount()
-		cut(false)
+		crashes := sc.servers.crashCount()
+		disconnect(false)
 		time.Sleep(8 * time.Second)
 		sc.stop()
 		sc.addGateway()
 		time.Sleep(3 * time.Second)
 		sc.sendTraffic(8, poisonPath, 2*time.Second)
 		sc.callers.Wait()
-		require.Equal(t, crashes, sc.servers.endCount())
+		require.Equal(t, crashes, sc.servers.crashCount())
 	})
 }
 
@@ -255,12 +255,12 @@
 		sc.callers.Wait()
 		require.Equal(t, 4, sc.blockCount())
 		time.Sleep(5 * time.Second)
-		pr := sc.firstStoredBlock(0)
-		sc.servers.store.add(Change{Unblocked: &pr})
+		fp := sc.firstStoredBlock(0)
+		sc.servers.store.add(Change{Unblocked: &fp})
 		time.Sleep(3 * time.Second)
 		require.Zero(t, sc.blockCount())
 
-		again := poison.NewBlock(pr, 10*time.Second, clock.WallTime())
+		again := poison.NewBlock(fp, 10*time.Second, clock.WallTime())
 		sc.servers.store.add(Change{Blocked: &again})
 		time.Sleep(3 * time.Second)
 		require.Equal(t, 4, sc.blockCount())
@@ -310,9 +310,9 @@
 					}
 				}
 				name := fmt.Sprint(me.name, ", from ", me.crashes, " crashes")
-				crashed[fmt.Sprint(gateways, name)] = sc.servers.endCount()
+				crashed[fmt.Sprint(gateways, name)] = sc.servers.crashCount()
 				t.Logf("%d gateways, %s: %d servers crashed, %d copies too many, %.3f of the other requests served",
-					gateways, name, sc.servers.endCount(), sc.servers.lateCopies(), float64(served)/float64(len(sc.otherResponses)))
+					gateways, name, sc.servers.crashCount(), sc.servers.lateCopies(), float64(served)/float64(len(sc.otherResponses)))
 			})
 		}
 		taken := crashed[fmt.Sprint(gateways, "suspicions and blocks with reports, from 3 crashes")]
--- a/internal/gateway/relay.go
+++ b/internal/gateway/relay.go
@@ -16,8 +16,8 @@
 
 const (
 	// relayWait is how long a watcher may wait for changes before it answers. relaySlack is the
-	// additional time in which its response must arrive: an unresponsive watcher is detected after
-	// both. Watchers that themselves request changes from others use half of relayWait, since they
+	// additional time in which its response must arrive: a watcher that does not respond is detected
+	// after the sum of both. Watchers that themselves request changes from others use half of relayWait, since they
 	// pass the changes on.
 	relayWait  = 500 * time.Millisecond
 	relaySlack = 400 * time.Millisecond
--- a/internal/gateway/relay_test.go
+++ b/internal/gateway/relay_test.go
@@ -99,7 +99,7 @@
 	return State{Revision: to, Changes: ke.changes[after.Number:]}, ke.changed, nil
 }
 
-func (vi storeView) Read(_ context.Context, _ uint64, goOn func(State) bool) (State, bool, error) {
+func (vi storeView) Read(_ context.Context, _ uint64, continueRead func(State) bool) (State, bool, error) {
 	vi.store.mu.Lock()
 	vi.store.reads++
 	vi.store.mu.Unlock()
@@ -108,7 +108,7 @@
 		return st, true, err
 	}
 	first := State{Revision: st.Revision, Changes: st.Changes[:vi.pageSize]}
-	if goOn(first) {
+	if continueRead(first) {
 		vi.completeReads.Add(1)
 		return st, true, nil
 	}
@@ -119,10 +119,10 @@
 	vi.store.mu.Lock()
 	vi.store.watches[vi.box]++
 	vi.store.mu.Unlock()
-	st, news, err := vi.since(after)
+	st, changed, err := vi.since(after)
 	if err == nil && len(st.Changes) == 0 {
 		select {
-		case <-news:
+		case <-changed:
 		case <-time.After(wait):
 		case <-ctx.Done():
 		}
@@ -154,8 +154,8 @@
 	return nil
 }
 
-func (vi storeView) DeleteBlock(_ context.Context, pr poison.Fingerprint) error {
-	vi.store.add(Change{Unblocked: &pr})
+func (vi storeView) DeleteBlock(_ context.Context, fp poison.Fingerprint) error {
+	vi.store.add(Change{Unblocked: &fp})
 	return nil
 }
 
--- a/internal/gateway/rollouts.go
+++ b/internal/gateway/rollouts.go
@@ -16,8 +16,8 @@
 const (
 	// phaseWriteInterval is the least time between two attempts to store a phase.
 	phaseWriteInterval = 300 * time.Millisecond
-	// maxPhaseWriteInterval is that time after repeated failures: a gateway that receives no changes
-	// compares with outdated revisions, so that its writes fail.
+	// maxPhaseWriteInterval is that time after repeated failures: the writes of a gateway that receives
+	// no changes fail because they are compared with outdated revisions.
 	maxPhaseWriteInterval = 1200 * time.Millisecond
 )
 
@@ -91,8 +91,8 @@
 	ro.publishedBad, ro.publishedCount, ro.publishedAt = 0, 0, time.Time{}
 }
 
-// extraPerGateway returns this gateway's share of the requests that a bad version may get beyond
-// its fraction, zero while the number of gateways is unknown. The lock is held.
+// extraPerGateway returns this gateway's share of the requests that a bad version may get in addition
+// to its fraction, zero while the number of gateways is unknown. The lock is held.
 func (ga *Gateway) extraPerGateway() float64 {
 	if ga.gatewayCount == 0 {
 		return 0
@@ -100,8 +100,8 @@
 	return ga.Bounds.CanaryExtra / float64(ga.gatewayCount)
 }
 
-// withdrawnVersions returns the versions that get no requests while an order is carried out that
-// follows another one. A process without state of the earlier roll-out uses the stored phase. The
+// withdrawnVersions returns the versions that get no requests while an order that follows another one
+// is carried out. A process without state of the earlier roll-out uses the stored phase. The
 // lock is held.
 func (ga *Gateway) withdrawnVersions(old *rolloutState, or Order) []string {
 	stored := ga.phases[or.Plan.Service]
@@ -131,7 +131,7 @@
 	}
 }
 
-// restorePhase applies the stored state of a roll-out.
+// restorePhase applies a stored phase to a roll-out.
 func (ga *Gateway) restorePhase(ro *rolloutState, ph StoredPhase) {
 	ro.canary.SetShares(ph.Shares, ph.Burst)
 	ro.canary.OrderedNoLaterThan(clock.Now().Add(-ph.Elapsed))
@@ -167,7 +167,7 @@
 		return query
 	}
 	if !ga.pool.HasEligible(query) {
-		// That version has no server (yet or any more).
+		// No server runs that version yet, or none does any more.
 		query.OnlyVersion, query.ExceptVersion = query.ExceptVersion, query.OnlyVersion
 	}
 	if query.OnlyVersion && ro.canary.Phase() == rollout.Trying {
@@ -194,8 +194,8 @@
 	return ro != nil && ro.canary.Phase() == rollout.Trying && se.Version == ro.order.Plan.Version
 }
 
-// applyVerdict ends the use of a version that counts as bad, whether the key-value service is
-// reachable or not. The lock is held.
+// applyVerdict ends the use of the new version if its outcomes are bad, even if the key-value service
+// is unreachable. The lock is held.
 func (ga *Gateway) applyVerdict(ro *rolloutState, now time.Time) {
 	if ro.canary.FailIfBad(now) {
 		ga.logPhase(ro)
@@ -266,10 +266,10 @@
 	return next, due || !known || stored.Phase != next.Phase || ga.elapsedIsStale(ro, stored, next, now)
 }
 
-// elapsedIsStale reports whether this gateway should store the elapsed time again. It should not
-// near a decision, which would have to wait for that write. Of many gateways only the watchers do
-// so, since they are the first to learn that one of them has, and none does while the key-value
-// service does not answer.
+// elapsedIsStale reports whether this gateway should store the elapsed time again. Near a decision it
+// should not, since the write of the decision would have to wait for that write. Of many gateways
+// only the watchers store it, since they are the first to learn that one of them has, and none does
+// while the key-value service does not answer.
 func (ga *Gateway) elapsedIsStale(ro *rolloutState, stored, next StoredPhase, now time.Time) bool {
 	tried := next.Phase == rollout.Waiting || next.Phase == rollout.Trying
 	if !tried || next.Elapsed-stored.Elapsed < elapsedWriteInterval || ro.canary.DecisionImminent(now) {
--- a/internal/gateway/rollouts_test.go
+++ b/internal/gateway/rollouts_test.go
@@ -140,8 +140,8 @@
 	picked := map[string]bool{}
 	for i := range 400 {
 		ex := &exchange{ga: ga, route: &routing.Route{Name: "r"}, service: "s", session: fmt.Sprint("session-", i)}
-		if of, ok := ga.pool.Pick(ga.restrictVersion(pool.Query{Service: "s"}, ex, time.Now()), uint64(i), time.Now()); ok {
-			picked[of.Server().Version] = true
+		if sel, ok := ga.pool.Pick(ga.restrictVersion(pool.Query{Service: "s"}, ex, time.Now()), uint64(i), time.Now()); ok {
+			picked[sel.Server().Version] = true
 		}
 	}
 	return picked
@@ -195,9 +195,9 @@
 	putServers(ga, "v1", "v2")
 	now := time.Now()
 	version := func(ex *exchange) string {
-		of, ok := ga.pool.Pick(ga.restrictVersion(pool.Query{Service: "s"}, ex, now), 1, now)
+		sel, ok := ga.pool.Pick(ga.restrictVersion(pool.Query{Service: "s"}, ex, now), 1, now)
 		require.True(t, ok)
-		return of.Server().Version
+		return sel.Server().Version
 	}
 	ex := &exchange{ga: ga, route: &routing.Route{Name: "r"}, service: "s", session: "a"}
 	require.Equal(t, "v2", version(ex), "the trial covers all sessions")
--- a/internal/gateway/selfreports.go
+++ b/internal/gateway/selfreports.go
@@ -15,14 +15,14 @@
 // server did not respond.
 func (se *attemptState) selfReport() (re selfreport.Report, ok bool) {
 	var refusal *RefusedError
-	var doubt *AmbiguousError
+	var ambiguous *AmbiguousError
 	switch {
 	case se.response != nil:
 		return se.response.Report, true
 	case errors.As(se.err, &refusal):
 		return refusal.Report, !refusal.Gone
-	case errors.As(se.err, &doubt):
-		return doubt.Report, true
+	case errors.As(se.err, &ambiguous):
+		return ambiguous.Report, true
 	}
 	return selfreport.Report{}, false
 }
@@ -58,7 +58,7 @@
 	}
 }
 
-// pauseServer sends a server no requests for as long as it asked for. The lock is held.
+// pauseServer stops sending requests to a server for as long as it asked for. The lock is held.
 func (ga *Gateway) pauseServer(key string, lasts time.Duration, now time.Time) {
 	if !ga.pool.Pauses.Begin(key, lasts, now) {
 		return
@@ -75,7 +75,7 @@
 	lo.Warn().Int("event", int(event.ReportUnreadable)).Str("server", key).Err(err).Msg(event.Name(event.ReportUnreadable))
 }
 
-// markLeaving takes a server out of use that announced its shutdown, and propagates the announcement
+// markLeaving takes a server that announced its shutdown out of use, and propagates the announcement
 // to other gateways. The lock is held.
 func (ga *Gateway) markLeaving(key string, at time.Time, hops uint8, detail string) {
 	if !ga.servers.MarkLeaving(key, at) {
@@ -135,7 +135,7 @@
 	le.Msg(event.Name(event.AttemptUnwanted))
 }
 
-// expirePauses ends and logs the pauses of servers that have run out.
+// expirePauses ends the pauses of servers whose time has passed, and logs their end.
 func (ga *Gateway) expirePauses(now time.Time) {
 	for _, en := range ga.pool.Pauses.Tick(now) {
 		ga.Log.Info().Int("event", int(event.ServerResumed)).Str("server", en.Server).Int("sent", en.Sent).
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -24,7 +24,8 @@
 // defaultMaxRuns is the maximum number of runs if the route names none.
 const defaultMaxRuns = 1
 
-// Serve serves one request.
+// Serve serves one request: it admits or rejects it by its head, reads its body, and executes its
+// attempts until the caller has the response.
 func (ga *Gateway) Serve(ctx context.Context, rq *Request, rs Responder) {
 	ga.inProgress.Add(1)
 	defer ga.inProgress.Add(-1)
@@ -78,8 +79,9 @@
 	// keyTeam is the team that the caller's key belongs to, nil on a public route.
 	keyTeam *routing.Team
 	service string
-	// session groups requests. sessionless is set if the request belongs to none. draw then decides
-	// whether the new version of a roll-out serves it.
+	// session is the key of the group of requests that are served by one version during a roll-out.
+	// sessionless is set if the request belongs to no group. Then draw, a random number, decides
+	// whether the new version serves it.
 	session     string
 	sessionless bool
 	draw        float64
@@ -93,7 +95,7 @@
 	attempts map[int]*attemptState
 	// firstVersion is the version of the server that received the first attempt, empty before that.
 	firstVersion string
-	// selection is the server that was chosen last.
+	// selection is the most recent choice of a server.
 	selection pool.Selection
 	// choice describes the last choice of a model. smallestConfidence is the confidence of the smallest
 	// model's response.
@@ -204,11 +206,12 @@
 	return ex.ga.pool.RetryAfter(ex.poolQuery(model, tried, now), now)
 }
 
-// poolQuery returns the requirements of an attempt on its server. The lock is held.
+// poolQuery returns what the server for an attempt must fulfil. The lock is held.
 func (ex *exchange) poolQuery(model string, tried []string, now time.Time) pool.Query {
 	query := pool.Query{
 		Service: ex.service, Tried: tried, Prompt: ex.prompt(model), ColdLimit: ex.ga.coldLimit(ex.service), PreferIdle: ex.trial,
-		// Only first attempts probe, since a request that was rejected once would be rejected again.
+		// Only a first attempt may probe a server that rejected earlier ones. A request that was
+		// rejected once would be rejected again.
 		Probe: len(ex.attempts) == 0,
 	}
 	return ex.ga.restrictVersion(query, ex, now)
@@ -237,7 +240,7 @@
 // zero if it may be sent.
 func (ex *exchange) Blocked(now time.Time) time.Duration {
 	if ex.trial && ex.request.Runs() == 0 {
-		return 0 // also after attempts that reached no server, since most servers have just ended
+		return 0 // also after attempts that reached no server, since most servers have just crashed
 	}
 	ex.ga.mu.Lock()
 	defer ex.ga.mu.Unlock()
@@ -306,10 +309,10 @@
 		return
 	}
 	if ex.request.Runs() > 0 {
-		ex.writeError(result.LinkLost, "the deadline has passed", 0)
+		ex.writeError(result.LinkLost, "the time was over", 0)
 		return
 	}
-	ex.writeError(result.DeadlinePassed, "the deadline has passed", 0)
+	ex.writeError(result.DeadlinePassed, "the time was over", 0)
 }
 
 func (ex *exchange) writeError(co result.Code, detail string, after time.Duration) {
--- a/internal/gateway/servers.go
+++ b/internal/gateway/servers.go
@@ -43,7 +43,7 @@
 func (ga *Gateway) removeServer(id string, now time.Time) {
 	key := ga.serverKey(id)
 	if se := ga.servers.Get(id); se != nil && !ga.servers.IsDraining(se) && ga.runs.IsDisconnected(key, now) {
-		// If the machine has failed together with its server, nothing refuses a connection.
+		// If the box has failed together with the server, nothing refuses a connection.
 		ga.applyServerCrash(key, "a connection was lost and the server's entry ended", now)
 	}
 	ga.servers.Remove(id, now)
@@ -91,16 +91,16 @@
 	return true
 }
 
-// evacuate takes a data centre's servers out of use. First and later attempts go to other data
-// centres from now on, attempts in progress there complete. The lock is held.
+// evacuate takes a data centre's servers out of use. From now on all attempts, first and later
+// ones, go to other data centres. Attempts in progress there are not interrupted. The lock is held.
 func (ga *Gateway) evacuate(dataCentre string) {
 	if ga.servers.Evacuate(dataCentre) {
 		ga.logDataCentre(event.CentreEvacuated, dataCentre)
 	}
 }
 
-// endEvacuation takes a data centre's servers into use again, as cold ones at first: they may have
-// become cold shortly before, and their reports of it may not have arrived yet. The lock is held.
+// endEvacuation puts a data centre's servers back into use. They count as cold at first, since they may
+// have become cold shortly before without their entries having arrived yet. The lock is held.
 func (ga *Gateway) endEvacuation(dataCentre string, now time.Time) {
 	if !ga.servers.IsEvacuated(dataCentre) {
 		return
@@ -132,8 +132,7 @@
 	}
 }
 
-// coldLimit returns the request limit of a service's cold servers, coldFor how long a server is cold
-// after its start. The lock is held.
+// coldLimit returns the request limit of a service's cold servers. The lock is held.
 func (ga *Gateway) coldLimit(service string) quota.Limit {
 	sv := ga.serviceConfig(service)
 	if sv == nil {
@@ -144,6 +143,7 @@
 	}
 }
 
+// coldFor returns how long a server of a service is cold after its start. The lock is held.
 func (ga *Gateway) coldFor(service string) time.Duration {
 	if sv := ga.serviceConfig(service); sv != nil {
 		return sv.ColdFor
@@ -162,7 +162,7 @@
 }
 
 // tickServers updates the time-dependent state of servers: warm-up, pauses, notices to propagate and
-// the number of gateways that may send to cold servers.
+// the number of gateways among which the limits of cold servers are divided.
 func (ga *Gateway) tickServers(now time.Time) {
 	ga.mu.Lock()
 	defer ga.mu.Unlock()
@@ -176,7 +176,7 @@
 	ga.updateFleet(now)
 }
 
-// updateFleet updates the highest possible number of gateways. The lock is held.
+// updateFleet updates the estimate of the highest number of gateways. The lock is held.
 func (ga *Gateway) updateFleet(now time.Time) {
 	ga.fleet.Observe(ga.gatewayCount, now)
 	ga.pool.MaxMembers = ga.fleet.Estimate(now)
@@ -196,8 +196,8 @@
 	}
 }
 
-// serverKey returns the key of a server's current process, or that of its first process if it is not
-// listed. The lock is held.
+// serverKey returns the key of a server's current instance, or that of its first instance if the
+// server is not listed. The lock is held.
 func (ga *Gateway) serverKey(id string) string {
 	if se := ga.servers.Get(id); se != nil {
 		return se.Key()
--- a/internal/gateway/snapshot.go
+++ b/internal/gateway/snapshot.go
@@ -74,8 +74,8 @@
 }
 
 // watcherAmong returns the watcher to request the complete state from, given the members in its
-// first part, or false if this gateway reads all of it from the service. Many gateways that start
-// together would otherwise saturate the link of the service.
+// first part, or false if this gateway reads all of it from the service. Without watchers, many
+// gateways that start together would saturate the link of the service.
 func (ga *Gateway) watcherAmong(first State) (relay.Member, bool) {
 	var members []relay.Member
 	for _, ch := range first.Changes {
@@ -180,8 +180,8 @@
 	return up
 }
 
-// snapshotMaxAge is how long an encoded state is reused. After a restart all gateways of a data
-// centre request it within some tenths of a second.
+// snapshotMaxAge is how long an encoded state is reused. After a restart of all gateways, those of a
+// data centre request it within some tenths of a second.
 const snapshotMaxAge = 200 * time.Millisecond
 
 // encodedSnapshot is a complete state as sent to other gateways.
--- a/internal/gateway/stopping.go
+++ b/internal/gateway/stopping.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	// restartTime is the time from the end of a process until its successor serves: 0.5 s until it
+	// restartTime is the time from the end of a process until the next one serves: 0.5 s until it
 	// starts and some hundredths of a second to read the configuration.
 	restartTime = 700 * time.Millisecond
 	// maxRetryAfter bounds the Retry-After of rejected callers, since another gateway may be available
@@ -25,7 +25,7 @@
 }
 
 // accepts reports whether a request is still served. From drainAt on that is the case only if its
-// timeout ends before the process does. A stream has no such bound.
+// timeout ends before the process does. Streams are then rejected, since they may last longer.
 func (sp *stopPlan) accepts(ro *routing.Route, now time.Time) bool {
 	if sp == nil || now.Before(sp.drainAt) {
 		return true
--- a/internal/gateway/tallies.go
+++ b/internal/gateway/tallies.go
@@ -16,15 +16,16 @@
 	// tally costs a write, and a bad version may stay in use for seconds after its 50th bad
 	// outcome.
 	badTallyInterval = 500 * time.Millisecond
-	// decisionTallyInterval is that time for tallies without new bad outcomes while the next
-	// decision is near.
+	// decisionTallyInterval is the least time between two tallies without new bad outcomes while the
+	// next decision is near.
 	decisionTallyInterval = 1500 * time.Millisecond
-	// tallySpacing is that time per gateway. It applies where the product is longer: all gateways
-	// may have outcomes to publish at once, and the key-value service supports 400 writes a second.
+	// tallySpacing times the number of gateways is the least time between two tallies if that is longer:
+	// all gateways may have outcomes to publish at once, and the key-value service supports 400 writes
+	// a second.
 	tallySpacing = 5 * time.Millisecond
-	// goodTallyInterval is the least time between two tallies without new bad outcomes otherwise.
-	// They are published once goodTallyMinBad bad outcomes are known, so that the good outcomes of
-	// all gateways count as well.
+	// goodTallyInterval is the least time between two tallies without new bad outcomes otherwise. Such
+	// tallies are published only once goodTallyMinBad bad outcomes are known, so that the good outcomes
+	// of all gateways count as well.
 	goodTallyInterval = 5 * time.Second
 	goodTallyMinBad   = 3
 )
--- a/internal/gateway/types.go
+++ b/internal/gateway/types.go
@@ -179,7 +179,8 @@
 type Change struct {
 	// Document is a newer configuration.
 	Document *routing.Document `cbor:",omitempty"`
-	// Server is the entry of a backend server. Gone is the id of a server whose entry was removed.
+	// Server is a new or changed entry of a backend server. Gone is the id of a server whose entry was
+	// removed.
 	Server *directory.Server `cbor:",omitempty"`
 	Gone   string            `cbor:",omitempty"`
 	// Unusable is a backend server's entry that is not valid.
@@ -297,10 +298,10 @@
 
 // Store is the platform's key-value service.
 type Store interface {
-	// Read reads the complete state. If that takes several calls, it calls goOn with the first part,
-	// which includes the members, and stops if goOn returns false. It reports whether the state is
+	// Read reads the complete state. If that takes several calls, it calls continueRead with
+	// the first part, which includes the members, and stops if continueRead returns false. It reports whether the state is
 	// complete. Responses that name no era are assumed to be of the given one.
-	Read(ctx context.Context, era uint64, goOn func(first State) bool) (st State, complete bool, err error)
+	Read(ctx context.Context, era uint64, continueRead func(first State) bool) (st State, complete bool, err error)
 	// Watch returns the changes after a revision, none if there were none within wait, and the revision
 	// to continue from. If that has another era, the changes are not complete. A response that names no
 	// era is assumed to be of the era of after.
@@ -313,7 +314,7 @@
 	StoreTallies(ctx context.Context, box string, tallies []Tally) error
 	// StoreBlock stores a block, DeleteBlock removes it.
 	StoreBlock(ctx context.Context, bl poison.Block) error
-	DeleteBlock(ctx context.Context, pr poison.Fingerprint) error
+	DeleteBlock(ctx context.Context, fp poison.Fingerprint) error
 	// Join makes a gateway a member for as long as the lease is renewed.
 	Join(ctx context.Context, me relay.Member, ttl time.Duration) (Lease, error)
 	// RenewLease renews a lease. It returns ErrLeaseExpired if the lease does not exist any more.
