--- a/internal/entry/claims.go
+++ b/internal/entry/claims.go
@@ -15,38 +15,40 @@
 )
 
 const (
-	// claimTimeout is a little more than a home takes to refuse a claim.
+	// claimTimeout is slightly longer than the time after which a claim's owner refuses it.
 	claimTimeout = 2500 * time.Millisecond
-	// claimAnswers is how many answers may wait for one request.
-	claimAnswers = 8
-	// claimHomes is how many homes are tried.
-	claimHomes = 2
+	// claimAnswerBuffer is the number of answers that are buffered for one waiting request.
+	claimAnswerBuffer = 8
+	// maxClaimOwners is the maximum number of agents that are asked for one claim.
+	maxClaimOwners = 2
 )
 
-// pinKey names the claim of a session's version. A session has one version
-// of each model that it asks for.
-func pinKey(as *ask) string {
-	return "session\x00" + as.team + "\x00" + as.session + "\x00" + as.model
+// sessionClaimKey returns the key of the claim for a session's version. A session has one version
+// of each model that it requests.
+func sessionClaimKey(cr *callerRequest) string {
+	return "session\x00" + cr.team + "\x00" + cr.session + "\x00" + cr.model
 }
 
-// onceKey names the claim of an idempotency key.
-func onceKey(as *ask) string { return "key\x00" + as.team + "\x00" + as.key }
+// idempotencyClaimKey returns the key of the claim for an idempotency key.
+func idempotencyClaimKey(cr *callerRequest) string {
+	return "key\x00" + cr.team + "\x00" + cr.idempotencyKey
+}
 
-// findPin looks up the version of a session that this entry has seen.
-func (en *Entry) findPin(as *ask) {
-	if as.session == "" {
+// findPin looks up the version that the session is pinned to in this entry's cache.
+func (en *Entry) findPin(cr *callerRequest) {
+	if cr.session == "" {
 		return
 	}
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	as.pinned = en.pins.get(pinKey(as))
+	cr.pinned = en.pins.get(sessionClaimKey(cr))
 }
 
-// pin starts a session on a version and returns the one it is on, which is
-// another if the session started elsewhere before.
-func (en *Entry) pin(ctx context.Context, as *ask, version string) (string, error) {
-	key := pinKey(as)
-	won, err := en.claim(ctx, wire.ClaimLine{Key: key, Value: version})
+// pin pins a session to a version and returns the version that it is pinned to, which differs if
+// the session was pinned before through another entry.
+func (en *Entry) pin(ctx context.Context, cr *callerRequest, version string) (string, error) {
+	key := sessionClaimKey(cr)
+	won, err := en.requestClaim(ctx, wire.ClaimLine{Key: key, Value: version})
 	if err != nil {
 		return "", err
 	}
@@ -56,68 +58,70 @@
 	return won.Value, nil
 }
 
-// claimKey makes sure that a request with a key is the only one of it.
-func (en *Entry) claimKey(ctx context.Context, as *ask) error {
-	if as.key == "" {
+// claimKey claims the request's idempotency key, if any. It fails if another request has used the
+// key.
+func (en *Entry) claimKey(ctx context.Context, cr *callerRequest) error {
+	if cr.idempotencyKey == "" {
 		return nil
 	}
-	won, err := en.claim(ctx, wire.ClaimLine{Key: onceKey(as), Value: as.id, Durable: true})
+	won, err := en.requestClaim(ctx, wire.ClaimLine{Key: idempotencyClaimKey(cr), Value: cr.id, Durable: true})
 	if err != nil {
 		return err
 	}
 	if won.Code != result.OK {
-		en.Node.Record(timeline.Entry{Event: event.ClaimLost, Request: as.id, Team: as.team, Detail: won.Value})
+		en.Node.Record(timeline.Entry{Event: event.ClaimLost, Request: cr.id, Team: cr.team, Detail: won.Value})
 		return result.New(result.KeyAlreadyUsed, won.Value)
 	}
-	as.claimed = true
-	en.Node.Record(timeline.Entry{Event: event.ClaimWon, Request: as.id, Team: as.team})
+	cr.keyClaimed = true
+	en.Node.Record(timeline.Entry{Event: event.ClaimWon, Request: cr.id, Team: cr.team})
 	return nil
 }
 
-// releaseKey gives the key up after a request that did not run, so that the
-// caller may come back with it.
-func (en *Entry) releaseKey(as *ask) {
-	if !as.claimed {
+// releaseKey releases the idempotency key of a request that did not run, so that the caller may
+// retry with the same key.
+func (en *Entry) releaseKey(cr *callerRequest) {
+	if !cr.keyClaimed {
 		return
 	}
-	key := onceKey(as)
-	for _, box := range en.homes(key) {
+	key := idempotencyClaimKey(cr)
+	for _, box := range en.claimOwners(key) {
 		if li := en.Node.Link(box); li != nil {
-			li.Send(&wire.Frame{Kind: wire.Claim, Claims: []wire.ClaimLine{{Key: key, Value: as.id, Release: true}}})
+			li.Send(&wire.Frame{Kind: wire.Claim, Claims: []wire.ClaimLine{{Key: key, Value: cr.id, Release: true}}})
 			return
 		}
 	}
 }
 
-// homes returns the boxes that may be home to a key's log, best first.
-func (en *Entry) homes(key string) []string {
+// claimOwners returns the boxes that may own the log of a key, in order of preference.
+func (en *Entry) claimOwners(key string) []string {
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	return en.homesOf[claim.Shard(key)]
+	return en.ownersByShard[claim.Shard(key)]
 }
 
-// rankHomes ranks the agents for each log; the lock is held. All entries do
-// so from the same list; where they differ for a while, the log's
-// compare-and-swap keeps order.
-func (en *Entry) rankHomes(agents []string) {
-	for shard := range en.homesOf {
+// rankClaimOwners ranks the agents for each claim log. The entry's lock must be held. All entries
+// compute the ranking from the same list of boxes; while their copies differ, the compare-and-swap
+// on the log resolves conflicts.
+func (en *Entry) rankClaimOwners(agents []string) {
+	for shard := range en.ownersByShard {
 		ranked := rendezvous.Rank(claim.ShardPrefix(shard), agents)
-		en.homesOf[shard] = ranked[:min(homeCandidates, len(ranked))]
+		en.ownersByShard[shard] = ranked[:min(ownerCandidates, len(ranked))]
 	}
 }
 
-// claim asks a key's home, and the next one if the first is lost.
-func (en *Entry) claim(ctx context.Context, cl wire.ClaimLine) (wire.ClaimLine, error) {
+// requestClaim requests a claim from the key's owner, or from the next one if the link to the first
+// is down or lost.
+func (en *Entry) requestClaim(ctx context.Context, cl wire.ClaimLine) (wire.ClaimLine, error) {
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
 	asked := 0
-	for _, box := range en.homes(cl.Key) {
+	for _, box := range en.claimOwners(cl.Key) {
 		li := en.Node.Link(box)
-		if li == nil || asked == claimHomes {
+		if li == nil || asked == maxClaimOwners {
 			continue
 		}
 		asked++
-		won, ok := en.claimAt(ctx, li, cl)
+		won, ok := en.requestClaimFrom(ctx, li, cl)
 		if ok && won.Code == result.ClaimsUnavailable {
 			break
 		}
@@ -128,30 +132,30 @@
 	return wire.ClaimLine{}, result.New(result.ClaimsUnavailable, "")
 }
 
-// claimAt asks one home. It reports whether the home answered.
-func (en *Entry) claimAt(ctx context.Context, li *link.Link, cl wire.ClaimLine) (wire.ClaimLine, bool) {
-	got := make(chan wire.ClaimLine, claimAnswers)
+// requestClaimFrom requests a claim from one owner. It reports whether the owner answered.
+func (en *Entry) requestClaimFrom(ctx context.Context, li *link.Link, cl wire.ClaimLine) (wire.ClaimLine, bool) {
+	answers := make(chan wire.ClaimLine, claimAnswerBuffer)
 	en.mu.Lock()
-	en.claims[cl.Key] = append(en.claims[cl.Key], got)
+	en.claimWaiters[cl.Key] = append(en.claimWaiters[cl.Key], answers)
 	en.mu.Unlock()
-	defer en.dropClaim(cl.Key, got)
+	defer en.removeClaimWaiter(cl.Key, answers)
 	if !li.Send(&wire.Frame{Kind: wire.Claim, Claims: []wire.ClaimLine{cl}}) {
 		return wire.ClaimLine{}, false
 	}
 	for {
 		select {
-		case won := <-got:
-			if verdict, mine := judgeClaim(cl, won); mine {
-				return verdict, true
+		case won := <-answers:
+			if outcome, relevant := evaluateClaim(cl, won); relevant {
+				return outcome, true
 			}
 			continue
 		case <-li.Done():
 		case <-ctx.Done():
 		}
 		if cl.Durable {
-			// It may still become durable; then it is given back, since its
-			// request is not going to run. A session's claim stays, for its
-			// value is not this request's alone.
+			// The claim may still become durable, so it is released: its request is not going to
+			// run. The claim of a session is not released, since other requests of the session
+			// may use the same value.
 			cl.Release = true
 			li.Send(&wire.Frame{Kind: wire.Claim, Claims: []wire.ClaimLine{cl}})
 		}
@@ -159,10 +163,11 @@
 	}
 }
 
-// judgeClaim reads a home's answer on a key for one of the requests that wait
-// for it. A winner is the same for all of them and each compares it with its
-// own value; a refusal is for the request that it names alone.
-func judgeClaim(asked, got wire.ClaimLine) (verdict wire.ClaimLine, mine bool) {
+// evaluateClaim interprets an owner's answer for one of the requests that wait for the key. The
+// answer that names the winner concerns all of them, and each compares the winner with its own
+// value; a refusal concerns only the request that it names. It reports whether the answer concerns
+// the request.
+func evaluateClaim(asked, got wire.ClaimLine) (outcome wire.ClaimLine, relevant bool) {
 	if got.Code == result.ClaimsUnavailable {
 		return got, got.Value == asked.Value
 	}
@@ -173,36 +178,37 @@
 	return got, true
 }
 
-// claimed hands an answer to every request that waits for the key.
-func (en *Entry) claimed(lines []wire.ClaimLine) {
+// deliverClaims passes answers to all requests that wait for their keys.
+func (en *Entry) deliverClaims(lines []wire.ClaimLine) {
 	en.mu.Lock()
 	defer en.mu.Unlock()
 	for _, cl := range lines {
-		for _, got := range en.claims[cl.Key] {
+		for _, waiter := range en.claimWaiters[cl.Key] {
 			select {
-			case got <- cl:
+			case waiter <- cl:
 			default:
 			}
 		}
 	}
 }
 
-func (en *Entry) dropClaim(key string, got chan wire.ClaimLine) {
+func (en *Entry) removeClaimWaiter(key string, waiter chan wire.ClaimLine) {
 	en.mu.Lock()
 	defer en.mu.Unlock()
-	kept := en.claims[key][:0]
-	for _, ch := range en.claims[key] {
-		if ch != got {
-			kept = append(kept, ch)
+	remaining := en.claimWaiters[key][:0]
+	for _, ch := range en.claimWaiters[key] {
+		if ch != waiter {
+			remaining = append(remaining, ch)
 		}
 	}
-	if len(kept) == 0 {
-		delete(en.claims, key)
+	if len(remaining) == 0 {
+		delete(en.claimWaiters, key)
 		return
 	}
-	en.claims[key] = kept
+	en.claimWaiters[key] = remaining
 }
 
+// asResult returns the result error in err's chain, or a BadRequest error.
 func asResult(err error) *result.Error {
 	var er *result.Error
 	if errors.As(err, &er) {
