--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -154,7 +154,7 @@
 	modelGains  cascade.ConfidenceGains
 	// backlogTrends tracks the backlog of each service.
 	backlogTrends map[string]*latency.Smoother
-	// latencyFloors tracks the time that only the fastest responses or stream events stay below, by
+	// latencyFloors tracks the time below which only the fastest responses or stream events are, by
 	// service and model.
 	latencyFloors latency.Baseline
 	// retries holds the retry window of each service.
--- a/internal/gateway/outcomes.go
+++ b/internal/gateway/outcomes.go
@@ -30,9 +30,9 @@
 	return me
 }
 
-// slowEventFactor and slowResponseFactor are the multiples of the old version's best time that
-// count as slow, between two events of a stream and for a complete response. On the users' sites a
-// slow version's events come 4 to 5.5 times later than the old version's fastest, those of a good
+// slowEventFactor and slowResponseFactor are the multiples of the old version's best time that count
+// as slow, between two events of a stream and for a complete response. On the users' sites the time
+// between events of a slow version is 4 to 5.5 times the old version's best time, that of a good
 // version on idle servers up to 1.4 times. Complete responses of a plain service differ by a factor
 // of up to 4.
 const (
--- a/internal/gateway/poison_test.go
+++ b/internal/gateway/poison_test.go
@@ -19,13 +19,13 @@
 // Guards against a request that crashes servers being sent to one server after another. On the
 // users' boxes such requests crashed 141 of the model service's servers in a day, for half a minute
 // at a time, and a tenth and more of all streams broke. A request's first token came from a small
-// model of low confidence, so a larger model was asked elsewhere and the first run dropped. The
-// first server crashed 0.1 s later, then the second and third, to which the stream was moved, and
-// the caller's retry and later copies began anew at other gateways. Attempts whose server crashed
-// were repeated like those whose connection was lost, and no gateway remembered them: 14 copies had
-// 41 runs at four gateways, none completed, and each server crashed within 0.2 s of a first token.
-// In 13 of the copies a run had been dropped before its server crashed, so that broken connections
-// alone would have revealed the request late.
+// model of low confidence, so a larger model was called on another server and the first run dropped.
+// The first server crashed 0.1 s later, then the second and third, to which the stream was moved,
+// and the caller's retry and later copies began anew at other gateways. Attempts whose server
+// crashed were repeated like those whose connection was lost, and no gateway remembered them: 14
+// copies had 41 runs at four gateways, none completed, and each server crashed within 0.2 s of a
+// first token. In 13 of the copies a run had been dropped before its server crashed, so that broken
+// connections alone would have revealed the request late.
 func TestRequestThatCrashesServersIsBlocked(t *testing.T) {
 	for _, noResponse := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
--- a/internal/gateway/relay_test.go
+++ b/internal/gateway/relay_test.go
@@ -425,8 +425,8 @@
 	return ga, &completeReads
 }
 
-// A gateway that starts with a state which takes several calls to read reads only the first part,
-// with the members, from the service, and the rest from a watcher.
+// If the state is too large for one call, a gateway that starts reads only the first part, with the
+// members, from the service, and the complete state from a watcher.
 func TestRestOfALargeStateIsReadFromWatcher(t *testing.T) {
 	re := newRelayCluster(t)
 	for i := range 40 {
--- a/internal/gateway/rollouts_test.go
+++ b/internal/gateway/rollouts_test.go
@@ -158,7 +158,7 @@
 
 // Guards against a new version receiving sessions in the first half of its roll-out. It happened
 // when a version was ordered 0.7 s after another one had failed, whose servers were still listed
-// and were taken for the old version's: eight PINNED errors in one simulated day.
+// and were treated as servers of the old version: eight PINNED errors in one simulated day.
 func TestFailedVersionIsNotUsedUnderNextOrder(t *testing.T) {
 	ga, ro := newTrialGateway(t)
 	putServers(ga, "v1", "v2", "v3")
--- a/internal/gateway/selfreports_test.go
+++ b/internal/gateway/selfreports_test.go
@@ -178,7 +178,7 @@
 				sc.sendLoad(askedPause)
 				sc.callers.Wait()
 				for _, ca := range sc.otherResponses {
-					// Until a gateway knows which servers reject requests, escalations may use up all retries.
+					// Escalations may use up all retries until a gateway knows which servers reject requests.
 					require.True(t, ca.answered || ca.refusedImmediately(), "%+v", ca)
 				}
 				sc.otherResponses = nil
@@ -270,8 +270,8 @@
 	})
 }
 
-// An announcement counts in every kind of response, including those that are not delivered to a
-// caller.
+// A server's announcement is applied from every kind of response, including those that are not
+// delivered to a caller.
 func TestSelfReportIsAppliedFromEveryKindOfResponse(t *testing.T) {
 	leaving := selfreport.Report{Leaving: true}
 	for name, se := range map[string]*attemptState{
--- a/internal/gateway/servers.go
+++ b/internal/gateway/servers.go
@@ -53,7 +53,7 @@
 	}
 }
 
-// dropUnusableServer takes a server out of use whose entry no longer describes a usable one. If the
+// dropUnusableServer takes a server out of use because its entry is no longer valid. If the
 // server still runs, it writes its entry again within seconds. The lock is held.
 func (ga *Gateway) dropUnusableServer(un UnusableServer) {
 	unusableEntries.Inc()
--- a/internal/gateway/tallies.go
+++ b/internal/gateway/tallies.go
@@ -49,7 +49,7 @@
 
 // publishTallies publishes this gateway's outcomes to the other gateways. A gateway that reports
 // to a collector leaves that to the collector, which writes the tallies of all its gateways at
-// once: 103 gateways that wrote one by one made 332 calls for a roll-out. The lock is held.
+// once: 103 gateways that each wrote their own made 332 calls for a roll-out. The lock is held.
 func (ga *Gateway) publishTallies(ctx context.Context, ro *rolloutState, now time.Time) {
 	if ro.ended() {
 		ro.pending, ro.collectedNew = nil, false
