--- a/internal/agent/streams.go
+++ b/internal/agent/streams.go
@@ -28,7 +28,7 @@
 	ag.mu.Lock()
 	defer ag.mu.Unlock()
 	ag.streams[key] = &stream{li: li, at: fr.Open}
-	if ag.ledger.Full() {
+	if ag.outbox.Full() {
 		ag.refuse(key, fr.Open, result.BillsFull, 0)
 		return
 	}
@@ -99,11 +99,11 @@
 	ag.Node.Record(timeline.Entry{Event: event.AttemptCancelled, Request: st.at.Request, Version: st.at.Version})
 }
 
-// cancelLinkStreams cancels the attempts of a lost link, except for running ones that must run at most
-// once.
+// cancelLinkStreams cancels the attempts of a lost link, except for running ones that must run at
+// most once.
 func (ag *Agent) cancelLinkStreams(li *link.Link) {
 	ag.mu.Lock()
-	ag.ledger.MakeAllDue(time.Now())
+	ag.outbox.MakeAllDue(time.Now())
 	var keys []gate.Key
 	for key, st := range ag.streams {
 		if st.li == li && (st.cancel == nil || !st.at.AtMostOnce) {
--- a/standin/soak/server.go
+++ b/standin/soak/server.go
@@ -15,101 +15,104 @@
 	"github.com/linnetrudder/linnetrudder/standin/fleet"
 )
 
-// run is one run of a request as a backend server saw it.
-type run struct {
+// execution is one execution of a request as a backend server observed it.
+type execution struct {
 	server string
 	team   string
 	at     time.Time
-	// announced is set if the answer announced the server's shutdown.
+	// announced is set if the response announced the server's shutdown.
 	announced bool
 }
 
-// ledger holds what ran, and what was rejected with a pause.
-type ledger struct {
-	mu   sync.Mutex
-	runs map[string][]run
-	shed map[string][]run
+// executionLog holds, by request id, the executions of all servers and the rejections with a
+// Retry-After.
+type executionLog struct {
+	mu       sync.Mutex
+	executed map[string][]execution
+	rejected map[string][]execution
 }
 
-func (le *ledger) addShed(request string, ru run) {
-	le.mu.Lock()
-	defer le.mu.Unlock()
-	le.shed[request] = append(le.shed[request], ru)
+func (el *executionLog) addRejection(request string, ex execution) {
+	el.mu.Lock()
+	defer el.mu.Unlock()
+	el.rejected[request] = append(el.rejected[request], ex)
 }
 
-func (le *ledger) add(request string, ru run) {
-	le.mu.Lock()
-	defer le.mu.Unlock()
-	le.runs[request] = append(le.runs[request], ru)
+func (el *executionLog) add(request string, ex execution) {
+	el.mu.Lock()
+	defer el.mu.Unlock()
+	el.executed[request] = append(el.executed[request], ex)
 }
 
-func (le *ledger) shedOf(request string) []run {
-	le.mu.Lock()
-	defer le.mu.Unlock()
-	return le.shed[request]
+func (el *executionLog) rejectionsOf(request string) []execution {
+	el.mu.Lock()
+	defer el.mu.Unlock()
+	return el.rejected[request]
 }
 
-func (le *ledger) of(request string) []run {
-	le.mu.Lock()
-	defer le.mu.Unlock()
-	return le.runs[request]
+func (el *executionLog) executionsOf(request string) []execution {
+	el.mu.Lock()
+	defer el.mu.Unlock()
+	return el.executed[request]
 }
 
 const (
-	// plainWork is how long a plain request takes, eventEvery the time between two
-	// events of a stream, streamEvents how many there are.
-	plainWork    = 15 * time.Millisecond
-	eventEvery   = 20 * time.Millisecond
-	streamEvents = 8
-	// slots is how many requests a server works on.
+	// plainDuration is how long a request takes, eventInterval the time between two events of a
+	// stream and streamEvents their number.
+	plainDuration = 15 * time.Millisecond
+	eventInterval = 20 * time.Millisecond
+	streamEvents  = 8
+	// slots is how many requests a server executes at once.
 	slots = 32
-	// greyPart is the part of its requests that a grey server fails, oddPart that
-	// which is lost or garbled.
-	greyPart = 0.5
-	oddPart  = 0.2
-	// liePart is the part of its requests that a sabotaged server runs and rejects: a request is
-	// only refused after several rejections in a row.
-	liePart = 0.6
-	// slowBy is how much longer a slow server takes.
-	slowBy = 10
-	// askedPause is the pause that a server asks for which rejects everything.
-	askedPause = 1500 * time.Millisecond
+	// errorFraction is the fraction of requests that fail under ServerErrors,
+	// responseFaultFraction the fraction that ServerDropsResponses and ServerWrongRequestID affect.
+	errorFraction         = 0.5
+	responseFaultFraction = 0.2
+	// falseRejectionFraction is the fraction of requests that a server with the defect
+	// FalseNotExecuted executes and rejects. It is high because a gateway refuses a request only
+	// after several rejections in a row.
+	falseRejectionFraction = 0.6
+	// slowFactor is how many times longer a request takes under ServerSlow.
+	slowFactor = 10
+	// retryAfter is the pause that a server asks for under ServerShedsLoad.
+	retryAfter = 1500 * time.Millisecond
 )
 
-// headerPoison marks the request that servers end under.
+// headerPoison marks the request that crashes servers.
 const headerPoison = "X-Soak-Poison"
 
-// server is one life of a stand-in backend server.
+// server is a simulated backend server, from its start to its stop.
 type server struct {
-	id       string
-	ran      *ledger
-	cable    *fleet.Cable
-	http     *http.Server
-	sabotage Sabotage
-	// ends ends the server as a crash does.
-	ends func()
+	id         string
+	executions *executionLog
+	proxy      *fleet.Proxy
+	http       *http.Server
+	defect     Defect
+	// crash stops the server without notice.
+	crash func()
 
-	// unlisted is set once its entry has ended.
+	// unlisted is set before the server's entry is removed.
 	unlisted atomic.Bool
 
-	mu      sync.Mutex
-	faults  map[Kind]int
-	busy    int
-	drained bool
-	// entries counts the entries that it has written.
-	entries int
+	mu       sync.Mutex
+	faults   map[FaultKind]int
+	inFlight int
+	drained  bool
+	// entriesWritten counts the versions of the server's entry and is their sequence number.
+	entriesWritten int
 }
 
-func startServer(id string, le *ledger, sabotage Sabotage) (*server, error) {
+// startServer starts a backend server on loopback behind a proxy.
+func startServer(id string, el *executionLog, de Defect) (*server, error) {
 	li, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, fmt.Errorf("server: %w", err)
 	}
-	ca, err := fleet.NewCable(li.Addr().String())
+	px, err := fleet.NewProxy(li.Addr().String())
 	if err != nil {
 		return nil, err
 	}
-	se := &server{id: id, ran: le, cable: ca, sabotage: sabotage, faults: map[Kind]int{}}
+	se := &server{id: id, executions: el, proxy: px, defect: de, faults: map[FaultKind]int{}}
 	se.http = &http.Server{Handler: se, ReadHeaderTimeout: time.Minute}
 	go func() { _ = se.http.Serve(li) }()
 	return se, nil
@@ -117,62 +120,63 @@
 
 func (se *server) stop() {
 	_ = se.http.Close()
-	se.cable.Close()
+	se.proxy.Close()
 }
 
-// strike adds a fault, or takes it away again.
-func (se *server) strike(ki Kind, by int) {
+// addFault starts (delta 1) or ends (delta -1) a fault. Faults of the same kind may overlap.
+func (se *server) addFault(ki FaultKind, delta int) {
 	se.mu.Lock()
 	defer se.mu.Unlock()
-	se.faults[ki] += by
+	se.faults[ki] += delta
 }
 
-func (se *server) odd(ki Kind, part float64) bool {
+// faultActive reports whether a fault affects the current request, which it does with a probability.
+func (se *server) faultActive(ki FaultKind, probability float64) bool {
 	se.mu.Lock()
 	defer se.mu.Unlock()
-	return se.faults[ki] > 0 && rand.Float64() < part
+	return se.faults[ki] > 0 && rand.Float64() < probability
 }
 
-// drain lets its entries say from now on that it leaves.
+// drain marks the server as draining in its next entries.
 func (se *server) drain() {
 	se.mu.Lock()
 	defer se.mu.Unlock()
 	se.drained = true
 }
 
-// enter takes a slot, if there is one.
-func (se *server) enter() bool {
+// acquireSlot takes a slot and reports whether one was free.
+func (se *server) acquireSlot() bool {
 	se.mu.Lock()
 	defer se.mu.Unlock()
-	if se.busy >= slots {
+	if se.inFlight >= slots {
 		return false
 	}
-	se.busy++
+	se.inFlight++
 	return true
 }
 
-func (se *server) leave() {
+func (se *server) releaseSlot() {
 	se.mu.Lock()
 	defer se.mu.Unlock()
-	se.busy--
+	se.inFlight--
 }
 
-// entry is how the server lists itself.
+// entry returns the next version of the server's entry in the key-value service.
 func (se *server) entry() map[string]any {
 	se.mu.Lock()
 	defer se.mu.Unlock()
-	se.entries++
+	se.entriesWritten++
 	state := "ready"
 	if se.drained {
 		state = "draining"
 	}
 	return map[string]any{
-		"service": "svc", "address": se.cable.Address(), "zone": "z1", "version": "v1",
-		"slots": slots, "state": state, "cold_remaining_ms": 0, "seq": se.entries,
+		"service": "svc", "address": se.proxy.Address(), "zone": "z1", "version": "v1",
+		"slots": slots, "state": state, "cold_remaining_ms": 0, "seq": se.entriesWritten,
 	}
 }
 
-// ServeHTTP runs one request.
+// ServeHTTP executes or rejects one request.
 func (se *server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	id := r.Header.Get("X-Request-Id")
 	_, _ = io.Copy(io.Discard, r.Body)
@@ -181,62 +185,63 @@
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
-	announced := se.odd(ServerAnnounces, 1)
-	if announced && se.sabotage != HidesReports {
+	announced := se.faultActive(ServerAnnouncesShutdown, 1)
+	if announced && se.defect != OmitsReports {
 		w.Header().Set("Server-Leaving", "1")
 	}
-	if se.odd(ServerSheds, 1) {
-		se.ran.addShed(id, run{server: se.id, at: time.Now()})
+	if se.faultActive(ServerShedsLoad, 1) {
+		se.executions.addRejection(id, execution{server: se.id, at: time.Now()})
 		w.Header().Set("X-Not-Executed", "shed")
-		if se.sabotage != HidesReports {
-			w.Header().Set("Retry-After", strconv.FormatFloat(askedPause.Seconds(), 'f', -1, 64))
+		if se.defect != OmitsReports {
+			w.Header().Set("Retry-After", strconv.FormatFloat(retryAfter.Seconds(), 'f', -1, 64))
 		}
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	if !se.enter() {
+	if !se.acquireSlot() {
 		w.Header().Set("X-Not-Executed", "full")
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	defer se.leave()
-	ru := run{server: se.id, team: r.Header.Get("X-Tenant"), at: time.Now(), announced: announced}
-	se.ran.add(id, ru)
-	if se.sabotage == RunsTwice {
-		se.ran.add(id, ru)
+	defer se.releaseSlot()
+	ex := execution{server: se.id, team: r.Header.Get("X-Tenant"), at: time.Now(), announced: announced}
+	se.executions.add(id, ex)
+	if se.defect == RunsTwice {
+		se.executions.add(id, ex)
 	}
-	se.work(w, r, id)
+	se.execute(w, r, id)
 }
 
-func (se *server) work(w http.ResponseWriter, r *http.Request, id string) {
-	pause := plainWork
-	if se.odd(ServerSlow, 1) {
-		pause *= slowBy
+// execute writes the response to a request, subject to the faults and the defect of the server.
+func (se *server) execute(w http.ResponseWriter, r *http.Request, id string) {
+	duration := plainDuration
+	if se.faultActive(ServerSlow, 1) {
+		duration *= slowFactor
 	}
-	time.Sleep(pause)
+	time.Sleep(duration)
 	if r.Header.Get(headerPoison) != "" {
-		se.ends()
+		se.crash()
 		<-r.Context().Done()
 		return
 	}
 	switch {
-	case se.sabotage == LiesNotRun && rand.Float64() < liePart:
+	case se.defect == FalseNotExecuted && rand.Float64() < falseRejectionFraction:
 		w.Header().Set("X-Not-Executed", "full")
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
-	case se.odd(ServerLoses, oddPart):
+	case se.faultActive(ServerDropsResponses, responseFaultFraction):
 		panic(http.ErrAbortHandler)
-	case se.odd(ServerGarbles, oddPart):
+	case se.faultActive(ServerWrongRequestID, responseFaultFraction):
 		w.Header().Set("X-Request-Id", "another")
 	}
 	w.Header().Set("X-Server-Signature", "signed by "+se.id)
 	switch {
-	case se.odd(ServerGrey, greyPart):
+	case se.faultActive(ServerErrors, errorFraction):
 		w.WriteHeader(http.StatusInternalServerError)
 		_, _ = io.WriteString(w, plainBody(id))
 	case strings.HasPrefix(r.URL.Path, "/stream/"):
-		se.stream(w, r, id)
-	case se.sabotage == MixesAnswers:
+		se.writeStream(w, r, id)
+	case se.defect == SwapsResponses:
 		_, _ = io.WriteString(w, plainBody("another"))
 	default:
 		_, _ = io.WriteString(w, plainBody(id))
@@ -247,18 +252,19 @@
 
 func eventBody(id string, n int) string { return fmt.Sprintf("id: %d\ndata: %s part %d\n\n", n, id, n) }
 
-func (se *server) stream(w http.ResponseWriter, r *http.Request, id string) {
+// writeStream writes the events of a stream after the one that the request names as the last received.
+func (se *server) writeStream(w http.ResponseWriter, r *http.Request, id string) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	last, _ := strconv.Atoi(r.Header.Get("Last-Event-Id"))
 	for n := last + 1; n <= streamEvents; n++ {
-		if se.sabotage == SkipsEvents && n == streamEvents/2 {
+		if se.defect == SkipsEvents && n == streamEvents/2 {
 			continue
 		}
-		if n > streamEvents/2 && se.odd(ServerLoses, oddPart) {
+		if n > streamEvents/2 && se.faultActive(ServerDropsResponses, responseFaultFraction) {
 			panic(http.ErrAbortHandler)
 		}
 		_, _ = io.WriteString(w, eventBody(id, n))
 		_ = http.NewResponseController(w).Flush()
-		time.Sleep(eventEvery)
+		time.Sleep(eventInterval)
 	}
 }
--- a/standin/trial/rollouts_test.go
+++ b/standin/trial/rollouts_test.go
@@ -7,81 +7,83 @@
 	"github.com/stretchr/testify/require"
 )
 
-// release is a good version; tests change what is wrong with it.
-func release(seed uint64) Release {
-	return Release{
-		Rate: 50, GoodFailures: 0.01, GoodLow: 0.08, Failures: 0.01, Low: 0.08, Rated: 0.3,
-		Lag: 5 * time.Second, RatingLag: time.Minute, For: 2 * time.Hour, Seed: seed,
+// newRolloutScenario returns a scenario with a good new version; tests make it worse.
+func newRolloutScenario(seed uint64) RolloutScenario {
+	return RolloutScenario{
+		RequestsPerSecond: 50, BaselineFailureRate: 0.01, BaselineLowRatingRate: 0.08, FailureRate: 0.01, LowRatingRate: 0.08, RatedFraction: 0.3,
+		TallyLag: 5 * time.Second, RatingLag: time.Minute, Duration: 2 * time.Hour, Seed: seed,
 	}
 }
 
-// sums adds up what each strategy did over many seeds.
-type sums struct {
-	exposure, reversed, full int
+// totals sums up the outcomes of one strategy over many seeds.
+type totals struct {
+	exposure, rolledBack, fullShare int
 }
 
-func over(n int, change func(re *Release)) map[string]sums {
-	by := map[string]sums{}
+// totalsByStrategy runs a changed scenario with n seeds.
+func totalsByStrategy(n int, change func(rs *RolloutScenario)) map[string]totals {
+	by := map[string]totals{}
 	for seed := range n {
-		re := release(uint64(seed))
-		change(&re)
-		for _, ou := range Rollouts(re) {
-			su := by[ou.Strategy]
-			su.exposure += ou.Exposure
-			if ou.Reversed {
-				su.reversed++
+		rs := newRolloutScenario(uint64(seed))
+		change(&rs)
+		for _, ou := range CompareRollouts(rs) {
+			to := by[ou.Strategy]
+			to.exposure += ou.Exposure
+			if ou.RolledBack {
+				to.rolledBack++
 			}
-			if ou.Full > 0 {
-				su.full++
+			if ou.FullShareAt > 0 {
+				to.fullShare++
 			}
-			by[ou.Strategy] = su
+			by[ou.Strategy] = to
 		}
 	}
 	return by
 }
 
 const (
-	ladderName = "fixed ladder, a step every 10 min"
-	oursName   = "linnetrudder"
-	runs       = 40
+	fixedStepsName = "fixed ladder, a step every 10 min"
+	systemName     = "linnetrudder"
+	seedCount      = 40
 )
 
-func TestGoodVersionsGetThrough(t *testing.T) {
+func TestGoodVersionsReachFullShare(t *testing.T) {
 	t.Parallel()
-	by := over(runs, func(*Release) {})
+	by := totalsByStrategy(seedCount, func(*RolloutScenario) {})
 	t.Log(by)
-	require.Zero(t, by[oursName].reversed)
-	require.Equal(t, runs, by[oursName].full)
-	require.LessOrEqual(t, by[oursName].reversed, by[ladderName].reversed, "no more false alarms than the ladder")
+	require.Zero(t, by[systemName].rolledBack)
+	require.Equal(t, seedCount, by[systemName].fullShare)
+	require.LessOrEqual(t, by[systemName].rolledBack, by[fixedStepsName].rolledBack, "no more false positives than with fixed steps")
 }
 
-func TestBadVersionsAreReversed(t *testing.T) {
+func TestBadVersionsAreRolledBack(t *testing.T) {
 	t.Parallel()
 	for _, tc := range []struct {
 		name   string
-		change func(re *Release)
+		change func(rs *RolloutScenario)
 	}{
-		{"fails from the start", func(re *Release) { re.Failures = 0.2 }},
-		{"fails a little", func(re *Release) { re.Failures = 0.08 }},
-		{"low ratings", func(re *Release) { re.Low = 0.4 }},
-		{"turns bad half-way", func(re *Release) { re.Failures, re.TurnsBad = 0.3, 20*time.Minute }},
-		{"turns bad after all", func(re *Release) { re.Failures, re.TurnsBad = 0.3, 90*time.Minute }},
-		{"interrupted", func(re *Release) {
-			re.Failures = 0.2
-			re.Interrupted = [2]time.Duration{2 * time.Second, 10 * time.Minute}
+		{"fails from the start", func(rs *RolloutScenario) { rs.FailureRate = 0.2 }},
+		{"fails slightly", func(rs *RolloutScenario) { rs.FailureRate = 0.08 }},
+		{"low ratings", func(rs *RolloutScenario) { rs.LowRatingRate = 0.4 }},
+		{"degrades during the rollout", func(rs *RolloutScenario) { rs.FailureRate, rs.DegradesAt = 0.3, 20*time.Minute }},
+		{"degrades after the rollout", func(rs *RolloutScenario) { rs.FailureRate, rs.DegradesAt = 0.3, 90*time.Minute }},
+		{"interrupted", func(rs *RolloutScenario) {
+			rs.FailureRate = 0.2
+			rs.DecisionOutage = [2]time.Duration{2 * time.Second, 10 * time.Minute}
 		}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
-			by := over(runs, tc.change)
+			by := totalsByStrategy(seedCount, tc.change)
 			t.Log(by)
-			require.Equal(t, runs, by[oursName].reversed)
+			require.Equal(t, seedCount, by[systemName].rolledBack)
 			if tc.name == "interrupted" {
-				// Nobody decides for ten minutes, so both keep the first share.
-				require.LessOrEqual(t, by[oursName].exposure, by[ladderName].exposure)
+				// The share is not changed for ten minutes, so both strategies stay at the first
+				// one.
+				require.LessOrEqual(t, by[systemName].exposure, by[fixedStepsName].exposure)
 				return
 			}
-			require.Less(t, by[oursName].exposure, by[ladderName].exposure)
+			require.Less(t, by[systemName].exposure, by[fixedStepsName].exposure)
 		})
 	}
 }
