--- a/standin/cmd/measure/load.go
+++ b/standin/cmd/measure/load.go
@@ -61,7 +61,7 @@
 	if err := fe.StartPlatform(); err != nil {
 		return nil, nil, nil, err
 	}
-	fe.Tune = func(se map[string]any) { se["log_level"] = "warn" }
+	fe.AdjustSettings = func(se map[string]any) { se["log_level"] = "warn" }
 	engine, _, err := fe.StartStandIn("engine", "engine", "--tokens", fmt.Sprint(cm.Tokens), "--pace", cm.Pace.String())
 	if err != nil {
 		return nil, nil, nil, err
--- a/standin/e2e/partition_test.go
+++ b/standin/e2e/partition_test.go
@@ -48,7 +48,7 @@
 	require.NoError(t, err)
 	pa.lists[1] = other
 	farStore := pa.cable(pa.fleet.Store)
-	pa.fleet.Tune = func(se map[string]any) {
+	pa.fleet.AdjustSettings = func(se map[string]any) {
 		if se["data_centre"] == dataCentre(1) {
 			se["platform"] = map[string]any{
 				"store": farStore, "boxes": pa.lists[1], "calls_per_second": 50, "watch_ms": 2000, "boxes_ms": 200,
