--- a/cmd/linnetrudderctl/client.go
+++ b/cmd/linnetrudderctl/client.go
@@ -20,36 +20,36 @@
 // callTimeout is the timeout of one HTTP request.
 const callTimeout = 20 * time.Second
 
-// client calls the admin API of the entries. It tries the next entry if one does not answer or can't
-// serve the call.
+// client calls the admin API of the entries. It tries the next entry if one does not respond or
+// can't serve the call.
 type client struct {
 	admins        []string
 	key, operator string
 }
 
-// get sends a GET request and decodes the answer into a value.
+// get sends a GET request and decodes the response into a value.
 func (cl *client) get(path string, into any) error {
 	return cl.call(http.MethodGet, path, nil, into)
 }
 
-// call sends a request to the entries in order and decodes the answer into a value. All entries get the
-// same operation ID, so that a write is applied once even if it is sent to several entries.
+// call sends a request to the entries in turn until one serves it, and decodes the response into a value. All
+// entries get the same operation ID, so that a write is applied once even if it is sent to several entries.
 func (cl *client) call(method, path string, body []byte, into any) error {
 	operation := uuid.NewString()
 	if len(cl.admins) == 0 {
 		return result.New(result.BadSettings, "--admin: give the address of at least one entry")
 	}
-	var last error
+	var lastErr error
 	for _, admin := range cl.admins {
-		last = cl.callOne(admin, method, path, operation, body, into)
-		if !shouldTryNext(last) {
-			return last
+		lastErr = cl.callOne(admin, method, path, operation, body, into)
+		if !shouldTryNext(lastErr) {
+			return lastErr
 		}
 	}
-	return last
+	return lastErr
 }
 
-// shouldTryNext reports whether another entry may answer the request after this error.
+// shouldTryNext reports whether another entry may serve the request after this error.
 func shouldTryNext(err error) bool {
 	if err == nil {
 		return false
@@ -87,10 +87,10 @@
 	if resp.StatusCode != http.StatusOK {
 		return decodeError(resp, data)
 	}
-	return eris.Wrap(json.Unmarshal(data, into), "decode answer")
+	return eris.Wrap(json.Unmarshal(data, into), "decode response")
 }
 
-// decodeError returns the error in an answer, with its result code if it has one.
+// decodeError returns the error that a response contains, with its result code if it has one.
 func decodeError(resp *http.Response, data []byte) error {
 	var pr node.ErrorBody
 	if json.Unmarshal(data, &pr) != nil || pr.Error.Code == 0 {
@@ -101,15 +101,15 @@
 	return result.New(pr.Error.Code, detail)
 }
 
-// listBoxes returns the boxes of the platform's list.
+// listBoxes returns the platform's list of boxes.
 func (cl *client) listBoxes() ([]boxes.Box, error) {
 	var list []boxes.Box
 	err := cl.get("/v1/boxes", &list)
 	return list, err
 }
 
-// getFromAll gets a path from every box and decodes each answer into a new value. It passes the value
-// to handle, together with the error if the box did not answer.
+// getFromAll gets a path from every box and decodes each response into a new value. It passes the
+// value to handle, together with the error if the request failed.
 func (cl *client) getFromAll(path string, newValue func() any, handle func(bo boxes.Box, value any, err error)) error {
 	list, err := cl.listBoxes()
 	if err != nil {
--- a/cmd/linnetrudderctl/evacuate.go
+++ b/cmd/linnetrudderctl/evacuate.go
@@ -17,13 +17,13 @@
 
 // Run starts or ends the evacuation.
 func (cm *evacuateCmd) Run(cl *client, pr *printer) error {
-	method, outcome := http.MethodPost, "gets no new requests"
+	method, effect := http.MethodPost, "gets no new requests"
 	if cm.End {
-		method, outcome = http.MethodDelete, "is used again"
+		method, effect = http.MethodDelete, "is used again"
 	}
 	var ch config.Change
 	if err := cl.call(method, "/v1/evacuations/"+url.PathEscape(cm.DataCentre), nil, &ch); err != nil {
 		return err
 	}
-	return pr.show(ch, func(w io.Writer) { fmt.Fprintf(w, "%s %s as of revision %d\n", cm.DataCentre, outcome, ch.Revision) })
+	return pr.show(ch, func(w io.Writer) { fmt.Fprintf(w, "%s %s as of revision %d\n", cm.DataCentre, effect, ch.Revision) })
 }
--- a/cmd/linnetrudderctl/explain.go
+++ b/cmd/linnetrudderctl/explain.go
@@ -21,11 +21,11 @@
 	Model   string `default:"auto" help:"Model that the request names."`
 	Kind    string `help:"Kind of the request."`
 	Session string `help:"Session of the request."`
-	// Logs are searched instead of asking the entries.
+	// Logs are log files; if any are given, they are read and no entry is called.
 	Logs []string `help:"Gateway log files, from any boxes in any order, from which to explain how --request ended." type:"existingfile"`
 }
 
-// Run asks an entry for an explanation, or derives it from log files if any are given.
+// Run requests an explanation from an entry, or derives it from log files if any are given.
 func (cm *explainCmd) Run(cl *client, pr *printer) error {
 	if len(cm.Logs) > 0 {
 		return cm.fromLogs(pr)
--- a/cmd/linnetrudderctl/root_test.go
+++ b/cmd/linnetrudderctl/root_test.go
@@ -23,18 +23,18 @@
 	"github.com/linnetrudder/linnetrudder/internal/wire"
 )
 
-// fakeAdmin is a fake admin API of an entry with fixed answers by method and path.
+// fakeAdmin is a fake admin API of an entry with fixed responses by method and path.
 type fakeAdmin struct {
-	address string
-	answers map[string]any
+	address   string
+	responses map[string]any
 	// operations holds the operation IDs of received writes.
 	operations []string
-	// fail is the result code of every answer if it is not zero.
+	// fail is the result code of every response if it is not zero.
 	fail result.Code
 }
 
-func newFakeAdmin(t *testing.T, answers map[string]any) *fakeAdmin {
-	fa := &fakeAdmin{answers: answers}
+func newFakeAdmin(t *testing.T, responses map[string]any) *fakeAdmin {
+	fa := &fakeAdmin{responses: responses}
 	srv := httptest.NewServer(fa)
 	t.Cleanup(srv.Close)
 	fa.address = srv.Listener.Addr().String()
@@ -47,15 +47,15 @@
 		_, _ = io.Copy(io.Discard, r.Body)
 	}
 	if fa.fail != 0 {
-		node.WriteError(w, result.New(fa.fail, "here"))
+		node.WriteError(w, result.New(fa.fail, "detail"))
 		return
 	}
-	answer, ok := fa.answers[r.Method+" "+r.URL.Path]
+	response, ok := fa.responses[r.Method+" "+r.URL.Path]
 	if !ok {
 		node.WriteError(w, result.New(result.UnknownPath, r.URL.Path))
 		return
 	}
-	_ = json.NewEncoder(w).Encode(answer)
+	_ = json.NewEncoder(w).Encode(response)
 }
 
 func run(admin string, args ...string) (int, string, string) {
@@ -85,22 +85,22 @@
 	}
 	other := newFakeAdmin(t, map[string]any{"GET /v1/timeline": []timeline.Entry{entry(2, "agent")}})
 	fa := newFakeAdmin(t, nil)
-	fa.answers = map[string]any{
+	fa.responses = map[string]any{
 		"GET /v1/timeline": []timeline.Entry{entry(1, "entry"), entry(3, "entry")},
-		"GET /v1/boxes":    []boxes.Box{{Name: "e", Admin: fa.address}, {Name: "a", Admin: other.address}, {Name: "dead", Admin: "127.0.0.1:1"}},
+		"GET /v1/boxes":    []boxes.Box{{Name: "e", Admin: fa.address}, {Name: "a", Admin: other.address}, {Name: "unreachable", Admin: "127.0.0.1:1"}},
 	}
 	code, out, _ := run(fa.address, "timeline", "--request", "r")
 	require.Equal(t, command.OK, code)
 	first, second := strings.Index(out, "entry"), strings.Index(out, "agent")
 	require.Less(t, first, second)
 	require.Equal(t, 3, strings.Count(out, "request_routed"))
-	require.Contains(t, out, "no answer from dead")
-	picture := filepath.Join(t.TempDir(), "line.svg")
-	code, _, _ = run(fa.address, "timeline", "--picture", picture)
+	require.Contains(t, out, "no answer from unreachable")
+	path := filepath.Join(t.TempDir(), "timeline.svg")
+	code, _, _ = run(fa.address, "timeline", "--picture", path)
 	require.Equal(t, command.OK, code)
-	drawn, err := os.ReadFile(picture)
+	image, err := os.ReadFile(path)
 	require.NoError(t, err)
-	require.Equal(t, 3, bytes.Count(drawn, []byte("<circle")))
+	require.Equal(t, 3, bytes.Count(image, []byte("<circle")))
 	_, out, _ = run(fa.address, "timeline", "--request", "none")
 	require.NotContains(t, out, "request_routed")
 }
@@ -122,7 +122,7 @@
 	code, _, errOut := run(first.address+","+second.address, "withdraw", "m@v1")
 	require.Equal(t, command.Failed, code)
 	require.Contains(t, errOut, "606 conflict")
-	require.Contains(t, errOut, "here")
+	require.Contains(t, errOut, "detail")
 	require.Empty(t, second.operations)
 }
 
--- a/cmd/linnetrudderctl/status.go
+++ b/cmd/linnetrudderctl/status.go
@@ -18,7 +18,7 @@
 	Role       boxes.Role `json:"role"`
 	Revision   uint64     `json:"revision"`
 	Stopping   bool       `json:"stopping"`
-	// Error is set if the box did not answer.
+	// Error is set if the box did not return its status.
 	Error string `json:"error,omitempty"`
 }
 
--- a/cmd/linnetrudderctl/timeline.go
+++ b/cmd/linnetrudderctl/timeline.go
@@ -23,7 +23,7 @@
 	Picture string        `help:"Write an SVG image to this file." type:"path"`
 }
 
-// Run reads the timeline of each box and prints or draws the merged events.
+// Run reads the timeline of each box and prints the merged events or writes them as an image.
 func (cm *timelineCmd) Run(cl *client, pr *printer) error {
 	var lists [][]timeline.Entry
 	var unreachable []string
