--- a/cmd/linnetrudderctl/client.go
+++ b/cmd/linnetrudderctl/client.go
@@ -32,8 +32,9 @@
 	return cl.call(http.MethodGet, path, nil, into)
 }
 
-// call sends a request to the entries in turn until one serves it, and decodes the response into a value. All
-// entries get the same operation ID, so that a write is applied once even if it is sent to several entries.
+// call sends a request to the entries in turn until one serves it, and decodes the response into a
+// value. All entries get the same operation ID, so that a write is applied once even if it is sent to
+// several entries.
 func (cl *client) call(method, path string, body []byte, into any) error {
 	operation := uuid.NewString()
 	if len(cl.admins) == 0 {
--- a/internal/boxes/boxes.go
+++ b/internal/boxes/boxes.go
@@ -1,5 +1,5 @@
-// Package boxes reads the platform's list of live and leaving boxes. The list is eventually consistent:
-// it may lag behind the actual state of the boxes.
+// Package boxes reads the platform's list of live and leaving boxes, which may lag behind the actual
+// state of the boxes.
 package boxes
 
 import (
--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -1,5 +1,5 @@
 // Package command runs the command lines of the binaries: it parses the arguments, runs the selected
-// command, and reports errors with their result codes and an exit code.
+// command, prints its error with the result code and returns an exit code.
 package command
 
 import (
@@ -14,7 +14,7 @@
 
 // The exit codes.
 const (
-	// OK means success.
+	// OK means that the command succeeded.
 	OK = 0
 	// Failed means that the command was refused or failed. The result code is printed if there is one.
 	Failed = 1
--- a/internal/event/event.go
+++ b/internal/event/event.go
@@ -1,5 +1,4 @@
-// Package event is the catalogue of the numbered events that processes log and record in their
-// timelines.
+// Package event defines the numbered events that processes log and record in their timelines.
 package event
 
 // ID is the number of an event type.
@@ -7,7 +6,7 @@
 
 // The events. The first digit is the group: 1 process, 2 request at an entry or gateway, 3 attempt at
 // an agent, 4 configuration, 5 connections, members and backend servers, 6 bills and claims,
-// 7 rollouts, 8 the key-value service.
+// 7 roll-outs, 8 the key-value service.
 const (
 	ProcessStarted      ID = 100
 	ProcessStopping     ID = 101
@@ -117,7 +116,7 @@
 	{SettingsRefused, "settings_refused", "a changed settings file is invalid; the settings in force are unchanged"},
 	{MetricsUnserved, "metrics_unserved", "the process could not listen on the metrics address; callers are served regardless"},
 	{MachineSuspended, "machine_suspended", "the machine was suspended; the state known to the process is older by that time"},
-	{ClockUnreadable, "clock_unreadable", "the clock that includes suspended time can't be read; suspends of the machine are not detected"},
+	{ClockUnreadable, "clock_unreadable", "the clock that includes suspended time can't be read; suspensions of the machine are not detected"},
 	{RequestReceived, "request_received", "a request was read and its team identified"},
 	{RequestRouted, "request_routed", "an attempt was sent to a backend server"},
 	{RequestRetried, "request_retried", "a refused or failed attempt was retried"},
@@ -126,9 +125,9 @@
 	{RequestRefused, "request_refused", "the request was refused and did not run"},
 	{RequestFailed, "request_failed", "the request ended without a complete answer"},
 	{RequestResumed, "request_resumed", "an interrupted stream was resumed on another backend server"},
-	{RequestBlocked, "request_blocked", "backend servers terminated while running a request; requests with its fingerprint are no longer sent to backend servers"},
+	{RequestBlocked, "request_blocked", "backend servers crashed while running a request; requests with its fingerprint are no longer sent to backend servers"},
 	{RequestUnblocked, "request_unblocked", "requests with a blocked fingerprint are sent to backend servers again"},
-	{BlockDoubted, "block_doubted", "another process blocked a request that backend servers complete here without terminating; the block is lifted"},
+	{BlockDoubted, "block_doubted", "another process blocked a request that backend servers complete here without crashing; the block is lifted"},
 	{BlockTried, "block_tried", "one request with a blocked fingerprint is sent to a backend server as a trial"},
 	{RequestFellBack, "request_fell_back", "the larger model did not answer; the answer from before the escalation is delivered"},
 	{AttemptAdmitted, "attempt_admitted", "the agent started an attempt on its backend server"},
@@ -165,8 +164,8 @@
 	{ServerWarm, "server_warm", "a backend server has warmed up and gets its normal load"},
 	{DataCentreEvacuated, "data_centre_evacuated", "an operator evacuated a data centre; its backend servers get no new requests"},
 	{DataCentreRestored, "data_centre_restored", "an operator ended the evacuation of a data centre; its backend servers are used again"},
-	{ServerEnded, "server_ended", "a backend server's process terminated; the requests that had just started on it are listed"},
-	{ServerUnclear, "server_unclear", "a backend server closed a connection, and whether its process terminated could not be determined"},
+	{ServerEnded, "server_ended", "a backend server crashed; the requests that had just started on it are listed"},
+	{ServerUnclear, "server_unclear", "a backend server closed a connection, and whether it crashed could not be determined"},
 	{ServerLimited, "server_limited", "a backend server announced or changed its rate limit, in requests per second over all gateways"},
 	{ServerUnlimited, "server_unlimited", "a backend server withdrew its rate limit"},
 	{ServerPaused, "server_paused", "a backend server rejected an attempt and requested a pause from this process"},
@@ -174,15 +173,15 @@
 	{ServerLeaving, "server_leaving", "a backend server announced its shutdown in an answer and gets no new requests"},
 	{AttemptUnwanted, "attempt_unwanted", "an attempt was sent to a backend server that is leaving or had requested a pause"},
 	{ReportUnreadable, "report_unreadable", "a backend server's report on itself could not be read; its last known values stay in force"},
-	{ServerRevived, "server_revived", "a restored key-value service lists a backend server whose entry had ended; it is not used unless its entry stays"},
+	{ServerRevived, "server_revived", "a restored key-value service lists an instance of a backend server that has ended; the instance is not used unless its entry remains"},
 	{BillWritten, "bill_written", "bill records were stored durably"},
 	{BillHeld, "bill_held", "bill records are buffered until the key-value service accepts them"},
 	{ClaimWon, "claim_won", "a claim was stored durably"},
 	{ClaimLost, "claim_lost", "the claim had already been made by another claimant"},
 	{RolloutStep, "rollout_step", "a version's share of new requests changed"},
 	{RolloutReversed, "rollout_reversed", "a version was rolled back"},
-	{RolloutOrdered, "rollout_ordered", "an operator's rollout order was received"},
-	{PhaseStored, "phase_stored", "the phase of a rollout was written, or another process had written it first"},
+	{RolloutOrdered, "rollout_ordered", "an operator's roll-out order was received"},
+	{PhaseStored, "phase_stored", "the phase of a roll-out was written, or another process had written it first"},
 	{StoreCallFailed, "store_call_failed", "a call to the key-value service failed"},
 	{StoreLost, "store_lost", "the key-value service does not answer"},
 	{StoreRegained, "store_regained", "the key-value service answers again"},
--- a/internal/explain/crashes.go
+++ b/internal/explain/crashes.go
@@ -8,8 +8,8 @@
 	"github.com/linnetrudder/linnetrudder/internal/event"
 )
 
-// crashes describes which servers terminated while they ran requests with the same fingerprint, up
-// to the end of the request, and how long that fingerprint had been blocked at the box.
+// crashes describes which servers crashed, before the request ended, while they ran requests with its
+// fingerprint, and how long that fingerprint had been blocked at the box.
 func (ex *Explainer) crashes(end *record) []string {
 	if end.Fingerprint == "" {
 		return nil
@@ -29,13 +29,13 @@
 	if len(servers) == 0 {
 		return sentences
 	}
-	crashed := fmt.Sprintf("Servers that terminated just after they started an identical request: %s (requests %s).",
+	crashed := fmt.Sprintf("Servers that crashed just after they started an identical request: %s (requests %s).",
 		strings.Join(servers, ", "), strings.Join(requests, ", "))
 	return append([]string{crashed}, sentences...)
 }
 
-// addSuspects adds the server of a crash record, and the IDs of the requests with the given
-// fingerprint that it was running, to the two lists. It adds no duplicates.
+// addSuspects returns the two lists with the server of a crash record, and the IDs of the requests
+// with the given fingerprint that it was running, added. It adds no duplicates.
 func (rc *record) addSuspects(fingerprint string, servers, requests []string) (allServers, allRequests []string) {
 	for _, suspect := range rc.Fingerprints {
 		id, suspected, _ := strings.Cut(suspect, " ")
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -15,8 +15,8 @@
 	"github.com/linnetrudder/linnetrudder/internal/result"
 )
 
-// restoreWindow is how long after a restore of the key-value service the restore is mentioned as a
-// possible cause.
+// restoreWindow is the time after a restore of the key-value service during which the explanation of a
+// request mentions the restore as a possible cause.
 const restoreWindow = 30 * time.Second
 
 // maxLineBytes bounds a line of a log. The records that a gateway writes have a few hundred bytes.
@@ -31,7 +31,7 @@
 	records []record
 	// boxRecords holds the records about the state of boxes, by box.
 	boxRecords map[string][]record
-	// crashRecords holds the records about requests during which servers terminated.
+	// crashRecords holds the records of server crashes and of blocked requests.
 	crashRecords []record
 	// parsed and malformed count the log lines that could and could not be parsed.
 	parsed, malformed int
@@ -85,7 +85,7 @@
 // MalformedLines returns the number of log records that could not be parsed.
 func (ex *Explainer) MalformedLines() int { return ex.malformed }
 
-// Explain returns the course of the request, one sentence per element, with the cause last. If the
+// Explain returns the explanation, one sentence per element in order of time, with the cause last. If the
 // logs don't contain the request, it returns an error with the code result.UnknownRequest.
 func (ex *Explainer) Explain() ([]string, error) {
 	if len(ex.records) == 0 {
@@ -111,7 +111,7 @@
 	return append(sentences, "Cause: "+ex.cause(end)), nil
 }
 
-// sentence describes a record of the request.
+// sentence returns the sentence that describes a record of the request.
 func (rc *record) sentence() string {
 	at := rc.Time.UTC().Format("15:04:05.000") + " " + rc.Box + ": "
 	switch rc.Event {
@@ -138,7 +138,7 @@
 	return fmt.Sprintf("did not answer within %.0f ms (%s)", rc.PreviousMS, rc.Reason)
 }
 
-// cause describes why a request ended with the code of its last record.
+// cause returns why the request ended with the code of its last record.
 func (ex *Explainer) cause(end *record) string {
 	switch end.Code {
 	case result.OK:
@@ -153,7 +153,7 @@
 	case result.NoConfiguration:
 		return "the process had not read a configuration yet. " + ex.storeState(end)
 	case result.Leaving:
-		return "the box was being stopped. " + ex.stopState(end)
+		return "the box was shutting down. " + ex.stopState(end)
 	case result.LinkLost:
 		if end.Detail != "" {
 			return fmt.Sprintf("%s; the last attempt was at %s.", end.Detail, end.Server)
@@ -165,8 +165,8 @@
 	return result.Lookup(end.Code).Text() + "."
 }
 
-// boxState describes which data centres and servers a box did not use, or used only in part, when a
-// request ended there, and whether the key-value service had just been restored. It returns "" if
+// boxState describes which data centres and servers a box did not use, or used with reduced load, when
+// a request ended there, and whether the key-value service had just been restored. It returns "" if
 // none of this applies.
 func (ex *Explainer) boxState(end *record) string {
 	evacuated := ex.active(end, event.DataCentreEvacuated, event.DataCentreRestored, func(rc *record) string { return rc.DataCentre })
@@ -200,7 +200,7 @@
 	return "At " + end.Box + " " + strings.Join(parts, ", and ") + "."
 }
 
-// serverID returns the record's server ID without the process instance after "@".
+// serverID returns the record's server ID without the server instance after "@".
 func (rc *record) serverID() string {
 	id, _, _ := strings.Cut(rc.Server, "@")
 	return id
@@ -227,13 +227,13 @@
 	return slices.Sorted(maps.Keys(names))
 }
 
-// storeState describes the box's last logged connection state to the key-value service before a
-// request ended.
+// storeState describes whether the key-value service answered the box when a request ended there, by
+// the last record about it or about the start of the process.
 func (ex *Explainer) storeState(end *record) string {
 	last := ex.lastBoxRecord(end, event.StoreLost, event.StoreRegained, event.ProcessStarted)
 	switch {
 	case last == nil:
-		return "The state of the key-value service at " + end.Box + " is not logged before."
+		return "The state of the key-value service at " + end.Box + " before then is not logged."
 	case last.Event == event.StoreLost:
 		return fmt.Sprintf("The key-value service had not answered %s for %s: %s", end.Box, since(last, end), last.Error)
 	case last.Event == event.ProcessStarted:
@@ -242,9 +242,10 @@
 	return fmt.Sprintf("The key-value service had been answering %s again for %s.", end.Box, since(last, end))
 }
 
+// stopState describes when the shutdown of the box began, or returns "" if it is not logged.
 func (ex *Explainer) stopState(end *record) string {
 	if last := ex.lastBoxRecord(end, event.ProcessStopping); last != nil {
-		return fmt.Sprintf("The stop had begun %s before.", since(last, end))
+		return fmt.Sprintf("The shutdown had begun %s before.", since(last, end))
 	}
 	return ""
 }
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -12,8 +12,8 @@
 	"github.com/linnetrudder/linnetrudder/internal/result"
 )
 
-// logLines returns recorded gateway logs of several boxes with stale, failed, escalated and resumed
-// requests.
+// logLines returns the lines of recorded logs of several gateways, with requests that were escalated,
+// resumed, failed or rejected because of a stale configuration.
 func logLines(t *testing.T) []string {
 	t.Helper()
 	data, err := os.ReadFile("testdata/day.log")
@@ -21,7 +21,7 @@
 	return strings.Split(strings.TrimSpace(string(data)), "\n")
 }
 
-func explained(t *testing.T, request string, lines []string) string {
+func explanation(t *testing.T, request string, lines []string) string {
 	t.Helper()
 	ex := Explainer{Request: request}
 	require.NoError(t, ex.Read(strings.NewReader(strings.Join(lines, "\n"))))
@@ -36,12 +36,12 @@
 		{"934b540c1d7ee46b", "link_lost (500)", "the time was over; the last attempt was at i-1cb7e03aec"},
 		{"94b7ae6032c8591a", "ok (100)", "none, the request was answered"},
 	} {
-		text := explained(t, tc.request, logLines(t))
+		text := explanation(t, tc.request, logLines(t))
 		require.Contains(t, text, tc.code)
 		require.Contains(t, text, "Cause: ")
 		require.Contains(t, text, tc.cause)
 	}
-	text := explained(t, "94b7ae6032c8591a", logLines(t))
+	text := explanation(t, "94b7ae6032c8591a", logLines(t))
 	require.Contains(t, text, "with a confidence of 30; escalated to the larger model davo51b035")
 	require.Contains(t, text, `resumed at i-86a578930e after event "4"`)
 }
@@ -52,19 +52,19 @@
 		`{"box":"b","event":802,"time":"2026-01-01T00:00:04Z"}`,
 		`{"box":"a","event":205,"request":"x","code":409,"age_ms":4000,"time":"2026-01-01T00:00:05Z"}`,
 	}
-	require.Contains(t, explained(t, "x", lines), "had not answered a for 4s: reset by peer")
+	require.Contains(t, explanation(t, "x", lines), "had not answered a for 4s: reset by peer")
 }
 
 func TestLogsMayBeReadInAnyOrder(t *testing.T) {
 	lines := logLines(t)
-	want := explained(t, "94b7ae6032c8591a", lines)
+	want := explanation(t, "94b7ae6032c8591a", lines)
 	slices.Reverse(lines)
-	require.Equal(t, want, explained(t, "94b7ae6032c8591a", lines))
+	require.Equal(t, want, explanation(t, "94b7ae6032c8591a", lines))
 }
 
 func TestUnloggedRequestIsReported(t *testing.T) {
-	ex := Explainer{Request: "nobody"}
-	lines := append(logLines(t), `{"box":"a","event":205,"request":"nob`, "no log at all")
+	ex := Explainer{Request: "unlogged"}
+	lines := append(logLines(t), `{"box":"a","event":205,"request":"unl`, "not a log record")
 	require.NoError(t, ex.Read(strings.NewReader(strings.Join(lines, "\n"))))
 	require.Equal(t, 1, ex.MalformedLines())
 	_, err := ex.Explain()
@@ -76,7 +76,7 @@
 
 func TestRequestWithoutEndIsReportedAsTruncated(t *testing.T) {
 	lines := logLines(t)
-	require.Contains(t, explained(t, "94b7ae6032c8591a", lines[:len(lines)-1]), "the end of the request is not logged")
+	require.Contains(t, explanation(t, "94b7ae6032c8591a", lines[:len(lines)-1]), "the end of the request is not logged")
 }
 
 func FuzzRead(f *testing.F) {
@@ -107,16 +107,16 @@
 		`{"box":"a","event":205,"request":"r","code":401,"time":"2026-01-01T00:00:05Z"}`,
 		`{"box":"a","event":523,"of":"dc4","time":"2026-01-01T00:00:06Z"}`,
 	}
-	text := explained(t, "r", lines)
+	text := explanation(t, "r", lines)
 	require.Contains(t, text, "evacuated data centres (dc1)")
 	require.Contains(t, text, "1 servers were warming up")
 	require.Contains(t, text, "1 servers announced a rate limit")
 	require.Contains(t, text, "no backend server with an allowed version is reachable")
-	require.NotContains(t, explained(t, "r", lines[12:13]), "evacuated")
+	require.NotContains(t, explanation(t, "r", lines[12:13]), "evacuated")
 }
 
 func TestPausedAndLeavingServersAreReported(t *testing.T) {
-	text := explained(t, "r", []string{
+	text := explanation(t, "r", []string{
 		`{"box":"a","event":529,"server":"x@1","time":"2026-01-01T00:00:01Z"}`,
 		`{"box":"a","event":529,"server":"y@1","time":"2026-01-01T00:00:01Z"}`,
 		`{"box":"a","event":530,"server":"y@1","time":"2026-01-01T00:00:04Z"}`,
@@ -131,7 +131,7 @@
 	require.Contains(t, text, "s2 did not answer (refused: shed); the earlier answer from s1 is delivered")
 }
 
-func TestServersThatTerminatedDuringIdenticalRequestsAreReported(t *testing.T) {
+func TestServersThatCrashedDuringIdenticalRequestsAreReported(t *testing.T) {
 	lines := []string{
 		`{"box":"a","event":525,"server":"s1","prints":["x1 aa","y1 bb"],"time":"2026-01-01T00:00:01Z"}`,
 		`{"box":"b","event":525,"server":"s2","prints":["x2 aa"],"time":"2026-01-01T00:00:02Z"}`,
@@ -142,7 +142,7 @@
 		`{"box":"b","event":205,"request":"x3","print":"aa","code":410,"time":"2026-01-01T00:00:05Z"}`,
 		`{"box":"a","event":525,"server":"s7","prints":["x1 aa"],"time":"2026-01-01T00:00:06Z"}`,
 	}
-	text := explained(t, "x3", lines)
+	text := explanation(t, "x3", lines)
 	require.Contains(t, text, "just after they started an identical request: s1, s2 (requests x1, x2)")
 	require.Contains(t, text, "blocked at b for 1s")
 	require.Contains(t, text, "Cause: backend servers ended under copies of the request")
@@ -154,6 +154,6 @@
 		`{"box":"a","event":205,"request":"x","code":401,"time":"2026-01-01T00:00:02.5Z"}`,
 		`{"box":"a","event":205,"request":"y","code":401,"time":"2026-01-01T00:00:40Z"}`,
 	}
-	require.Contains(t, explained(t, "x", lines), "At a the key-value service had been restored from an older copy 1.5s before (revision 2/75 after 1/77).")
-	require.NotContains(t, explained(t, "y", lines), "older copy")
+	require.Contains(t, explanation(t, "x", lines), "At a the key-value service had been restored from an older copy 1.5s before (revision 2/75 after 1/77).")
+	require.NotContains(t, explanation(t, "y", lines), "older copy")
 }
--- a/internal/explain/record.go
+++ b/internal/explain/record.go
@@ -1,5 +1,5 @@
-// Package explain reconstructs from gateway logs how a request ended and why, in sentences for an
-// on-call engineer. Logs of several boxes may be read in any order.
+// Package explain determines from gateway logs how a request ended and why, and describes it in
+// sentences for on-call engineers. Logs of several boxes may be read in any order.
 package explain
 
 import (
@@ -50,7 +50,7 @@
 	// revision before the restore.
 	Revision string `json:"revision"`
 	// Fingerprint is the request's fingerprint. Fingerprints holds "id fingerprint" of each request
-	// that was running on a server when the server terminated.
+	// that was running on a server when the server crashed.
 	Fingerprint  string   `json:"print"`
 	Fingerprints []string `json:"prints"`
 }
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,4 +1,5 @@
-// Package metrics holds the counters that every process publishes through expvar on its admin port.
+// Package metrics holds the counters and gauges that every process publishes through expvar on its
+// admin port.
 package metrics
 
 import (
@@ -6,7 +7,7 @@
 	"sync/atomic"
 )
 
-// The counters. They are maps, so that a breakdown can get more keys without another variable name.
+// The metrics. Those with a breakdown are maps, so that a new key needs no new metric name.
 var (
 	// StoreCalls counts calls to the key-value service by method, and failed calls as "failed".
 	StoreCalls = expvar.NewMap("linnetrudder_store_calls")
--- a/internal/result/result.go
+++ b/internal/result/result.go
@@ -1,5 +1,4 @@
-// Package result is the table of the numbered result codes that answers, refusals and failed commands
-// carry.
+// Package result defines the numbered result codes of responses, refusals and failed commands.
 package result
 
 import (
--- a/internal/selector/selector.go
+++ b/internal/selector/selector.go
@@ -10,7 +10,8 @@
 // Labels are the labels that operators set on an object, by name.
 type Labels map[string]string
 
-// Selector is a condition on labels. All of its parts must be met; the zero value matches everything.
+// Selector is a condition on labels. It matches if all of its fields do; the zero value matches all
+// labels.
 type Selector struct {
 	// Equal holds the labels that must be present, with their exact values.
 	Equal map[string]string `json:"equal,omitempty"`
@@ -60,13 +61,13 @@
 		}
 	}
 	if se.Not != nil {
-		if pr := se.Not.InvalidPath(); pr != "" {
-			return "not." + pr
+		if path := se.Not.InvalidPath(); path != "" {
+			return "not." + path
 		}
 	}
 	for i := range se.And {
-		if pr := se.And[i].InvalidPath(); pr != "" {
-			return "and." + pr
+		if path := se.And[i].InvalidPath(); path != "" {
+			return "and." + path
 		}
 	}
 	return ""
--- a/internal/timeline/timeline.go
+++ b/internal/timeline/timeline.go
@@ -1,4 +1,4 @@
-// Package timeline records events in a bounded ring buffer with hybrid logical timestamps, so that
+// Package timeline records events with hybrid logical timestamps in a bounded ring buffer, so that
 // the events of many processes can be merged in causal order.
 package timeline
 
