--- a/standin/soak/check.go
+++ b/standin/soak/check.go
@@ -15,7 +15,7 @@
 const (
 	// AtMostOnce: a request that is not idempotent is executed at most once.
 	AtMostOnce Guarantee = "at-most-once"
-	// RefusedNotExecuted: a request that was refused as not executed is never executed.
+	// RefusedNotExecuted: a request that was refused with status 503 or 429 is never executed.
 	RefusedNotExecuted Guarantee = "true-refusal"
 	// ResponseIntegrity: a successful response is complete and belongs to its request.
 	ResponseIntegrity Guarantee = "own-answer"
@@ -23,15 +23,15 @@
 	RevokedKey Guarantee = "revoked-key"
 	// DrainingServer: a server gets no new requests later than drainBound after it starts draining.
 	DrainingServer Guarantee = "leaving-server"
-	// RetryAfterHonoured: while the Retry-After that a server sent to a gateway is running, the
-	// gateway sends the server at most maxDuringPause requests.
+	// RetryAfterHonoured: until the Retry-After that a server sent to a gateway has passed, the gateway
+	// sends the server at most maxDuringPause requests.
 	RetryAfterHonoured Guarantee = "kept-pause"
 	// GracefulShutdown: a graceful shutdown of a gateway truncates no request in progress.
 	GracefulShutdown Guarantee = "planned-stop"
 	// DeadlineMet: a request gets its final response by its deadline.
 	DeadlineMet Guarantee = "in-time"
-	// PoisonContained: later than blockWithin after the poison request has crashed maxPoisonCrashes
-	// servers, it crashes at most as many more through undisturbed gateways.
+	// PoisonContained: once blockWithin has passed since the poison request crashed maxPoisonCrashes
+	// servers, it crashes at most as many more servers through gateways that no fault disturbs.
 	PoisonContained Guarantee = "few-ends"
 	// Recovery: requests succeed again within recoverWithin of the last fault.
 	Recovery Guarantee = "recovery"
@@ -68,13 +68,13 @@
 	drainBound  = 2 * time.Second
 	// requestDeadline is the deadline that clients set.
 	requestDeadline = 1500 * time.Millisecond
-	// timingSlack is added to the deadline, since the gateways share a machine with their clients.
+	// timingSlack is added to requestDeadline in the check, since the gateways share a machine with their clients.
 	timingSlack = 500 * time.Millisecond
 	// settleTime is how long a gateway must have been free of faults before guarantees with a
 	// time limit are checked on it.
 	settleTime = 3 * time.Second
-	// recoverWithin is the time after the last fault from which requests must succeed,
-	// recoverFraction the fraction of them that must.
+	// recoverWithin is how soon after the last fault requests must succeed again, recoverFraction the
+	// fraction of the later requests that must succeed.
 	recoverWithin   = 3 * time.Second
 	recoverFraction = 0.9
 	// maxPoisonCrashes is how many servers the poison request may crash before gateways must block
@@ -83,7 +83,7 @@
 	blockWithin      = 3 * time.Second
 )
 
-// history is everything that was observed during a run.
+// history holds the observations of a run.
 type history struct {
 	plan       Plan
 	start      time.Time
@@ -130,8 +130,8 @@
 	return append(list, hi.checkRecovery()...)
 }
 
-// checkPoison counts the servers that the poison request crashed after it had to be blocked, through
-// gateways that had been undisturbed by faults.
+// checkPoison counts the servers that the poison request crashed through undisturbed gateways after it
+// had to be blocked.
 func (hi *history) checkPoison() []Violation {
 	var crashes []execution
 	late := 0
--- a/standin/soak/faults.go
+++ b/standin/soak/faults.go
@@ -43,7 +43,7 @@
 	ou.status, ou.body, ou.incomplete = resp.StatusCode, string(body), err != nil
 }
 
-// inject applies a fault and returns when it is over.
+// inject applies a fault and returns at its end.
 func (sr *soakRun) inject(fa Fault) {
 	switch fa.Kind {
 	case Kill, Stop:
@@ -82,8 +82,8 @@
 	}
 }
 
-// waitForEnd waits for the end of a fault. The end may have passed already while the fault waited for
-// another one on the same gateway.
+// waitForEnd waits for the end of a fault, which has passed already if the fault had to wait for another
+// one on the same gateway.
 func (sr *soakRun) waitForEnd(fa Fault) { time.Sleep(time.Until(sr.history.start.Add(fa.End))) }
 
 // restartGateway kills or stops a gateway's process and starts it again.
@@ -108,14 +108,14 @@
 	gw := sr.gateways[fa.Target]
 	gw.restartMu.Lock()
 	defer gw.restartMu.Unlock()
-	good, err := os.ReadFile(gw.settingsPath)
+	valid, err := os.ReadFile(gw.settingsPath)
 	if err != nil {
 		return
 	}
-	_ = os.WriteFile(gw.settingsPath, good[:len(good)/2], 0o600)
+	_ = os.WriteFile(gw.settingsPath, valid[:len(valid)/2], 0o600)
 	_ = gw.process.Signal(syscall.SIGHUP)
 	time.Sleep(requestInterval)
-	_ = os.WriteFile(gw.settingsPath, good, 0o600)
+	_ = os.WriteFile(gw.settingsPath, valid, 0o600)
 	_ = gw.process.Signal(syscall.SIGHUP)
 }
 
@@ -173,7 +173,7 @@
 		sr.drainServer(se)
 	case ServerAnnouncesShutdown:
 		se.addFault(fa.Kind, 1)
-		time.Sleep(announcedBeforeEntry)
+		time.Sleep(announcementLead)
 		sr.replaceServer(fa.Target, se)
 		sr.drainServer(se)
 	case ServerReset:
@@ -189,9 +189,9 @@
 	}
 }
 
-// announcedBeforeEntry is how long a server announces its shutdown in its responses before its entry
-// says that it is draining.
-const announcedBeforeEntry = 3 * time.Second
+// announcementLead is how long a server announces its shutdown in its responses before its entry says
+// that it is draining.
+const announcementLead = 3 * time.Second
 
 // crashServer stops a server without notice; its entry remains for crashedEntryTTL.
 func (sr *soakRun) crashServer(se *server) {
@@ -208,7 +208,7 @@
 // poisonInterval is the time between two copies of the poison request.
 const poisonInterval = 400 * time.Millisecond
 
-// sendPoison sends copies of the poison request to all gateways in turn.
+// sendPoison sends copies of the poison request to the gateways in turn, until the end of the fault.
 func (sr *soakRun) sendPoison(fa Fault) {
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: 4 * requestDeadline}
 	for n := 0; time.Until(sr.history.start.Add(fa.End)) > 0; n++ {
@@ -229,7 +229,7 @@
 // poisonIDPrefix is the prefix of the ids of the poison request's copies.
 const poisonIDPrefix = "poison-"
 
-// drainServer marks a server as draining and stops it twice the drainBound later.
+// drainServer marks a server as draining and stops it 2*drainBound later.
 func (sr *soakRun) drainServer(se *server) {
 	se.drain()
 	sr.store.Set("servers/"+se.id, se.entry())
@@ -242,7 +242,7 @@
 	se.stop()
 }
 
-// replaceServer starts a server that takes over the index of one that stops.
+// replaceServer starts a server and swaps it with one that stops, so that the new one has its index.
 func (sr *soakRun) replaceServer(index int, old *server) {
 	if err := sr.addServer(); err != nil {
 		_, _ = fmt.Fprintln(os.Stderr, "soak:", "replacement of a backend server failed:", err)
--- a/standin/soak/reports.go
+++ b/standin/soak/reports.go
@@ -19,8 +19,8 @@
 	server  string
 }
 
-// uninterrupted reports whether a gateway's process ran during a whole time span. The checks of what
-// servers report excuse a gateway that was restarted or suspended.
+// uninterrupted reports whether a gateway's process was neither restarted nor suspended during a time
+// span. Such a gateway is exempt from the check of announced shutdowns.
 func (hi *history) uninterrupted(gateway int, from, until time.Time) bool {
 	for _, fa := range hi.plan.Faults {
 		switch fa.Kind {
@@ -57,8 +57,8 @@
 	return list
 }
 
-// checkPauses finds requests that a gateway sent to a server during a pause that the server had asked
-// that gateway for with a Retry-After.
+// checkPauses finds requests that a gateway sent to a server during a pause that the server had
+// requested from that gateway with a Retry-After.
 func (hi *history) checkPauses() []Violation {
 	arrivals := map[gatewayServer][]time.Time{}
 	for _, ou := range hi.outcomes {
--- a/standin/soak/restore.go
+++ b/standin/soak/restore.go
@@ -7,17 +7,17 @@
 	"time"
 )
 
-// lostWrites is how many unrelated keys are written between snapshot and restore. They are lost, so
-// that the revisions reach their old values again only some time after the restore.
+// lostWrites is how many unrelated keys are written between snapshot and restore. The restore discards
+// them, so that the revisions reach their old values again only some time later.
 const lostWrites = 40
 
 // maxRewriteDelay bounds the time from a restore until the lost entries are written again.
 const maxRewriteDelay = time.Second
 
 // restoreStore restores the key-value service, at the end of a fault, from a snapshot that was made at
-// its start. Then operators and servers write again what they had written since the snapshot.
+// its start. Then the configuration and the servers' entries are written again.
 func (sr *soakRun) restoreStore(fa Fault) {
-	sn, copied := sr.store.Snapshot(), time.Now()
+	sn, snapshotAt := sr.store.Snapshot(), time.Now()
 	for i := range lostWrites {
 		sr.store.Set(fmt.Sprint("other/", i), i)
 	}
@@ -28,8 +28,8 @@
 	defer sr.mu.Unlock()
 	sr.writeConfig()
 	sr.rewriteServerEntries()
-	resetTimes(sr.history.revokedAt, copied)
-	resetTimes(sr.history.drainedAt, copied)
+	resetTimes(sr.history.revokedAt, snapshotAt)
+	resetTimes(sr.history.drainedAt, snapshotAt)
 }
 
 // rewriteServerEntries writes the current entries of all listed servers and removes all others; the
@@ -49,11 +49,11 @@
 	}
 }
 
-// resetTimes sets the times of changes that were made since a snapshot to now, since the restore
-// undid them and they have just been made again.
-func resetTimes(written map[string]time.Time, copied time.Time) {
+// resetTimes sets the times of changes that were made after a snapshot to now: the restore undid these
+// changes, and they have just been made again.
+func resetTimes(written map[string]time.Time, snapshotAt time.Time) {
 	for name, at := range written {
-		if at.After(copied) {
+		if at.After(snapshotAt) {
 			written[name] = time.Now()
 		}
 	}
--- a/standin/soak/schedule.go
+++ b/standin/soak/schedule.go
@@ -41,14 +41,14 @@
 	StoreCompaction     FaultKind = "store-forgets"
 	StoreLeaseExpiry    FaultKind = "store-lapse"
 	// StoreRestore restores the service, at the end of the fault, from a snapshot that was made at
-	// its start; the lost entries are written again up to maxRewriteDelay later.
+	// its start; the lost entries are written again at most maxRewriteDelay later.
 	StoreRestore FaultKind = "store-restored"
 	// ServerCrash stops a backend server without notice, ServerDrain drains it first.
 	ServerCrash FaultKind = "server-crash"
 	ServerDrain FaultKind = "server-drain"
 	// ServerErrors makes a backend server fail a fraction of its requests, ServerDropsResponses
-	// execute some without responding, ServerWrongRequestID respond to some with another request's
-	// id, and ServerSlow respond slowly.
+	// execute a fraction without responding, ServerWrongRequestID respond to a fraction with another
+	// request's id, and ServerSlow respond slowly.
 	ServerErrors         FaultKind = "server-grey"
 	ServerDropsResponses FaultKind = "server-loses"
 	ServerWrongRequestID FaultKind = "server-garbles"
@@ -107,7 +107,7 @@
 	// maxFaultDuration bounds the duration of a fault.
 	maxFaultDuration = 4 * time.Second
 	// meanFaultInterval is the mean time between the starts of two faults. It is shorter than most
-	// faults, so that they overlap.
+	// faults last, so that they overlap.
 	meanFaultInterval = 450 * time.Millisecond
 )
 
--- a/standin/soak/server.go
+++ b/standin/soak/server.go
@@ -62,7 +62,7 @@
 	plainDuration = 15 * time.Millisecond
 	eventInterval = 20 * time.Millisecond
 	streamEvents  = 8
-	// slots is how many requests a server executes at once.
+	// slots is how many requests a server executes concurrently.
 	slots = 32
 	// errorFraction is the fraction of requests that fail under ServerErrors,
 	// responseFaultFraction the fraction that ServerDropsResponses and ServerWrongRequestID affect.
@@ -74,14 +74,14 @@
 	falseRejectionFraction = 0.6
 	// slowFactor is how many times longer a request takes under ServerSlow.
 	slowFactor = 10
-	// retryAfter is the pause that a server asks for under ServerShedsLoad.
+	// retryAfter is the pause that a server requests under ServerShedsLoad.
 	retryAfter = 1500 * time.Millisecond
 )
 
 // headerPoison marks the request that crashes servers.
 const headerPoison = "X-Soak-Poison"
 
-// server is a simulated backend server, from its start to its stop.
+// server is one instance of a simulated backend server.
 type server struct {
 	id         string
 	executions *executionLog
@@ -130,7 +130,8 @@
 	se.faults[ki] += delta
 }
 
-// faultActive reports whether a fault affects the current request, which it does with a probability.
+// faultActive reports whether a fault affects the current request: with the given probability if the
+// fault is active, otherwise never.
 func (se *server) faultActive(ki FaultKind, probability float64) bool {
 	se.mu.Lock()
 	defer se.mu.Unlock()
--- a/standin/soak/soak.go
+++ b/standin/soak/soak.go
@@ -35,7 +35,7 @@
 	KillsOnStop Defect = "kills-for-stop"
 	// VariesPoison makes each copy of the poison request different.
 	VariesPoison Defect = "varies-poison"
-	// OmitsReports makes servers omit the headers that announce their shutdown or ask for a pause.
+	// OmitsReports makes servers omit the headers that announce their shutdown or request a pause.
 	OmitsReports Defect = "hides-reports"
 	// OutageNeverEnds makes the key-value service leave all requests unanswered after its first
 	// fault.
@@ -223,7 +223,7 @@
 	}
 }
 
-// addServer starts a backend server and writes its entry; it acquires mu itself.
+// addServer starts a backend server and writes its entry; the caller does not hold mu.
 func (sr *soakRun) addServer() error {
 	sr.mu.Lock()
 	defer sr.mu.Unlock()
--- a/standin/soak/soak_test.go
+++ b/standin/soak/soak_test.go
@@ -35,12 +35,12 @@
 }
 
 func TestPlanIsDeterministicForSeed(t *testing.T) {
-	one, two := GeneratePlan(7, 3, 5, 8*time.Second), GeneratePlan(7, 3, 5, 8*time.Second)
-	require.Equal(t, one, two)
-	require.NotEqual(t, one.Faults, GeneratePlan(8, 3, 5, 8*time.Second).Faults)
-	for _, fa := range one.Faults {
+	first, second := GeneratePlan(7, 3, 5, 8*time.Second), GeneratePlan(7, 3, 5, 8*time.Second)
+	require.Equal(t, first, second)
+	require.NotEqual(t, first.Faults, GeneratePlan(8, 3, 5, 8*time.Second).Faults)
+	for _, fa := range first.Faults {
 		require.GreaterOrEqual(t, fa.Start, warmUp)
-		require.LessOrEqual(t, fa.End, one.FaultsEnd)
+		require.LessOrEqual(t, fa.End, first.FaultsEnd)
 	}
 }
 
@@ -96,7 +96,7 @@
 // Each check must detect a defect that violates its guarantee.
 func TestChecksDetectEachDefect(t *testing.T) {
 	seconds := func(n float64) time.Duration { return time.Duration(n * float64(time.Second)) }
-	for _, ca := range []struct {
+	for _, tc := range []struct {
 		defect    Defect
 		guarantee Guarantee
 		faults    []Fault
@@ -114,36 +114,36 @@
 		{OmitsReports, RetryAfterHonoured, []Fault{{ServerShedsLoad, 0, seconds(1), seconds(4)}, {ServerShedsLoad, 1, seconds(1), seconds(4)}, {ServerShedsLoad, 2, seconds(1), seconds(4)}}, seconds(4)},
 		{OutageNeverEnds, Recovery, []Fault{{StoreDown, 0, seconds(0.5), seconds(1)}}, seconds(1)},
 	} {
-		t.Run(string(ca.defect)+" "+string(ca.guarantee), func(t *testing.T) {
+		t.Run(string(tc.defect)+" "+string(tc.guarantee), func(t *testing.T) {
 			t.Parallel()
-			pl := Plan{Gateways: 2, Servers: 3, Faults: ca.faults, FaultsEnd: ca.faultsEnd, End: ca.faultsEnd + faultFreeTail}
+			pl := Plan{Gateways: 2, Servers: 3, Faults: tc.faults, FaultsEnd: tc.faultsEnd, End: tc.faultsEnd + faultFreeTail}
 			violated := map[Guarantee]bool{}
-			for _, vi := range runPlan(t, pl, ca.defect) {
+			for _, vi := range runPlan(t, pl, tc.defect) {
 				violated[vi.Guarantee] = true
 			}
-			require.True(t, violated[ca.guarantee], "%v", violated)
+			require.True(t, violated[tc.guarantee], "%v", violated)
 		})
 	}
 }
 
-// The check of deadlines is tested on a made-up history, since no defect makes a gateway that slow.
-func TestCheckDetectsLateAnswer(t *testing.T) {
+// The check of deadlines is tested on a constructed history, since no defect makes a gateway that slow.
+func TestCheckDetectsLateResponse(t *testing.T) {
 	start := time.Unix(1000, 0)
 	ou := outcome{id: "r", path: "/safe/x", sent: start.Add(5 * time.Second), done: start.Add(5*time.Second + requestDeadline + timingSlack + 1), status: 504}
 	hi := &history{plan: Plan{FaultsEnd: time.Second}, start: start, executions: &executionLog{executed: map[string][]execution{}}, outcomes: []outcome{ou}}
 	require.Equal(t, DeadlineMet, hi.check()[0].Guarantee)
 	hi.plan.Faults = []Fault{{StoreHang, 0, 4 * time.Second, 5 * time.Second}}
-	require.NotEqual(t, DeadlineMet, hi.check()[0].Guarantee, "a late answer during an outage is no violation")
+	require.NotEqual(t, DeadlineMet, hi.check()[0].Guarantee, "a late response during an outage is no violation")
 }
 
-// One request crashes the servers that execute it while gateways are killed, suspended and partitioned
+// The poison request crashes the servers that execute it, while gateways are killed, suspended and partitioned
 // from the key-value service, and servers crash for other reasons.
 func TestPoisonRequestIsContained(t *testing.T) {
 	for _, pl := range []Plan{
 		GeneratePlan(1, 3, 5, 6*time.Second),
 		GeneratePlan(2, 3, 5, 6*time.Second),
-		// Violated Recovery: a gateway that had just started blocked a common request, and could not
-		// learn otherwise while the key-value service was unavailable.
+		// Violated Recovery: a gateway that had just started blocked a request that all clients send,
+		// and the block could not be corrected while the key-value service was unavailable.
 		GeneratePlan(900, 4, 6, 8*time.Second),
 	} {
 		t.Run(fmt.Sprint(pl.Seed), func(t *testing.T) {
