--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -174,30 +174,30 @@
 	limited := ex.active(end, event.ServerLimited, event.ServerUnlimited, func(rc *record) string { return rc.Server })
 	paused := ex.active(end, event.ServerPaused, event.ServerResumed, func(rc *record) string { return rc.Server })
 	leaving := ex.active(end, event.ServerLeaving, event.ServerGone, (*record).serverID)
-	var parts []string
+	var clauses []string
 	if len(evacuated) > 0 {
-		parts = append(parts, "no requests were sent to evacuated data centres ("+strings.Join(evacuated, ", ")+")")
+		clauses = append(clauses, "no requests were sent to evacuated data centres ("+strings.Join(evacuated, ", ")+")")
 	}
 	if len(cold) > 0 {
-		parts = append(parts, fmt.Sprintf("%d servers were warming up with reduced load", len(cold)))
+		clauses = append(clauses, fmt.Sprintf("%d servers were warming up with reduced load", len(cold)))
 	}
 	if len(limited) > 0 {
-		parts = append(parts, fmt.Sprintf("%d servers announced a rate limit and got this box's share of it", len(limited)))
+		clauses = append(clauses, fmt.Sprintf("%d servers announced a rate limit and got this box's share of it", len(limited)))
 	}
 	if len(paused) > 0 {
-		parts = append(parts, fmt.Sprintf("%d servers had requested a pause and got no requests", len(paused)))
+		clauses = append(clauses, fmt.Sprintf("%d servers had requested a pause and got no requests", len(paused)))
 	}
 	if len(leaving) > 0 {
-		parts = append(parts, fmt.Sprintf("%d servers had announced their shutdown and got no requests", len(leaving)))
+		clauses = append(clauses, fmt.Sprintf("%d servers had announced their shutdown and got no requests", len(leaving)))
 	}
 	if last := ex.lastBoxRecord(end, event.StoreRestored); last != nil && end.Time.Sub(last.Time) < restoreWindow {
-		parts = append(parts, fmt.Sprintf("the key-value service had been restored from an older copy %s before (revision %s after %s)",
+		clauses = append(clauses, fmt.Sprintf("the key-value service had been restored from an older copy %s before (revision %s after %s)",
 			since(last, end), last.Revision, last.Previous))
 	}
-	if parts == nil {
+	if clauses == nil {
 		return ""
 	}
-	return "At " + end.Box + " " + strings.Join(parts, ", and ") + "."
+	return "At " + end.Box + " " + strings.Join(clauses, ", and ") + "."
 }
 
 // serverID returns the record's server ID without the server instance after "@".
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -63,7 +63,7 @@
 type Limits struct {
 	// BodyBytes is the maximum size of a request body.
 	BodyBytes int64 `json:"body_bytes" validate:"min=1"`
-	// StreamBytes is the maximum size of the answer data that is buffered for a slow caller.
+	// StreamBytes is the maximum size of the response data that is buffered for a slow caller.
 	StreamBytes int `json:"stream_bytes" validate:"min=1024"`
 	// Queue is the maximum number of requests queued at an agent.
 	Queue int `json:"queue" validate:"min=0"`
--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -23,7 +23,7 @@
 	CheckFencing bool
 	// Confidence is reported with each response.
 	Confidence float64
-	// Crash stops the engine without notice. A request with PoisonContent calls it, if it is set.
+	// Crash stops the engine without notice. It is called, if set, by requests with PoisonContent.
 	Crash func()
 
 	mu sync.Mutex
@@ -201,7 +201,7 @@
 	_ = json.NewEncoder(w).Encode(en.completion(ch))
 }
 
-// begin counts a request that starts and reports whether it has to fail.
+// begin counts a request that starts and reports whether requests of its version fail.
 func (en *Engine) begin(id, version string) bool {
 	en.mu.Lock()
 	defer en.mu.Unlock()
--- a/standin/fleet/address.go
+++ b/standin/fleet/address.go
@@ -9,8 +9,8 @@
 )
 
 // processLoopbackIP returns a loopback address that is derived from the process id, so that no other
-// process issues ports of it. Outgoing connections use 127.0.0.1 as their source, so none of them can
-// take a port of this address between the probe and the moment a started process listens on it, or
+// process issues the same addresses. Outgoing connections use 127.0.0.1 as their source, so none of them can
+// take a port of this address between the probe and the time when a started process listens on it, or
 // while that process restarts.
 func processLoopbackIP() net.IP {
 	id := os.Getpid()
--- a/standin/fleet/fleet.go
+++ b/standin/fleet/fleet.go
@@ -18,7 +18,7 @@
 	"github.com/linnetrudder/linnetrudder/internal/boxes"
 )
 
-// Member is a process of the system, an entry or an agent.
+// Member is a started entry or agent.
 type Member struct {
 	Box, Role, DataCentre, Server string
 	// Address and Admin are the addresses that it listens on; Backend is the address of the backend
@@ -52,7 +52,7 @@
 func (fl *Fleet) Start(name, program string, args ...string) (*Process, error) {
 	lo, err := os.OpenFile(filepath.Join(fl.Dir, name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
-		return nil, eris.Wrap(err, "log file")
+		return nil, eris.Wrap(err, "open log file")
 	}
 	cmd := exec.Command(filepath.Join(fl.Bin, program), args...)
 	cmd.Stdout = lo
@@ -147,17 +147,17 @@
 	}
 	body, err := json.MarshalIndent(se, "", "  ")
 	if err != nil {
-		return "", eris.Wrap(err, "settings")
+		return "", eris.Wrap(err, "encode settings")
 	}
 	path := filepath.Join(fl.Dir, me.Box+".jsonc")
 	body = append([]byte("// Settings of "+me.Box+".\n"), body...)
-	return path, eris.Wrap(os.WriteFile(path, body, 0o600), "settings")
+	return path, eris.Wrap(os.WriteFile(path, body, 0o600), "write settings")
 }
 
-// Publish publishes a list of boxes with all members as live.
+// Publish publishes a list of boxes in which all members are live.
 func (fl *Fleet) Publish() error { return fl.publishStates(nil) }
 
-// PublishWithLeaving publishes a list of boxes with one member as leaving and all others as live.
+// PublishWithLeaving publishes a list of boxes in which one member is leaving and all others are live.
 func (fl *Fleet) PublishWithLeaving(leaving *Member) error { return fl.publishStates(leaving) }
 
 func (fl *Fleet) publishStates(leaving *Member) error {
@@ -208,11 +208,11 @@
 // Members returns the processes of the system, without the stand-ins.
 func (fl *Fleet) Members() []*Member { return fl.members }
 
-// Stop stops everything: first the system's processes, gracefully and in reverse order, then it kills
-// what is left. It returns an error if a process of the system did not stop in time or exited with a
+// Stop shuts the system's processes down gracefully, in reverse order of their start, and then kills all
+// processes that still run. It returns an error if a process of the system did not stop in time or exited with a
 // code other than 0.
 func (fl *Fleet) Stop() error {
-	var failed error
+	var stopErr error
 	for i := len(fl.members) - 1; i >= 0; i-- {
 		pr := fl.members[i].Process
 		if pr == nil || pr.exited() {
@@ -221,9 +221,9 @@
 		_ = pr.Signal(syscall.SIGCONT)
 		_ = pr.Signal(syscall.SIGTERM)
 		if !pr.Wait(stopTimeout) {
-			failed = eris.Errorf("%s did not stop in time", pr.Name)
+			stopErr = eris.Errorf("%s did not stop in time", pr.Name)
 		} else if pr.ExitCode() != 0 {
-			failed = eris.Errorf("%s exited with code %d", pr.Name, pr.ExitCode())
+			stopErr = eris.Errorf("%s exited with code %d", pr.Name, pr.ExitCode())
 		}
 	}
 	for _, pr := range fl.processes {
@@ -232,5 +232,5 @@
 			pr.Wait(stopTimeout)
 		}
 	}
-	return failed
+	return stopErr
 }
--- a/standin/fleet/fleet_test.go
+++ b/standin/fleet/fleet_test.go
@@ -8,7 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A process never listened because it had been given the same address for both of its listeners.
+// Guards against an address that is returned twice: a process that got the same address for both of its
+// listeners never became ready.
 func TestFreeAddressesAreUnique(t *testing.T) {
 	issued := map[string]bool{}
 	for range 2000 {
@@ -32,8 +33,8 @@
 	require.ErrorContains(t, err, "no address")
 }
 
-// A program that had exited was reported as running: when both the timer and the exit are ready, select
-// chooses between them at random.
+// Guards against an exited program that is reported as running: when both the timer and the exit are
+// ready, select chooses between them at random.
 func TestWaitReportsExitWithExpiredTimer(t *testing.T) {
 	pr := &Process{done: make(chan struct{})}
 	require.False(t, pr.Wait(0))
--- a/standin/fleet/process.go
+++ b/standin/fleet/process.go
@@ -53,8 +53,9 @@
 // ExitCode returns the exit code of a program that has exited.
 func (pr *Process) ExitCode() int { return pr.cmd.ProcessState.ExitCode() }
 
-// WaitListening waits until the program accepts connections at an address. Otherwise the error contains
-// the end of the program's log, since the log is removed with the test's directory.
+// WaitListening waits until the program accepts connections at an address. If it exits or does not
+// listen within startTimeout, the error contains the end of its log, since the log file is removed with
+// the test's directory.
 func (pr *Process) WaitListening(address string) error {
 	listening := false
 	err := WaitUntil(startTimeout, "port "+address, func() bool {
@@ -81,13 +82,13 @@
 // logTailBytes is how many bytes of a log an error contains.
 const logTailBytes = 2000
 
-// WaitUntil polls a condition until it holds. It returns an error after a timeout, which should be long
-// enough to be reached only if the system is broken.
-func WaitUntil(timeout time.Duration, what string, condition func() bool) error {
+// WaitUntil polls a condition until it holds. After a timeout it returns an error with the description.
+// The timeout should be long enough to be reached only if the system is broken.
+func WaitUntil(timeout time.Duration, description string, condition func() bool) error {
 	for end := time.Now().Add(timeout); time.Now().Before(end); time.Sleep(pollInterval) {
 		if condition() {
 			return nil
 		}
 	}
-	return fmt.Errorf("%s: not reached within %s", what, timeout)
+	return fmt.Errorf("%s: not reached within %s", description, timeout)
 }
--- a/standin/fleet/proxy.go
+++ b/standin/fleet/proxy.go
@@ -73,8 +73,8 @@
 	}
 }
 
-// waitToForward waits until the impairment permits to forward data, which comes from the target if
-// response is set.
+// waitToForward waits until the impairment allows data to be forwarded. The data comes from the target
+// if response is set.
 func (px *Proxy) waitToForward(response bool) {
 	for {
 		px.mu.Lock()
@@ -89,7 +89,8 @@
 	}
 }
 
-// SetPartitioned starts a partition, which closes all connections and closes new ones at once, or ends it.
+// SetPartitioned starts or ends a partition. During a partition all connections are closed, new ones
+// immediately.
 func (px *Proxy) SetPartitioned(partitioned bool) {
 	px.mu.Lock()
 	defer px.mu.Unlock()
--- a/standin/keyvalue/keyvalue.go
+++ b/standin/keyvalue/keyvalue.go
@@ -229,7 +229,7 @@
 	}
 }
 
-// serveFault handles a request as Hang or RefuseStatus demands. It returns false if neither is set.
+// serveFault handles a request according to Hang or RefuseStatus. It returns false if neither is set.
 func (st *Store) serveFault(fa Faults, w http.ResponseWriter, r *http.Request) bool {
 	switch {
 	case fa.Hang:
@@ -327,7 +327,7 @@
 	return li, st.faults, after < st.compactedAt, st.changed
 }
 
-// serveWatch waits for events after a revision, at most for the time that the client asks for.
+// serveWatch waits for events after a revision, at most for the time that the client specifies.
 func (st *Store) serveWatch(w http.ResponseWriter, r *http.Request) {
 	after, _ := strconv.ParseUint(r.URL.Query().Get("since_revision"), 10, 64)
 	wait, _ := strconv.Atoi(r.URL.Query().Get("wait_ms"))
--- a/standin/keyvalue/keyvalue_test.go
+++ b/standin/keyvalue/keyvalue_test.go
@@ -10,9 +10,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A soak run never ended: a request with a body remained blocked after its client had disconnected, since
-// the HTTP server detects a disconnect only after the body has been read.
-func TestHungCallEndsWithFault(t *testing.T) {
+// Guards against a request that stays blocked after its client has disconnected, which kept a soak run
+// from ending: the HTTP server detects a disconnect only after the request's body has been read.
+func TestHungRequestEndsWithFault(t *testing.T) {
 	st := New()
 	st.SetFaults(Faults{Hang: true})
 	hs := httptest.NewServer(st)
@@ -63,15 +63,15 @@
 		require.NoError(t, resp.Body.Close())
 		return resp
 	}
-	st.Set("kept", 1)
+	st.Set("before", 1)
 	sn := st.Snapshot()
-	st.Set("lost", 2)
+	st.Set("after", 2)
 	require.Equal(t, "1", get("/api/kv-range").Header.Get("Store-Era"))
 	st.Restore(sn)
 	require.Equal(t, "2", get("/api/kv-range").Header.Get("Store-Era"))
-	require.Equal(t, []string{"kept"}, st.Keys(""))
+	require.Equal(t, []string{"before"}, st.Keys(""))
 	require.Equal(t, http.StatusGone, get("/api/kv-watch?since_revision=2").StatusCode)
-	st.Set("again", 3)
+	st.Set("afterRestore", 3)
 	require.Equal(t, uint64(2), st.Revision(), "revisions are issued again")
 	require.Equal(t, http.StatusOK, get("/api/kv-watch?since_revision=2").StatusCode)
 }
--- a/standin/store/store.go
+++ b/standin/store/store.go
@@ -16,7 +16,7 @@
 
 // Faults are the faults that are in effect. The zero value is none.
 type Faults struct {
-	// Down fails every request with status 500 and without a change.
+	// Down makes every request fail with status 500 and without effect.
 	Down bool `json:"down"`
 	// DropWriteResponses is how many of the next writes are handled without a response.
 	DropWriteResponses int `json:"drop_answers"`
--- a/standin/swarm/swarm.go
+++ b/standin/swarm/swarm.go
@@ -1,6 +1,6 @@
 // Package swarm runs entries and agents inside the calling process, with real connections on loopback.
-// Measurements use it for the many peers of one measured process, and tests use it where they need not
-// kill a process.
+// Measurements use it to simulate the many peers of one measured process, tests use it if they do not
+// have to kill a process.
 package swarm
 
 import (
@@ -76,8 +76,8 @@
 // Wait waits until every member has stopped.
 func (sw *Swarm) Wait() { sw.wg.Wait() }
 
-// newMember returns a member with its settings, and its listeners for links or clients and for the admin
-// interface.
+// newMember returns a member with its settings, its listener for callers (entry) or entries (agent) and
+// its listener for the admin API.
 func (sw *Swarm) newMember(box, dataCentre string, role boxes.Role) (*Member, net.Listener, net.Listener, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/standin/trial/load.go
+++ b/standin/trial/load.go
@@ -15,7 +15,7 @@
 	"github.com/linnetrudder/linnetrudder/internal/wire"
 )
 
-// LoadScenario is the input of the load experiment: requests for one version on a small pool of
+// LoadScenario is the input of the load experiment: requests for one version to a small pool of
 // servers.
 type LoadScenario struct {
 	// Load is the offered load divided by the capacity of the servers.
@@ -41,11 +41,11 @@
 	startDeadline = 2 * time.Second
 	// maxServerQueue bounds the queue of a server's gate.
 	maxServerQueue = 64
-	// naiveRetries is how often a client retries with the round-robin strategy.
+	// naiveRetries is how often a client retries under the round-robin strategy.
 	naiveRetries = 3
 )
 
-// LoadOutcome is the result of one strategy.
+// LoadOutcome is the result of one strategy in the load experiment.
 type LoadOutcome struct {
 	Strategy string
 	// Goodput is the slot time of the requests that started by their deadline, divided by the
@@ -108,13 +108,13 @@
 	return ev
 }
 
-// simulator runs events in the order of their simulated times and sums up their results.
+// simulator runs events in the order of their simulated times and counts their results.
 type simulator struct {
 	events eventQueue
 	seq    int
 	ra     *rand.Rand
 	up     [poolServers]bool
-	// The sums from which the LoadOutcome is computed.
+	// The totals from which the LoadOutcome is computed.
 	usefulSeconds, wastedSeconds, refusals, refusalSeconds float64
 	otherTeamRequests, otherTeamStarts                     float64
 }
@@ -232,8 +232,8 @@
 		}
 		si.recordRefusal(jo, now)
 		if jo.attempts < naiveRetries {
-			again := &job{team: jo.team, arrived: now, deadline: now.Add(startDeadline), service: jo.service, attempts: jo.attempts + 1}
-			rr.dispatch(si, again, now)
+			retry := &job{team: jo.team, arrived: now, deadline: now.Add(startDeadline), service: jo.service, attempts: jo.attempts + 1}
+			rr.dispatch(si, retry, now)
 		}
 	})
 }
@@ -257,7 +257,7 @@
 	rr.startQueued(si, server, now)
 }
 
-// systemPool is the strategy of the system: a balancer and retry budgets at each entry, a gate at each
+// systemPool is the strategy of linnetrudder: a balancer and retry budgets at each entry, a gate at each
 // server.
 type systemPool struct {
 	balancers [poolEntries]balance.Balancer
@@ -349,8 +349,8 @@
 	})
 }
 
-// applyActions carries out what a gate decided: it starts jobs or returns rejected ones to their entry.
-// The gate's load reaches the balancer networkDelay later.
+// applyActions carries out the actions of a gate: it starts jobs and returns rejected ones to their
+// entry. The gate's load reaches the balancer networkDelay later.
 func (po *systemPool) applyActions(si *simulator, i int, acs []gate.Action, now time.Time) {
 	for _, ac := range acs {
 		jo := po.jobs[ac.Key()]
--- a/standin/trial/load_test.go
+++ b/standin/trial/load_test.go
@@ -47,7 +47,7 @@
 	naive, system := all[0], all[1]
 	t.Log(naive, system)
 	// The offered load is 0.8 of the full capacity; for a third of the time half of the pool is
-	// missing.
+	// unreachable.
 	ideal := (0.8*2 + 0.5) / 3 / (5.0 / 6)
 	require.Greater(t, system.Goodput, 0.95*ideal)
 	require.Less(t, naive.Goodput, 0.5*ideal)
--- a/standin/trial/rollouts.go
+++ b/standin/trial/rollouts.go
@@ -9,19 +9,19 @@
 	"github.com/linnetrudder/linnetrudder/internal/rollout"
 )
 
-// RolloutScenario is the input of the rollout experiment: a new version replaces the current one.
+// RolloutScenario is the input of the roll-out experiment: a new version replaces the current one.
 type RolloutScenario struct {
 	// RequestsPerSecond is the model's request rate.
 	RequestsPerSecond int
 	// BaselineFailureRate and BaselineLowRatingRate are the rates of failures and of low ratings of
 	// the current version.
 	BaselineFailureRate, BaselineLowRatingRate float64
-	// FailureRate and LowRatingRate are those of the new version from DegradesAt on; before that it
-	// has the rates of the current version.
+	// FailureRate and LowRatingRate are the rates of the new version from DegradesAt on; before that
+	// it has the rates of the current version.
 	FailureRate, LowRatingRate float64
 	DegradesAt                 time.Duration
 	// RatedFraction is the fraction of responses that are rated. Ratings become visible after
-	// RatingLag, tallies after TallyLag.
+	// RatingLag, counts of requests and failures after TallyLag.
 	RatedFraction       float64
 	TallyLag, RatingLag time.Duration
 	// DecisionOutage is the start and the end of a time during which the share is not changed.
@@ -31,10 +31,10 @@
 	Seed     uint64
 }
 
-// RolloutOutcome is the result of one strategy.
+// RolloutOutcome is the result of one strategy in the roll-out experiment.
 type RolloutOutcome struct {
 	Strategy string
-	// Exposure is the number of requests that were sent to the new version while it was bad.
+	// Exposure is the number of requests that were sent to the new version while it was degraded.
 	Exposure   int
 	RolledBack bool
 	// FullShareAt is when the new version first got all requests; zero if never.
@@ -47,14 +47,14 @@
 	name() string
 }
 
-// rolloutConfig returns the operators' configuration, the same for all strategies.
+// rolloutConfig returns the roll-out that operators configure, the same for all strategies.
 func rolloutConfig() *config.Rollout {
 	return &config.Rollout{
 		Model: "m", To: "v2", Steps: []float64{0.01, 0.05, 0.2, 0.5, 1}, HoldSeconds: 60, MaxFailureRate: 0.05,
 	}
 }
 
-// systemRollout is the strategy of the system.
+// systemRollout is the strategy of linnetrudder.
 type systemRollout struct{ progress rollout.Progress }
 
 func (*systemRollout) name() string { return "linnetrudder" }
@@ -133,24 +133,24 @@
 	out := RolloutOutcome{Strategy: st.name()}
 	begin := time.Unix(1_800_000_000, 0)
 	var newTally, oldTally rollout.Tally
-	seen := [2]delayedTally{{lag: int(rs.TallyLag.Seconds())}, {lag: int(rs.TallyLag.Seconds())}}
-	rated := [2]delayedTally{{lag: int(rs.RatingLag.Seconds())}, {lag: int(rs.RatingLag.Seconds())}}
+	counts := [2]delayedTally{{lag: int(rs.TallyLag.Seconds())}, {lag: int(rs.TallyLag.Seconds())}}
+	ratings := [2]delayedTally{{lag: int(rs.RatingLag.Seconds())}, {lag: int(rs.RatingLag.Seconds())}}
 	share := 0.0
 	for sec := range int(rs.Duration.Seconds()) {
 		at := time.Duration(sec) * time.Second
 		if at < rs.DecisionOutage[0] || at >= rs.DecisionOutage[1] {
-			share = st.share(begin.Add(at), visibleTally(&seen[0], &rated[0], newTally), visibleTally(&seen[1], &rated[1], oldTally))
+			share = st.share(begin.Add(at), visibleTally(&counts[0], &ratings[0], newTally), visibleTally(&counts[1], &ratings[1], oldTally))
 		} else {
-			visibleTally(&seen[0], &rated[0], newTally)
-			visibleTally(&seen[1], &rated[1], oldTally)
+			visibleTally(&counts[0], &ratings[0], newTally)
+			visibleTally(&counts[1], &ratings[1], oldTally)
 		}
-		bad := at >= rs.DegradesAt && (rs.FailureRate > rs.BaselineFailureRate || rs.LowRatingRate > rs.BaselineLowRatingRate)
+		degraded := at >= rs.DegradesAt && (rs.FailureRate > rs.BaselineFailureRate || rs.LowRatingRate > rs.BaselineLowRatingRate)
 		for range rs.RequestsPerSecond {
 			if ra.Float64() >= share {
 				rs.simulateRequest(ra, &oldTally, rs.BaselineFailureRate, rs.BaselineLowRatingRate)
 				continue
 			}
-			if bad {
+			if degraded {
 				out.Exposure++
 				rs.simulateRequest(ra, &newTally, rs.FailureRate, rs.LowRatingRate)
 			} else {
@@ -168,22 +168,23 @@
 // visibleTally records a tally and returns the one that is visible now: ratings have a longer lag than
 // counts.
 func visibleTally(counts, ratings *delayedTally, ta rollout.Tally) rollout.Tally {
-	seen := counts.add(ta)
-	late := ratings.add(ta)
-	seen.Rated, seen.Low = late.Rated, late.Low
-	return seen
+	visible := counts.add(ta)
+	rated := ratings.add(ta)
+	visible.Rated, visible.Low = rated.Rated, rated.Low
+	return visible
 }
 
-// simulateRequest draws the result of one request and adds it to a tally.
-func (rs RolloutScenario) simulateRequest(ra *rand.Rand, ta *rollout.Tally, failures, low float64) {
+// simulateRequest draws the result of one request, with the given rates of failures and low ratings, and
+// adds it to a tally.
+func (rs RolloutScenario) simulateRequest(ra *rand.Rand, ta *rollout.Tally, failureRate, lowRatingRate float64) {
 	ta.Started++
-	if ra.Float64() < failures {
+	if ra.Float64() < failureRate {
 		ta.Failed++
 		return
 	}
 	if ra.Float64() < rs.RatedFraction {
 		ta.Rated++
-		if ra.Float64() < low {
+		if ra.Float64() < lowRatingRate {
 			ta.Low++
 		}
 	}
--- a/standin/trial/rollouts_test.go
+++ b/standin/trial/rollouts_test.go
@@ -7,7 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// newRolloutScenario returns a scenario with a good new version; tests make it worse.
+// newRolloutScenario returns a scenario in which the new version is as good as the current one; tests
+// make it worse.
 func newRolloutScenario(seed uint64) RolloutScenario {
 	return RolloutScenario{
 		RequestsPerSecond: 50, BaselineFailureRate: 0.01, BaselineLowRatingRate: 0.08, FailureRate: 0.01, LowRatingRate: 0.08, RatedFraction: 0.3,
@@ -20,7 +21,7 @@
 	exposure, rolledBack, fullShare int
 }
 
-// totalsByStrategy runs a changed scenario with n seeds.
+// totalsByStrategy runs a scenario, modified by change, with n seeds.
 func totalsByStrategy(n int, change func(rs *RolloutScenario)) map[string]totals {
 	by := map[string]totals{}
 	for seed := range n {
@@ -65,9 +66,9 @@
 		{"fails from the start", func(rs *RolloutScenario) { rs.FailureRate = 0.2 }},
 		{"fails slightly", func(rs *RolloutScenario) { rs.FailureRate = 0.08 }},
 		{"low ratings", func(rs *RolloutScenario) { rs.LowRatingRate = 0.4 }},
-		{"degrades during the rollout", func(rs *RolloutScenario) { rs.FailureRate, rs.DegradesAt = 0.3, 20*time.Minute }},
-		{"degrades after the rollout", func(rs *RolloutScenario) { rs.FailureRate, rs.DegradesAt = 0.3, 90*time.Minute }},
-		{"interrupted", func(rs *RolloutScenario) {
+		{"degrades during the roll-out", func(rs *RolloutScenario) { rs.FailureRate, rs.DegradesAt = 0.3, 20*time.Minute }},
+		{"degrades after the roll-out", func(rs *RolloutScenario) { rs.FailureRate, rs.DegradesAt = 0.3, 90*time.Minute }},
+		{"decisions interrupted", func(rs *RolloutScenario) {
 			rs.FailureRate = 0.2
 			rs.DecisionOutage = [2]time.Duration{2 * time.Second, 10 * time.Minute}
 		}},
@@ -77,9 +78,9 @@
 			by := totalsByStrategy(seedCount, tc.change)
 			t.Log(by)
 			require.Equal(t, seedCount, by[systemName].rolledBack)
-			if tc.name == "interrupted" {
-				// The share is not changed for ten minutes, so both strategies stay at the first
-				// one.
+			if tc.name == "decisions interrupted" {
+				// The share is not changed for ten minutes, so both strategies stay at the first share
+				// and may have the same exposure.
 				require.LessOrEqual(t, by[systemName].exposure, by[fixedStepsName].exposure)
 				return
 			}
--- a/standin/trial/versions.go
+++ b/standin/trial/versions.go
@@ -1,4 +1,4 @@
-// Package trial simulates the system's decisions about versions, rollouts and load, and compares them
+// Package trial simulates the system's decisions about versions, roll-outs and load, and compares them
 // with naive strategies on the same seeded input. It runs only the packages that decide, without
 // processes, network or real time.
 package trial
@@ -59,7 +59,7 @@
 	return kindSpecs[kind].quality[version]
 }
 
-// VersionOutcome is the result of one strategy.
+// VersionOutcome is the result of one strategy in the experiment on the choice of versions.
 type VersionOutcome struct {
 	Strategy string
 	// Cost is the mean price of a request.
@@ -69,7 +69,7 @@
 	TargetMet float64
 	// WorstShortfall is the largest shortfall of quality of a pair with at least 100 requests.
 	WorstShortfall float64
-	// Calls is the mean number of calls per request.
+	// Calls is the mean number of versions called per request.
 	Calls float64
 }
 
@@ -163,7 +163,7 @@
 func (*fixedStrategy) recordRating(rating)                    {}
 func (*fixedStrategy) recordFirstAttempt(int, int, int, bool) {}
 
-// learner is the strategy of the system: package choice on the data that package quality has collected.
+// learner is the strategy of linnetrudder: package choice on the data that package quality has collected.
 type learner struct {
 	sn    *config.Snapshot
 	table quality.Table
@@ -228,7 +228,7 @@
 	le.table.AddFirstAttempt(teamName(team), kindSpecs[kind].name, versionNames[version]+"@v1", accepted)
 }
 
-// rating is a rating that arrives at the request number due.
+// rating is a rating that arrives before the request with the index due.
 type rating struct {
 	due, team, kind, version int
 	score                    float64
@@ -236,8 +236,8 @@
 	accepted bool
 }
 
-// answer is the result of a request.
-type answer struct {
+// requestResult is the result of a request.
+type requestResult struct {
 	version  int
 	accepted bool
 	cost     float64
@@ -247,35 +247,35 @@
 }
 
 // serve calls the first version of a plan, and the second one if the judge rejects its response.
-func (re *request) serve(st strategy, plan []int) answer {
+func (re *request) serve(st strategy, plan []int) requestResult {
 	v := plan[0]
-	an := answer{version: v, cost: float64(prices[v]), calls: 1, quality: trueQuality(re.team, re.kind, v)}
+	res := requestResult{version: v, cost: float64(prices[v]), calls: 1, quality: trueQuality(re.team, re.kind, v)}
 	if len(plan) == 1 {
-		return an
+		return res
 	}
-	good := re.good[v] < an.quality
+	good := re.good[v] < res.quality
 	flagged := !good && re.confidence < judgeRecall || good && re.confidence < judgeFalsePositiveRate
 	st.recordFirstAttempt(re.team, re.kind, v, !flagged)
 	next := plan[1]
-	acceptRate := an.quality*(1-judgeFalsePositiveRate) + (1-an.quality)*(1-judgeRecall)
-	an.quality = an.quality*(1-judgeFalsePositiveRate) + (1-acceptRate)*trueQuality(re.team, re.kind, next)
-	an.accepted = !flagged
+	acceptRate := res.quality*(1-judgeFalsePositiveRate) + (1-res.quality)*(1-judgeRecall)
+	res.quality = res.quality*(1-judgeFalsePositiveRate) + (1-acceptRate)*trueQuality(re.team, re.kind, next)
+	res.accepted = !flagged
 	if flagged {
-		an.version = next
-		an.cost += float64(prices[next])
-		an.calls++
+		res.version = next
+		res.cost += float64(prices[next])
+		res.calls++
 	}
-	return an
+	return res
 }
 
 // rating returns the rating that a response will get.
-func (vs VersionScenario) rating(i int, re *request, an answer) rating {
-	good := re.good[an.version] < trueQuality(re.team, re.kind, an.version)
+func (vs VersionScenario) rating(i int, re *request, res requestResult) rating {
+	good := re.good[res.version] < trueQuality(re.team, re.kind, res.version)
 	score := 0.0
 	if good != (re.wrong < vs.WrongFraction) {
 		score = 1
 	}
-	return rating{due: i + vs.RatingDelay, team: re.team, kind: re.kind, version: an.version, score: score, accepted: an.accepted}
+	return rating{due: i + vs.RatingDelay, team: re.team, kind: re.kind, version: res.version, score: score, accepted: res.accepted}
 }
 
 // run simulates the scenario with one strategy.
@@ -290,17 +290,17 @@
 			st.recordRating(pending[0])
 			pending = pending[1:]
 		}
-		an := re.serve(st, st.plan(re))
-		ou.Cost += an.cost
-		ou.Calls += an.calls
+		res := re.serve(st, st.plan(re))
+		ou.Cost += res.cost
+		ou.Calls += res.calls
 		key := [2]int{re.team, re.kind}
 		if pairs[key] == nil {
 			pairs[key] = &pair{}
 		}
 		pairs[key].n++
-		pairs[key].quality += an.quality
+		pairs[key].quality += res.quality
 		if re.rated < vs.RatedFraction {
-			pending = append(pending, vs.rating(i, re, an))
+			pending = append(pending, vs.rating(i, re, res))
 		}
 	}
 	n := float64(len(list))
