--- a/standin/soak/check.go
+++ b/standin/soak/check.go
@@ -188,8 +188,8 @@
 	return hi.start.Add(fa.Start).Before(until) && hi.start.Add(fa.End).Add(restartTime).After(from)
 }
 
-// checkDraining returns the executions of a request on servers that had started draining longer than
-// drainBound before it was sent.
+// checkDraining returns the executions of a request on servers that had started draining more than
+// drainBound before the request was sent.
 func (hi *history) checkDraining(ou outcome, executions []execution) []Violation {
 	var list []Violation
 	for _, ex := range executions {
--- a/standin/soak/reports.go
+++ b/standin/soak/reports.go
@@ -33,8 +33,8 @@
 	return true
 }
 
-// checkAnnouncedShutdowns finds requests that a gateway sent to a server longer than drainBound after it
-// had delivered a response in which the server announced its shutdown.
+// checkAnnouncedShutdowns finds requests that a gateway sent to a server more than drainBound after the
+// gateway had delivered a response in which the server announced its shutdown.
 func (hi *history) checkAnnouncedShutdowns() []Violation {
 	announcedAt := map[gatewayServer]time.Time{}
 	for _, ou := range hi.outcomes {
--- a/standin/trial/load.go
+++ b/standin/trial/load.go
@@ -189,6 +189,7 @@
 	}
 	capacity := poolServers * slotsPerServer * ls.Duration.Seconds()
 	if ls.HalfLostAt > 0 {
+		// Half of the servers are unreachable for a third of the time.
 		capacity *= 1 - 1.0/6
 	}
 	return LoadOutcome{
