--- a/internal/gateway/cluster_test.go
+++ b/internal/gateway/cluster_test.go
@@ -27,23 +27,24 @@
 	"github.com/linnetrudder/linnetrudder/internal/selfreport"
 )
 
-// crashingBackend simulates the servers of a service. A server ends when it begins to run the
-// poison request. It makes no network calls, and its time is that of the test.
+// crashingBackend simulates the servers of a service. A server crashes after it has begun to run a
+// poison request. The simulation makes no network calls and uses the fake clock of synctest.
 type crashingBackend struct {
 	store *fakeStore
-	// endsAfter is the time from the poison request's first token to the end of its server.
-	endsAfter time.Duration
-	// silent is set if the server of the poison request ends before it sends any part of its response.
-	silent bool
-	// machineFails is set if servers end together with their machines, which then refuse no connections.
+	// crashDelay is the time from the poison request's first token to the crash of its server.
+	crashDelay time.Duration
+	// noResponse is set if the server of the poison request crashes before it sends any part of a
+	// response.
+	noResponse bool
+	// machineFails is set if boxes fail together with their servers and then refuse no connections.
 	machineFails bool
 
 	mu      sync.Mutex
 	servers map[string]*fakeServer
 	started int
-	// sent holds when copies of the poison request reached servers. ended holds when servers ended.
-	sent, ended []time.Time
-	// records holds the same by path of the request, with the ends of those servers only that ran it.
+	// sent holds when copies of the poison request reached servers. crashes holds when servers crashed.
+	sent, crashes []time.Time
+	// records holds the same by path of the request, but only the crashes of servers that ran it.
 	records map[string]*poisonRecord
 	// limits holds the rate limits that servers report, arrived the times at which requests reached
 	// servers, both by id.
@@ -58,18 +59,18 @@
 	received map[boxServer][]time.Time
 }
 
-// poisonRecord records when one poison request was sent and when servers ended because of it.
-type poisonRecord struct{ sent, ended []time.Time }
+// poisonRecord records when one poison request was sent and when servers crashed because of it.
+type poisonRecord struct{ sent, crashes []time.Time }
 
 // lateCopies returns the number of copies that reached servers more than propagationTime after the
-// third end and later than known.
+// third crash and later than known.
 func (pr *poisonRecord) lateCopies(known time.Time) int {
-	if len(pr.ended) < 3 {
+	if len(pr.crashes) < 3 {
 		return 0
 	}
 	late := 0
 	for _, at := range pr.sent {
-		if at.After(pr.ended[2].Add(propagationTime)) && at.After(known) {
+		if at.After(pr.crashes[2].Add(propagationTime)) && at.After(known) {
 			late++
 		}
 	}
@@ -87,33 +88,36 @@
 	return cr.records[path]
 }
 
-// endByPoison ends the server that ran a poison request and records it.
-func (cr *crashingBackend) endByPoison(path string, se *fakeServer) {
+// crashByPoison crashes the server that ran a poison request and records the crash.
+func (cr *crashingBackend) crashByPoison(path string, se *fakeServer) {
 	cr.mu.Lock()
 	pr := cr.recordOf(path)
-	pr.ended = append(pr.ended, time.Now())
+	pr.crashes = append(pr.crashes, time.Now())
 	cr.mu.Unlock()
-	cr.end(se)
+	cr.crash(se)
 }
 
 type fakeServer struct {
 	listed directory.Server
-	// gone is closed when the process has ended.
-	gone chan struct{}
+	// exited is closed when the process has ended.
+	exited chan struct{}
 }
 
 const (
-	// poisonPath and plainPoisonPath are the paths of requests that end their servers.
+	// poisonPath and plainPoisonPath are the paths of requests that crash their servers.
 	poisonPath      = "/menu/poison"
 	plainPoisonPath = "/cards/poison"
 	// serverCount is the number of servers at any time, apart from restarts.
 	serverCount = 18
-	readTime    = 30 * time.Millisecond
-	eventPause  = 20 * time.Millisecond
-	// propagationTime is the time in which gateways must have informed each other.
+	// readTime is the time to read a prompt, eventPause the pause before each event of a stream.
+	readTime   = 30 * time.Millisecond
+	eventPause = 20 * time.Millisecond
+	// propagationTime is the time within which gateways must have informed each other.
 	propagationTime = 3 * time.Second
-	restartDelay    = 2 * time.Second
-	entryTTL        = 2500 * time.Millisecond
+	// restartDelay is the time from a crash to the start of another server, entryTTL the time from a
+	// crash until the entry expires.
+	restartDelay = 2 * time.Second
+	entryTTL     = 2500 * time.Millisecond
 )
 
 func (cr *crashingBackend) start() {
@@ -123,23 +127,23 @@
 	id := fmt.Sprint("s", cr.started)
 	se := &fakeServer{
 		listed: directory.Server{ID: id, Service: "llm", Address: id, DataCentre: fmt.Sprint("dc", cr.started%3), Version: "v1"},
-		gone:   make(chan struct{}),
+		exited: make(chan struct{}),
 	}
 	cr.servers[id] = se
 	cr.store.add(Change{Server: &se.listed})
 }
 
-// end ends a server. Further calls do nothing.
-func (cr *crashingBackend) end(se *fakeServer) {
+// crash makes a server crash. Further calls for the same server do nothing.
+func (cr *crashingBackend) crash(se *fakeServer) {
 	cr.mu.Lock()
 	defer cr.mu.Unlock()
 	select {
-	case <-se.gone:
+	case <-se.exited:
 		return
 	default:
 	}
-	close(se.gone)
-	cr.ended = append(cr.ended, time.Now())
+	close(se.exited)
+	cr.crashes = append(cr.crashes, time.Now())
 	time.AfterFunc(entryTTL, func() { cr.store.add(Change{Gone: se.listed.ID}) })
 	time.AfterFunc(restartDelay, cr.start)
 }
@@ -152,7 +156,7 @@
 
 func (cr *crashingBackend) CheckReachable(_ context.Context, se directory.Server) error {
 	select {
-	case <-cr.server(se.ID).gone:
+	case <-cr.server(se.ID).exited:
 		if cr.machineFails {
 			return errors.New("no answer in time")
 		}
@@ -178,8 +182,8 @@
 	if poison {
 		cr.mu.Lock()
 		cr.sent = append(cr.sent, time.Now())
-		de := cr.recordOf(at.Request.Path)
-		de.sent = append(de.sent, time.Now())
+		pr := cr.recordOf(at.Request.Path)
+		pr.sent = append(pr.sent, time.Now())
 		cr.mu.Unlock()
 	}
 	if err := se.work(ctx, readTime); err != nil {
@@ -188,20 +192,20 @@
 	events := 10
 	if poison {
 		events = 0
-		time.AfterFunc(cr.endsAfter, func() { cr.endByPoison(at.Request.Path, se) })
-		if cr.silent || at.Model == "" {
+		time.AfterFunc(cr.crashDelay, func() { cr.crashByPoison(at.Request.Path, se) })
+		if cr.noResponse || at.Model == "" {
 			return nil, se.work(ctx, time.Hour)
 		}
 	}
 	if at.Model == "" {
-		return &Response{Status: http.StatusOK, Body: io.NopCloser(strings.NewReader("whole")), Report: cr.report(se)}, nil
+		return &Response{Status: http.StatusOK, Body: io.NopCloser(strings.NewReader("complete")), Report: cr.report(se)}, nil
 	}
 	confidence := 90
 	if at.Model == "small" {
 		confidence = 2
 	}
 	return &Response{
-		Status: http.StatusOK, Stream: true, Confidence: confidence, Report: cr.report(se), Body: &fakeStream{ctx: ctx, server: se, left: events},
+		Status: http.StatusOK, Stream: true, Confidence: confidence, Report: cr.report(se), Body: &fakeStream{ctx: ctx, server: se, events: events},
 	}, nil
 }
 
@@ -230,34 +234,35 @@
 	return selfreport.Report{Limit: cr.limit(se), Leaving: cr.isLeaving(se)}
 }
 
-// work waits for a duration. It fails if the server ends or the attempt is cancelled.
+// work waits for a duration. It fails if the server crashes or the attempt is cancelled.
 func (se *fakeServer) work(ctx context.Context, takes time.Duration) error {
 	ti := time.NewTimer(takes)
 	defer ti.Stop()
 	select {
 	case <-ti.C:
 		return nil
-	case <-se.gone:
+	case <-se.exited:
 		return errors.New("call: EOF")
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
-// fakeStream is a response of left events. If left is zero, it blocks until its server ends.
+// fakeStream is a response with a number of events. If that is zero, reads block until its server
+// crashes.
 type fakeStream struct {
 	ctx    context.Context
 	server *fakeServer
-	left   int
+	events int
 	sent   int
 }
 
 func (st *fakeStream) Read(buf []byte) (int, error) {
-	if st.sent > 0 && st.sent == st.left {
+	if st.sent > 0 && st.sent == st.events {
 		return 0, io.EOF
 	}
 	pause := eventPause
-	if st.left == 0 {
+	if st.events == 0 {
 		pause = time.Hour
 	}
 	if err := st.server.work(st.ctx, pause); err != nil {
@@ -294,11 +299,11 @@
 	partitioned atomic.Bool
 }
 
-func (in *pipeNetwork) dial(ctx context.Context, _, address string) (net.Conn, error) {
-	in.mu.Lock()
-	li := in.listeners[address]
-	in.mu.Unlock()
-	if in.partitioned.Load() {
+func (pn *pipeNetwork) dial(ctx context.Context, _, address string) (net.Conn, error) {
+	pn.mu.Lock()
+	li := pn.listeners[address]
+	pn.mu.Unlock()
+	if pn.partitioned.Load() {
 		return nil, net.ErrClosed
 	}
 	near, far := net.Pipe()
@@ -384,7 +389,7 @@
 		Target: 150 * time.Millisecond, Attempts: 1, Split: []routing.Share{{Service: "llm", Weight: 1}},
 	}}}})
 	sc := &testCluster{
-		t: t, servers: &crashingBackend{store: store, endsAfter: 100 * time.Millisecond, servers: map[string]*fakeServer{}},
+		t: t, servers: &crashingBackend{store: store, crashDelay: 100 * time.Millisecond, servers: map[string]*fakeServer{}},
 		network: &pipeNetwork{listeners: map[string]*pipeListener{}}, log: io.Discard,
 	}
 	t.Cleanup(func() {
@@ -472,7 +477,8 @@
 	})
 }
 
-// sendTraffic sends poison requests and others for a duration, to all gateways from number first on.
+// sendTraffic sends harmless requests, and every 0.3 s the poison request unless it is empty, for a
+// duration to all gateways from number first on.
 func (sc *testCluster) sendTraffic(first int, poison string, duration time.Duration) {
 	n := 0
 	for until := time.Now().Add(duration); time.Now().Before(until); time.Sleep(25 * time.Millisecond) {
@@ -491,23 +497,23 @@
 	}
 }
 
-// endCount returns the number of servers that have ended.
-func (cr *crashingBackend) endCount() int {
+// crashCount returns the number of crashes.
+func (cr *crashingBackend) crashCount() int {
 	cr.mu.Lock()
 	defer cr.mu.Unlock()
-	return len(cr.ended)
+	return len(cr.crashes)
 }
 
 // lateCopies returns the number of copies that reached servers more than propagationTime after the
-// third end.
+// third crash.
 func (cr *crashingBackend) lateCopies() int {
 	cr.mu.Lock()
 	defer cr.mu.Unlock()
-	if len(cr.ended) < 3 {
+	if len(cr.crashes) < 3 {
 		return 0
 	}
-	slices.SortFunc(cr.ended, time.Time.Compare)
-	bound := cr.ended[2].Add(propagationTime)
+	slices.SortFunc(cr.crashes, time.Time.Compare)
+	bound := cr.crashes[2].Add(propagationTime)
 	late := 0
 	for _, at := range cr.sent {
 		if at.After(bound) {
@@ -527,16 +533,16 @@
 
 // blockCount returns the number of requests blocked at the gateways, summed over the gateways.
 func (sc *testCluster) blockCount() int {
-	all := 0
+	total := 0
 	for _, ga := range sc.gateways {
 		ga.mu.Lock()
-		all += len(ga.blocks.Recent(clock.Now().Add(-time.Hour)))
+		total += len(ga.blocks.Recent(clock.Now().Add(-time.Hour)))
 		ga.mu.Unlock()
 	}
-	return all
+	return total
 }
 
-// disconnectAll disconnects all gateways from the key-value service, or connects them again.
+// disconnectAll disconnects all gateways from the key-value service, or reconnects them.
 func (sc *testCluster) disconnectAll(disconnected bool) {
 	for i := range 2 * len(sc.gateways) {
 		sc.servers.store.setDisconnected(fmt.Sprint("b", i), disconnected)
@@ -559,13 +565,13 @@
 			stored = append(stored, ch.Blocked.Fingerprint)
 		}
 		if ch.Unblocked != nil {
-			stored = slices.DeleteFunc(stored, func(pr poison.Fingerprint) bool { return pr == *ch.Unblocked })
+			stored = slices.DeleteFunc(stored, func(fp poison.Fingerprint) bool { return fp == *ch.Unblocked })
 		}
 	}
 	return stored
 }
 
-// all returns all servers, including those that have ended.
+// all returns all servers, including those that have crashed.
 func (cr *crashingBackend) all() []*fakeServer {
 	cr.mu.Lock()
 	defer cr.mu.Unlock()
--- a/internal/gateway/poison_test.go
+++ b/internal/gateway/poison_test.go
@@ -19,22 +19,22 @@
 // Guards against a request that crashes servers being sent to one server after another. On the
 // users' boxes such requests crashed 141 of the model service's servers in a day, for half a minute
 // at a time, and a tenth and more of all streams broke. A request's first token came from a small
-// model of low confidence, so a larger model was asked elsewhere and the first run dropped. The
-// first server ended 0.1 s later, then the second and third, to which the stream was moved, and the
-// caller's retry and later copies started again at other gateways. Attempts whose server ended were
-// repeated like those whose connection was lost, and no gateway remembered them: 14 copies had 41
-// runs at four gateways, none completed, and each server ended within 0.2 s of a first token. In 13
-// of the copies a run had been dropped before its server ended, so that broken connections alone
-// reveal it late.
+// model of low confidence, so a larger model was called on another server and the first run dropped.
+// The first server crashed 0.1 s later, then the second and third, to which the stream was moved,
+// and the caller's retry and later copies began anew at other gateways. Attempts whose server
+// crashed were repeated like those whose connection was lost, and no gateway remembered them: 14
+// copies had 41 runs at four gateways, none completed, and each server crashed within 0.2 s of a
+// first token. In 13 of the copies a run had been dropped before its server crashed, so that broken
+// connections alone would have revealed the request late.
 func TestRequestThatCrashesServersIsBlocked(t *testing.T) {
-	for _, silent := range []bool{false, true} {
+	for _, noResponse := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			sc := newTestCluster(t, 4)
-			sc.servers.silent = silent
+			sc.servers.noResponse = noResponse
 			sc.sendTraffic(0, poisonPath, 20*time.Second)
 			sc.callers.Wait()
-			require.LessOrEqual(t, sc.servers.lateCopies(), 3, "%d crashes", sc.servers.endCount())
-			crashes := sc.servers.endCount()
+			require.LessOrEqual(t, sc.servers.lateCopies(), 3, "%d crashes", sc.servers.crashCount())
+			crashes := sc.servers.crashCount()
 			require.Less(t, crashes, 10)
 
 			// All gateways fail at once, and others start.
@@ -45,7 +45,7 @@
 			sc.poisonResponses = nil
 			sc.sendTraffic(4, poisonPath, 5*time.Second)
 			sc.callers.Wait()
-			require.Equal(t, crashes, sc.servers.endCount(), "the block is stored")
+			require.Equal(t, crashes, sc.servers.crashCount(), "the block is stored")
 			require.NotEmpty(t, sc.poisonResponses)
 			for _, ca := range sc.poisonResponses {
 				require.Equal(t, result.DidNotRun, result.Lookup(ca.code).Run())
@@ -63,13 +63,14 @@
 	}
 }
 
-// A request that may run only once reaches one server per copy, so each gateway sees a single end.
+// A request that may run only once reaches one server per copy, so that each gateway notices only
+// one crash per copy.
 func TestPlainRequestThatCrashesServersIsBlocked(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sc := newTestCluster(t, 12)
 		sc.sendTraffic(0, plainPoisonPath, 20*time.Second)
 		sc.callers.Wait()
-		require.LessOrEqual(t, sc.servers.endCount(), 6+2, "six, and one for each trial")
+		require.LessOrEqual(t, sc.servers.crashCount(), 6+2, "six, and one for each trial")
 		require.LessOrEqual(t, sc.servers.lateCopies(), 1, "the second trial; the users accept three")
 		refused := 0
 		for _, ca := range sc.poisonResponses {
@@ -81,49 +82,49 @@
 	})
 }
 
-// A request that crashes the whole machine: nothing refuses connections there, and the server's
-// entry expires a few seconds later.
+// A request makes the box of its server fail, which then refuses no connections. The server's entry
+// expires a few seconds later.
 func TestRequestThatCrashesMachinesIsBlocked(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sc := newTestClusterWith(t, 4, func(sc *testCluster) { sc.servers.machineFails = true })
 		sc.sendTraffic(0, poisonPath, 20*time.Second)
 		sc.callers.Wait()
 		require.Equal(t, 4, sc.blockCount())
-		require.LessOrEqual(t, sc.servers.endCount(), 30)
+		require.LessOrEqual(t, sc.servers.crashCount(), 30)
 		require.LessOrEqual(t, sc.servers.lateCopies(), 3)
 	})
 }
 
-// A third of the servers crashes at the same time, repeatedly, each time with all requests in
-// progress there.
+// A third of the servers crash at the same time, six times, each time with requests in progress
+// there.
 func TestServersThatCrashSimultaneouslyBlockNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sc := newTestCluster(t, 4)
 		for range 6 {
 			sc.sendTraffic(0, "", 1500*time.Millisecond)
 			sc.servers.mu.Lock()
-			var rack []*fakeServer
+			var running []*fakeServer
 			for _, se := range sc.servers.servers {
 				select {
-				case <-se.gone:
+				case <-se.exited:
 				default:
-					rack = append(rack, se)
+					running = append(running, se)
 				}
 			}
 			sc.servers.mu.Unlock()
-			for _, se := range rack[:6] {
-				sc.servers.end(se)
+			for _, se := range running[:6] {
+				sc.servers.crash(se)
 			}
 			sc.sendTraffic(0, "", 1500*time.Millisecond)
 		}
 		sc.callers.Wait()
-		require.Equal(t, 36, sc.servers.endCount())
+		require.Equal(t, 36, sc.servers.crashCount())
 		require.Zero(t, sc.blockCount())
 	})
 }
 
-// Four such requests at once, two of them plain, while the key-value service is unreachable for four
-// seconds and half of the gateways are replaced in the middle of the outage.
+// Four requests that crash servers are sent at once, two of them plain, while the key-value service
+// is unreachable for four seconds and half of the gateways are replaced in the middle of the outage.
 func TestSeveralRequestsThatCrashServersDuringOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sc := newTestCluster(t, 8)
@@ -149,33 +150,32 @@
 		regained := time.Now()
 		callers.Wait()
 		sc.callers.Wait()
-		// A gateway can't learn of blocks while the service is unreachable and its own state is
-		// lost.
+		// A replaced gateway has lost its state and cannot read blocks from an unreachable service.
 		known := regained.Add(propagationTime)
 		sc.servers.mu.Lock()
 		defer sc.servers.mu.Unlock()
 		for _, path := range paths {
-			de := sc.servers.records[path]
-			require.LessOrEqual(t, de.lateCopies(known), 3, "%s: %d crashes", path, len(de.ended))
-			require.LessOrEqual(t, len(de.ended), 20, path)
+			pr := sc.servers.records[path]
+			require.LessOrEqual(t, pr.lateCopies(known), 3, "%s: %d crashes", path, len(pr.crashes))
+			require.LessOrEqual(t, len(pr.crashes), 20, path)
 		}
 	})
 }
 
-// A request that all callers send alike is running on each server that crashes. A gateway that has
-// just started knows of no complete response to it and blocks it. The other gateways know of
-// responses and lift the block.
+// A common request, which all callers send alike, is running on each server that crashes. A gateway
+// that has just started knows of no complete response to it and blocks it. The other gateways know
+// of responses and lift the block.
 func TestBlockOfRequestCompletedElsewhereIsLifted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sc := newTestCluster(t, 4)
-		common := func(gateways int) {
+		sendCommon := func(gateways int) {
 			for i := range 40 {
 				sc.send(i%gateways, "/menu/common", fmt.Sprint("common", gateways, "-", i))
 				time.Sleep(25 * time.Millisecond)
 			}
 		}
-		common(4)
-		common(4)
+		sendCommon(4)
+		sendCommon(4)
 		var newestLog lockedLog
 		sc.log = &newestLog
 		sc.addGateway()
@@ -186,7 +186,7 @@
 			time.Sleep(100 * time.Millisecond)
 			for _, se := range sc.servers.all() {
 				if newest.hasAttemptsAt(se.listed.ID) {
-					sc.servers.end(se)
+					sc.servers.crash(se)
 				}
 			}
 			time.Sleep(150 * time.Millisecond)
@@ -219,35 +219,35 @@
 	return lo.buf.String()
 }
 
-// Without the key-value service blocks are propagated with load reports, and stored once it is
-// reachable.
+// While the key-value service is unreachable, blocks are propagated with load reports. They are
+// stored once it is reachable again.
 func TestBlocksArePropagatedWithoutKeyValueService(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sc := newTestCluster(t, 8)
-		cut := func(cut bool) {
+		disconnect := func(disconnected bool) {
 			for i := range 16 {
-				sc.servers.store.setDisconnected(fmt.Sprint("b", i), cut)
+				sc.servers.store.setDisconnected(fmt.Sprint("b", i), disconnected)
 			}
 		}
-		cut(true)
+		disconnect(true)
 		sc.sendTraffic(0, poisonPath, 6*time.Second)
 		sc.callers.Wait()
-		require.Less(t, sc.servers.endCount(), 10)
+		require.Less(t, sc.servers.crashCount(), 10)
 		require.Equal(t, 8, sc.blockCount(), "each gateway")
-		crashes := sc.servers.endCount()
-		cut(false)
+		crashes := sc.servers.crashCount()
+		disconnect(false)
 		time.Sleep(8 * time.Second)
 		sc.stop()
 		sc.addGateway()
 		time.Sleep(3 * time.Second)
 		sc.sendTraffic(8, poisonPath, 2*time.Second)
 		sc.callers.Wait()
-		require.Equal(t, crashes, sc.servers.endCount())
+		require.Equal(t, crashes, sc.servers.crashCount())
 	})
 }
 
-// An operator ends a block by removing its stored entry. A block that has expired ends by itself,
-// and its entry is removed.
+// An operator lifts a block by removing its stored entry. A block that has expired is lifted without
+// an operator, and its entry is removed.
 func TestBlockEndsAtAllGateways(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sc := newTestCluster(t, 4)
@@ -255,12 +255,12 @@
 		sc.callers.Wait()
 		require.Equal(t, 4, sc.blockCount())
 		time.Sleep(5 * time.Second)
-		pr := sc.firstStoredBlock(0)
-		sc.servers.store.add(Change{Unblocked: &pr})
+		fp := sc.firstStoredBlock(0)
+		sc.servers.store.add(Change{Unblocked: &fp})
 		time.Sleep(3 * time.Second)
 		require.Zero(t, sc.blockCount())
 
-		again := poison.NewBlock(pr, 10*time.Second, clock.WallTime())
+		again := poison.NewBlock(fp, 10*time.Second, clock.WallTime())
 		sc.servers.store.add(Change{Blocked: &again})
 		time.Sleep(3 * time.Second)
 		require.Equal(t, 4, sc.blockCount())
@@ -272,14 +272,16 @@
 	})
 }
 
-// Compares ways to propagate requests under which servers end, over the same 20 s: each gateway on
-// its own, through the key-value service only, and with load reports; with blocks after two, three
-// and four ends. The documentation on such requests has the table.
+// Compares ways to propagate which requests crash servers, over the same 20 s: each gateway on its
+// own, through the key-value service only, and with load reports, with blocks after two, three and
+// four crashes. The documentation on such requests has the table of results.
 func TestPropagationOfRequestsThatCrashServers(t *testing.T) {
 	type method struct {
-		name            string
+		name string
+		// reports is set if gateways exchange load reports, stored if blocks are stored. minCrashes is
+		// the number of crashes after which a request is blocked.
 		reports, stored bool
-		crashes         int
+		minCrashes      int
 	}
 	crashed := map[string]int{}
 	for _, gateways := range []int{4, 23} {
@@ -298,7 +300,7 @@
 				})
 				for _, ga := range sc.gateways {
 					ga.mu.Lock()
-					ga.crashDetector.MinCrashes = me.crashes
+					ga.crashDetector.MinCrashes = me.minCrashes
 					ga.mu.Unlock()
 				}
 				sc.sendTraffic(0, poisonPath, 20*time.Second)
@@ -309,14 +311,14 @@
 						served++
 					}
 				}
-				name := fmt.Sprint(me.name, ", from ", me.crashes, " crashes")
-				crashed[fmt.Sprint(gateways, name)] = sc.servers.endCount()
-				t.Logf("%d gateways, %s: %d servers crashed, %d copies too many, %.3f of the other requests served",
-					gateways, name, sc.servers.endCount(), sc.servers.lateCopies(), float64(served)/float64(len(sc.otherResponses)))
+				name := fmt.Sprint(me.name, ", from ", me.minCrashes, " crashes")
+				crashed[fmt.Sprint(gateways, name)] = sc.servers.crashCount()
+				t.Logf("%d gateways, %s: %d servers crashed, %d late copies, %.3f of the other requests served",
+					gateways, name, sc.servers.crashCount(), sc.servers.lateCopies(), float64(served)/float64(len(sc.otherResponses)))
 			})
 		}
-		taken := crashed[fmt.Sprint(gateways, "suspicions and blocks with reports, from 3 crashes")]
-		require.Less(t, taken, crashed[fmt.Sprint(gateways, "each gateway on its own, from 3 crashes")])
-		require.LessOrEqual(t, taken, 10)
+		withReports := crashed[fmt.Sprint(gateways, "suspicions and blocks with reports, from 3 crashes")]
+		require.Less(t, withReports, crashed[fmt.Sprint(gateways, "each gateway on its own, from 3 crashes")])
+		require.LessOrEqual(t, withReports, 10)
 	}
 }
