--- a/standin/cmd/days/compare.go
+++ b/standin/cmd/days/compare.go
@@ -76,24 +76,24 @@
 // pairResults matches results by site, day and seed. Results that are in one set only are ignored.
 func pairResults(before, after []dayResult) []dayComparison {
 	worth := map[string]float64{}
-	for _, pl := range before {
-		worth[pl.key()] = pl.Worth
+	for _, dr := range before {
+		worth[dr.key()] = dr.Worth
 	}
 	days := map[string]*dayComparison{}
-	for _, pl := range after {
-		previous, ok := worth[pl.key()]
+	for _, dr := range after {
+		previous, ok := worth[dr.key()]
 		if !ok {
 			continue
 		}
-		name := pl.Site + " " + pl.Day
+		name := dr.Site + " " + dr.Day
 		if days[name] == nil {
 			days[name] = &dayComparison{name: name}
 		}
 		ro := days[name]
 		n := float64(len(ro.differences))
 		ro.before = (ro.before*n + previous) / (n + 1)
-		ro.after = (ro.after*n + pl.Worth) / (n + 1)
-		ro.differences = append(ro.differences, pl.Worth-previous)
+		ro.after = (ro.after*n + dr.Worth) / (n + 1)
+		ro.differences = append(ro.differences, dr.Worth-previous)
 	}
 	rows := make([]dayComparison, 0, len(days))
 	for _, ro := range days {
@@ -120,9 +120,9 @@
 // printSummary prints a table of the results by day.
 func printSummary(results []dayResult) {
 	byDay := map[string][]dayResult{}
-	for _, pl := range results {
-		name := pl.Site + " " + pl.Day
-		byDay[name] = append(byDay[name], pl)
+	for _, dr := range results {
+		name := dr.Site + " " + dr.Day
+		byDay[name] = append(byDay[name], dr)
 	}
 	names := make([]string, 0, len(byDay))
 	for name := range byDay {
@@ -136,13 +136,13 @@
 		lowest, highest := list[0].Worth, list[0].Worth
 		var sum dayResult
 		broken := 0
-		for _, pl := range list {
-			lowest, highest = min(lowest, pl.Worth), max(highest, pl.Worth)
-			sum.Worth += pl.Worth / float64(len(list))
-			sum.WholeDay += pl.WholeDay / float64(len(list))
-			sum.Windows += pl.Windows / float64(len(list))
-			sum.WorstClass += pl.WorstClass / float64(len(list))
-			if pl.Broken != "" {
+		for _, dr := range list {
+			lowest, highest = min(lowest, dr.Worth), max(highest, dr.Worth)
+			sum.Worth += dr.Worth / float64(len(list))
+			sum.WholeDay += dr.WholeDay / float64(len(list))
+			sum.Windows += dr.Windows / float64(len(list))
+			sum.WorstClass += dr.WorstClass / float64(len(list))
+			if dr.Broken != "" {
 				broken++
 			}
 		}
--- a/standin/cmd/days/days_test.go
+++ b/standin/cmd/days/days_test.go
@@ -16,23 +16,23 @@
 `
 
 func TestParseWorth(t *testing.T) {
-	var pl dayResult
-	require.NoError(t, parseWorth(benchReport, &pl))
-	require.Equal(t, dayResult{Worth: 0.654, WholeDay: 0.888, Windows: 0.733, WorstClass: 0.797}, pl)
+	var dr dayResult
+	require.NoError(t, parseWorth(benchReport, &dr))
+	require.Equal(t, dayResult{Worth: 0.654, WholeDay: 0.888, Windows: 0.733, WorstClass: 0.797}, dr)
 	require.Equal(t, "CONFIG 3", brokenPattern.FindStringSubmatch(benchReport)[1])
-	require.Error(t, parseWorth("the day was aborted", &pl))
+	require.Error(t, parseWorth("the day was aborted", &dr))
 }
 
 func TestPairResultsUsesCommonSeedsOnly(t *testing.T) {
-	day := func(seed int, worth float64) dayResult {
+	result := func(seed int, worth float64) dayResult {
 		return dayResult{Site: "s", Day: "d", Seed: seed, Worth: worth}
 	}
-	rows := pairResults([]dayResult{day(1, 0.5), day(2, 0.7), day(3, 0.1)}, []dayResult{day(1, 0.6), day(2, 0.6), day(4, 0.9)})
+	rows := pairResults([]dayResult{result(1, 0.5), result(2, 0.7), result(3, 0.1)}, []dayResult{result(1, 0.6), result(2, 0.6), result(4, 0.9)})
 	require.Len(t, rows, 1)
 	require.InDelta(t, 0.6, rows[0].before, 1e-9)
-	mean, spread := meanAndStdDev(rows[0].differences)
+	mean, stdDev := meanAndStdDev(rows[0].differences)
 	require.InDelta(t, 0, mean, 1e-9)
-	require.InDelta(t, 0.141, spread, 1e-3)
+	require.InDelta(t, 0.141, stdDev, 1e-3)
 	require.NoError(t, plotDifferences(rows, filepath.Join(t.TempDir(), "p.svg")))
 }
 
@@ -119,10 +119,10 @@
 	byRoute := tallyLosses(ends, "route")
 	require.Len(t, byRoute, 3)
 	require.Equal(t, lossTally{requests: 1, credit: 1, refused: 1}, *byRoute["plain"])
-	ro := byRoute["r"]
-	require.Equal(t, []int{2, 1, 0, 1}, []int{ro.requests, ro.smallest, ro.middle, ro.largest})
-	require.InDelta(t, 0.95/2, ro.poor, 1e-9, "an answer with confidence 49 is poor with a probability of one half")
-	require.InDelta(t, 0.7, ro.late, 1e-9)
+	ta := byRoute["r"]
+	require.Equal(t, []int{2, 1, 0, 1}, []int{ta.requests, ta.smallest, ta.middle, ta.largest})
+	require.InDelta(t, 0.95/2, ta.poor, 1e-9, "an answer with confidence 49 is poor with a probability of one half")
+	require.InDelta(t, 0.7, ta.late, 1e-9)
 	require.InDelta(t, 3, byRoute["all"].credit, 1e-9)
 	require.Len(t, tallyLosses(ends, "second"), 3)
 	require.Len(t, tallyLosses(ends, "data_centre"), 3)
--- a/standin/cmd/days/draw.go
+++ b/standin/cmd/days/draw.go
@@ -21,8 +21,8 @@
 	Out   string `help:"Directory for the days." required:""`
 	First uint64 `help:"Seed of the first day; the others get consecutive seeds." default:"1"`
 	Days  int    `help:"Number of days per deployment." default:"10"`
-	// Rollout tests rules that only a rollout can break.
-	Rollout string   `help:"Variant of a bad rollout to include in every day."`
+	// Rollout selects days for tests of rules that only a roll-out can break.
+	Rollout string   `help:"Variant of a bad roll-out to include in every day."`
 	Sites   []string `arg:"" help:"Files of the deployments." type:"existingfile"`
 }
 
@@ -107,7 +107,7 @@
 
 const (
 	// minDisruptions and maxDisruptions limit the number of disruptions of a day in addition to its
-	// rollout.
+	// roll-out.
 	minDisruptions = 6
 	maxDisruptions = 14
 	// quietEndSeconds is the time at the end of a day in which no disruption begins.
@@ -138,14 +138,14 @@
 	}
 	var text strings.Builder
 	fmt.Fprintf(&text, "name = %q\nslot = \"trouble\"\nseed = %d\none = 0.8\nzero = 0.4\ngoal = { floor = 0.2 }\nlabels = []\n", name, seed)
-	if end := dg.pickString([]string{"", "power_off_all", "kill_all"}); end != "" {
-		fmt.Fprintf(&text, "closing = { kind = %q, down_s = %.1f }\n", end, dg.uniform(valueRange{0.8, 1.8}))
+	if closing := dg.pickString([]string{"", "power_off_all", "kill_all"}); closing != "" {
+		fmt.Fprintf(&text, "closing = { kind = %q, down_s = %.1f }\n", closing, dg.uniform(valueRange{0.8, 1.8}))
 	}
 	fmt.Fprintf(&text, "plan = [\n%s]\nfaults = [\n%s]\n", strings.Join(plan, ""), strings.Join(faults, ""))
 	return text.String()
 }
 
-// pickRollout returns a good or bad rollout, or a bad one of the given variant unless it is "".
+// pickRollout returns a good or bad roll-out, or a bad one of the given variant unless it is "".
 func (dg *dayGenerator) pickRollout(variant string) disruption {
 	kind := dg.pickString([]string{"rollout_bad", "rollout_good"})
 	if variant != "" {
--- a/standin/cmd/days/play.go
+++ b/standin/cmd/days/play.go
@@ -30,7 +30,7 @@
 }
 
 // key identifies results that can be compared with each other.
-func (pl dayResult) key() string { return fmt.Sprintf("%s %s %d", pl.Site, pl.Day, pl.Seed) }
+func (dr dayResult) key() string { return fmt.Sprintf("%s %s %d", dr.Site, dr.Day, dr.Seed) }
 
 // playCmd runs days on the bench.
 type playCmd struct {
@@ -62,14 +62,14 @@
 			wg.Go(func() {
 				slots <- struct{}{}
 				defer func() { <-slots }()
-				pl, err := cm.playDay(site, name, seed)
+				dr, err := cm.playDay(site, name, seed)
 				mu.Lock()
 				defer mu.Unlock()
 				if err != nil {
 					failed = err
 					return
 				}
-				results = append(results, pl)
+				results = append(results, dr)
 			})
 		}
 	}
@@ -101,11 +101,11 @@
 		args = append(args, "--no-cpu")
 	}
 	out, err := exec.Command(cm.Bench, args...).CombinedOutput()
-	pl := dayResult{Site: strings.TrimSuffix(filepath.Base(site), ".toml"), Day: strings.TrimSuffix(filepath.Base(day), ".toml"), Seed: seed}
+	dr := dayResult{Site: strings.TrimSuffix(filepath.Base(site), ".toml"), Day: strings.TrimSuffix(filepath.Base(day), ".toml"), Seed: seed}
 	if broken := brokenPattern.FindSubmatch(out); broken != nil {
-		pl.Broken = string(broken[1])
+		dr.Broken = string(broken[1])
 	}
-	return pl, resultError(parseWorth(string(out), &pl), err, out)
+	return dr, resultError(parseWorth(string(out), &dr), err, out)
 }
 
 // resultError returns the error of a run without a result. The bench also exits with an error if a
@@ -118,12 +118,12 @@
 }
 
 // parseWorth reads the worth and its components from the bench's output.
-func parseWorth(out string, pl *dayResult) error {
+func parseWorth(out string, dr *dayResult) error {
 	found := worthPattern.FindStringSubmatch(out)
 	if found == nil {
 		return eris.New("bench output has no line with the worth")
 	}
-	for i, into := range []*float64{&pl.Worth, &pl.WholeDay, &pl.Windows, &pl.WorstClass} {
+	for i, into := range []*float64{&dr.Worth, &dr.WholeDay, &dr.Windows, &dr.WorstClass} {
 		value, err := strconv.ParseFloat(found[i+1], 64)
 		if err != nil {
 			return eris.Wrap(err, "parse worth")
--- a/standin/cmd/demo/steps.go
+++ b/standin/cmd/demo/steps.go
@@ -34,8 +34,8 @@
 	fleet       *fleet.Fleet
 	bin, config string
 	entries     []*fleet.Member
-	// billedRequests is the expected number of bill lines.
-	billedRequests int
+	// expectedBillLines is the number of lines that the bill must have.
+	expectedBillLines int
 	// lastRequestID is the id of the latest chat request.
 	lastRequestID string
 }
@@ -147,7 +147,7 @@
 	if err != nil {
 		return "", err
 	}
-	de.billedRequests++
+	de.expectedBillLines++
 	de.lastRequestID = resp.Header.Get("X-Linnetrudder-Request")
 	version := resp.Header.Get("X-Linnetrudder-Version")
 	text := done.Choices[0].Message.Content
@@ -186,7 +186,7 @@
 	if err := st.Err(); err != nil {
 		return err
 	}
-	de.billedRequests++
+	de.expectedBillLines++
 	fmt.Printf("%s streamed %q\n", version, text.String())
 	if want := engine.Answer(version, answerTokens); text.String() != want {
 		return fmt.Errorf("streamed %q, want %q", text.String(), want)
@@ -253,7 +253,7 @@
 	if version != "menu@v1" {
 		return fmt.Errorf("cascade answered by %s, want menu@v1", version)
 	}
-	de.billedRequests++ // the first attempt has its own bill line
+	de.expectedBillLines++ // the first attempt has its own bill line
 	return nil
 }
 
@@ -277,7 +277,7 @@
 	if resp.StatusCode != http.StatusOK || an.Path != "/seals/42" {
 		return fmt.Errorf("plain call failed: %s", resp.Status)
 	}
-	de.billedRequests++
+	de.expectedBillLines++
 	return nil
 }
 
@@ -322,13 +322,13 @@
 		out, err := exec.Command(filepath.Join(de.bin, "linnetrudderctl"),
 			"bill", "--lines", "--admin", de.entries[0].Admin).Output()
 		lines = strings.Count(string(out), "\n")
-		return err == nil && lines >= de.billedRequests
+		return err == nil && lines >= de.expectedBillLines
 	})
 	if err != nil {
 		return err
 	}
-	if lines != de.billedRequests {
-		return fmt.Errorf("bill has %d lines, want %d", lines, de.billedRequests)
+	if lines != de.expectedBillLines {
+		return fmt.Errorf("bill has %d lines, want %d", lines, de.expectedBillLines)
 	}
 	_, err = de.runCtl("bill")
 	return err
--- a/standin/cmd/experiment/main.go
+++ b/standin/cmd/experiment/main.go
@@ -98,8 +98,8 @@
 	var ta table
 	for seed := range fl.Seeds {
 		for _, cascade := range []bool{false, true} {
-			ma := trial.VersionScenario{Requests: 60_000, RatedFraction: 0.3, WrongFraction: 0.02, RatingDelay: 500, Seed: uint64(seed), Cascade: cascade}
-			for _, ou := range trial.CompareVersions(ma) {
+			sc := trial.VersionScenario{Requests: 60_000, RatedFraction: 0.3, WrongFraction: 0.02, RatingDelay: 500, Seed: uint64(seed), Cascade: cascade}
+			for _, ou := range trial.CompareVersions(sc) {
 				name := ou.Strategy
 				if cascade {
 					if name != "linnetrudder" {
@@ -120,40 +120,40 @@
 	return plotBars(filepath.Join(fl.Out, "versions.svg"), "cost per request", &ta, "cost per request")
 }
 
-// releaseCases are the kinds of new versions to compare the rollout strategies on.
-var releaseCases = []struct {
+// rolloutCases are the kinds of new version on which the roll-out strategies are compared.
+var rolloutCases = []struct {
 	name   string
-	change func(re *trial.RolloutScenario)
+	change func(sc *trial.RolloutScenario)
 }{
 	{"good", func(*trial.RolloutScenario) {}},
-	{"20% fail from the start", func(re *trial.RolloutScenario) { re.FailureRate = 0.2 }},
-	{"8% fail from the start", func(re *trial.RolloutScenario) { re.FailureRate = 0.08 }},
-	{"40% low ratings", func(re *trial.RolloutScenario) { re.LowRatingRate = 0.4 }},
-	{"30% fail after 20 min", func(re *trial.RolloutScenario) { re.FailureRate, re.DegradesAt = 0.3, 20*time.Minute }},
-	{"30% fail after 90 min", func(re *trial.RolloutScenario) { re.FailureRate, re.DegradesAt = 0.3, 90*time.Minute }},
-	{"20% fail, no decisions for 10 min", func(re *trial.RolloutScenario) {
-		re.FailureRate = 0.2
-		re.DecisionOutage = [2]time.Duration{2 * time.Second, 10 * time.Minute}
+	{"20% fail from the start", func(sc *trial.RolloutScenario) { sc.FailureRate = 0.2 }},
+	{"8% fail from the start", func(sc *trial.RolloutScenario) { sc.FailureRate = 0.08 }},
+	{"40% low ratings", func(sc *trial.RolloutScenario) { sc.LowRatingRate = 0.4 }},
+	{"30% fail after 20 min", func(sc *trial.RolloutScenario) { sc.FailureRate, sc.DegradesAt = 0.3, 20*time.Minute }},
+	{"30% fail after 90 min", func(sc *trial.RolloutScenario) { sc.FailureRate, sc.DegradesAt = 0.3, 90*time.Minute }},
+	{"20% fail, no decisions for 10 min", func(sc *trial.RolloutScenario) {
+		sc.FailureRate = 0.2
+		sc.DecisionOutage = [2]time.Duration{2 * time.Second, 10 * time.Minute}
 	}},
 }
 
-// writeRollouts writes the comparison of rollout strategies.
+// writeRollouts writes the comparison of roll-out strategies.
 func writeRollouts(sb *strings.Builder, fl flags) error {
-	var exposure, reversed table
+	var exposure, rollbacks table
 	for seed := range 5 * fl.Seeds {
-		for _, ca := range releaseCases {
-			re := trial.RolloutScenario{
+		for _, ca := range rolloutCases {
+			sc := trial.RolloutScenario{
 				RequestsPerSecond: 50, BaselineFailureRate: 0.01, BaselineLowRatingRate: 0.08, FailureRate: 0.01, LowRatingRate: 0.08, RatedFraction: 0.3,
 				TallyLag: 5 * time.Second, RatingLag: time.Minute, Duration: 2 * time.Hour, Seed: uint64(seed),
 			}
-			ca.change(&re)
-			for _, ou := range trial.CompareRollouts(re) {
+			ca.change(&sc)
+			for _, ou := range trial.CompareRollouts(sc) {
 				exposure.add(ca.name, ou.Strategy, float64(ou.Exposure))
 				rolledBack := 0.0
 				if ou.RolledBack {
 					rolledBack = 100
 				}
-				reversed.add(ca.name, ou.Strategy, rolledBack)
+				rollbacks.add(ca.name, ou.Strategy, rolledBack)
 			}
 		}
 	}
@@ -161,13 +161,13 @@
 		"requests to a good version 1%% fail and 8%% get a low rating. Failure counts are\navailable after 5 s, ratings after 60 s; %d seeds.\n", 5*fl.Seeds)
 	exposure.write(sb, 0)
 	sb.WriteString("\nPercentage of runs with a rollback:\n")
-	reversed.write(sb, 0)
+	rollbacks.write(sb, 0)
 	return nil
 }
 
-// writeLoads writes the comparison of load balancing strategies under overload and server loss.
+// writeLoads writes the comparison of load-balancing strategies under overload and server loss.
 func writeLoads(sb *strings.Builder, fl flags) error {
-	var goodput, others table
+	var goodput, otherTeams table
 	points := map[string][][2]float64{}
 	for _, load := range []float64{0.5, 1, 1.5, 3, 10} {
 		row := fmt.Sprintf("%.1f times the capacity", load)
@@ -182,16 +182,16 @@
 	}
 	for seed := range fl.Seeds {
 		for _, ou := range trial.CompareLoads(trial.LoadScenario{Load: 3.6, FirstTeamWeight: 20, Duration: 2 * time.Minute, Seed: uint64(seed)}) {
-			others.add("one team requests three times the capacity", ou.Strategy, ou.OtherTeamsServed)
+			otherTeams.add("one team requests three times the capacity", ou.Strategy, ou.OtherTeamsServed)
 		}
 		for _, ou := range trial.CompareLoads(trial.LoadScenario{Load: 0.8, FirstTeamWeight: 1, HalfLostAt: 30 * time.Second, Duration: 2 * time.Minute, Seed: uint64(seed)}) {
-			others.add("half the servers lost for a third of the time, at 0.8 times the capacity", ou.Strategy, ou.OtherTeamsServed)
+			otherTeams.add("half the servers lost for a third of the time, at 0.8 times the capacity", ou.Strategy, ou.OtherTeamsServed)
 		}
 	}
 	sb.WriteString("\n## Overload\n\nRequests that started in time, relative to the capacity of 12 servers with 4\n" +
 		"slots each. Callers wait 2 s for a start; those of round robin then retry up to\nthree times.\n")
 	goodput.write(sb, 3)
 	sb.WriteString("\n![goodput](load.svg)\n\nFraction of the other teams' requests that started in time:\n")
-	others.write(sb, 3)
-	return plotLines(filepath.Join(fl.Out, "load.svg"), "goodput over capacity", "load over capacity", points)
+	otherTeams.write(sb, 3)
+	return plotLines(filepath.Join(fl.Out, "load.svg"), "goodput relative to capacity", "load relative to capacity", points)
 }
--- a/standin/cmd/measure/admin.go
+++ b/standin/cmd/measure/admin.go
@@ -12,18 +12,18 @@
 )
 
 // adminClient changes the configuration through an entry's administration API.
-type adminClient struct{ admin string }
+type adminClient struct{ address string }
 
-func (ch adminClient) applyConfig(doc *config.Document) error {
+func (ac adminClient) applyConfig(doc *config.Document) error {
 	body, err := json.Marshal(doc)
 	if err != nil {
 		return err
 	}
-	return ch.call(http.MethodPut, "/v1/config", body)
+	return ac.call(http.MethodPut, "/v1/config", body)
 }
 
-func (ch adminClient) call(method, path string, body []byte) error {
-	req, err := http.NewRequest(method, "http://"+ch.admin+path, bytes.NewReader(body))
+func (ac adminClient) call(method, path string, body []byte) error {
+	req, err := http.NewRequest(method, "http://"+ac.address+path, bytes.NewReader(body))
 	if err != nil {
 		return err
 	}
@@ -40,7 +40,7 @@
 
 // changePeriodically changes one version's share at a rate per second until the returned function
 // is called.
-func (ch adminClient) changePeriodically(rate float64, _ int) func() {
+func (ac adminClient) changePeriodically(rate float64, _ int) func() {
 	if rate == 0 {
 		return func() {}
 	}
@@ -55,7 +55,7 @@
 				return
 			case <-ti.C:
 				body := fmt.Sprintf(`{"state":"rolling-in","share":%.3f}`, float64(n%100)/1000)
-				_ = ch.call(http.MethodPost, "/v1/versions/menu/v2", []byte(body))
+				_ = ac.call(http.MethodPost, "/v1/versions/menu/v2", []byte(body))
 			}
 		}
 	})
--- a/standin/cmd/measure/links.go
+++ b/standin/cmd/measure/links.go
@@ -41,8 +41,8 @@
 	if err := fe.PublishBoxes(list); err != nil {
 		return err
 	}
-	ch := adminClient{admin: entryAdminAddress(list)}
-	if err := ch.applyConfig(configWithServers(cm.Servers)); err != nil {
+	ac := adminClient{address: entryAdminAddress(list)}
+	if err := ac.applyConfig(configWithServers(cm.Servers)); err != nil {
 		return err
 	}
 	time.Sleep(settleTime)
@@ -50,7 +50,7 @@
 	if err != nil {
 		return err
 	}
-	stop := ch.changePeriodically(cm.Changes, cm.Servers)
+	stop := ac.changePeriodically(cm.Changes, cm.Servers)
 	time.Sleep(cm.For)
 	stop()
 	after, err := takeSample(measured)
--- a/standin/cmd/measure/load.go
+++ b/standin/cmd/measure/load.go
@@ -75,7 +75,7 @@
 	if err != nil {
 		return nil, nil, nil, err
 	}
-	if err := (adminClient{admin: entry.Admin}).applyConfig(configWithServers(1)); err != nil {
+	if err := (adminClient{address: entry.Admin}).applyConfig(configWithServers(1)); err != nil {
 		return nil, nil, nil, err
 	}
 	time.Sleep(2 * time.Second)
--- a/standin/cmd/measure/proc.go
+++ b/standin/cmd/measure/proc.go
@@ -69,11 +69,11 @@
 }
 
 // usageSince describes the resources used since an earlier sample.
-func (sa sample) usageSince(be sample) string {
-	sec := sa.at.Sub(be.at).Seconds()
+func (sa sample) usageSince(earlier sample) string {
+	sec := sa.at.Sub(earlier.at).Seconds()
 	return fmt.Sprintf("cpu %.3f%% of a core, rss %.1f MB, control %.0f B/s in %.1f messages/s, store calls %.2f/s",
-		100*(sa.cpu-be.cpu).Seconds()/sec, float64(sa.rss)/1e6,
-		float64(sa.controlBytes-be.controlBytes)/sec, float64(sa.linkMessages-be.linkMessages)/sec, float64(sa.storeCalls-be.storeCalls)/sec)
+		100*(sa.cpu-earlier.cpu).Seconds()/sec, float64(sa.rss)/1e6,
+		float64(sa.controlBytes-earlier.controlBytes)/sec, float64(sa.linkMessages-earlier.linkMessages)/sec, float64(sa.storeCalls-earlier.storeCalls)/sec)
 }
 
 // samplePair contains a sample of an entry and one of an agent.
--- a/standin/cmd/soak/main.go
+++ b/standin/cmd/soak/main.go
@@ -32,11 +32,11 @@
 func main() {
 	var ar arguments
 	kong.Parse(&ar, kong.Description("Tests gateways under faults generated from a seed."))
-	broken, err := ar.runAll()
+	failedRuns, err := ar.runAll()
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 	}
-	if err != nil || broken > 0 {
+	if err != nil || failedRuns > 0 {
 		os.Exit(1)
 	}
 }
--- a/standin/cmd/standin/main.go
+++ b/standin/cmd/standin/main.go
@@ -46,8 +46,8 @@
 	for {
 		srv := &http.Server{Addr: fl.Listen, Handler: handlers[fl.Kind], ReadHeaderTimeout: headerTimeout}
 		if en, ok := handlers[fl.Kind].(*engine.Engine); ok {
-			// A crash closes the listener and all connections, as callers would see it. The process
-			// itself keeps running because it has the counts of what it ran.
+			// A crash closes the listener and all connections, which is what callers see of a real
+			// one. The process keeps running, so that the counts of requests it ran are not lost.
 			en.Crash = func() { _ = srv.Close() }
 		}
 		err := srv.ListenAndServe()
--- a/standin/e2e/caller_test.go
+++ b/standin/e2e/caller_test.go
@@ -125,7 +125,7 @@
 	for _, signal := range []string{"configuration", "list"} {
 		t.Run(signal, func(t *testing.T) {
 			sy := newSystem(t, 2, time.Millisecond)
-			stop := sy.startLoad(4, func(int) call { return call{kind: "patient"} })
+			stop := sy.startLoad(4, func(int) call { return call{kind: "long-deadline"} })
 			sy.waitAnswers(2)
 			if signal == "configuration" {
 				doc := sy.baseConfig()
--- a/standin/e2e/failure_test.go
+++ b/standin/e2e/failure_test.go
@@ -16,8 +16,8 @@
 	"github.com/linnetrudder/linnetrudder/standin/store"
 )
 
-// freezeTime is longer than the pause after which an agent detects that it was suspended.
-const freezeTime = 3 * time.Second
+// suspendDuration is longer than the pause after which an agent detects that it was suspended.
+const suspendDuration = 3 * time.Second
 
 // mixedCall alternates streamed and unstreamed, repeatable and non-repeatable calls.
 func mixedCall(n int) call {
@@ -32,7 +32,7 @@
 func (sy *system) waitAnswers(calls int) {
 	for range calls {
 		require.NoError(sy.t, fleet.WaitUntil(waitTimeout, "an answer", func() bool {
-			return sy.send(sy.entries[0], call{kind: "patient"}).complete
+			return sy.send(sy.entries[0], call{kind: "long-deadline"}).complete
 		}))
 	}
 }
@@ -63,7 +63,7 @@
 	sy.waitRevision(1, sy.entries[1])
 }
 
-func TestAgentFrozenUnderLoad(t *testing.T) {
+func TestAgentSuspendedUnderLoad(t *testing.T) {
 	sy := newSystem(t, 3, 3*time.Millisecond)
 	stop := sy.startLoad(8, mixedCall)
 	sy.waitAnswers(2)
@@ -106,7 +106,7 @@
 
 func TestAgentShutdownCompletesRequests(t *testing.T) {
 	sy := newSystem(t, 3, 10*time.Millisecond)
-	stop := sy.startLoad(6, func(n int) call { return call{stream: n%2 == 0, kind: "patient"} })
+	stop := sy.startLoad(6, func(n int) call { return call{stream: n%2 == 0, kind: "long-deadline"} })
 	sy.waitAnswers(2)
 	require.NoError(t, sy.agents[0].Process.Signal(syscall.SIGTERM))
 	require.True(t, sy.agents[0].Process.Wait(waitTimeout))
@@ -139,21 +139,21 @@
 
 func TestResumedAgentStartsNothingOnWithdrawnVersion(t *testing.T) {
 	sy := newSystem(t, 2, time.Millisecond)
-	stop := sy.startLoad(6, func(int) call { return call{kind: "patient"} })
+	stop := sy.startLoad(6, func(int) call { return call{kind: "long-deadline"} })
 	sy.waitAnswers(2)
-	frozen := sy.agents[0]
-	require.NoError(t, frozen.Process.Signal(syscall.SIGSTOP))
-	// A shorter pause would be within the time that a change may take to be in force. After a
-	// longer one the agent must not act on its old configuration.
-	time.Sleep(freezeTime)
+	suspended := sy.agents[0]
+	require.NoError(t, suspended.Process.Signal(syscall.SIGSTOP))
+	// A change may take a few seconds to be in force, so that a shorter pause would prove nothing.
+	// After this one the agent must not act on its old configuration.
+	time.Sleep(suspendDuration)
 	revision := sy.setV2State(config.Withdrawn)
 	sy.waitRevision(revision, sy.agents[1], sy.entries[0], sy.entries[1])
-	before := sy.startedCount(frozen, "m@v2")
-	require.NoError(t, frozen.Process.Signal(syscall.SIGCONT))
-	sy.waitRevision(revision, frozen)
+	before := sy.startedCount(suspended, "m@v2")
+	require.NoError(t, suspended.Process.Signal(syscall.SIGCONT))
+	sy.waitRevision(revision, suspended)
 	sy.waitAnswers(5)
 	sy.checkCalls(stop())
-	require.Equal(t, before, sy.startedCount(frozen, "m@v2"), "the agent must get the current configuration from a peer before it starts requests")
+	require.Equal(t, before, sy.startedCount(suspended, "m@v2"), "the agent must get the current configuration from a peer before it starts requests")
 }
 
 // startedCount returns the number of requests of a version that started on an agent's engine.
@@ -170,7 +170,7 @@
 	require.NoError(t, sy.fleet.SetStoreFaults(store.Faults{Down: true}))
 	en := sy.addEntry("entry-new", "dc-0")
 	sy.waitRevision(revision, en)
-	require.True(t, sy.send(en, call{kind: "patient"}).complete)
+	require.True(t, sy.send(en, call{kind: "long-deadline"}).complete)
 }
 
 func TestStoreDataLossDoesNotRevertConfig(t *testing.T) {
@@ -224,7 +224,7 @@
 	for i := range sessions {
 		for e := range 2 {
 			wg.Go(func() {
-				both[i][e] = sy.send(sy.entries[e], call{session: fmt.Sprint("s", i), kind: "patient"})
+				both[i][e] = sy.send(sy.entries[e], call{session: fmt.Sprint("s", i), kind: "long-deadline"})
 			})
 		}
 	}
@@ -238,7 +238,7 @@
 		for i := range sessions {
 			var ca call
 			require.NoError(t, fleet.WaitUntil(waitTimeout, "an answer within the session", func() bool {
-				ca = sy.send(en, call{session: fmt.Sprint("s", i), kind: "patient"})
+				ca = sy.send(en, call{session: fmt.Sprint("s", i), kind: "long-deadline"})
 				return ca.complete
 			}))
 			require.Equal(t, first[i], ca.version)
--- a/standin/e2e/order_test.go
+++ b/standin/e2e/order_test.go
@@ -20,9 +20,9 @@
 	}
 	sy.applyConfig(doc)
 	backendState := func() engine.Status {
-		var he engine.Status
-		require.NoError(t, sy.getJSON("http://"+sy.agents[0].Backend+"/orders", &he))
-		return he
+		var st engine.Status
+		require.NoError(t, sy.getJSON("http://"+sy.agents[0].Backend+"/orders", &st))
+		return st
 	}
 	require.NoError(t, fleet.WaitUntil(waitTimeout, "both versions to be loaded", func() bool { return len(backendState().Versions) == 2 }))
 	sy.waitAnswers(2)
--- a/standin/e2e/partition_test.go
+++ b/standin/e2e/partition_test.go
@@ -13,7 +13,7 @@
 )
 
 // partitionedSystem has two data centres. Connections between them, and those of the second one to
-// the store, run through TCP proxies that can be cut.
+// the store, run through TCP proxies that can interrupt them.
 type partitionedSystem struct {
 	*system
 	proxies []*fleet.Proxy
@@ -24,16 +24,16 @@
 
 // addProxy starts a proxy to an address and returns the proxy's own address.
 func (ps *partitionedSystem) addProxy(to string) string {
-	ca, err := fleet.NewProxy(to)
+	px, err := fleet.NewProxy(to)
 	require.NoError(ps.t, err)
-	ps.t.Cleanup(ca.Close)
-	ps.proxies = append(ps.proxies, ca)
-	return ca.Address()
+	ps.t.Cleanup(px.Close)
+	ps.proxies = append(ps.proxies, px)
+	return px.Address()
 }
 
-func (ps *partitionedSystem) setPartitioned(cut bool) {
-	for _, ca := range ps.proxies {
-		ca.SetPartitioned(cut)
+func (ps *partitionedSystem) setPartitioned(partitioned bool) {
+	for _, px := range ps.proxies {
+		px.SetPartitioned(partitioned)
 	}
 }
 
@@ -45,9 +45,9 @@
 	})
 	require.NoError(t, ps.fleet.StartPlatform())
 	ps.boxLists[0] = ps.fleet.Boxes
-	other, _, err := ps.fleet.StartStandIn("boxes-1", "boxes")
+	secondList, _, err := ps.fleet.StartStandIn("boxes-1", "boxes")
 	require.NoError(t, err)
-	ps.boxLists[1] = other
+	ps.boxLists[1] = secondList
 	proxiedStore := ps.addProxy(ps.fleet.Store)
 	ps.fleet.AdjustSettings = func(se map[string]any) {
 		if se["data_centre"] == dataCentre(1) {
@@ -75,11 +75,11 @@
 
 // publishBoxLists writes each data centre's list of boxes.
 func (ps *partitionedSystem) publishBoxLists() {
-	for here := range 2 {
+	for dc := range 2 {
 		var list []boxes.Box
 		for i, ag := range ps.agents {
 			address := ag.Address
-			if i != here {
+			if i != dc {
 				address = ps.addProxy(ag.Address)
 			}
 			list = append(list, boxes.Box{
@@ -88,7 +88,7 @@
 			})
 		}
 		saved := ps.fleet.Boxes
-		ps.fleet.Boxes = ps.boxLists[here]
+		ps.fleet.Boxes = ps.boxLists[dc]
 		require.NoError(ps.t, ps.fleet.PublishBoxes(list))
 		ps.fleet.Boxes = saved
 	}
@@ -96,7 +96,7 @@
 
 func TestDataCentrePartitionAndRecovery(t *testing.T) {
 	ps := newPartitionedSystem(t)
-	stop := ps.startLoad(6, func(n int) call { return call{kind: "patient", stream: n%2 == 0} })
+	stop := ps.startLoad(6, func(n int) call { return call{kind: "long-deadline", stream: n%2 == 0} })
 	ps.waitAnswers(2)
 	ps.setPartitioned(true)
 	require.NoError(t, fleet.WaitUntil(waitTimeout, "the second data centre to lose its peers", func() bool {
@@ -111,8 +111,8 @@
 	revision := ps.setV2State(config.Withdrawn)
 	ps.waitRevision(revision, ps.entries[0], ps.agents[0])
 	ps.waitAnswers(3)
-	require.NoError(t, fleet.WaitUntil(waitTimeout, "an answer in the cut-off data centre", func() bool {
-		return ps.send(ps.entries[1], call{kind: "patient"}).complete
+	require.NoError(t, fleet.WaitUntil(waitTimeout, "an answer in the isolated data centre", func() bool {
+		return ps.send(ps.entries[1], call{kind: "long-deadline"}).complete
 	}))
 	require.Equal(t, uint64(1), ps.currentRevision(ps.entries[1]))
 	require.Equal(t, uint64(1), ps.currentRevision(ps.agents[1]))
--- a/standin/e2e/poison_test.go
+++ b/standin/e2e/poison_test.go
@@ -38,13 +38,13 @@
 		}
 		return true
 	}))
-	all := 0
+	total := 0
 	for id, n := range sy.runsByRequest() {
 		if ids[id] {
-			all += n
+			total += n
 		}
 	}
-	return all
+	return total
 }
 
 // A request crashes every engine that runs it and is sent again through both entries. Without
@@ -54,7 +54,7 @@
 // therefore leave the host out.
 func TestRequestThatCrashesEnginesIsBlocked(t *testing.T) {
 	sy := newSystem(t, 6, 3*time.Millisecond)
-	stop := sy.startLoad(4, func(n int) call { return call{stream: n%2 == 0, kind: "patient"} })
+	stop := sy.startLoad(4, func(n int) call { return call{stream: n%2 == 0, kind: "long-deadline"} })
 	sy.waitAnswers(2)
 	time.Sleep(2 * time.Second) // by then the entries have recorded the load's requests as harmless
 	ids := map[string]bool{}
@@ -101,7 +101,7 @@
 // to the entries.
 func TestCommonRequestIsServedBesideCrashingRequest(t *testing.T) {
 	sy := newSystem(t, 6, 3*time.Millisecond)
-	stop := sy.startLoad(4, func(int) call { return call{stream: true, kind: "patient"} })
+	stop := sy.startLoad(4, func(int) call { return call{stream: true, kind: "long-deadline"} })
 	defer stop()
 	require.NoError(t, fleet.WaitUntil(waitTimeout, "both entries to block the request", func() bool {
 		blocked := 0
@@ -115,7 +115,7 @@
 	time.Sleep(5 * time.Second)
 	for range 5 {
 		for _, en := range sy.entries {
-			ca := sy.send(en, call{stream: true, kind: "patient"})
+			ca := sy.send(en, call{stream: true, kind: "long-deadline"})
 			require.NotEqual(t, result.RequestBlocked, ca.code)
 		}
 	}
--- a/standin/e2e/rollout_test.go
+++ b/standin/e2e/rollout_test.go
@@ -12,7 +12,7 @@
 	"github.com/linnetrudder/linnetrudder/standin/fleet"
 )
 
-// startRollout configures a rollout from m@v1 to m@v2 in three steps of one second each.
+// startRollout configures a roll-out from m@v1 to m@v2 in three steps of one second each.
 func (sy *system) startRollout() {
 	doc := sy.baseConfig()
 	doc.Versions[1].State = config.RollingIn
@@ -56,7 +56,7 @@
 
 func TestRolloutPromotesHealthyVersion(t *testing.T) {
 	sy := newSystem(t, 2, time.Millisecond)
-	stop := sy.startLoad(6, func(int) call { return call{kind: "patient"} })
+	stop := sy.startLoad(6, func(int) call { return call{kind: "long-deadline"} })
 	sy.startRollout()
 	sy.waitVersionState("m@v2", config.Serving)
 	sy.waitVersionState("m@v1", config.RollingOut)
@@ -66,7 +66,7 @@
 func TestRolloutWithdrawsFailingVersion(t *testing.T) {
 	sy := newSystem(t, 2, time.Millisecond)
 	sy.setBad("m@v2", "true")
-	stop := sy.startLoad(6, func(int) call { return call{kind: "patient"} })
+	stop := sy.startLoad(6, func(int) call { return call{kind: "long-deadline"} })
 	sy.startRollout()
 	sy.waitVersionState("m@v2", config.Withdrawn)
 	require.Equal(t, config.Serving, sy.versionState("m@v1"))
--- a/standin/e2e/site_test.go
+++ b/standin/e2e/system_test.go
@@ -86,7 +86,7 @@
 		},
 		Teams:  []config.Team{{Name: "team", KeyDigests: []string{config.KeyDigest(teamKey)}}},
 		Grants: []config.Grant{{Versions: &selector.Selector{}}},
-		Kinds:  []config.Kind{{Name: "once", NotRepeatable: true, DeadlineMS: 3000}, {Name: "patient", DeadlineMS: 20_000}},
+		Kinds:  []config.Kind{{Name: "once", NotRepeatable: true, DeadlineMS: 3000}, {Name: "long-deadline", DeadlineMS: 20_000}},
 	}
 	for i, ag := range sy.agents {
 		doc.Servers = append(doc.Servers, config.Server{
