--- a/standin/cmd/days/compare.go
+++ b/standin/cmd/days/compare.go
@@ -37,7 +37,7 @@
 	}
 	rows := pairResults(before, after)
 	tw := tabwriter.NewWriter(os.Stdout, 0, 8, 2, ' ', 0)
-	fmt.Fprintln(tw, "day\tseeds\tbefore\tafter\tdifference\tstd dev\t")
+	fmt.Fprintln(tw, "day\tseeds\tbefore\tafter\tdifference\tspread\t")
 	for _, ro := range rows {
 		mean, stdDev := meanAndStdDev(ro.differences)
 		note := ""
@@ -130,7 +130,7 @@
 	}
 	slices.Sort(names)
 	tw := tabwriter.NewWriter(os.Stdout, 0, 8, 2, ' ', 0)
-	fmt.Fprintln(tw, "day\tseeds\tworth\tmin\tmax\twhole day\tworst windows\tworst class\tbroken")
+	fmt.Fprintln(tw, "day\tseeds\tworth\tleast\tmost\twhole day\tworst windows\tworst class\tbroken")
 	for _, name := range names {
 		list := byDay[name]
 		lowest, highest := list[0].Worth, list[0].Worth
--- a/standin/cmd/days/losses.go
+++ b/standin/cmd/days/losses.go
@@ -43,7 +43,7 @@
 	}
 	tallies := tallyLosses(ends, cm.By)
 	tw := tabwriter.NewWriter(os.Stdout, 0, 8, 2, ' ', 0)
-	fmt.Fprintln(tw, cm.By+"\trequests\tcredit\tlate\tpoor\tfailed\trefused\tsmallest\tmiddle\tlargest")
+	fmt.Fprintln(tw, cm.By+"\trequests\towed\tlate\tpoor\tfailed\trefused\tsmallest\tmiddle\tlargest")
 	for _, name := range slices.SortedFunc(maps.Keys(tallies), compareNames) {
 		ta := tallies[name]
 		fmt.Fprintf(tw, "%s\t%d\t%.1f\t%.3f\t%.3f\t%.3f\t%.3f\t%d\t%d\t%d\n", name, ta.requests, ta.credit, ta.late/ta.credit,
--- a/standin/cmd/measure/links.go
+++ b/standin/cmd/measure/links.go
@@ -28,7 +28,7 @@
 	if err := fe.StartPlatform(); err != nil {
 		return err
 	}
-	fe.AdjustSettings = func(se map[string]any) {
+	fe.Tune = func(se map[string]any) {
 		se["limits"] = map[string]any{}
 		se["platform"] = map[string]any{"store": fe.Store, "boxes": fe.Boxes, "boxes_ms": 5000}
 		se["log_level"] = "warn"
--- a/standin/cmd/measure/load.go
+++ b/standin/cmd/measure/load.go
@@ -62,7 +62,7 @@
 	if err := fe.StartPlatform(); err != nil {
 		return nil, nil, nil, err
 	}
-	fe.AdjustSettings = func(se map[string]any) { se["log_level"] = "warn" }
+	fe.Tune = func(se map[string]any) { se["log_level"] = "warn" }
 	engine, _, err := fe.StartStandIn("engine", "engine", "--tokens", fmt.Sprint(cm.Tokens), "--pace", cm.Pace.String())
 	if err != nil {
 		return nil, nil, nil, err
--- a/standin/cmd/soak/main.go
+++ b/standin/cmd/soak/main.go
@@ -71,7 +71,7 @@
 		if err != nil {
 			return failedRuns, fmt.Errorf("seed %d: %w", seed, err)
 		}
-		fmt.Printf("seed %d: %d faults, %d violations\n", seed, len(pl.Faults), len(violations))
+		fmt.Printf("seed %d: %d faults, %d promises broken\n", seed, len(pl.Faults), len(violations))
 		if len(violations) > 0 {
 			failedRuns++
 			ar.printViolations(dir, pl, violations)
--- a/standin/e2e/partition_test.go
+++ b/standin/e2e/partition_test.go
@@ -49,7 +49,7 @@
 	require.NoError(t, err)
 	ps.boxLists[1] = secondList
 	proxiedStore := ps.addProxy(ps.fleet.Store)
-	ps.fleet.AdjustSettings = func(se map[string]any) {
+	ps.fleet.Tune = func(se map[string]any) {
 		if se["data_centre"] == dataCentre(1) {
 			se["platform"] = map[string]any{
 				"store": proxiedStore, "boxes": ps.boxLists[1], "calls_per_second": 50, "watch_ms": 2000, "boxes_ms": 200,
--- a/standin/fleet/fleet.go
+++ b/standin/fleet/fleet.go
@@ -35,8 +35,8 @@
 	Store, Boxes string
 	// Unlisted stops Add from publishing the list of boxes.
 	Unlisted bool
-	// AdjustSettings adjusts a member's settings before they are written.
-	AdjustSettings func(settings map[string]any)
+	// Tune adjusts a member's settings before they are written.
+	Tune func(settings map[string]any)
 
 	members   []*Member
 	processes []*Process
@@ -142,8 +142,8 @@
 	if me.Role == string(boxes.Agent) {
 		se["server"] = map[string]any{"name": me.Server, "address": me.Backend}
 	}
-	if fl.AdjustSettings != nil {
-		fl.AdjustSettings(se)
+	if fl.Tune != nil {
+		fl.Tune(se)
 	}
 	body, err := json.MarshalIndent(se, "", "  ")
 	if err != nil {
--- a/standin/soak/faults.go
+++ b/standin/soak/faults.go
@@ -99,7 +99,7 @@
 	gw.process.Wait(gracePeriod + restartTime)
 	if err := sr.startGateway(fa.Target); err != nil {
 		// Clients of this gateway fail from now on, which the Recovery check detects.
-		_, _ = fmt.Fprintln(os.Stderr, "soak:", "restart of a gateway failed:", err)
+		_, _ = fmt.Fprintln(os.Stderr, "soak: restart of a gateway failed:", err)
 	}
 }
 
@@ -245,7 +245,7 @@
 // replaceServer starts a server and swaps it with one that stops, so that the new one has its index.
 func (sr *soakRun) replaceServer(index int, old *server) {
 	if err := sr.addServer(); err != nil {
-		_, _ = fmt.Fprintln(os.Stderr, "soak:", "replacement of a backend server failed:", err)
+		_, _ = fmt.Fprintln(os.Stderr, "soak: replacement of a backend server failed:", err)
 		return
 	}
 	sr.mu.Lock()
