--- a/internal/entry/admin.go
+++ b/internal/entry/admin.go
@@ -105,9 +105,9 @@
 	node.WriteJSON(w, http.StatusOK, next)
 }
 
-// versionChange is the body of a request to change one version. Fields that are nil remain
-// unchanged.
-type versionChange struct {
+// versionForm is the body of a request to change one version. Fields that are nil remain
+// unchanged. The type name appears in the texts of decoding errors that clients receive.
+type versionForm struct {
 	State *config.State `json:"state"`
 	Share *float64      `json:"share"`
 }
@@ -115,7 +115,7 @@
 // postVersion changes the state or share of one version. The rest of the document is preserved,
 // including concurrent changes of other operators.
 func (en *Entry) postVersion(w http.ResponseWriter, r *http.Request) {
-	var form versionChange
+	var form versionForm
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, config.MaxBytes)).Decode(&form); err != nil {
 		node.WriteError(w, result.New(result.BadRequest, err.Error()))
 		return
@@ -126,7 +126,7 @@
 	en.apply(w, r, re)
 }
 
-func editVersion(doc *config.Document, id string, form versionChange) (*config.Document, error) {
+func editVersion(doc *config.Document, id string, form versionForm) (*config.Document, error) {
 	if doc == nil {
 		return nil, result.New(result.NoConfiguration, "")
 	}
@@ -235,8 +235,9 @@
 	node.WriteJSON(w, http.StatusOK, list)
 }
 
-// explainRequest identifies a past request by id, or describes a hypothetical one.
-type explainRequest struct {
+// explainForm identifies a past request by id, or describes a hypothetical one. The type name appears
+// in the texts of decoding errors that clients receive.
+type explainForm struct {
 	Request string `json:"request"`
 	Team    string `json:"team"`
 	Kind    string `json:"kind"`
@@ -262,7 +263,7 @@
 }
 
 func (en *Entry) postExplain(w http.ResponseWriter, r *http.Request) {
-	var form explainRequest
+	var form explainForm
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, config.MaxBytes)).Decode(&form); err != nil {
 		node.WriteError(w, result.New(result.BadRequest, err.Error()))
 		return
--- a/internal/entry/caller_request.go
+++ b/internal/entry/caller_request.go
@@ -205,8 +205,9 @@
 	return nil
 }
 
-// chatRequest holds the fields of a chat request that the entry validates or uses.
-type chatRequest struct {
+// chatForm holds the fields of a chat request that the entry validates or uses. The type name
+// appears in the texts of decoding errors that callers receive.
+type chatForm struct {
 	Model         string            `json:"model"`
 	Messages      []json.RawMessage `json:"messages"`
 	Stream        bool              `json:"stream"`
@@ -216,7 +217,7 @@
 }
 
 func (en *Entry) readChat(_ *http.Request, cr *callerRequest) error {
-	var form chatRequest
+	var form chatForm
 	if err := json.Unmarshal(cr.body, &form); err != nil {
 		return result.New(result.BadRequest, err.Error())
 	}
