--- a/internal/gateway/outcomes.go
+++ b/internal/gateway/outcomes.go
@@ -15,13 +15,12 @@
 	}
 }
 
-// demandDecay is the time constant with which the request rates of a service decay: long enough for
-// some tens of requests of the rarest kind of a small service (7 a second on the users' sites),
-// short enough to follow a burst.
+// demandDecay is the time constant with which the request rates of a service decay: long enough to
+// include some tens of requests of the rarest kind of a small service (7 a second on the users'
+// sites), short enough to follow a burst.
 const demandDecay = 4 * time.Second
 
-// demand returns the rates at which attempts are sent to a service, by route. The lock
-// is held.
+// demand returns the rates at which attempts are sent to a service, by route. The lock is held.
 func (ga *Gateway) demand(service string) *rate.Meter {
 	me := ga.demands[service]
 	if me == nil {
@@ -31,9 +30,9 @@
 	return me
 }
 
-// slowEventFactor and slowResponseFactor are the multiples of the old version's best time that
-// count as slow, between two events of a stream and for a complete response. On the users' sites a
-// slow version's events come 4 to 5.5 times later than the old version's fastest, those of a good
+// slowEventFactor and slowResponseFactor are the multiples of the old version's best time that count
+// as slow, between two events of a stream and for a complete response. On the users' sites the time
+// between events of a slow version is 4 to 5.5 times the old version's best time, that of a good
 // version on idle servers up to 1.4 times. Complete responses of a plain service differ by a factor
 // of up to 4.
 const (
--- a/internal/node/configsync.go
+++ b/internal/node/configsync.go
@@ -18,7 +18,8 @@
 // gets the complete document.
 const maxDiffs = 32
 
-// revisionDiff is the difference between two revisions that were in force in this process in succession.
+// revisionDiff is the difference between two revisions that were in force in this process in
+// succession.
 type revisionDiff struct {
 	from, to uint64
 	// diff is the JSON encoding of the differences.
@@ -39,8 +40,8 @@
 	no.OnAdopt(sn)
 }
 
-// recordDiff appends the diff between two revisions and drops the oldest one beyond maxDiffs. If the diff
-// can't be encoded, all diffs are dropped, since the list must have no gap.
+// recordDiff appends the diff between two revisions and drops the oldest one beyond maxDiffs. If
+// the diff can't be encoded, all diffs are dropped, since the list must have no gap.
 func (no *Node) recordDiff(old, sn *config.Snapshot) {
 	diff, err := json.Marshal(config.Diff(old.Document(), sn.Document()))
 	if err != nil {
@@ -53,8 +54,8 @@
 	}
 }
 
-// sendConfig sends a peer the changes since the revision that it has: as diffs if there are diffs from
-// that revision on, otherwise as the complete document. The caller holds no.mu.
+// sendConfig sends a peer the changes since the revision that it has: as diffs if there are diffs
+// from that revision on, otherwise as the complete document. The caller holds no.mu.
 func (no *Node) sendConfig(peer string, peerRevision uint64) {
 	for i := range no.diffs {
 		if no.diffs[i].from == peerRevision {
@@ -85,16 +86,16 @@
 	}
 }
 
-// receiveConfig handles a configuration from a peer. If a diff can't be applied, the complete document is
-// requested. The caller holds no.mu.
-func (no *Node) receiveConfig(li *link.Link, se *wire.ConfigUpdate) []replica.Action {
-	if se.Revision <= no.replica.Revision() {
+// receiveConfig handles a configuration from a peer. If a diff can't be applied, the complete
+// document is requested. The caller holds no.mu.
+func (no *Node) receiveConfig(li *link.Link, cu *wire.ConfigUpdate) []replica.Action {
+	if cu.Revision <= no.replica.Revision() {
 		return nil
 	}
-	sn, err := no.decode(se)
+	sn, err := no.decode(cu)
 	if err != nil {
 		no.Record(timeline.Entry{Event: event.ConfigRefused, Detail: li.Peer.Box() + ": " + err.Error()})
-		if se.Base != 0 {
+		if cu.Base != 0 {
 			li.Send(&wire.Frame{Kind: wire.Want, Revision: 0})
 		}
 		return nil
@@ -107,26 +108,26 @@
 	errDigestMismatch = eris.New("configuration diff results in a document with a different digest")
 )
 
-func (no *Node) decode(se *wire.ConfigUpdate) (*config.Snapshot, error) {
-	if se.Base != 0 {
-		return no.decodeDiff(se)
+func (no *Node) decode(cu *wire.ConfigUpdate) (*config.Snapshot, error) {
+	if cu.Base != 0 {
+		return no.decodeDiff(cu)
 	}
 	var doc config.Document
-	if err := json.Unmarshal(se.Document, &doc); err != nil {
+	if err := json.Unmarshal(cu.Document, &doc); err != nil {
 		return nil, eris.Wrap(err, "decode configuration")
 	}
 	if err := doc.Check(); err != nil {
 		return nil, err
 	}
-	return config.Compile(se.Revision, &doc), nil
+	return config.Compile(cu.Revision, &doc), nil
 }
 
-func (no *Node) decodeDiff(se *wire.ConfigUpdate) (*config.Snapshot, error) {
-	if se.Base != no.replica.Revision() {
+func (no *Node) decodeDiff(cu *wire.ConfigUpdate) (*config.Snapshot, error) {
+	if cu.Base != no.replica.Revision() {
 		return nil, errBaseMismatch
 	}
 	var diff []config.Difference
-	if err := json.Unmarshal(se.Document, &diff); err != nil {
+	if err := json.Unmarshal(cu.Document, &diff); err != nil {
 		return nil, eris.Wrap(err, "decode configuration diff")
 	}
 	doc, err := config.Patch(no.replica.Snapshot().Document(), diff)
@@ -136,8 +137,8 @@
 	if err := doc.Check(); err != nil {
 		return nil, err
 	}
-	sn := config.Compile(se.Revision, doc)
-	if sn.Digest() != se.Digest {
+	sn := config.Compile(cu.Revision, doc)
+	if sn.Digest() != cu.Digest {
 		return nil, errDigestMismatch
 	}
 	return sn, nil
